--- a/crates/jasperhill-testkit/src/lib.rs
+++ b/crates/jasperhill-testkit/src/lib.rs
@@ -3,13 +3,16 @@
 //! repeats. The protocol's rules are asserted at every step; a broken one is recorded in
 //! [`World::broken`].
 
+pub mod behaviour;
 pub mod cloud;
+pub mod days;
 pub mod faults;
 pub mod lines;
 pub mod rules;
 pub mod state;
+pub mod transcript;
 pub mod users;
 pub mod workers;
 pub mod world;
 
-pub use world::{Plan, World, run};
+pub use world::{Plan, World, run, run_recorded};
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -7,6 +7,7 @@
     lines::{Line, NoLine, Outgoing, Platform},
     rules::Rules,
     state::{Limits, Served, StateService},
+    transcript::Transcript,
     users,
     workers::{Times, Worker},
 };
@@ -326,6 +327,8 @@
     pub origin: Instant,
     pub scale: Scale,
     pub plan: Plan,
+    /// What the controllers send and answer, where that is recorded.
+    transcript: RefCell<Option<Transcript>>,
 }
 
 const NODES: usize = 3;
@@ -416,6 +419,7 @@
     fn call(&self, to: SocketAddr, request: Request, limit: Duration) -> Call<'_> {
         let (world, node) = (self.world.clone(), self.node);
         Box::pin(async move {
+            world.transcribe(|t, at| t.request(at, node, to, &request));
             let ends = match self.lines.take(to, self.class_of(to)) {
                 Ok(ends) => ends,
                 Err(NoLine::Own) => return Err(ClientError::NoSocket),
@@ -443,6 +447,14 @@
     pub fn pick(&self, n: u64) -> u64 {
         self.inner.borrow_mut().rng.random_range(0..n)
     }
+    /// Adds to the transcript, if there is one.
+    fn transcribe(&self, add: impl FnOnce(&mut Transcript, Duration)) {
+        let at = Instant::now() - self.origin;
+        if let Some(transcript) = self.transcript.borrow_mut().as_mut() {
+            add(transcript, at);
+        }
+    }
+
     pub fn breaks(&self, what: String) {
         self.inner.borrow_mut().rules.breaks(what);
     }
@@ -616,9 +628,11 @@
                     return Err(ClientError::NotSent);
                 };
                 self.thaw(i).await;
+                let asked = asked(&request);
                 let future = controller.handle_mesh(request);
                 drop(controller);
                 let answer = future.await;
+                self.transcribe(|t, at| t.answer(at, i, &asked, &answer));
                 if self.inner.borrow().lives[i] != life {
                     return Err(ClientError::NoAnswer);
                 }
@@ -818,6 +832,7 @@
         let ours = there.clone();
         spawn_local(async move {
             world.thaw(node).await;
+            let asked = asked(&request);
             let (future, life) = {
                 let inner = world.inner.borrow();
                 let Some(controller) = inner.nodes[node].as_ref() else {
@@ -831,6 +846,7 @@
                 (controller.handle(request), inner.lives[node])
             };
             let answer = future.await;
+            world.transcribe(|t, at| t.answer(at, node, &asked, &answer));
             world.thaw(node).await;
             ours.rests();
             if world.inner.borrow().lives[node] == life {
@@ -1656,6 +1672,11 @@
     key.starts_with("jh/format/") || key.starts_with("jh/types/")
 }
 
+/// How a transcript names a request to a controller.
+fn asked(request: &Request) -> String {
+    format!("{} {}", request.method.as_str(), request.target)
+}
+
 fn worker_id(to: SocketAddr) -> String {
     let SocketAddr::V4(v4) = to else {
         panic!("not IPv4")
@@ -1668,6 +1689,16 @@
 
 /// Plays a plan and says what came of it.
 pub fn run(plan: Plan) -> Outcome {
+    play(plan, None).0
+}
+
+/// As `run`, and records all that the controllers sent and answered.
+pub fn run_recorded(plan: Plan) -> (Outcome, Transcript) {
+    let (outcome, transcript) = play(plan, Some(Transcript::default()));
+    (outcome, transcript.unwrap_or_default())
+}
+
+fn play(plan: Plan, transcript: Option<Transcript>) -> (Outcome, Option<Transcript>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -1718,6 +1749,7 @@
             origin: now,
             scale: plan.scale,
             plan: plan.clone(),
+            transcript: RefCell::new(transcript),
         });
         *world.me.borrow_mut() = Rc::downgrade(&world);
         let ends = plan
@@ -1812,8 +1844,9 @@
         for node in 0..NODES {
             world.kill_node(node);
         }
+        let transcript = world.transcript.take();
         let inner = world.inner.borrow();
-        Outcome {
+        let outcome = Outcome {
             broken: inner.rules.broken.clone(),
             accepted: inner.accepted,
             finished: inner.finished,
@@ -1873,6 +1906,7 @@
                 .chain(inner.shares(|j| j.team.to_string()))
                 .collect(),
             state_peak: inner.state.busiest(),
-        }
+        };
+        (outcome, transcript)
     })
 }
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -8,6 +8,7 @@
 use jasperhill_sched::{Host, HostInput, MachineSpec, Source};
 use jasperhill_testkit::{
     Plan,
+    days::{drawn, from_peers},
     faults::{Kind, Met, Place, Trouble},
     rules::Rules,
     run,
@@ -20,7 +21,6 @@
     user::JobRequest,
     worker::{Report, orders_body},
 };
-use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{
     collections::BTreeMap,
     rc::Rc,
@@ -91,13 +91,6 @@
     }
 }
 
-/// The controller loses its peers from then on.
-fn from_peers(node: usize, at: u64, time: u64) -> Vec<(u64, Trouble)> {
-    let others = (0..3).filter(|n| *n != node);
-    let cut = |n| Trouble::Cut(Place::Node(node), Place::Node(n), secs(time));
-    others.map(|n| (at, cut(n))).collect()
-}
-
 /// Cancellations that others confirmed between the refusal and the outage, with tasks alive then.
 fn between(outcome: &Outcome, node: usize, lead: u64) -> Vec<&Gone> {
     let window = (OUTAGE_AT - lead) as f64..OUTAGE_AT as f64;
@@ -806,99 +799,8 @@
     }
 }
 
-/// One of the meetings, drawn, to begin about then.
-fn drawn(rng: &mut StdRng, at: u64) -> Vec<(u64, Trouble)> {
-    let node = rng.random_range(0..3);
-    let time = rng.random_range(8..50);
-    let back = millis(
-        *[200, 300, 2_000, 9_000]
-            .get(rng.random_range(0..4))
-            .unwrap_or(&200),
-    );
-    match rng.random_range(0..15) {
-        9 => vec![
-            (at, Trouble::Mute(rng.random_range(20..90), secs(time))),
-            (at + 3, Trouble::Crash(node, back)),
-        ],
-        10 => vec![(at, Trouble::CancelNow(8, secs(rng.random_range(0..20))))],
-        11 => vec![(at, Trouble::CancelAtEnd(80, secs(time)))],
-        12 => vec![(at, Trouble::OddRequests(secs(time)))],
-        13 => vec![
-            (
-                at,
-                Trouble::Hang(rng.random_range(1..6), secs(time.min(25))),
-            ),
-            (at + 1, Trouble::CancelNow(4, Duration::ZERO)),
-        ],
-        0 => {
-            let mut cut = from_peers(node, at, time + 20);
-            cut.push((
-                at,
-                Trouble::Cut(Place::Node(node), Place::State, secs(time + 20)),
-            ));
-            cut
-        }
-        1 => vec![
-            (at, Trouble::Deaf(rng.random_range(20..90), secs(time))),
-            (at + 2, Trouble::Crash(node, back)),
-        ],
-        2 => vec![(
-            at,
-            Trouble::LateWrites(rng.random_range(10..70), secs(time + 20)),
-        )],
-        3 => vec![(
-            at,
-            Trouble::LateReports(rng.random_range(10..90), secs(time + 20)),
-        )],
-        4 => (0..3)
-            .map(|n| (at + n as u64 % 2, Trouble::Crash(n, back)))
-            .collect(),
-        5 => vec![(
-            at,
-            Trouble::HeldOrders(rng.random_range(20..90), secs(time + 10)),
-        )],
-        6 => vec![
-            (at, Trouble::Refused(node, secs(time + 70))),
-            (
-                at + time.min(20),
-                Trouble::StateOutage(secs(rng.random_range(10..70))),
-            ),
-        ],
-        7 => vec![(at, Trouble::Freeze(node, secs(time)))],
-        8 => {
-            let slow = Kind::Slow(rng.random_range(100..900));
-            let link = |n| Trouble::Link(Place::Node(n), Place::State, slow, secs(time));
-            (0..3).map(|n| (at, link(n))).collect()
-        }
-        _ => vec![(
-            at,
-            Trouble::Loop {
-                node,
-                times: 4,
-                life: millis(rng.random_range(300..6_000)),
-                back,
-            },
-        )],
-    }
-}
-
-/// Two or three meetings that overlap, twice a day.
 fn day(seed: u64) -> (String, Plan) {
-    let mut rng = StdRng::seed_from_u64(seed);
-    let mut troubles = Vec::new();
-    for at in [50, 150] {
-        for _ in 0..rng.random_range(2..4) {
-            let begins = at + rng.random_range(0..15);
-            troubles.extend(drawn(&mut rng, begins));
-        }
-    }
-    let plan = Plan {
-        uneven: 8,
-        bound: 8,
-        pipelines: (3, 40),
-        ..Plan::small(seed, 340, 60, troubles)
-    };
-    (format!("seed {seed}"), plan)
+    (format!("seed {seed}"), drawn(seed))
 }
 
 #[test]
--- a/crates/jasperhill/src/own.rs
+++ b/crates/jasperhill/src/own.rs
@@ -90,6 +90,22 @@
         assert_eq!(parse("").unwrap(), OwnSettings::default());
     }
 
+    /// A file with everything that commit 6144652 understood: names and meanings stay.
+    #[test]
+    fn a_file_of_an_earlier_version_means_what_it_did() {
+        let own = parse(
+            "uncertainty_factor: 1.5 headroom: 0.25 idle_keep_s: 12.5 session_s: 9\n\
+             floor_machines: 6 restless_after: 4 least_share: 0.5",
+        )
+        .unwrap();
+        let tuning = &own.tuning;
+        assert_eq!((tuning.uncertainty, tuning.headroom), (1.5, 0.25));
+        assert_eq!(tuning.idle_keep, Micros::from_millis(12_500));
+        assert_eq!((tuning.floor, tuning.least_share), (6, 0.5));
+        assert_eq!(own.session, Some(Micros::from_secs(9)));
+        assert_eq!(own.restless_after, Some(4));
+    }
+
     #[test]
     fn what_does_not_fit_is_named() {
         assert_eq!(parse("least_share: 2").unwrap_err().field, "least_share");
