--- a/crates/jasperhill-sockets/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -1,7 +1,7 @@
 //! Generated histories: whatever comes in whatever order, the account keeps to its bound and its
 //! floors, and the window to its size.
 
-use jasperhill_sockets::{Account, Class, Input, Key, Output, Plan, Sizes, Window, window};
+use jasperhill_connections::{Account, Class, Input, Key, Output, Plan, Sizes, Window, window};
 use jasperhill_wire::Micros;
 use proptest::{prelude::*, test_runner::RngSeed};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/jasperhill-control/src/cloud/listing.rs
+++ b/crates/jasperhill-controller/src/cloud/listing.rs
@@ -9,7 +9,7 @@
     store::{Urgency, Written},
 };
 use jasperhill_http::Method;
-use jasperhill_sched::boots::Boots;
+use jasperhill_scheduler::boots::Boots;
 use jasperhill_wire::{
     HostId, Micros,
     cloud::{Machine, MachineList, MachinePhase},
--- a/crates/jasperhill-control/src/cloud/mod.rs
+++ b/crates/jasperhill-controller/src/cloud/mod.rs
@@ -13,8 +13,8 @@
     store::{Urgency, guard, put},
 };
 use jasperhill_http::{Method, Request, Response};
-use jasperhill_members::view::LinkId;
-use jasperhill_sched::{
+use jasperhill_membership::view::LinkId;
+use jasperhill_scheduler::{
     boots::{Boots, replaceable},
     config::{Specs, specs},
 };
--- a/crates/jasperhill-control/src/cloud/returning.rs
+++ b/crates/jasperhill-controller/src/cloud/returning.rs
@@ -7,7 +7,7 @@
     store::{Urgency, Written},
 };
 use jasperhill_http::Method;
-use jasperhill_sched::Reach;
+use jasperhill_scheduler::Reach;
 use jasperhill_wire::{
     HostId, Micros, Revision,
     cloud::HostNames,
--- a/crates/jasperhill-control/src/cloud/stock.rs
+++ b/crates/jasperhill-controller/src/cloud/stock.rs
@@ -4,7 +4,7 @@
     controller::{Inner, State},
     mirror::ActiveJob,
 };
-use jasperhill_sched::{
+use jasperhill_scheduler::{
     chain::Standing,
     fleet::{Demand, Need, plan},
 };
--- a/crates/jasperhill-control/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -16,15 +16,16 @@
     store::Writer,
     upgrade::{Seen, Upgrade},
 };
+use jasperhill_connections::{Class, Window};
 use jasperhill_http::{Request, Response};
-use jasperhill_members::{
+use jasperhill_membership::{
     Lives, Roles, View,
     authority::{self, Authority, Session},
     link::Evidence,
     roles,
     view::LinkId,
 };
-use jasperhill_sched::{
+use jasperhill_scheduler::{
     Partition, SchedConfig,
     chain::Standing,
     config::{Specs, specs},
@@ -32,7 +33,6 @@
     job::{Ending, Gate, Place},
     partition::Note,
 };
-use jasperhill_sockets::{Class, Window};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Name, record::RecordPhase, user::JobRequest, worker::Report,
 };
@@ -239,7 +239,7 @@
             tasks: JoinSet::new(),
         };
         let inner = Rc::new(Inner {
-            split: jasperhill_sched::split::split(&settings.teams, settings.size),
+            split: jasperhill_scheduler::split::split(&settings.teams, settings.size),
             members: settings.members(),
             sched,
             settings,
@@ -590,7 +590,7 @@
                 let unfenced: Vec<HostId> = partition
                     .hosts
                     .values()
-                    .filter(|h| matches!(h.reach, jasperhill_sched::Reach::Unfenced { .. }))
+                    .filter(|h| matches!(h.reach, jasperhill_scheduler::Reach::Unfenced { .. }))
                     .map(|h| h.id.clone())
                     .collect();
                 partition.dirty.extend(unfenced);
--- a/crates/jasperhill-control/src/keep.rs
+++ b/crates/jasperhill-controller/src/keep.rs
@@ -15,8 +15,8 @@
     store::{Urgency, Written, guard, put, put_tied},
 };
 use jasperhill_http::Response;
-use jasperhill_members::{authority::Session, view::LinkId};
-use jasperhill_sched::HostInput;
+use jasperhill_membership::{authority::Session, view::LinkId};
+use jasperhill_scheduler::HostInput;
 use jasperhill_wire::{
     HostId, Member, Micros, Revision, Token,
     mesh::Reach,
@@ -382,7 +382,7 @@
                 .iter()
                 .filter_map(|id| partition.hosts.get(id))
                 .filter(|h| {
-                    h.reach != jasperhill_sched::Reach::Lapsed && now - h.last_heard > quiet
+                    h.reach != jasperhill_scheduler::Reach::Lapsed && now - h.last_heard > quiet
                 })
                 // The keeper renews under this token until then, whatever is on its way.
                 .filter(|h| {
--- a/crates/jasperhill-control/src/lib.rs
+++ b/crates/jasperhill-controller/src/lib.rs
@@ -1,6 +1,6 @@
 //! A controller: sessions and authority, the store client, the mirror and its read barrier,
 //! the mesh, the user API, dealings with workers and the cloud. Thin I/O around the state
-//! machines here and in `jasperhill-sched`.
+//! machines here and in `jasperhill-scheduler`.
 
 pub mod budget;
 pub mod clock;
--- a/crates/jasperhill-control/src/links.rs
+++ b/crates/jasperhill-controller/src/links.rs
@@ -1,5 +1,5 @@
 //! What this controller learns of its links, and the ways round a cut: it feeds
-//! [`jasperhill_members::View`], tells the others how it stands, passes reports on to owners that
+//! [`jasperhill_membership::View`], tells the others how it stands, passes reports on to owners that
 //! their workers don't reach, and orders to workers that their owners don't reach.
 //!
 //! Nothing here decides what may run: whoever passes something on adds nothing to it. A report's
@@ -11,7 +11,7 @@
     workers::RELAY_MEMORY,
 };
 use jasperhill_http::{ClientError, Method, Request, Response};
-use jasperhill_members::{
+use jasperhill_membership::{
     link::Evidence,
     roles::Fit,
     view::{self, LinkId, Output},
@@ -223,7 +223,7 @@
             let zones = self.settings.zones.iter().cloned();
             let mut due: BTreeMap<Name, u32> = zones.map(|z| (z, 0)).collect();
             for host in state.partitions.values().flat_map(|p| p.hosts.values()) {
-                if host.reach != jasperhill_sched::Reach::Lapsed {
+                if host.reach != jasperhill_scheduler::Reach::Lapsed {
                     *due.entry(host.zone.clone()).or_default() += 1;
                 }
             }
--- a/crates/jasperhill-control/src/mirror.rs
+++ b/crates/jasperhill-controller/src/mirror.rs
@@ -1,8 +1,8 @@
 //! The mirror: a copy of the store, kept by a listing and a watch. Every change goes through
 //! [`Mirror::apply`].
 
-use jasperhill_members::Seat;
-use jasperhill_sched::chain::{self, Chain, Fate, Output, Standing, Terms};
+use jasperhill_membership::Seat;
+use jasperhill_scheduler::chain::{self, Chain, Fate, Output, Standing, Terms};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Revision,
     cloud::MachineTypes,
--- a/crates/jasperhill-control/src/net.rs
+++ b/crates/jasperhill-controller/src/net.rs
@@ -1,8 +1,8 @@
 //! How requests leave the process. Tests put stand-ins behind the same trait.
 
 use crate::settings::Settings;
+use jasperhill_connections::{Class, Sizes};
 use jasperhill_http::{Client, ClientError, ClientLimits, Request, Response, Sockets};
-use jasperhill_sockets::{Class, Sizes};
 use std::{collections::BTreeMap, future::Future, net::SocketAddr, pin::Pin, time::Duration};
 
 pub type Call<'a> = Pin<Box<dyn Future<Output = Result<Response, ClientError>> + 'a>>;
--- a/crates/jasperhill-control/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -5,11 +5,11 @@
     controller::{Inner, State},
     store::{Urgency, Written, guard, put},
 };
-use jasperhill_members::{
+use jasperhill_membership::{
     lives::{self, Former, Phase},
     roles::{self, Facts, Step},
 };
-use jasperhill_sched::{Host, Partition, job::Gate};
+use jasperhill_scheduler::{Host, Partition, job::Gate};
 use jasperhill_wire::{
     Member, Micros, Revision,
     record::{PIPELINES, Role, RoleRecord, SessionRecord, role_key, session_key},
@@ -179,7 +179,7 @@
                 for ((q, _), grant) in &state.mirror.grants {
                     if *q == p {
                         for id in grant.value.hosts.keys() {
-                            part.apply(id, jasperhill_sched::HostInput::Kept(until), now);
+                            part.apply(id, jasperhill_scheduler::HostInput::Kept(until), now);
                         }
                     }
                 }
--- a/crates/jasperhill-control/src/room.rs
+++ b/crates/jasperhill-controller/src/room.rs
@@ -2,7 +2,7 @@
 //! and what the log and `/ready` say of classes that have come to their bound.
 
 use crate::controller::Inner;
-use jasperhill_sockets::{Class, window::Input};
+use jasperhill_connections::{Class, window::Input};
 use jasperhill_wire::{HostId, Micros};
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
--- a/crates/jasperhill-control/src/settings.rs
+++ b/crates/jasperhill-controller/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings that the platform hands over, checked, and the operators' own.
 
-use jasperhill_members::{Bounds, Terms};
-use jasperhill_sched::{SchedConfig, TeamLimits, Tuning};
+use jasperhill_membership::{Bounds, Terms};
+use jasperhill_scheduler::{SchedConfig, TeamLimits, Tuning};
 use jasperhill_wire::{Member, Micros, Name, Resources};
 use serde::Deserialize;
 use std::{
--- a/crates/jasperhill-control/src/store.rs
+++ b/crates/jasperhill-controller/src/store.rs
@@ -7,7 +7,7 @@
     mirror::{self, Phase},
 };
 use jasperhill_http::{ClientError, Method, Request, Response};
-use jasperhill_members::{
+use jasperhill_membership::{
     authority::{self, Session},
     link::Evidence,
     lives,
--- a/crates/jasperhill-control/src/users.rs
+++ b/crates/jasperhill-controller/src/users.rs
@@ -6,7 +6,7 @@
     store::{Urgency, Written, guard, put},
 };
 use jasperhill_http::{Method, Request, Response};
-use jasperhill_sched::{Verdict, chain::Standing, config::impossible};
+use jasperhill_scheduler::{Verdict, chain::Standing, config::impossible};
 use jasperhill_wire::{
     JobId, Member, Micros, Revision,
     mesh::{Counts, MeshAnswer, MeshRequest},
@@ -419,7 +419,7 @@
             if verdict == Verdict::Admit {
                 state.first_asked.remove(&request.id);
             } else if state.first_asked.len() <= ASKED_MAX {
-                let hosts = jasperhill_sched::fleet::hosts_for(&request, specs);
+                let hosts = jasperhill_scheduler::fleet::hosts_for(&request, specs);
                 let refused = Refused {
                     first: asked,
                     last: now,
@@ -468,7 +468,7 @@
             // Where it really stands is known to its owner alone.
             match own.and_then(|p| p.jobs.get(id)) {
                 Some(job) if job.running.is_empty() => estimate,
-                _ => jasperhill_sched::forward::remaining(estimate, now - since),
+                _ => jasperhill_scheduler::forward::remaining(estimate, now - since),
             }
         };
         state.mirror.chain.release(&request.waits_on, rest)
--- a/crates/jasperhill-control/src/wants.rs
+++ b/crates/jasperhill-controller/src/wants.rs
@@ -11,7 +11,7 @@
     controller::Inner,
     store::{Urgency, Written, guard, put, put_tied},
 };
-use jasperhill_members::{authority::Session, view::LinkId};
+use jasperhill_membership::{authority::Session, view::LinkId};
 use jasperhill_wire::{
     JobId, Member, Micros, Revision,
     mesh::{MeshAnswer, Reach},
--- a/crates/jasperhill-control/src/workers.rs
+++ b/crates/jasperhill-controller/src/workers.rs
@@ -8,10 +8,10 @@
     mirror::JobEntry,
     store::{Urgency, Written, guard, put},
 };
+use jasperhill_connections::window;
 use jasperhill_http::{ClientError, Method, Request, Response};
-use jasperhill_members::{link::Evidence, view::LinkId};
-use jasperhill_sched::{HostInput, Partition, Reach, Source};
-use jasperhill_sockets::window;
+use jasperhill_membership::{link::Evidence, view::LinkId};
+use jasperhill_scheduler::{HostInput, Partition, Reach, Source};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Revision, mesh,
     record::{HostRecord, HostUse, JobRecord, RecordPhase, Role, job_key, role_key},
@@ -825,7 +825,7 @@
         let each = job.request.tasks.to_string().len() + 1;
         let most = self.settings.value_bytes.saturating_sub(used) / each;
         let finished = job.done.to_runs(most);
-        let durable = jasperhill_sched::DoneSet::from_runs(job.request.tasks, &finished);
+        let durable = jasperhill_scheduler::DoneSet::from_runs(job.request.tasks, &finished);
         let tasks: BTreeSet<u32> = job
             .unsaved
             .iter()
--- a/crates/jasperhill-control/tests/mirror.rs
+++ b/crates/jasperhill-controller/tests/mirror.rs
@@ -1,6 +1,6 @@
 //! The mirror of the host records: blocks change as wholes, hosts one by one.
 
-use jasperhill_control::mirror::{Change, Input, Mirror};
+use jasperhill_controller::mirror::{Change, Input, Mirror};
 use jasperhill_wire::{
     HostId, JobId, Revision,
     record::{HostBlock, HostRecord, HostUse, RecordPhase, block_key},
--- a/crates/jasperhill-control/tests/settings.rs
+++ b/crates/jasperhill-controller/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The platform's settings: what is read, what is refused and how it is named.
 
-use jasperhill_control::Settings;
+use jasperhill_controller::Settings;
 use jasperhill_wire::Micros;
 use proptest::prelude::*;
 
--- a/crates/jasperhill-http/src/client.rs
+++ b/crates/jasperhill-http/src/client.rs
@@ -6,7 +6,7 @@
     server::read_chunked,
     sockets::{Sockets, Ticket},
 };
-use jasperhill_sockets::{Class, Key};
+use jasperhill_connections::{Class, Key};
 use std::{
     cell::{Cell, RefCell},
     collections::HashMap,
--- a/crates/jasperhill-http/src/server.rs
+++ b/crates/jasperhill-http/src/server.rs
@@ -5,7 +5,7 @@
     head::{Framing, HEAD_MAX, HeadError, Method, Request, RequestHead, Response, parse_request},
     sockets::{Sockets, Ticket},
 };
-use jasperhill_sockets::Class;
+use jasperhill_connections::Class;
 use std::{future::Future, rc::Rc, time::Duration};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
--- a/crates/jasperhill-http/src/sockets.rs
+++ b/crates/jasperhill-http/src/sockets.rs
@@ -1,7 +1,7 @@
 //! The face of the account of sockets: tickets that connections hold, and the way to those that
-//! have to make way. What is decided stands in `jasperhill-sockets`.
+//! have to make way. What is decided stands in `jasperhill-connections`.
 
-use jasperhill_sockets::{Account, Class, Input, Key, Output, Plan, Report, Sizes};
+use jasperhill_connections::{Account, Class, Input, Key, Output, Plan, Report, Sizes};
 use jasperhill_wire::Micros;
 use slotmap::SecondaryMap;
 use std::{cell::RefCell, rc::Rc, time::Duration};
--- a/crates/jasperhill-http/tests/loopback.rs
+++ b/crates/jasperhill-http/tests/loopback.rs
@@ -1,10 +1,10 @@
 //! The server and client over loopback: bad input is bounded and answered.
 
+use jasperhill_connections::{Class, Sizes};
 use jasperhill_http::{
     Client, ClientError, ClientLimits, Door, Method, Request, Response, ServerLimits, Sockets,
     serve,
 };
-use jasperhill_sockets::{Class, Sizes};
 use std::{future::Future, net::SocketAddr, time::Duration};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
--- a/crates/jasperhill-sched/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -2,10 +2,10 @@
 //! machines and waiting jobs are doubled and doubled again. It must grow no faster than both
 //! together.
 //!
-//! `cargo bench -p jasperhill-sched --bench pass`
+//! `cargo bench -p jasperhill-scheduler --bench pass`
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use jasperhill_sched::{
+use jasperhill_scheduler::{
     MachineSpec, Partition, SchedConfig, Source, TeamLimits, Tuning, host::HostInput,
 };
 use jasperhill_wire::{
--- a/crates/jasperhill-sched/tests/config.rs
+++ b/crates/jasperhill-scheduler/tests/config.rs
@@ -1,6 +1,8 @@
 //! What can never run, and what an idle deployment keeps.
 
-use jasperhill_sched::config::{MachineSpec, SchedConfig, Specs, TeamLimits, Tuning, impossible};
+use jasperhill_scheduler::config::{
+    MachineSpec, SchedConfig, Specs, TeamLimits, Tuning, impossible,
+};
 use jasperhill_wire::{Micros, Resources, user::JobRequest};
 use proptest::prelude::*;
 use std::{collections::BTreeMap, rc::Rc};
--- a/crates/jasperhill-sched/tests/machines.rs
+++ b/crates/jasperhill-scheduler/tests/machines.rs
@@ -1,6 +1,6 @@
 //! The host and partition machines, driven by chosen and by generated events.
 
-use jasperhill_sched::{
+use jasperhill_scheduler::{
     Host, HostInput, MachineSpec, Partition, Reach, SchedConfig, Source, TeamLimits, Tuning,
     Verdict,
     job::{Ending, Gate, Place},
@@ -573,7 +573,7 @@
 
 /// What a host says: all tasks that are on it have failed, or have completed.
 fn all_exit(part: &mut Partition, host: &str, counter: u64, cause: Cause, now: Micros) -> usize {
-    let exited = |(id, t): (&TaskId, &jasperhill_sched::host::HostTask)| TaskReport {
+    let exited = |(id, t): (&TaskId, &jasperhill_scheduler::host::HostTask)| TaskReport {
         task: id.clone(),
         attempt: t.attempt,
         phase: TaskPhase::Exited(cause),
--- a/crates/jasperhill-testkit/src/lines.rs
+++ b/crates/jasperhill-testkit/src/lines.rs
@@ -2,9 +2,9 @@
 //! of it, idle or not, and beyond the limit no new one comes about. A process's own account of them
 //! is asked as its server and client ask it.
 
-use jasperhill_control::net::class_of;
+use jasperhill_connections::Class;
+use jasperhill_controller::net::class_of;
 use jasperhill_http::{Request, Sockets, Ticket};
-use jasperhill_sockets::Class;
 use std::{
     cell::{Cell, RefCell},
     collections::HashMap,
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -11,10 +11,10 @@
     users,
     workers::{Times, Worker},
 };
-use jasperhill_control::{Clock, Controller, Settings, Transport, net, net::Call};
+use jasperhill_connections::{Class, Sizes};
+use jasperhill_controller::{Clock, Controller, Settings, Transport, net, net::Call};
 use jasperhill_http::{ClientError, Method, Request, Response, Sockets, client::ANSWER_MAX};
-use jasperhill_members::Terms;
-use jasperhill_sockets::{Class, Sizes};
+use jasperhill_membership::Terms;
 use jasperhill_wire::{Micros, user::JobRequest};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::Value;
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -4,8 +4,8 @@
 //! CI plays a bounded number of drawn days on which several meet. More of them:
 //! `MEETINGS=200 cargo test --release -p jasperhill-testkit --test meetings -- --ignored`.
 
-use jasperhill_members::Terms;
-use jasperhill_sched::{Host, HostInput, MachineSpec, Source};
+use jasperhill_membership::Terms;
+use jasperhill_scheduler::{Host, HostInput, MachineSpec, Source};
 use jasperhill_testkit::{
     Plan,
     days::{drawn, from_peers},
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -3,9 +3,9 @@
 mod own;
 
 use clap::{Args, Parser, Subcommand};
-use jasperhill_control::{Clock, Controller, HttpTransport, Settings, SettingsError, net};
+use jasperhill_connections::Class;
+use jasperhill_controller::{Clock, Controller, HttpTransport, Settings, SettingsError, net};
 use jasperhill_http::{Door, ServerLimits, serve};
-use jasperhill_sockets::Class;
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, rc::Rc, time::Duration};
 use tokio::{
     net::{TcpListener, TcpSocket},
@@ -126,7 +126,7 @@
         s.zones,
         s.teams.len()
     );
-    for (team, partition) in jasperhill_sched::split::split(&s.teams, s.size) {
+    for (team, partition) in jasperhill_scheduler::split::split(&s.teams, s.size) {
         println!("team {team} in partition {partition}");
     }
     println!(
--- a/crates/jasperhill/src/own.rs
+++ b/crates/jasperhill/src/own.rs
@@ -1,6 +1,6 @@
 //! The operators' own settings: protobuf text format, checked against a schema.
 
-use jasperhill_control::{OwnSettings, SettingsError};
+use jasperhill_controller::{OwnSettings, SettingsError};
 use jasperhill_wire::Micros;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
