--- a/crates/jasperhill-controller/src/cloud/assigning.rs
+++ b/crates/jasperhill-controller/src/cloud/assigning.rs
@@ -8,7 +8,7 @@
 };
 use jasperhill_wire::{
     Micros,
-    record::{HostUse, Role},
+    record::{HostAssignment, Role},
 };
 use std::rc::Rc;
 
@@ -28,7 +28,7 @@
                 .mirror
                 .hosts
                 .iter()
-                .filter(|(_, k)| k.value.usage == HostUse::Free)
+                .filter(|(_, k)| k.value.assignment == HostAssignment::Free)
                 .map(|(id, k)| (id.clone(), k.clone()))
                 .collect();
             leader
@@ -43,9 +43,9 @@
                 let usage = match short {
                     Some(p) if stocks[p].want > stocks[p].have => {
                         stocks[p].have += 1;
-                        HostUse::Partition(p as u32)
+                        HostAssignment::Partition(p as u32)
                     }
-                    _ if now - since > Micros::from_secs(5) => HostUse::Condemned(None),
+                    _ if now - since > Micros::from_secs(5) => HostAssignment::Decommissioned(None),
                     _ => continue,
                 };
                 if state.bumping.insert(id.clone()) {
--- a/crates/jasperhill-controller/src/cloud/listing.rs
+++ b/crates/jasperhill-controller/src/cloud/listing.rs
@@ -91,7 +91,7 @@
                     continue;
                 }
                 let boot = specs
-                    .get(&machine.kind)
+                    .get(&machine.machine_type)
                     .map_or(Micros::from_secs(60), |s| s.boot);
                 let age = Micros::from_secs_f64(machine.age_s);
                 match machine.phase {
@@ -105,7 +105,7 @@
                     MachinePhase::Booting => {
                         if !releasing.contains(&machine.id) {
                             leader.booting.entry(machine.id.clone()).or_insert(Booting {
-                                kind: machine.kind.clone(),
+                                kind: machine.machine_type.clone(),
                                 zone: machine.zone.clone(),
                                 spot: machine.spot,
                                 since: now - age,
--- a/crates/jasperhill-controller/src/cloud/mod.rs
+++ b/crates/jasperhill-controller/src/cloud/mod.rs
@@ -21,7 +21,7 @@
 use jasperhill_wire::{
     HostId, Micros, Name, Revision,
     cloud::{MachineTypes, RentRequest},
-    record::{HostRecord, HostUse, Role, role_key, types_key},
+    record::{HostAssignment, HostRecord, Role, role_key, types_key},
 };
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -55,10 +55,10 @@
 
 /// The record with another use. Every edit raises the count, so that a record never looks
 /// as it did before: its new revision is always seen, and the host's token rises.
-fn moved(kept: &KeptHost, usage: HostUse) -> HostRecord {
+fn moved(kept: &KeptHost, usage: HostAssignment) -> HostRecord {
     HostRecord {
-        usage,
-        bump: kept.value.bump + 1,
+        assignment: usage,
+        rewrites: kept.value.rewrites + 1,
         ..kept.value.clone()
     }
 }
--- a/crates/jasperhill-controller/src/cloud/renting.rs
+++ b/crates/jasperhill-controller/src/cloud/renting.rs
@@ -7,7 +7,7 @@
     Micros, Name,
     cloud::{HostNames, RentRequest},
     mesh::MeshRequest,
-    record::HostUse,
+    record::HostAssignment,
 };
 use std::rc::Rc;
 
@@ -41,7 +41,7 @@
             for peer in &self.settings.peers {
                 let (inner, address) = (self.clone(), peer.address);
                 self.clone().spawn(async move {
-                    let ask = MeshRequest::Unmet {
+                    let ask = MeshRequest::UnmetDemand {
                         partition,
                         thousandths,
                     };
@@ -62,7 +62,7 @@
             };
             let open = specs
                 .values()
-                .flat_map(|s| s.zones.iter().map(move |z| (&s.kind, z)))
+                .flat_map(|s| s.zones.iter().map(move |z| (&s.machine_type, z)))
                 .flat_map(|(k, z)| [(k, z, false), (k, z, true)])
                 .filter(|(k, z, spot)| {
                     let place = ((*k).clone(), (*z).clone(), *spot);
@@ -77,7 +77,7 @@
             let ready = specs
                 .values()
                 .flat_map(|s| s.zones.iter().map(move |z| (s, z)))
-                .map(|(s, z)| leader.boots.usual(&s.kind, z, s.boot, now))
+                .map(|(s, z)| leader.boots.usual(&s.machine_type, z, s.boot, now))
                 .max()
                 .unwrap_or_default();
             state.elastic = Some((machines, ready, now));
@@ -89,7 +89,10 @@
                 inner
                     .ask(
                         address,
-                        MeshRequest::Elastic { machines, ready },
+                        MeshRequest::SpareCapacity {
+                            machines,
+                            boot_time: ready,
+                        },
                         Micros::from_secs(1),
                     )
                     .await;
@@ -115,7 +118,7 @@
             .mirror
             .hosts
             .values()
-            .filter(|k| k.value.usage == HostUse::Free)
+            .filter(|k| k.value.assignment == HostAssignment::Free)
             .count();
         let (booting_spot, booting_ordinary) = leader.coming(&specs, state.mirror.hosts.len(), now);
         let booting = booting_spot + booting_ordinary + free as i64;
@@ -144,7 +147,7 @@
                 .filter(|(s, z)| {
                     !leader
                         .refused
-                        .contains_key(&(s.kind.clone(), (*z).clone(), spot))
+                        .contains_key(&(s.machine_type.clone(), (*z).clone(), spot))
                 })
                 .map(|(s, z)| {
                     let here = state
@@ -155,7 +158,12 @@
                         .count()
                         + leader.booting.values().filter(|b| &b.zone == z).count();
                     let price = if spot { s.spot_price } else { s.price };
-                    (here, (price * 1e3) as u64, s.kind.clone(), z.clone())
+                    (
+                        here,
+                        (price * 1e3) as u64,
+                        s.machine_type.clone(),
+                        z.clone(),
+                    )
                 })
                 .collect();
             places.sort();
@@ -165,7 +173,7 @@
                 let rental = RentRequest {
                     // Unique: the revision of this leadership, and a counter.
                     request: format!("r-{}-{}", leader.since, leader.counter),
-                    kind,
+                    machine_type: kind,
                     zone,
                     spot,
                     count: spread.min(count as u32),
@@ -203,12 +211,16 @@
                         wanted = rental.count, got = hosts.len(), ?hosts, "rented"
                     );
                     if hosts.len() < rental.count as usize {
-                        let place = (rental.kind.clone(), rental.zone.clone(), rental.spot);
+                        let place = (
+                            rental.machine_type.clone(),
+                            rental.zone.clone(),
+                            rental.spot,
+                        );
                         leader.refused.insert(place, now + Micros::from_secs(15));
                     }
                     for id in hosts {
                         let booting = Booting {
-                            kind: rental.kind.clone(),
+                            kind: rental.machine_type.clone(),
                             zone: rental.zone.clone(),
                             spot: rental.spot,
                             since: now,
@@ -219,7 +231,7 @@
                 Some(a) if a.status == 503 && a.body.windows(8).any(|w| w == b"capacity") => {
                     tracing::info!(zone = %rental.zone, spot = rental.spot, "no capacity");
                     leader.rental = None;
-                    let place = (rental.kind, rental.zone, rental.spot);
+                    let place = (rental.machine_type, rental.zone, rental.spot);
                     leader.refused.insert(place, now + Micros::from_secs(15));
                 }
                 Some(a) if a.status == 400 => {
--- a/crates/jasperhill-controller/src/cloud/returning.rs
+++ b/crates/jasperhill-controller/src/cloud/returning.rs
@@ -11,7 +11,7 @@
 use jasperhill_wire::{
     HostId, Micros, Revision,
     cloud::HostNames,
-    record::{HostUse, Role},
+    record::{HostAssignment, Role},
 };
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -29,14 +29,14 @@
                 .mirror
                 .hosts
                 .iter()
-                .filter(|(_, k)| matches!(k.value.usage, HostUse::Condemned(_)))
+                .filter(|(_, k)| matches!(k.value.assignment, HostAssignment::Decommissioned(_)))
                 .map(|(id, _)| id.clone());
             state
                 .releasing
                 .iter()
                 .filter(|id| {
                     state.mirror.hosts.get(*id).is_none_or(|k| {
-                        matches!(k.value.usage, HostUse::Condemned(_))
+                        matches!(k.value.assignment, HostAssignment::Decommissioned(_))
                             || k.value.partition().is_some()
                     })
                 })
@@ -122,7 +122,9 @@
                     let Some(host) = partition.hosts.get(&id) else {
                         continue;
                     };
-                    if !matches!(host.usage, HostUse::Partition(_)) || state.bumping.contains(&id) {
+                    if !matches!(host.usage, HostAssignment::Partition(_))
+                        || state.bumping.contains(&id)
+                    {
                         continue;
                     }
                     let lost = host.reach == Reach::Lapsed
@@ -132,12 +134,12 @@
                         && (host.spot || stock.have_ordinary > stock.want_ordinary)
                         && partition.is_spare(&id, now, keep);
                     let usage = if lost || (bad && host.reach == Reach::Fenced) {
-                        HostUse::Condemned(None)
+                        HostAssignment::Decommissioned(None)
                     } else if spare && short {
-                        HostUse::Free
+                        HostAssignment::Free
                     } else if spare {
                         // Nobody is short: it need not go by way of the leader.
-                        HostUse::Condemned(None)
+                        HostAssignment::Decommissioned(None)
                     } else {
                         continue;
                     };
@@ -157,7 +159,7 @@
         for (p, since, id, kept, usage) in gifts {
             let inner = self.clone();
             self.clone().spawn(async move {
-                let old = kept.value.usage;
+                let old = kept.value.assignment;
                 let edit = Edit {
                     urgency: Urgency::Rest,
                     role: (Role::Partition(p), since),
@@ -184,7 +186,7 @@
         p: u32,
         since: Revision,
         id: &HostId,
-        usage: HostUse,
+        usage: HostAssignment,
     ) {
         loop {
             sleep(Duration::from_millis(500)).await;
@@ -199,7 +201,7 @@
                 }
                 state.mirror.hosts.get(id).cloned()
             };
-            let Some(kept) = kept.filter(|k| k.value.usage == usage) else {
+            let Some(kept) = kept.filter(|k| k.value.assignment == usage) else {
                 return;
             };
             let edit = Edit {
--- a/crates/jasperhill-controller/src/cloud/stock.rs
+++ b/crates/jasperhill-controller/src/cloud/stock.rs
@@ -8,7 +8,7 @@
     chain::Standing,
     fleet::{Demand, Need, plan},
 };
-use jasperhill_wire::{JobId, Micros, Name, record::HostUse};
+use jasperhill_wire::{JobId, Micros, Name, record::HostAssignment};
 use std::collections::BTreeMap;
 
 /// What a partition should have and has.
@@ -87,7 +87,7 @@
         let near = |job: &ActiveJob| {
             let request = &job.request;
             ready(&request.id)
-                || (request.waits_on.iter().all(ready)
+                || (request.dependencies.iter().all(ready)
                     && self.release_of(state, request, now) <= boot)
         };
         let demands: Vec<Demand<'_>> = state
@@ -125,7 +125,7 @@
             })
             .collect();
         for kept in state.mirror.hosts.values() {
-            if let HostUse::Partition(p) = kept.value.usage
+            if let HostAssignment::Partition(p) = kept.value.assignment
                 && let Some(stock) = stocks.get_mut(p as usize)
             {
                 stock.have += 1;
--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -34,7 +34,7 @@
     partition::Note,
 };
 use jasperhill_wire::{
-    HostId, JobId, Member, Micros, Name, record::RecordPhase, user::JobRequest, worker::Report,
+    HostId, JobId, Member, Micros, Name, record::RecordPhase, user::JobRequest, worker::Heartbeat,
 };
 use std::{
     cell::RefCell,
@@ -117,7 +117,7 @@
     pub partial_due: BTreeMap<JobId, Micros>,
     pub bumping: BTreeSet<HostId>,
     /// Machines without a record that are about to be taken on together.
-    pub newcomers: Vec<Report>,
+    pub newcomers: Vec<Heartbeat>,
     pub releasing: BTreeSet<HostId>,
     /// When refused jobs were first asked for, so that a retry does not get more time.
     pub first_asked: BTreeMap<JobId, Refused>,
--- a/crates/jasperhill-controller/src/counts.rs
+++ b/crates/jasperhill-controller/src/counts.rs
@@ -5,7 +5,7 @@
 use crate::controller::Inner;
 use jasperhill_wire::{
     JobId, Member, Micros,
-    mesh::{Counts, MeshAnswer, MeshRequest},
+    mesh::{MeshRequest, MeshResponse, TaskCounts},
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -27,19 +27,19 @@
 /// What was learned from others, and what is being asked.
 #[derive(Default)]
 pub(crate) struct Learned {
-    known: HashMap<JobId, (Counts, Micros)>,
+    known: HashMap<JobId, (TaskCounts, Micros)>,
     wanted: BTreeMap<Member, BTreeSet<JobId>>,
     /// Owners with a question under way.
     asking: BTreeSet<Member>,
 }
 
 impl Learned {
-    pub fn get(&self, id: &JobId, now: Micros) -> Option<Counts> {
+    pub fn get(&self, id: &JobId, now: Micros) -> Option<TaskCounts> {
         let (counts, at) = self.known.get(id)?;
         (now - *at < FRESH).then_some(*counts)
     }
 
-    fn keep(&mut self, id: JobId, counts: Counts, now: Micros) {
+    fn keep(&mut self, id: JobId, counts: TaskCounts, now: Micros) {
         if self.known.len() >= KEPT_MAX {
             self.known.retain(|_, (_, at)| now - *at < FRESH);
         }
@@ -51,7 +51,7 @@
 
 impl Inner {
     /// The counts of a job that `owner` runs, at most a little old.
-    pub async fn counts_from(self: &Rc<Self>, owner: Member, id: &JobId) -> Option<Counts> {
+    pub async fn counts_from(self: &Rc<Self>, owner: Member, id: &JobId) -> Option<TaskCounts> {
         let begin = {
             let now = self.now();
             let mut state = self.state.borrow_mut();
@@ -97,9 +97,9 @@
             let Some(address) = self.address_of(&owner) else {
                 continue;
             };
-            let ask = MeshRequest::Counts(wanted.clone());
+            let ask = MeshRequest::TaskCounts(wanted.clone());
             let answer = self.ask(address, ask, Micros::from_millis(300)).await;
-            if let Some(MeshAnswer::Counts(found)) = answer {
+            if let Some(MeshResponse::TaskCounts(found)) = answer {
                 let now = self.now();
                 let mut state = self.state.borrow_mut();
                 for (id, counts) in wanted.into_iter().zip(found) {
@@ -114,16 +114,16 @@
     }
 
     /// Counts of jobs that are run here, for another controller.
-    pub fn counts(&self, ids: &[JobId]) -> MeshAnswer {
+    pub fn counts(&self, ids: &[JobId]) -> MeshResponse {
         let state = self.state.borrow();
         let of = |id: &JobId| {
             let job = state.partitions.values().find_map(|p| p.jobs.get(id))?;
-            Some(Counts {
+            Some(TaskCounts {
                 running: job.running.len() as u32,
                 done: job.done.count(),
             })
         };
-        MeshAnswer::Counts(ids.iter().take(ASKED_MAX).map(of).collect())
+        MeshResponse::TaskCounts(ids.iter().take(ASKED_MAX).map(of).collect())
     }
 }
 
@@ -135,7 +135,7 @@
     #[test]
     fn what_was_learned_is_shown_for_a_while_and_bounded() {
         let mut learned = Learned::default();
-        let counts = Counts {
+        let counts = TaskCounts {
             running: 3,
             done: 4,
         };
--- a/crates/jasperhill-controller/src/hostbook.rs
+++ b/crates/jasperhill-controller/src/hostbook.rs
@@ -14,7 +14,7 @@
 };
 use jasperhill_wire::{
     HostId, Micros, Revision,
-    record::{HostBlock, HostRecord, PIPELINES, Role, block_key, role_key},
+    record::{DEPENDENCIES, HostBlock, HostRecord, Role, block_key, role_key},
     state::{Change, Guard},
 };
 use std::{
@@ -159,7 +159,7 @@
         used += bytes;
         if parts.len() > 1 {
             // Every change of an entry is seen as one.
-            record.bump += 1;
+            record.rewrites += 1;
         }
         if let Some(last) = parts.last_mut() {
             last.hosts.insert(id, record);
@@ -265,7 +265,7 @@
         let mut due = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            if !state.upgrade.understands(PIPELINES) || state.leader.is_none() {
+            if !state.upgrade.understands(DEPENDENCIES) || state.leader.is_none() {
                 return;
             }
             let now = self.now();
@@ -354,7 +354,7 @@
             edits = edits.len(),
             "host block"
         );
-        if bytes <= self.settings.value_bytes || !state.upgrade.understands(PIPELINES) {
+        if bytes <= self.settings.value_bytes || !state.upgrade.understands(DEPENDENCIES) {
             return Some(Prepared {
                 edits,
                 urgency,
@@ -400,18 +400,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use jasperhill_wire::record::HostUse;
+    use jasperhill_wire::record::HostAssignment;
     use proptest::prelude::*;
 
     fn block(hosts: usize) -> HostBlock {
         let host = |n: usize| {
             let record = HostRecord {
-                usage: HostUse::Partition(1),
+                assignment: HostAssignment::Partition(1),
                 address: format!("10.1.{}.{}:9000", n / 200, n % 200),
-                kind: "box".into(),
+                machine_type: "box".into(),
                 zone: "somewhere".into(),
                 spot: n.is_multiple_of(2),
-                bump: n as u64,
+                rewrites: n as u64,
             };
             (HostId::new(&format!("n-{n:06}")), record)
         };
@@ -442,7 +442,7 @@
             for (n, part) in parts.iter().enumerate() {
                 for (id, record) in &part.hosts {
                     let mut record = record.clone();
-                    record.bump -= u64::from(n > 0);
+                    record.rewrites -= u64::from(n > 0);
                     prop_assert!(again.hosts.insert(id.clone(), record).is_none());
                 }
                 if parts.len() < most || n > 0 {
--- a/crates/jasperhill-controller/src/keep.rs
+++ b/crates/jasperhill-controller/src/keep.rs
@@ -18,11 +18,14 @@
 use jasperhill_membership::{authority::Session, view::LinkId};
 use jasperhill_scheduler::HostInput;
 use jasperhill_wire::{
-    HostId, Member, Micros, Revision, Token,
-    mesh::Reach,
-    record::{AskRecord, GrantRecord, Role, ask_key, ask_part, grant_key, role_key, session_key},
+    FencingToken, HostId, Member, Micros, Revision,
+    mesh::LinkState,
+    record::{
+        DelegationGrantRecord, DelegationRequestRecord, Role, delegation_grant_key,
+        delegation_part, delegation_request_key, role_key, session_key,
+    },
     state::Change,
-    worker::{Order, Report, TaskPhase, TaskReport, orders_body},
+    worker::{Command, Heartbeat, TaskPhase, TaskStatus, commands_body},
 };
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
@@ -152,7 +155,7 @@
     fn is_unreached(&self, state: &State, member: &Member, now: Micros) -> bool {
         if self.has_links(state) {
             // Guards against one lost message that is taken for a cut.
-            return state.view.own(&LinkId::Peer(member.clone())) == Reach::Down;
+            return state.view.own(&LinkId::Peer(member.clone())) == LinkState::Down;
         }
         let at = state.keeping.unreached.get(member);
         at.is_some_and(|t| now - *t < UNREACHED_FOR)
@@ -183,7 +186,7 @@
     }
 
     /// Answers a report for the owner if that has given, or soon gives, its leave.
-    pub async fn keep(self: &Rc<Self>, report: &Report) -> Option<Response> {
+    pub async fn keep(self: &Rc<Self>, report: &Heartbeat) -> Option<Response> {
         let begin = {
             let now = self.now();
             let mut state = self.state.borrow_mut();
@@ -210,7 +213,7 @@
 
     /// The answer for the owner: it renews the lease and stops what is cancelled. `None`
     /// without a grant that still holds.
-    fn kept_answer(&self, report: &Report) -> Option<Response> {
+    fn kept_answer(&self, report: &Heartbeat) -> Option<Response> {
         let now = self.now();
         let state = self.state.borrow();
         let Session::Held { lease, .. } = state.authority.session() else {
@@ -223,7 +226,7 @@
         }
         // Guards against a bare renewal for a task of a job that is not known here: it may be
         // cancelled as well as just accepted.
-        let unknown = |t: &TaskReport| {
+        let unknown = |t: &TaskStatus| {
             !matches!(t.phase, TaskPhase::Exited(_)) && state.mirror.job(&t.task.job).is_none()
         };
         if report.tasks.iter().any(unknown) {
@@ -232,7 +235,7 @@
         let kept = state.mirror.hosts.get(&report.host)?;
         let p = kept.value.partition()?;
         let (_, part) = *state.keeping.hosts.get(&report.host)?;
-        let me = ask_part(&self.settings.member, part);
+        let me = delegation_part(&self.settings.member, part);
         let grant = state.mirror.grants.get(&(p, me))?;
         let token = *grant.value.hosts.get(&report.host)?;
         if grant.value.lease != lease {
@@ -243,13 +246,13 @@
         if now + margin >= sent + self.settings.grant() {
             return None;
         }
-        let orders: Vec<Order> = report
+        let orders: Vec<Command> = report
             .tasks
             .iter()
             .filter(|t| state.mirror.final_phase(&t.task.job).is_some())
-            .map(|t| Order::Stop(t.task.clone(), t.attempt, Micros::ZERO))
+            .map(|t| Command::Stop(t.task.clone(), t.attempt, Micros::ZERO))
             .collect();
-        Some(Response::new(200, orders_body(token, None, &orders)))
+        Some(Response::new(200, commands_body(token, None, &orders)))
     }
 
     /// Writes the asks when they change, and again and again while there is something to keep.
@@ -295,12 +298,12 @@
         hosts: Vec<HostId>,
     ) {
         let me = &self.settings.member;
-        let key = ask_key(&ask_part(me, part));
+        let key = delegation_request_key(&delegation_part(me, part));
         let empty = hosts.is_empty();
         let change = if empty {
             Change::Delete { key }
         } else {
-            let record = AskRecord {
+            let record = DelegationRequestRecord {
                 number,
                 lease,
                 hosts,
@@ -329,7 +332,7 @@
             };
             let inner = self.clone();
             self.clone().spawn(async move {
-                let ask = jasperhill_wire::mesh::MeshRequest::IsFresh;
+                let ask = jasperhill_wire::mesh::MeshRequest::IsStoreReachable;
                 inner.ask(address, ask, Micros::from_secs(1)).await;
             });
         }
@@ -377,7 +380,7 @@
         let quiet = self.settings.report.scale(1.25) + Micros::from_millis(500);
         let mut grants = Vec::new();
         for (p, partition) in &mut state.partitions {
-            let silent: BTreeMap<HostId, Token> = ask
+            let silent: BTreeMap<HostId, FencingToken> = ask
                 .hosts
                 .iter()
                 .filter_map(|id| partition.hosts.get(id))
@@ -406,12 +409,12 @@
         drop(guarded);
         for (p, since, hosts) in grants {
             tracing::debug!(partition = p, %keeper, hosts = hosts.len(), "hosts are kept by another");
-            let record = GrantRecord {
+            let record = DelegationGrantRecord {
                 number: ask.number,
                 lease: ask.lease,
                 hosts,
             };
-            let change = put(grant_key(p, keeper), &record);
+            let change = put(delegation_grant_key(p, keeper), &record);
             self.write_grant(p, since, change);
         }
     }
@@ -455,7 +458,7 @@
             }
         }
         for ((p, keeper), since) in over {
-            let key = grant_key(p, &keeper);
+            let key = delegation_grant_key(p, &keeper);
             self.write_grant(p, since, Change::Delete { key });
         }
     }
--- a/crates/jasperhill-controller/src/links.rs
+++ b/crates/jasperhill-controller/src/links.rs
@@ -18,9 +18,9 @@
 };
 use jasperhill_wire::{
     HostId, Member, Micros, Name, Revision,
-    mesh::{LinkReport, MeshAnswer, MeshRequest, Reach},
-    record::{LINKS, Role},
-    worker::Report,
+    mesh::{LinkState, MeshRequest, MeshResponse, ReachabilityReport},
+    record::{REACHABILITY, Role},
+    worker::Heartbeat,
 };
 use std::{
     cell::Cell,
@@ -136,7 +136,7 @@
 impl Inner {
     /// Roles follow reach, and links are spoken of, only when every member understands that.
     pub fn has_links(&self, state: &State) -> bool {
-        state.upgrade.understands(LINKS)
+        state.upgrade.understands(REACHABILITY)
     }
 
     /// Something got through a link, or did not.
@@ -165,13 +165,13 @@
                 Output::Changed(link, was, reach) => {
                     if let LinkId::Peer(member) = &link {
                         let mut state = self.state.borrow_mut();
-                        if reach == Reach::Down {
+                        if reach == LinkState::Down {
                             state.unheard.entry(member.clone()).or_insert(now);
-                        } else if reach == Reach::Up {
+                        } else if reach == LinkState::Up {
                             state.unheard.remove(member);
                         }
                     }
-                    if was != Reach::Down && reach != Reach::Down {
+                    if was != LinkState::Down && reach != LinkState::Down {
                         tracing::debug!(?link, ?reach, "link");
                     } else {
                         tracing::info!(?link, ?reach, "link");
@@ -209,7 +209,7 @@
     fn tell_answered_blind(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let down = state.view.own(&LinkId::State) == Reach::Down;
+        let down = state.view.own(&LinkId::State) == LinkState::Down;
         if state.answered_blind > 0 && !(down && state.authority.holds(now)) {
             let reports = std::mem::take(&mut state.answered_blind);
             tracing::info!(reports, "answered without knowing more");
@@ -274,9 +274,9 @@
         }
     }
 
-    fn own_report(&self, state: &mut State, now: Micros) -> LinkReport {
+    fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
         // What a mirror shows that is no longer brought up to date is not told as news.
-        let owners = if state.view.own(&LinkId::State) == Reach::Up {
+        let owners = if state.view.own(&LinkId::State) == LinkState::Up {
             let seats = state.mirror.seats();
             let live = seats.into_iter().filter(|(_, s)| s.live);
             live.map(|(role, s)| (role, s.owner, s.version)).collect()
@@ -305,9 +305,9 @@
         for peer in &self.settings.peers {
             let (inner, to, report) = (self.clone(), peer.address, report.clone());
             self.clone().spawn(async move {
-                let ask = MeshRequest::Links(Box::new(report));
+                let ask = MeshRequest::Reachability(Box::new(report));
                 let answer = inner.ask(to, ask, Micros::from_secs(1)).await;
-                if let Some(MeshAnswer::Links(theirs)) = answer {
+                if let Some(MeshResponse::Reachability(theirs)) = answer {
                     inner.feed_view(view::Input::Said(&theirs));
                     inner.follow_links();
                 }
@@ -316,7 +316,7 @@
     }
 
     /// Another controller tells how its links stand.
-    pub fn hear_links(self: &Rc<Self>, theirs: &LinkReport) -> LinkReport {
+    pub fn hear_links(self: &Rc<Self>, theirs: &ReachabilityReport) -> ReachabilityReport {
         self.feed_view(view::Input::Said(theirs));
         self.follow_links();
         let now = self.now();
@@ -348,7 +348,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if self.has_links(&state) {
-            let down = state.view.own(&LinkId::State) == Reach::Down;
+            let down = state.view.own(&LinkId::State) == LinkState::Down;
             let alone = state.view.is_alone(now);
             let long = state.alone_since.is_some_and(|t| now - t >= STAYS_ALONE);
             if alone {
@@ -383,8 +383,10 @@
                 for (zone, n) in here {
                     let proved = state.view.is_proved(member, zone, now);
                     match state.view.reaches(member, zone, now) {
-                        Reach::Up if member == &self.settings.member || proved => fit.reached += n,
-                        Reach::Down => fit.unreached += n,
+                        LinkState::Up if member == &self.settings.member || proved => {
+                            fit.reached += n
+                        }
+                        LinkState::Down => fit.unreached += n,
                         _ => {}
                     }
                 }
@@ -393,7 +395,7 @@
                         state.view.own(&LinkId::Cloud)
                     } else {
                         let said = state.view.said(member, now);
-                        said.map_or(Reach::Unknown, |r| r.cloud)
+                        said.map_or(LinkState::Unknown, |r| r.cloud)
                     };
                 }
                 let owns = state
@@ -422,7 +424,7 @@
     }
 
     /// Where a report from this zone goes whose owner is elsewhere. `None` without an opinion.
-    pub fn course(&self, owner: &Member, report: &Report) -> Option<Course> {
+    pub fn course(&self, owner: &Member, report: &Heartbeat) -> Option<Course> {
         let now = self.now();
         let state = self.state.borrow();
         let zone = &report.zone;
@@ -442,7 +444,7 @@
         }
         let (reports, _) = view.directions(owner, zone, now);
         // Sent to its owner, the worker would lose ten seconds that its tasks may not have.
-        if matches!(reports, Reach::Down | Reach::Doubtful) {
+        if matches!(reports, LinkState::Down | LinkState::Suspect) {
             return Some(Course::Pass);
         }
         let known = state.mirror.hosts.contains_key(&report.host);
@@ -465,9 +467,9 @@
     pub async fn pass_through(&self, third: &Member, body: &[u8]) -> Option<Response> {
         let _turn = Turn::take(&self.state.borrow().passing.relays, RELAYS_MAX)?;
         let address = self.address_of(third)?;
-        let ask = MeshRequest::RelayOn(String::from_utf8_lossy(body).into_owned());
+        let ask = MeshRequest::RelayHeartbeatOnward(String::from_utf8_lossy(body).into_owned());
         match self.ask(address, ask, RELAY_LIMIT).await? {
-            MeshAnswer::Relayed { status: 200, body } => {
+            MeshResponse::HeartbeatRelayed { status: 200, body } => {
                 Some(Response::new(200, body.into_bytes()))
             }
             _ => None,
@@ -481,7 +483,7 @@
             421 => jasperhill_wire::worker::redirected_to(&answer.body),
             _ => None,
         };
-        match (owner, Report::parse(body)) {
+        match (owner, Heartbeat::parse(body)) {
             (Some(owner), Ok(report)) => {
                 let passed = self
                     .pass_on(owner, &report.host, body, self.now() + RELAY_LIMIT)
@@ -507,12 +509,12 @@
                 return None;
             }
             let address = self.address_of(&to)?;
-            let ask = MeshRequest::Relay(String::from_utf8_lossy(body).into_owned());
+            let ask = MeshRequest::RelayHeartbeat(String::from_utf8_lossy(body).into_owned());
             match self.ask(address, ask, left.min(RELAY_EACH)).await {
-                Some(MeshAnswer::Relayed { status: 200, body }) => {
+                Some(MeshResponse::HeartbeatRelayed { status: 200, body }) => {
                     return Some(Response::new(200, body.into_bytes()));
                 }
-                Some(MeshAnswer::Relayed { status: 421, body }) => {
+                Some(MeshResponse::HeartbeatRelayed { status: 421, body }) => {
                     match jasperhill_wire::worker::redirected_to(body.as_bytes()) {
                         // It knows a younger owner.
                         Some(other) if other != to && other != self.settings.member => {
@@ -530,7 +532,7 @@
                 }
                 other => {
                     let status = match other {
-                        Some(MeshAnswer::Relayed { status, .. }) => status,
+                        Some(MeshResponse::HeartbeatRelayed { status, .. }) => status,
                         _ => 0,
                     };
                     tracing::debug!(%host, %to, status, "a report was not taken");
@@ -555,7 +557,9 @@
     pub fn way(&self, zone: &Name) -> Way {
         let now = self.now();
         let state = self.state.borrow();
-        if state.view.own(&LinkId::Orders(zone.clone())) != Reach::Down || !self.has_links(&state) {
+        if state.view.own(&LinkId::Orders(zone.clone())) != LinkState::Down
+            || !self.has_links(&state)
+        {
             return Way::Straight;
         }
         let peer = state.view.way_to(zone, now).cloned();
@@ -589,13 +593,13 @@
                 };
                 let host = host.clone();
                 match self
-                    .ask_fate(peer, MeshRequest::Push { host, body }, limit)
+                    .ask_fate(peer, MeshRequest::RelayCommands { host, body }, limit)
                     .await
                 {
-                    Ok(MeshAnswer::Pushed { status, body }) => {
+                    Ok(MeshResponse::CommandsRelayed { status, body }) => {
                         Ok(Response::new(status, body.into_bytes()))
                     }
-                    Ok(MeshAnswer::NotPushed) => Err(ClientError::NotSent),
+                    Ok(MeshResponse::CommandsNotSent) => Err(ClientError::NotSent),
                     Ok(_) => Err(ClientError::NoAnswer),
                     Err(error) => Err(error),
                 }
@@ -606,7 +610,7 @@
 
     /// Passes the orders of another controller on to a worker. They may be executed at any
     /// time from now on: unless it says otherwise, the sender counts them as in doubt.
-    pub async fn push(&self, host: HostId, body: Option<String>) -> MeshAnswer {
+    pub async fn push(&self, host: HostId, body: Option<String>) -> MeshResponse {
         let (turn, found) = {
             let state = self.state.borrow();
             let found = state.mirror.hosts.get(&host).and_then(|k| {
@@ -616,7 +620,7 @@
             (Turn::take(&state.passing.pushes, PUSHES_MAX), found)
         };
         let (Some(_turn), Some((address, zone))) = (turn, found) else {
-            return MeshAnswer::NotPushed;
+            return MeshResponse::CommandsNotSent;
         };
         let request = match body {
             Some(body) => Request::new(Method::Post, "/do", body.into_bytes()),
@@ -627,12 +631,12 @@
             self.note_worker(&zone, &host, PROBES, answer.is_ok());
         }
         match answer {
-            Ok(answer) => MeshAnswer::Pushed {
+            Ok(answer) => MeshResponse::CommandsRelayed {
                 status: answer.status,
                 body: String::from_utf8(answer.body).unwrap_or_default(),
             },
-            Err(ClientError::NotSent | ClientError::NoSocket) => MeshAnswer::NotPushed,
-            Err(ClientError::NoAnswer | ClientError::TooLong) => MeshAnswer::Unavailable,
+            Err(ClientError::NotSent | ClientError::NoSocket) => MeshResponse::CommandsNotSent,
+            Err(ClientError::NoAnswer | ClientError::TooLong) => MeshResponse::Unavailable,
         }
     }
 }
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -4,7 +4,7 @@
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_wire::{
     Micros,
-    mesh::{MeshAnswer, MeshRequest, decode, encode},
+    mesh::{MeshRequest, MeshResponse, decode, encode},
 };
 use std::{net::SocketAddr, rc::Rc};
 
@@ -12,8 +12,8 @@
 pub(crate) const FRESH: Micros = Micros::from_secs(6);
 
 /// What a worker is to be told, on its way back through another controller.
-fn as_relayed(answer: Response) -> MeshAnswer {
-    MeshAnswer::Relayed {
+fn as_relayed(answer: Response) -> MeshResponse {
+    MeshResponse::HeartbeatRelayed {
         status: answer.status,
         body: String::from_utf8(answer.body).unwrap_or_default(),
     }
@@ -43,14 +43,18 @@
             if stale {
                 for peer in &self.settings.peers {
                     match self
-                        .ask(peer.address, MeshRequest::IsFresh, Micros::from_secs(1))
+                        .ask(
+                            peer.address,
+                            MeshRequest::IsStoreReachable,
+                            Micros::from_secs(1),
+                        )
                         .await
                     {
-                        Some(MeshAnswer::Fresh(true)) => {
+                        Some(MeshResponse::StoreReachable(true)) => {
                             alone = true;
                             break;
                         }
-                        Some(MeshAnswer::Fresh(false)) => alone = false,
+                        Some(MeshResponse::StoreReachable(false)) => alone = false,
                         _ => {}
                     }
                 }
@@ -60,7 +64,12 @@
         }
     }
 
-    pub async fn ask(&self, to: SocketAddr, ask: MeshRequest, limit: Micros) -> Option<MeshAnswer> {
+    pub async fn ask(
+        &self,
+        to: SocketAddr,
+        ask: MeshRequest,
+        limit: Micros,
+    ) -> Option<MeshResponse> {
         self.ask_fate(to, ask, limit).await.ok()
     }
 
@@ -70,8 +79,11 @@
         to: SocketAddr,
         ask: MeshRequest,
         limit: Micros,
-    ) -> Result<MeshAnswer, ClientError> {
-        let short = matches!(ask, MeshRequest::Links(_) | MeshRequest::IsFresh);
+    ) -> Result<MeshResponse, ClientError> {
+        let short = matches!(
+            ask,
+            MeshRequest::Reachability(_) | MeshRequest::IsStoreReachable
+        );
         let body = encode(ask).map_err(|_| ClientError::NotSent)?;
         let request = Request::new(Method::Post, "/mesh", body);
         let answer = self.call(to, request, limit).await;
@@ -98,14 +110,21 @@
         }
         let answer = match decode::<MeshRequest>(&request.body) {
             Ok(MeshRequest::Admit(job)) => self.admit(*job).await,
-            Ok(MeshRequest::Counts(ids)) => self.counts(&ids),
-            Ok(MeshRequest::Relay(report)) => as_relayed(self.relayed(report.as_bytes()).await),
-            Ok(MeshRequest::RelayOn(report)) => as_relayed(self.relay_on(report.as_bytes()).await),
-            Ok(MeshRequest::Elastic { machines, ready }) => {
+            Ok(MeshRequest::TaskCounts(ids)) => self.counts(&ids),
+            Ok(MeshRequest::RelayHeartbeat(report)) => {
+                as_relayed(self.relayed(report.as_bytes()).await)
+            }
+            Ok(MeshRequest::RelayHeartbeatOnward(report)) => {
+                as_relayed(self.relay_on(report.as_bytes()).await)
+            }
+            Ok(MeshRequest::SpareCapacity {
+                machines,
+                boot_time: ready,
+            }) => {
                 self.state.borrow_mut().elastic = Some((machines, ready, self.now()));
-                MeshAnswer::Noted
+                MeshResponse::Acknowledged
             }
-            Ok(MeshRequest::Unmet {
+            Ok(MeshRequest::UnmetDemand {
                 partition,
                 thousandths,
             }) => {
@@ -113,11 +132,13 @@
                     let unmet = (f64::from(thousandths) / 1e3, self.now());
                     self.state.borrow_mut().unmet.insert(partition, unmet);
                 }
-                MeshAnswer::Noted
+                MeshResponse::Acknowledged
+            }
+            Ok(MeshRequest::Reachability(theirs)) => {
+                MeshResponse::Reachability(Box::new(self.hear_links(&theirs)))
             }
-            Ok(MeshRequest::Links(theirs)) => MeshAnswer::Links(Box::new(self.hear_links(&theirs))),
-            Ok(MeshRequest::Push { host, body }) => self.push(host, body).await,
-            Ok(MeshRequest::IsFresh) => MeshAnswer::Fresh(self.is_served()),
+            Ok(MeshRequest::RelayCommands { host, body }) => self.push(host, body).await,
+            Ok(MeshRequest::IsStoreReachable) => MeshResponse::StoreReachable(self.is_served()),
             Err(error) => {
                 tracing::warn!(%error, "a mesh message that is not understood");
                 return Response::new(400, Vec::new());
--- a/crates/jasperhill-controller/src/mirror.rs
+++ b/crates/jasperhill-controller/src/mirror.rs
@@ -7,10 +7,11 @@
     HostId, JobId, Member, Micros, Revision,
     cloud::MachineTypes,
     record::{
-        AskRecord, FormatRecord, GrantRecord, HostBlock, HostRecord, JobRecord, Key, RecordPhase,
-        Remains, Role, RoleRecord, SessionRecord, WantRecord,
+        DelegationGrantRecord, DelegationRequestRecord, FeatureLevelRecord, HostBlock, HostRecord,
+        JobRecord, Key, ProposalRecord, RecordPhase, ResidualUsage, Role, RoleRecord,
+        SessionRecord,
     },
-    state::{Event, Item},
+    state::{KeyValue, WatchEvent},
     user::JobRequest,
 };
 use serde::de::DeserializeOwned;
@@ -66,7 +67,7 @@
 pub enum Input {
     /// A whole listing, consistent from `first` on and complete once `last` is reached.
     Listed {
-        items: Vec<Item>,
+        items: Vec<KeyValue>,
         first: Revision,
         last: Revision,
     },
@@ -74,7 +75,7 @@
     News {
         after: Revision,
         revision: Revision,
-        events: Vec<Event>,
+        events: Vec<WatchEvent>,
     },
     /// What this controller wrote itself, one transaction: seen before the watch tells. All of
     /// it at once, since a host may move from one block of it to another.
@@ -109,7 +110,7 @@
     jobs: HashMap<JobId, JobEntry>,
     active: BTreeSet<JobId>,
     /// What the jobs that were cancelled last may still take, by when they were.
-    remains: BTreeMap<(Micros, JobId), Remains>,
+    remains: BTreeMap<(Micros, JobId), ResidualUsage>,
     /// What follows from the jobs that need others.
     pub chain: Chain,
     pub hosts: BTreeMap<HostId, KeptHost>,
@@ -123,13 +124,13 @@
     pub block_bytes: BTreeMap<u32, usize>,
     pub sessions: BTreeMap<Member, Kept<SessionRecord>>,
     /// What the members' last processes understood.
-    pub formats: BTreeMap<Member, Kept<FormatRecord>>,
+    pub formats: BTreeMap<Member, Kept<FeatureLevelRecord>>,
     pub roles: BTreeMap<Role, Kept<RoleRecord>>,
     /// The cloud's machine types, in parts.
     types: BTreeMap<u32, Kept<MachineTypes>>,
-    pub asks: BTreeMap<Member, Kept<AskRecord>>,
-    pub wants: BTreeMap<JobId, Kept<WantRecord>>,
-    pub grants: BTreeMap<(u32, Member), Kept<GrantRecord>>,
+    pub asks: BTreeMap<Member, Kept<DelegationRequestRecord>>,
+    pub wants: BTreeMap<JobId, Kept<ProposalRecord>>,
+    pub grants: BTreeMap<(u32, Member), Kept<DelegationGrantRecord>>,
     /// Keys deleted by ourselves ahead of the watch, with the revisions of the deletions.
     buried: BTreeMap<String, Revision>,
 }
@@ -206,7 +207,7 @@
     }
     /// The owner of a role, if its session lives.
     /// What jobs that were cancelled after this time of day may still take.
-    pub fn remains(&self, after: Micros) -> impl Iterator<Item = (&JobId, &Remains)> {
+    pub fn remains(&self, after: Micros) -> impl Iterator<Item = (&JobId, &ResidualUsage)> {
         let first = (after, JobId::new(""));
         self.remains.range(first..).map(|((_, id), r)| (id, r))
     }
@@ -273,14 +274,14 @@
                         continue;
                     }
                     match event {
-                        Event::Put {
+                        WatchEvent::Put {
                             key,
                             value,
                             version,
                         } => {
                             self.put(&key, value, version, &mut changes);
                         }
-                        Event::Delete { key, version } => {
+                        WatchEvent::Delete { key, version } => {
                             if let Some(key) = Key::parse(&key) {
                                 self.delete(key, version, &mut changes);
                             }
@@ -323,7 +324,8 @@
     /// Keys that can go away, with their versions. Jobs never do.
     fn keys(&self) -> Vec<(String, Revision)> {
         use jasperhill_wire::record::{
-            ask_key, block_key, grant_key, role_key, session_key, want_key,
+            block_key, delegation_grant_key, delegation_request_key, proposal_key, role_key,
+            session_key,
         };
         let hosts = self.blocks.iter().map(|(n, v)| (block_key(*n), *v));
         let sessions = self
@@ -331,12 +333,18 @@
             .iter()
             .map(|(m, k)| (session_key(m), k.version));
         let roles = self.roles.iter().map(|(r, k)| (role_key(*r), k.version));
-        let asks = self.asks.iter().map(|(m, k)| (ask_key(m), k.version));
-        let wants = self.wants.iter().map(|(id, k)| (want_key(id), k.version));
+        let asks = self
+            .asks
+            .iter()
+            .map(|(m, k)| (delegation_request_key(m), k.version));
+        let wants = self
+            .wants
+            .iter()
+            .map(|(id, k)| (proposal_key(id), k.version));
         let grants = self
             .grants
             .iter()
-            .map(|((p, m), k)| (grant_key(*p, m), k.version));
+            .map(|((p, m), k)| (delegation_grant_key(*p, m), k.version));
         hosts
             .chain(sessions)
             .chain(roles)
@@ -376,26 +384,26 @@
                     changes.push(Change::Role(role));
                 }
             }),
-            Key::Want(id) => read(value).map(|value| {
+            Key::Proposal(id) => read(value).map(|value| {
                 if newer(self.wants.get(&id), version) {
                     self.wants.insert(id.clone(), Kept { value, version });
                     changes.push(Change::Want(id));
                 }
             }),
-            Key::Ask(keeper) => read(value).map(|value| {
+            Key::DelegationRequest(keeper) => read(value).map(|value| {
                 if newer(self.asks.get(&keeper), version) {
                     self.asks.insert(keeper.clone(), Kept { value, version });
                     changes.push(Change::Ask(keeper));
                 }
             }),
-            Key::Format(member) => read(value).map(|value| {
+            Key::FeatureLevel(member) => read(value).map(|value| {
                 if newer(self.formats.get(&member), version) {
                     let kept = Kept { value, version };
                     self.formats.insert(member.clone(), kept);
                     changes.push(Change::Format(member));
                 }
             }),
-            Key::Grant(p, keeper) => read(value).map(|value| {
+            Key::DelegationGrant(p, keeper) => read(value).map(|value| {
                 if newer(self.grants.get(&(p, keeper.clone())), version) {
                     self.grants.insert((p, keeper), Kept { value, version });
                     changes.push(Change::Grant);
@@ -465,7 +473,7 @@
             Some(JobEntry::Active(job)) if version <= job.version => return,
             _ => {}
         }
-        if let Some(remains) = record.remains {
+        if let Some(remains) = record.residual_usage {
             self.remains
                 .insert((remains.cancelled, id.clone()), remains);
             while self.remains.len() > REMAINS_MAX {
@@ -492,7 +500,7 @@
                     };
                     related.extend(self.chain.apply(chain::Input::Accepted {
                         id: &id,
-                        needs: &request.waits_on,
+                        needs: &request.dependencies,
                         terms,
                         fate: &fate,
                     }));
@@ -505,7 +513,7 @@
                     submitted: record.submitted.unwrap_or_default(),
                     finished: record.finished,
                     done_count: record.done_count,
-                    failing: record.failing,
+                    failing: record.failed_attempts,
                     version,
                 }))
             }
@@ -559,24 +567,24 @@
                     changes.push(Change::Role(role));
                 }
             }
-            Key::Want(id) => {
+            Key::Proposal(id) => {
                 if self.wants.get(&id).is_some_and(|k| version > k.version) {
                     self.wants.remove(&id);
                 }
             }
-            Key::Ask(keeper) => {
+            Key::DelegationRequest(keeper) => {
                 if self.asks.get(&keeper).is_some_and(|k| version > k.version) {
                     self.asks.remove(&keeper);
                 }
             }
-            Key::Grant(p, keeper) => {
+            Key::DelegationGrant(p, keeper) => {
                 let key = (p, keeper);
                 if self.grants.get(&key).is_some_and(|k| version > k.version) {
                     self.grants.remove(&key);
                 }
             }
             // Jobs are never deleted, the types and formats neither.
-            Key::Job(_) | Key::Format(_) | Key::Types(_) => {}
+            Key::Job(_) | Key::FeatureLevel(_) | Key::Types(_) => {}
         }
     }
 }
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -12,15 +12,15 @@
 use jasperhill_scheduler::{Host, Partition, job::Gate};
 use jasperhill_wire::{
     Member, Micros, Revision,
-    record::{PIPELINES, Role, RoleRecord, SessionRecord, role_key, session_key},
+    record::{DEPENDENCIES, Role, RoleRecord, SessionRecord, role_key, session_key},
 };
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
 pub(crate) fn former_of(record: &SessionRecord) -> Former {
     Former {
-        began: record.began,
-        quick: record.quick,
+        began: record.process_started,
+        quick: record.quick_restarts,
     }
 }
 
@@ -153,7 +153,7 @@
                         // A job that waits for others now was never started by a controller
                         // that knows of that.
                         let created = match place.gate {
-                            Gate::Waiting if state.upgrade.understands(PIPELINES) => {
+                            Gate::Waiting if state.upgrade.understands(DEPENDENCIES) => {
                                 Revision(u64::MAX)
                             }
                             _ => Revision(0),
--- a/crates/jasperhill-controller/src/store.rs
+++ b/crates/jasperhill-controller/src/store.rs
@@ -15,11 +15,14 @@
 };
 use jasperhill_wire::{
     Member, Micros, Revision,
-    mesh::Reach,
+    mesh::LinkState,
     record::{
-        FORMAT, FormatRecord, ROOT, RoleRecord, SessionRecord, format_key, role_key, session_key,
+        FEATURE_LEVEL, FeatureLevelRecord, ROOT, RoleRecord, SessionRecord, feature_level_key,
+        role_key, session_key,
+    },
+    state::{
+        Change, Guard, LeaseResponse, Listing, Transaction, TransactionResponse, WatchResponse,
     },
-    state::{Change, Guard, LeaseAnswer, Listing, Txn, TxnAnswer, WatchAnswer},
 };
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{
@@ -322,7 +325,7 @@
             .writer
             .bucket
             .force(count, self.now());
-        let body = serde_json::to_vec(&Txn { guards, changes }).unwrap_or_default();
+        let body = serde_json::to_vec(&Transaction { guards, changes }).unwrap_or_default();
         let request = Request::new(Method::Post, "/txn", body);
         let answer = self
             .call(self.settings.state, request, Micros::from_millis(2_500))
@@ -331,16 +334,18 @@
             self.state.borrow_mut().writer.pause = PAUSE;
         }
         match answer {
-            Ok(r) if r.status == 200 => match serde_json::from_slice::<TxnAnswer>(&r.body) {
-                Ok(answer) => {
-                    for op in batch {
-                        self.applied(op, answer.revision);
+            Ok(r) if r.status == 200 => {
+                match serde_json::from_slice::<TransactionResponse>(&r.body) {
+                    Ok(answer) => {
+                        for op in batch {
+                            self.applied(op, answer.revision);
+                        }
                     }
+                    Err(_) => unknown(batch),
                 }
-                Err(_) => unknown(batch),
-            },
+            }
             Ok(r) if r.status == 409 => {
-                let failed = serde_json::from_slice::<TxnAnswer>(&r.body)
+                let failed = serde_json::from_slice::<TransactionResponse>(&r.body)
                     .map(|a| a.failed)
                     .unwrap_or_default();
                 // One failed guard does not sink the others.
@@ -454,7 +459,7 @@
             } else {
                 // Asks for an answer at once while none comes: a watch that waits would show only
                 // late that the link is back.
-                let down = self.state.borrow().view.own(&LinkId::State) == Reach::Down;
+                let down = self.state.borrow().view.own(&LinkId::State) == LinkState::Down;
                 let block = if down {
                     Micros::ZERO
                 } else {
@@ -557,7 +562,7 @@
         };
         match answer.status {
             200 => {
-                let Ok(news) = serde_json::from_slice::<WatchAnswer>(&answer.body) else {
+                let Ok(news) = serde_json::from_slice::<WatchResponse>(&answer.body) else {
                     tracing::warn!("a watch answer that is not understood");
                     return false;
                 };
@@ -660,7 +665,7 @@
         let body = format!("{{\"ttl_ms\":{}}}", ttl.0 / 1_000).into_bytes();
         let request = Request::new(Method::Post, "/leases", body);
         let lease = match self.state_call(request, Micros::from_secs(1)).await {
-            Ok(r) if r.status == 200 => match serde_json::from_slice::<LeaseAnswer>(&r.body) {
+            Ok(r) if r.status == 200 => match serde_json::from_slice::<LeaseResponse>(&r.body) {
                 Ok(answer) => answer.lease,
                 Err(_) => return false,
             },
@@ -700,15 +705,20 @@
         let mut guards = vec![guard(&key, old.as_ref().map_or(Revision(0), |k| k.version))];
         let session = SessionRecord {
             lease,
-            format: FORMAT,
-            began: life.began,
-            quick: life.quick,
+            format: FEATURE_LEVEL,
+            process_started: life.began,
+            quick_restarts: life.quick,
         };
         let mut changes = vec![put_tied(&key, &session, lease)];
         // Outlasts the session: an earlier version that comes back in its place writes a session
         // without a format, and counts by that.
-        if told != Some(FORMAT) {
-            changes.push(put(format_key(me), &FormatRecord { format: FORMAT }));
+        if told != Some(FEATURE_LEVEL) {
+            changes.push(put(
+                feature_level_key(me),
+                &FeatureLevelRecord {
+                    format: FEATURE_LEVEL,
+                },
+            ));
         }
         for (role, version) in roles.into_iter().take(self.settings.txn_ops - 2) {
             guards.push(guard(role_key(role), version));
--- a/crates/jasperhill-controller/src/upgrade.rs
+++ b/crates/jasperhill-controller/src/upgrade.rs
@@ -3,7 +3,7 @@
 
 use jasperhill_wire::{
     Member,
-    record::{FormatRecord, SessionRecord},
+    record::{FeatureLevelRecord, SessionRecord},
 };
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     pub synced: bool,
     pub members: &'a [Member],
     pub sessions: &'a BTreeMap<Member, Kept<SessionRecord>>,
-    pub formats: &'a BTreeMap<Member, Kept<FormatRecord>>,
+    pub formats: &'a BTreeMap<Member, Kept<FeatureLevelRecord>>,
 }
 
 impl Upgrade {
@@ -73,8 +73,8 @@
             kept(SessionRecord {
                 lease: 1,
                 format,
-                began: jasperhill_wire::Micros::ZERO,
-                quick: 0,
+                process_started: jasperhill_wire::Micros::ZERO,
+                quick_restarts: 0,
             })
         };
         let mut look = |sessions: &_, formats: &_, synced| {
@@ -96,7 +96,7 @@
         // Its session ends: what it last was counts, if it said so.
         sessions.remove(&Member::new("b"));
         assert_eq!(look(&sessions, &formats, true), Upgrade::Least(0));
-        formats.insert("b".into(), kept(FormatRecord { format: 1 }));
+        formats.insert("b".into(), kept(FeatureLevelRecord { format: 1 }));
         assert_eq!(look(&sessions, &formats, true), Upgrade::Least(1));
         sessions.insert("b".into(), session(0));
         assert_eq!(look(&sessions, &formats, true), Upgrade::Least(0));
--- a/crates/jasperhill-controller/src/users.rs
+++ b/crates/jasperhill-controller/src/users.rs
@@ -9,9 +9,9 @@
 use jasperhill_scheduler::{Verdict, chain::Standing, config::impossible};
 use jasperhill_wire::{
     JobId, Member, Micros, Revision,
-    mesh::{Counts, MeshAnswer, MeshRequest},
-    record::{JobRecord, PIPELINES, RecordPhase, Role, job_key, role_key},
-    user::{ErrorBody, JobAnswer, JobPhase, JobRequest, JobStatus, Shape},
+    mesh::{MeshRequest, MeshResponse, TaskCounts},
+    record::{DEPENDENCIES, JobRecord, RecordPhase, Role, job_key, role_key},
+    user::{ErrorBody, JobPhase, JobRequest, JobResponse, JobStatus, Shape},
 };
 use std::rc::Rc;
 
@@ -55,7 +55,7 @@
 fn answer(status: u16, id: &JobId, phase: JobPhase) -> Response {
     json(
         status,
-        &JobAnswer {
+        &JobResponse {
             id: id.as_str(),
             phase,
         },
@@ -184,7 +184,7 @@
                 None => error(422, why),
             };
         }
-        if !request.waits_on.is_empty()
+        if !request.dependencies.is_empty()
             && let Some(refusal) = self.check_needs(&mut request).await
         {
             return refusal;
@@ -197,7 +197,7 @@
                 return self.known_answer(&id).await;
             }
             // It could never be written down, now or later.
-            let field = match request.waits_on.len() {
+            let field = match request.dependencies.len() {
                 0..8 => "body",
                 _ => "waits_on",
             };
@@ -231,19 +231,19 @@
                         Err(error) if error.is_unsent() && self.has_links(&self.state.borrow()) => {
                             self.want(request).await
                         }
-                        Err(_) => MeshAnswer::Unavailable,
+                        Err(_) => MeshResponse::Unavailable,
                     }
                 }
-                None => MeshAnswer::Unavailable,
+                None => MeshResponse::Unavailable,
             },
-            None => MeshAnswer::Unavailable,
+            None => MeshResponse::Unavailable,
         };
         self.outcome(&id, verdict).await
     }
 
-    async fn outcome(self: &Rc<Self>, id: &JobId, verdict: MeshAnswer) -> Response {
+    async fn outcome(self: &Rc<Self>, id: &JobId, verdict: MeshResponse) -> Response {
         match verdict {
-            MeshAnswer::Accepted => {
+            MeshResponse::Accepted => {
                 // A job before it may be cancelled, and so is this one.
                 let phase = self.known(id).filter(|(.., over)| *over);
                 answer(
@@ -252,8 +252,8 @@
                     phase.map_or(JobPhase::Pending, |(phase, ..)| phase),
                 )
             }
-            MeshAnswer::Known => self.known_answer(id).await,
-            MeshAnswer::Refused { retry_after_s } => {
+            MeshResponse::Known => self.known_answer(id).await,
+            MeshResponse::Rejected { retry_after_s } => {
                 error(429, "would miss its deadline").retry_after(retry_after_s)
             }
             _ => later("can't decide now"),
@@ -263,7 +263,7 @@
     /// Whether the jobs that this one needs were ever accepted and are none that never end.
     /// `None`: they are; what is done already is dropped from the list.
     async fn check_needs(self: &Rc<Self>, request: &mut JobRequest) -> Option<Response> {
-        if !self.state.borrow().upgrade.understands(PIPELINES) {
+        if !self.state.borrow().upgrade.understands(DEPENDENCIES) {
             // An earlier version would start the job at once.
             return Some(later("an earlier version still serves"));
         }
@@ -284,14 +284,14 @@
             let phase = state.mirror.final_phase(id).map(|(phase, _)| phase);
             phase == Some(RecordPhase::Done)
         };
-        request.waits_on.retain(|id| !done(id));
+        request.dependencies.retain(|id| !done(id));
         None
     }
 
     fn wrong_need(&self, request: &JobRequest) -> Option<String> {
         let state = self.state.borrow();
         request
-            .waits_on
+            .dependencies
             .iter()
             .find_map(|id| match state.mirror.job(id) {
                 None => Some(format!("{id} was never accepted")),
@@ -305,7 +305,7 @@
     /// A job that it needs is cancelled.
     fn is_doomed(&self, request: &JobRequest) -> bool {
         let state = self.state.borrow();
-        request.waits_on.iter().any(|id| {
+        request.dependencies.iter().any(|id| {
             let phase = state.mirror.final_phase(id).map(|(phase, _)| phase);
             phase == Some(RecordPhase::Cancelled)
         })
@@ -314,7 +314,7 @@
     /// The record of a new job; `None` if it would not fit, with room for some results.
     fn record_of(&self, request: &JobRequest) -> Option<JobRecord> {
         let record = if self.is_doomed(request) {
-            JobRecord::over(RecordPhase::Cancelled, 0)
+            JobRecord::terminal(RecordPhase::Cancelled, 0)
         } else {
             JobRecord {
                 phase: RecordPhase::Active,
@@ -322,8 +322,8 @@
                 request: Some(request.clone()),
                 submitted: Some(self.clock.wall()),
                 finished: Vec::new(),
-                failing: 0,
-                remains: None,
+                failed_attempts: 0,
+                residual_usage: None,
             }
         };
         let bytes = serde_json::to_vec(&record).map_or(usize::MAX, |b| b.len());
@@ -346,9 +346,9 @@
         self: &Rc<Self>,
         request: &JobRequest,
         owner: Option<(u32, Revision)>,
-    ) -> MeshAnswer {
+    ) -> MeshResponse {
         let Some(record) = self.record_of(request) else {
-            return MeshAnswer::Unavailable;
+            return MeshResponse::Unavailable;
         };
         let key = job_key(&request.id);
         let mut guards = vec![guard(&key, Revision(0))];
@@ -365,37 +365,37 @@
             )
             .await
         {
-            Written::Done(_) => MeshAnswer::Accepted,
-            Written::Conflict => MeshAnswer::Known,
-            Written::NotDone => MeshAnswer::Unavailable,
+            Written::Done(_) => MeshResponse::Accepted,
+            Written::Conflict => MeshResponse::Known,
+            Written::NotDone => MeshResponse::Unavailable,
             // Read again, never assume.
             Written::Unknown => {
                 if self.barrier().await && self.known(&request.id).is_some() {
-                    MeshAnswer::Known
+                    MeshResponse::Known
                 } else {
-                    MeshAnswer::Unavailable
+                    MeshResponse::Unavailable
                 }
             }
         }
     }
 
     /// The admission test, by the owner of the job's partition.
-    pub async fn admit(self: &Rc<Self>, request: JobRequest) -> MeshAnswer {
+    pub async fn admit(self: &Rc<Self>, request: JobRequest) -> MeshResponse {
         if self.known(&request.id).is_some() {
-            return MeshAnswer::Known;
+            return MeshResponse::Known;
         }
         let now = self.now();
         let verdict = {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
             if !state.authority.holds(now) {
-                return MeshAnswer::Unavailable;
+                return MeshResponse::Unavailable;
             }
             let Some(p) = self.partition_of(&request.team) else {
-                return MeshAnswer::Unavailable;
+                return MeshResponse::Unavailable;
             };
             let Some(specs) = &state.specs else {
-                return MeshAnswer::Unavailable;
+                return MeshResponse::Unavailable;
             };
             // Shared by the partitions; a guess where the leader has not spoken lately.
             let boot = specs.values().map(|s| s.boot).max().unwrap_or_default();
@@ -413,7 +413,7 @@
             let asked = state.first_asked.get(&request.id).map_or(now, |r| r.first);
             let release = self.release_of(state, &request, now);
             let Some(partition) = state.partitions.get(&p) else {
-                return MeshAnswer::Unavailable;
+                return MeshResponse::Unavailable;
             };
             let verdict = partition.admit(&request, asked, now, release, elastic);
             if verdict == Verdict::Admit {
@@ -434,12 +434,12 @@
             (Verdict::Admit, p, since) => self.create(&request, Some((p, since))).await,
             (Verdict::Refuse, ..) => {
                 if !self.barrier().await {
-                    MeshAnswer::Unavailable
+                    MeshResponse::Unavailable
                 } else if self.known(&request.id).is_some() {
-                    MeshAnswer::Known
+                    MeshResponse::Known
                 } else {
                     tracing::debug!(job = %request.id, "refused");
-                    MeshAnswer::Refused {
+                    MeshResponse::Rejected {
                         retry_after_s: REFUSED_RETRY_S,
                     }
                 }
@@ -471,7 +471,7 @@
                 _ => jasperhill_scheduler::forward::remaining(estimate, now - since),
             }
         };
-        state.mirror.chain.release(&request.waits_on, rest)
+        state.mirror.chain.release(&request.dependencies, rest)
     }
 
     async fn poll(self: &Rc<Self>, id: &str) -> Response {
@@ -506,7 +506,7 @@
         }
         // The phase is the barrier's; counts are for display.
         match (self.known(&id), counts) {
-            (Some((JobPhase::Pending, _, _, false)), Some(Counts { running, done })) => {
+            (Some((JobPhase::Pending, _, _, false)), Some(TaskCounts { running, done })) => {
                 let phase = if running > 0 {
                     JobPhase::Running
                 } else {
--- a/crates/jasperhill-controller/src/wants.rs
+++ b/crates/jasperhill-controller/src/wants.rs
@@ -14,8 +14,8 @@
 use jasperhill_membership::{authority::Session, view::LinkId};
 use jasperhill_wire::{
     JobId, Member, Micros, Revision,
-    mesh::{MeshAnswer, Reach},
-    record::{Role, WantRecord, session_key, want_key},
+    mesh::{LinkState, MeshResponse},
+    record::{ProposalRecord, Role, proposal_key, session_key},
     state::Change,
     user::JobRequest,
 };
@@ -32,14 +32,14 @@
     /// Whether the owner had better be asked through the store.
     pub fn asks_by_store(&self, owner: &Member) -> bool {
         let state = self.state.borrow();
-        self.has_links(&state) && state.view.own(&LinkId::Peer(owner.clone())) == Reach::Down
+        self.has_links(&state) && state.view.own(&LinkId::Peer(owner.clone())) == LinkState::Down
     }
 
     /// Puts a job before its owner through the store, and waits for its word.
-    pub async fn want(self: &Rc<Self>, request: JobRequest) -> MeshAnswer {
+    pub async fn want(self: &Rc<Self>, request: JobRequest) -> MeshResponse {
         let id = request.id.clone();
-        let record = WantRecord {
-            by: self.settings.member.clone(),
+        let record = ProposalRecord {
+            proposer: self.settings.member.clone(),
             request: Some(request),
             retry_after_s: None,
         };
@@ -47,7 +47,7 @@
         let (lease, version) = {
             let mut state = self.state.borrow_mut();
             let Session::Held { lease, version } = state.authority.session() else {
-                return MeshAnswer::Unavailable;
+                return MeshResponse::Unavailable;
             };
             if bytes > self.settings.value_bytes
                 || state.alone
@@ -55,13 +55,13 @@
                 || state.mirror.wants.contains_key(&id)
                 || !state.wanting.insert(id.clone())
             {
-                return MeshAnswer::Unavailable;
+                return MeshResponse::Unavailable;
             }
             (lease, version)
         };
-        let change = put_tied(want_key(&id), &record, lease);
+        let change = put_tied(proposal_key(&id), &record, lease);
         let me = session_key(&self.settings.member);
-        let guards = vec![guard(me, version), guard(want_key(&id), Revision(0))];
+        let guards = vec![guard(me, version), guard(proposal_key(&id), Revision(0))];
         let done = self
             .write(Urgency::Accept, guards, vec![change], WRITE)
             .await;
@@ -73,21 +73,21 @@
         if !matches!(done, Written::Conflict | Written::NotDone) {
             self.clone().spawn(self.clone().forget_want(id));
         }
-        word.unwrap_or(MeshAnswer::Unavailable)
+        word.unwrap_or(MeshResponse::Unavailable)
     }
 
     /// The owner's word: the job's record, or a refusal.
-    async fn word_on(&self, id: &JobId) -> MeshAnswer {
+    async fn word_on(&self, id: &JobId) -> MeshResponse {
         loop {
             let news = self.wake_wants.notified();
             {
                 let state = self.state.borrow();
                 if state.mirror.job(id).is_some() {
-                    return MeshAnswer::Accepted;
+                    return MeshResponse::Accepted;
                 }
                 let want = state.mirror.wants.get(id);
                 if let Some(retry_after_s) = want.and_then(|k| k.value.retry_after_s) {
-                    return MeshAnswer::Refused { retry_after_s };
+                    return MeshResponse::Rejected { retry_after_s };
                 }
             }
             news.await;
@@ -95,7 +95,9 @@
     }
 
     async fn forget_want(self: Rc<Self>, id: JobId) {
-        let change = Change::Delete { key: want_key(&id) };
+        let change = Change::Delete {
+            key: proposal_key(&id),
+        };
         // If it does not come through, the want goes with the session.
         self.write(
             Urgency::Finish,
@@ -111,28 +113,30 @@
         let found = {
             let state = self.state.borrow();
             let kept = state.mirror.wants.get(&id).cloned();
-            kept.filter(|k| k.value.retry_after_s.is_none() && k.value.by != self.settings.member)
-                .and_then(|k| {
-                    let request = k.value.request.clone()?;
-                    let p = self.partition_of(&request.team)?;
-                    let since = state.partitions.get(&p)?.since;
-                    Some((k.version, k.value.by, request, p, since))
-                })
+            kept.filter(|k| {
+                k.value.retry_after_s.is_none() && k.value.proposer != self.settings.member
+            })
+            .and_then(|k| {
+                let request = k.value.request.clone()?;
+                let p = self.partition_of(&request.team)?;
+                let since = state.partitions.get(&p)?.since;
+                Some((k.version, k.value.proposer, request, p, since))
+            })
         };
         let Some((version, by, request, p, since)) = found else {
             return;
         };
-        if let MeshAnswer::Refused { retry_after_s } = self.admit(request).await {
-            let refusal = WantRecord {
-                by,
+        if let MeshResponse::Rejected { retry_after_s } = self.admit(request).await {
+            let refusal = ProposalRecord {
+                proposer: by,
                 request: None,
                 retry_after_s: Some(retry_after_s),
             };
             let guards = vec![
-                guard(want_key(&id), version),
+                guard(proposal_key(&id), version),
                 guard(jasperhill_wire::record::role_key(Role::Partition(p)), since),
             ];
-            let change = put(want_key(&id), &refusal);
+            let change = put(proposal_key(&id), &refusal);
             self.write(Urgency::Accept, guards, vec![change], WRITE)
                 .await;
         }
--- a/crates/jasperhill-controller/src/workers.rs
+++ b/crates/jasperhill-controller/src/workers.rs
@@ -14,9 +14,9 @@
 use jasperhill_scheduler::{HostInput, Partition, Reach, Source};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Revision, mesh,
-    record::{HostRecord, HostUse, JobRecord, RecordPhase, Role, job_key, role_key},
+    record::{HostAssignment, HostRecord, JobRecord, RecordPhase, Role, job_key, role_key},
     user::JobRequest,
-    worker::{Order, Report, orders_body, redirect_body},
+    worker::{Command, Heartbeat, commands_body, redirect_body},
 };
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc};
 
@@ -59,8 +59,8 @@
 const NEWCOMERS_MAX: usize = 500;
 const NEWCOMERS_WAIT: std::time::Duration = std::time::Duration::from_millis(100);
 
-fn parse(body: &[u8]) -> Result<Report, Response> {
-    Report::parse(body).map_err(|error| {
+fn parse(body: &[u8]) -> Result<Heartbeat, Response> {
+    Heartbeat::parse(body).map_err(|error| {
         tracing::warn!(%error, "a report that is not understood");
         let text = serde_json::Value::from(error.to_string());
         Response::new(400, format!("{{\"error\":{text}}}").into_bytes())
@@ -132,7 +132,7 @@
     async fn elsewhere(
         self: &Rc<Self>,
         owner: Member,
-        report: &Report,
+        report: &Heartbeat,
         body: &[u8],
         began: Micros,
         may_wait: bool,
@@ -202,7 +202,7 @@
     async fn ask_owner(
         self: &Rc<Self>,
         owner: Member,
-        report: &Report,
+        report: &Heartbeat,
         body: &[u8],
         by: Micros,
     ) -> Option<Response> {
@@ -222,7 +222,12 @@
     /// partition will come here, or to another, in a moment. Guards against workers that are sent to
     /// a dead owner in the seconds before, or on to controllers that they don't reach, and with all
     /// others silent come back only after ten seconds, which their leases may not have.
-    async fn hold(self: &Rc<Self>, owner: Option<&Member>, report: &Report, began: Micros) -> Held {
+    async fn hold(
+        self: &Rc<Self>,
+        owner: Option<&Member>,
+        report: &Heartbeat,
+        began: Micros,
+    ) -> Held {
         let _turn = {
             let now = self.now();
             let state = self.state.borrow();
@@ -237,7 +242,7 @@
                 })
             };
             let here =
-                state.view.own(&LinkId::State) == mesh::Reach::Up && state.authority.holds(now);
+                state.view.own(&LinkId::State) == mesh::LinkState::Up && state.authority.holds(now);
             let moves = here || (owner.is_none() && state.view.other_served(now));
             let lost = self.has_links(&state)
                 && owner.is_none_or(ends)
@@ -303,7 +308,7 @@
             // asked about as a whole until it is up. And guards against a link that carries
             // orders but no reports, or reports but no answers to them: a worker that comes back
             // all the same, or that was answered here lately, is not sent home.
-            let stays = orders == mesh::Reach::Down
+            let stays = orders == mesh::LinkState::Down
                 || lately(state.sent_home.get(&host))
                 || lately(state.answered_here.get(&host));
             let young = |at: Micros| now - at < Micros::from_secs(1);
@@ -355,7 +360,7 @@
         }
     }
 
-    fn report(self: &Rc<Self>, report: &Report) -> Result<Told, Response> {
+    fn report(self: &Rc<Self>, report: &Heartbeat) -> Result<Told, Response> {
         let now = self.now();
         let host = report.host.clone();
         let mut guarded = self.state.borrow_mut();
@@ -370,7 +375,7 @@
         };
         let Some(p) = kept.value.partition() else {
             // What it became since a stale mirror last heard of it, the leader knows.
-            let stale = state.view.own(&LinkId::State) == mesh::Reach::Down;
+            let stale = state.view.own(&LinkId::State) == mesh::LinkState::Down;
             let leader = self.owner_now(state, Role::Leader).filter(|_| stale);
             return match self.redirect_to(leader) {
                 told @ Told { owner: Some(_), .. } => Ok(told),
@@ -404,12 +409,12 @@
         if partition.changed {
             self.wake_pass.notify_one();
         }
-        let blind = state.view.own(&LinkId::State) == mesh::Reach::Down;
+        let blind = state.view.own(&LinkId::State) == mesh::LinkState::Down;
         state.answered_blind += u32::from(blind);
         let turns = state.window.apply(window::Input::Heard((p, host)), now);
         drop(guarded);
         self.send(turns);
-        let response = Response::new(200, orders_body(token, None, &orders));
+        let response = Response::new(200, commands_body(token, None, &orders));
         Ok(Told {
             response,
             owner: None,
@@ -432,7 +437,7 @@
     /// If this controller leads and has no record of a machine, takes it on and waits until that is
     /// written. Guards against a new machine that is told to come later, and beyond a cut finds
     /// nobody for as long as its first lease lasts.
-    async fn take_on(self: &Rc<Self>, report: &Report, began: Micros) {
+    async fn take_on(self: &Rc<Self>, report: &Heartbeat, began: Micros) {
         let is_new = {
             let now = self.now();
             let state = self.state.borrow();
@@ -475,7 +480,7 @@
     /// Takes on a machine that nobody expects if it answers. Guards against a report that comes late,
     /// after its machine was returned: a record of a machine that is not there counts as room, and is
     /// silent, so that its partition gets no other and goes from one owner to the next.
-    async fn adopt_if_there(self: Rc<Self>, report: Report) {
+    async fn adopt_if_there(self: Rc<Self>, report: Heartbeat) {
         let Ok(address) = report.address.parse::<SocketAddr>() else {
             return;
         };
@@ -483,7 +488,7 @@
         let there = (&report.host, &report.zone, PROBES_MAX);
         let limit = Micros::from_secs(2);
         let answer = self.reach_worker(there, address, request, limit).await;
-        let now = answer.ok().and_then(|a| Report::parse(&a.body).ok());
+        let now = answer.ok().and_then(|a| Heartbeat::parse(&a.body).ok());
         if now.is_some_and(|r| r.host == report.host) {
             self.adopt(report).await;
         }
@@ -491,11 +496,11 @@
 
     /// Machines without a record report to the leader: they get one, and a partition. Those
     /// that come in the same moment are taken on together.
-    async fn adopt(self: Rc<Self>, report: Report) {
+    async fn adopt(self: Rc<Self>, report: Heartbeat) {
         {
             let mut state = self.state.borrow_mut();
             let Some(specs) = &state.specs else { return };
-            if !specs.contains_key(&report.kind)
+            if !specs.contains_key(&report.machine_type)
                 || report.address.parse::<SocketAddr>().is_err()
                 || state.newcomers.len() >= NEWCOMERS_MAX
                 || !state.bumping.insert(report.host.clone())
@@ -520,12 +525,12 @@
                     let partition = needs.neediest(&report.zone, report.spot);
                     needs.given(partition, &report.zone, report.spot);
                     let record = HostRecord {
-                        usage: HostUse::Partition(partition),
+                        assignment: HostAssignment::Partition(partition),
                         address: report.address.clone(),
-                        kind: report.kind.clone(),
+                        machine_type: report.machine_type.clone(),
                         zone: report.zone.clone(),
                         spot: report.spot,
-                        bump: 0,
+                        rewrites: 0,
                     };
                     let block = state.book.place(
                         &state.mirror,
@@ -557,7 +562,7 @@
             let inner = self.clone();
             self.clone().spawn(async move {
                 let host = edit.host.clone();
-                let usage = edit.becomes.as_ref().map(|r| r.usage);
+                let usage = edit.becomes.as_ref().map(|r| r.assignment);
                 if let Written::Done(_) = inner.edit_host(block, edit).await {
                     tracing::info!(%host, ?usage, "host taken on");
                 }
@@ -651,12 +656,12 @@
             return None;
         }
         let (tenure, token) = (host.tenure?, host.token);
-        let pressing = orders.iter().any(|o| !matches!(o, Order::Forget(..)));
+        let pressing = orders.iter().any(|o| !matches!(o, Command::Clear(..)));
         let unfenced = matches!(host.reach, Reach::Unfenced { .. });
         if host.in_flight() || host.in_doubt() || !(pressing || unfenced) {
             return None;
         }
-        let body = orders_body(token, Some(tenure), &orders);
+        let body = commands_body(token, Some(tenure), &orders);
         let count = orders.len();
         partition.apply(id, HostInput::DirectSent(orders, known), now);
         Some((body, count))
@@ -664,7 +669,7 @@
 
     fn feed(&self, p: u32, since: Revision, id: &HostId, body: &[u8]) {
         let now = self.now();
-        match Report::parse(body) {
+        match Heartbeat::parse(body) {
             Ok(report) if &report.host == id => {
                 if let Some(partition) = self.state.borrow_mut().partitions.get_mut(&p)
                     && partition.since == since
@@ -747,7 +752,7 @@
                             guards,
                             put(job_key(&id), &record),
                             tasks,
-                            (record.phase, record.failing),
+                            (record.phase, record.failed_attempts),
                             partition.since,
                         )
                     }),
@@ -799,7 +804,7 @@
     ) -> Option<(JobRecord, BTreeSet<u32>)> {
         let job = partition.jobs.get(id)?;
         if job.done.is_full() {
-            let record = JobRecord::over(RecordPhase::Done, job.done.count());
+            let record = JobRecord::terminal(RecordPhase::Done, job.done.count());
             return Some((record, job.unsaved.clone()));
         }
         let failing = job.trust.failing();
@@ -808,7 +813,7 @@
         }
         // Its tasks have run: all that it needed is done.
         let request = JobRequest {
-            waits_on: Vec::new(),
+            dependencies: Vec::new(),
             ..(*active.request).clone()
         };
         let mut record = JobRecord {
@@ -817,8 +822,8 @@
             request: Some(request),
             submitted: Some(active.submitted),
             finished: Vec::new(),
-            failing,
-            remains: None,
+            failed_attempts: failing,
+            residual_usage: None,
         };
         // As many runs as there is room for, each as long as the number of tasks and a comma.
         let used = serde_json::to_vec(&record).map_or(usize::MAX, |b| b.len()) + 32;
@@ -867,7 +872,7 @@
         for (p, since, id, version, done_count) in due {
             let inner = self.clone();
             self.clone().spawn(async move {
-                let record = JobRecord::over(RecordPhase::Cancelled, done_count);
+                let record = JobRecord::terminal(RecordPhase::Cancelled, done_count);
                 let guards = vec![
                     guard(role_key(Role::Partition(p)), since),
                     guard(job_key(&id), version),
@@ -913,7 +918,7 @@
             let inner = self.clone();
             self.clone().spawn(async move {
                 let mut record = kept.value;
-                record.bump += 1;
+                record.rewrites += 1;
                 let edit = Edit {
                     urgency: Urgency::Accept,
                     role: (Role::Partition(p), since),
--- a/crates/jasperhill-controller/tests/mirror.rs
+++ b/crates/jasperhill-controller/tests/mirror.rs
@@ -3,8 +3,8 @@
 use jasperhill_controller::mirror::{Change, Input, Mirror};
 use jasperhill_wire::{
     HostId, JobId, Revision,
-    record::{HostBlock, HostRecord, HostUse, RecordPhase, block_key},
-    state::{Event, Item},
+    record::{HostAssignment, HostBlock, HostRecord, RecordPhase, block_key},
+    state::{KeyValue, WatchEvent},
 };
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -12,12 +12,12 @@
 
 fn record(bump: u64) -> HostRecord {
     HostRecord {
-        usage: HostUse::Partition(0),
+        assignment: HostAssignment::Partition(0),
         address: "10.1.0.1:9000".to_owned(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
-        bump,
+        rewrites: bump,
     }
 }
 
@@ -57,7 +57,7 @@
             mirror.apply(Input::News {
                 after: Revision(revision - 1),
                 revision: Revision(revision),
-                events: vec![Event::Put {
+                events: vec![WatchEvent::Put {
                     key: block_key(block),
                     value: value(&model, block),
                     version: Revision(revision),
@@ -69,7 +69,7 @@
         prop_assert_eq!(seen, meant);
         let mut listed = Mirror::default();
         let last = Revision(edits.len() as u64);
-        let items = blocks.iter().map(|(n, v)| Item {
+        let items = blocks.iter().map(|(n, v)| KeyValue {
             key: block_key(*n), value: value(&model, *n), version: Revision(*v), lease: None,
         }).collect();
         listed.apply(Input::Listed { items, first: last, last });
@@ -89,8 +89,8 @@
     serde_json::to_value(HostBlock { hosts }).unwrap()
 }
 
-fn item(key: String, value: Value, version: u64) -> Item {
-    Item {
+fn item(key: String, value: Value, version: u64) -> KeyValue {
+    KeyValue {
         key,
         value,
         version: Revision(version),
@@ -98,8 +98,8 @@
     }
 }
 
-fn put(key: String, value: Value, version: u64) -> Event {
-    Event::Put {
+fn put(key: String, value: Value, version: u64) -> WatchEvent {
+    WatchEvent::Put {
         key,
         value,
         version: Revision(version),
@@ -259,7 +259,7 @@
     assert!(gone(&mirror, &changes) && mirror.hosts.len() == 2);
 }
 
-fn job(id: &str, waits_on: &[&str], version: u64) -> Event {
+fn job(id: &str, waits_on: &[&str], version: u64) -> WatchEvent {
     let value = json!({"p":"a","n":0,"t":1_700_000_000_000_000u64,"r":{"u":id,"c":"c","t":"red",
         "k":"array","p":"idle","n":1,"r":{"cpus":1,"gpus":0,"memory":1},"i":"i","g":1.0,"y":null,
         "z":null,"o":false,"s":false,"l":true,"e":5_000_000,"ce":0,"sv":0,"d":null,"w":waits_on}});
@@ -277,7 +277,7 @@
         last: Revision(0),
     });
     let over = |p: &str| json!({"p":p,"n":1});
-    let mut apply = |revision: u64, event: Event| {
+    let mut apply = |revision: u64, event: WatchEvent| {
         mirror.apply(Input::News {
             after: Revision(revision - 1),
             revision: Revision(revision),
--- a/crates/jasperhill-membership/src/link.rs
+++ b/crates/jasperhill-membership/src/link.rs
@@ -6,7 +6,7 @@
 //! are not reached for a while, or when more fails than gets through; it comes up once things
 //! have got through for a while without a failure.
 
-use jasperhill_wire::{Micros, mesh::Reach};
+use jasperhill_wire::{Micros, mesh::LinkState};
 use std::collections::BTreeSet;
 
 /// Counterparts in a row that must fail, as far as there are so many.
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Link {
-    reach: Reach,
+    reach: LinkState,
     patience: Patience,
     /// Failures since something last got through: when they began, how many, of whom.
     failing: Option<Micros>,
@@ -61,7 +61,7 @@
 impl Link {
     pub fn new(patience: Patience) -> Self {
         Self {
-            reach: Reach::Unknown,
+            reach: LinkState::Unknown,
             patience,
             failing: None,
             streak: 0,
@@ -74,7 +74,7 @@
         }
     }
 
-    pub fn reach(&self) -> Reach {
+    pub fn reach(&self) -> LinkState {
         self.reach
     }
     /// When it was last heard of.
@@ -94,7 +94,7 @@
                 self.good += 1.0;
                 // A cut that is over leaves nothing behind: what failed in it does not speak
                 // against the link. But not again and again, or a limp link would look whole.
-                if self.reach == Reach::Down
+                if self.reach == LinkState::Down
                     && self.streak >= STREAK
                     && self.forgiven.is_none_or(|t| now - t >= FORGIVE_AGAIN)
                 {
@@ -107,12 +107,12 @@
                 let rising = *self.rising.get_or_insert(now);
                 let steady = self.bad * 2.0 <= self.good;
                 match self.reach {
-                    Reach::Down if steady && now - rising >= self.patience.up => Reach::Up,
-                    Reach::Down => Reach::Down,
+                    LinkState::Down if steady && now - rising >= self.patience.up => LinkState::Up,
+                    LinkState::Down => LinkState::Down,
                     // Guards against a limp link that is up after each thing that gets through.
-                    _ if self.is_limp() => Reach::Down,
-                    Reach::Doubtful if self.bad > self.good => Reach::Doubtful,
-                    _ => Reach::Up,
+                    _ if self.is_limp() => LinkState::Down,
+                    LinkState::Suspect if self.bad > self.good => LinkState::Suspect,
+                    _ => LinkState::Up,
                 }
             }
             Evidence::Failed { by, of } => {
@@ -127,15 +127,15 @@
                     && self.streak >= STREAK
                     && now - since >= self.patience.down;
                 match self.reach {
-                    Reach::Down => Reach::Down,
-                    _ if silent || self.is_limp() => Reach::Down,
-                    _ => Reach::Doubtful,
+                    LinkState::Down => LinkState::Down,
+                    _ if silent || self.is_limp() => LinkState::Down,
+                    _ => LinkState::Suspect,
                 }
             }
             Evidence::Nobody => {
                 *self = Self::new(self.patience);
                 self.fed = now;
-                Reach::Unknown
+                LinkState::Unknown
             }
         };
         std::mem::replace(&mut self.reach, to) != to
@@ -174,19 +174,19 @@
                 *now += 900;
                 link.apply(fail(*now), at(*now));
             }
-            assert_eq!(link.reach(), Reach::Down);
+            assert_eq!(link.reach(), LinkState::Down);
         };
         cut(&mut link, &mut now);
         link.apply(Evidence::Carried, at(now + 100));
-        assert_eq!(link.reach(), Reach::Up);
+        assert_eq!(link.reach(), LinkState::Up);
         // One that flaps has to show more.
         for by in 0..4 {
             now += 900;
             link.apply(fail(by), at(now));
         }
-        assert_eq!(link.reach(), Reach::Down);
+        assert_eq!(link.reach(), LinkState::Down);
         link.apply(Evidence::Carried, at(now + 100));
-        assert_eq!(link.reach(), Reach::Down);
+        assert_eq!(link.reach(), LinkState::Down);
     }
 
     #[test]
@@ -194,25 +194,25 @@
         let at = Micros::from_millis;
         let mut link = Link::new(PATIENCE);
         link.apply(Evidence::Carried, at(1_000));
-        assert_eq!(link.reach(), Reach::Up);
+        assert_eq!(link.reach(), LinkState::Up);
         for n in 0..3 {
             link.apply(fail(7), at(2_000 + 500 * n));
         }
-        assert_eq!(link.reach(), Reach::Doubtful);
+        assert_eq!(link.reach(), LinkState::Suspect);
         link.apply(fail(8), at(3_400));
         link.apply(fail(9), at(3_500));
-        assert_eq!(link.reach(), Reach::Down);
+        assert_eq!(link.reach(), LinkState::Down);
         // It is not up with the first thing that gets through, but soon.
         link.apply(Evidence::Carried, at(9_000));
-        assert_eq!(link.reach(), Reach::Down);
+        assert_eq!(link.reach(), LinkState::Down);
         link.apply(fail(7), at(10_000));
         link.apply(Evidence::Carried, at(11_000));
         link.apply(Evidence::Carried, at(12_500));
-        assert_eq!(link.reach(), Reach::Down);
+        assert_eq!(link.reach(), LinkState::Down);
         for n in 0..4 {
             link.apply(Evidence::Carried, at(13_000 + 200 * n));
         }
-        assert_eq!(link.reach(), Reach::Up);
+        assert_eq!(link.reach(), LinkState::Up);
     }
 
     /// Guards against a lossy link that counts as up because something gets through at times.
@@ -224,7 +224,7 @@
             let evidence = if fine { Evidence::Carried } else { fail(n) };
             link.apply(evidence, Micros::from_millis(300 * n));
         }
-        assert_eq!(link.reach(), Reach::Down);
+        assert_eq!(link.reach(), LinkState::Down);
     }
 
     proptest! {
@@ -249,7 +249,7 @@
                 if !good {
                     broke = now;
                 }
-                if before == Reach::Down && link.reach() == Reach::Up {
+                if before == LinkState::Down && link.reach() == LinkState::Up {
                     prop_assert!(now - broke >= PATIENCE.up);
                 }
             }
@@ -257,7 +257,7 @@
                 now += Micros::from_millis(400);
                 link.apply(if fine { Evidence::Carried } else { fail(by) }, now);
             }
-            prop_assert_eq!(link.reach(), if fine { Reach::Up } else { Reach::Down });
+            prop_assert_eq!(link.reach(), if fine { LinkState::Up } else { LinkState::Down });
         }
     }
 }
--- a/crates/jasperhill-membership/src/roles.rs
+++ b/crates/jasperhill-membership/src/roles.rs
@@ -8,7 +8,7 @@
 //! writes decide, and a role taken by its owner's word is safe because the owner has stopped
 //! acting at that revision for good before it says so.
 
-use jasperhill_wire::{Member, Micros, Revision, mesh::Reach, record::Role};
+use jasperhill_wire::{Member, Micros, Revision, mesh::LinkState, record::Role};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An owner's home goes home only after it has been back for so long.
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fit {
     /// The state service answers it.
-    pub state: Reach,
+    pub state: LinkState,
     /// What the role needs beyond hosts: the cloud, for the leader.
-    pub needs: Reach,
+    pub needs: LinkState,
     /// How many of the role's hosts it reaches, and surely does not reach.
     pub reached: u32,
     pub unreached: u32,
@@ -54,10 +54,10 @@
     /// Whether a role held by `self` is better off with `other`.
     fn is_worse_than(&self, other: &Fit, of: u32) -> bool {
         let margin = (of / 10).max(1);
-        other.state == Reach::Up
+        other.state == LinkState::Up
             && ((other.reached > (of - self.unreached.min(of)) + margin
-                && other.needs != Reach::Down)
-                || (self.needs == Reach::Down && other.needs == Reach::Up))
+                && other.needs != LinkState::Down)
+                || (self.needs == LinkState::Down && other.needs == LinkState::Up))
     }
 }
 
@@ -246,7 +246,7 @@
             }
             // Guards against a write that is executed without an answer: the word that was given
             // names a version, and would be worth nothing once the store shows another.
-            if facts.by_reach && facts.fit(role, &self.me).state == Reach::Down {
+            if facts.by_reach && facts.fit(role, &self.me).state == LinkState::Down {
                 continue;
             }
             // Guards against a role that one takes who ends again before it can serve it.
@@ -285,7 +285,7 @@
     /// Notes since when nothing is known of how a member stands.
     fn note_unknown(&mut self, facts: &Facts, now: Micros) {
         for member in &self.members {
-            if facts.fit(Role::Leader, member).state == Reach::Unknown {
+            if facts.fit(Role::Leader, member).state == LinkState::Unknown {
                 self.unknown.entry(member.clone()).or_insert(now);
             } else {
                 self.unknown.remove(member);
@@ -298,8 +298,8 @@
         let served = |m: &Member| facts.fit(Role::Leader, m).state;
         let others = || self.members.iter().filter(|m| **m != self.me);
         let unserved = facts.by_reach
-            && served(&self.me) == Reach::Down
-            && others().any(|m| self.alive.contains_key(m) && served(m) == Reach::Up);
+            && served(&self.me) == LinkState::Down
+            && others().any(|m| self.alive.contains_key(m) && served(m) == LinkState::Up);
         if !unserved {
             self.unserved = None;
             return false;
@@ -356,7 +356,7 @@
             cut_off
                 && **m != self.me
                 && self.alive.contains_key(*m)
-                && facts.fit(role, m).state == Reach::Unknown
+                && facts.fit(role, m).state == LinkState::Unknown
         };
         let load = |m: &&Member| facts.fit(role, m).load;
         self.members.iter().filter(unheard).min_by_key(load)
@@ -392,7 +392,7 @@
             return None;
         }
         let there = facts.fit(role, home);
-        let worse = there.state != Reach::Up || there.unreached > (facts.of(role) / 10).max(1);
+        let worse = there.state != LinkState::Up || there.unreached > (facts.of(role) / 10).max(1);
         // Guards against a role that goes home to one who is worse off, or has ended and whose
         // session has not.
         (!facts.by_reach || !worse).then(|| (home.clone(), false))
--- a/crates/jasperhill-membership/src/roles/tests.rs
+++ b/crates/jasperhill-membership/src/roles/tests.rs
@@ -26,7 +26,7 @@
         for m in &members {
             roles.apply(Input::Session(m, Some(1)), Micros::ZERO);
             let fit = Fit {
-                state: Reach::Up,
+                state: LinkState::Up,
                 reached: 100,
                 ..Fit::default()
             };
@@ -81,7 +81,7 @@
 #[test]
 fn a_role_never_goes_to_one_who_is_worse_off() {
     for change in [
-        (|f| f.state = Reach::Doubtful) as fn(&mut Fit),
+        (|f| f.state = LinkState::Suspect) as fn(&mut Fit),
         |f| f.reached = 0,
         |f| f.reached = 8,
     ] {
@@ -166,12 +166,12 @@
 #[test]
 fn a_role_is_let_go_only_if_somebody_else_can_write() {
     let (mut roles, mut facts) = begin();
-    set(&mut facts, 0, |f| f.state = Reach::Down);
+    set(&mut facts, 0, |f| f.state = LinkState::Down);
     assert!(moves(&mut roles, &facts, AT).is_empty());
     let later = AT + UNSERVED_FOR;
     assert_eq!(moves(&mut roles, &facts, later), [Step::LetGo(P)]);
     for m in [1, 2] {
-        set(&mut facts, m, |f| f.state = Reach::Down);
+        set(&mut facts, m, |f| f.state = LinkState::Down);
     }
     assert!(moves(&mut roles, &facts, later).is_empty());
     // What is given up stays so at this revision, and only at this one.
--- a/crates/jasperhill-membership/src/view.rs
+++ b/crates/jasperhill-membership/src/view.rs
@@ -4,7 +4,7 @@
 use crate::link::{Evidence, Link, Patience};
 use jasperhill_wire::{
     Member, Micros, Name, Revision,
-    mesh::{LinkReport, Reach, ZoneReach},
+    mesh::{LinkState, ReachabilityReport, ZoneLinks},
     record::Role,
 };
 use std::collections::BTreeMap;
@@ -50,14 +50,14 @@
         report: Micros,
     },
     /// Another controller told how it stands.
-    Said(&'a LinkReport),
+    Said(&'a ReachabilityReport),
 }
 
 /// What to do about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// A link stood one way and stands another.
-    Changed(LinkId, Reach, Reach),
+    Changed(LinkId, LinkState, LinkState),
     /// Ask some workers of this zone.
     Probe(Name),
 }
@@ -77,7 +77,7 @@
     me: Member,
     links: BTreeMap<LinkId, Link>,
     zones: BTreeMap<Name, Zone>,
-    said: BTreeMap<Member, (LinkReport, Micros)>,
+    said: BTreeMap<Member, (ReachabilityReport, Micros)>,
     born: Micros,
     number: u64,
     peers: Vec<Member>,
@@ -119,10 +119,9 @@
             } => self.expect(zone, hosts, report, now),
             Input::Said(report) => {
                 let known = report.from != self.me && self.peers.contains(&report.from);
-                let older = self
-                    .said
-                    .get(&report.from)
-                    .is_some_and(|(r, _)| (r.born, r.number) >= (report.born, report.number));
+                let older = self.said.get(&report.from).is_some_and(|(r, _)| {
+                    (r.process_started, r.number) >= (report.process_started, report.number)
+                });
                 if known && !older {
                     self.said.insert(report.from.clone(), (report.clone(), now));
                 }
@@ -174,7 +173,7 @@
             let mut out = vec![Output::Changed(id.clone(), before, after)];
             // Both were cut, and one direction is whole again: reports may be as well.
             if let LinkId::Orders(zone) = id
-                && (before, after) == (Reach::Down, Reach::Up)
+                && (before, after) == (LinkState::Down, LinkState::Up)
             {
                 out.extend(self.feed(LinkId::Reports(zone), Evidence::Nobody, now));
             }
@@ -201,7 +200,7 @@
         let quiet = now - state.last_report;
         let allowed = if hosts < MANY {
             report.scale(1.25) + Micros::from_secs(1)
-        } else if matches!(orders, Reach::Doubtful | Reach::Down) {
+        } else if matches!(orders, LinkState::Suspect | LinkState::Down) {
             // Both directions agree: it need not be waited for.
             QUIET
         } else {
@@ -212,12 +211,12 @@
         let state = self.zone(zone, now);
         let unproved = wanted && now - state.proved >= PROBE_AGAIN;
         let wants = match orders {
-            Reach::Down | Reach::Doubtful => now - fed >= PROBE_AGAIN.scale(0.5),
+            LinkState::Down | LinkState::Suspect => now - fed >= PROBE_AGAIN.scale(0.5),
             _ => (hosts >= MANY && quiet >= QUIET) || quiet >= allowed || now - fed >= UNFED,
         };
         let pause = match orders {
             _ if unproved => PROBE_AGAIN,
-            Reach::Up | Reach::Unknown if quiet < QUIET || hosts < MANY => PROBE_SELDOM,
+            LinkState::Up | LinkState::Unknown if quiet < QUIET || hosts < MANY => PROBE_SELDOM,
             _ => PROBE_AGAIN,
         };
         let probe = (wants || unproved) && now - state.probed >= pause;
@@ -229,7 +228,7 @@
         if hosts > 0 && quiet >= allowed {
             let silence = Evidence::Failed { by: now.0, of: 1 };
             out.extend(self.feed(id, silence, now));
-        } else if hosts == 0 && quiet > FORGOTTEN && self.own(&id) != Reach::Unknown {
+        } else if hosts == 0 && quiet > FORGOTTEN && self.own(&id) != LinkState::Unknown {
             out.extend(self.feed(id, Evidence::Nobody, now));
         }
         if probe {
@@ -242,7 +241,7 @@
     fn is_missed(&self, zone: &Name, now: Micros) -> bool {
         self.peers
             .iter()
-            .any(|m| self.reaches(m, zone, now) == Reach::Down)
+            .any(|m| self.reaches(m, zone, now) == LinkState::Down)
     }
 
     /// Whether a member has shown lately that it reaches a zone's workers. Guards against a role
@@ -252,33 +251,34 @@
             return false;
         };
         let there = report.zones.iter().find(|z| &z.zone == zone);
-        there.is_some_and(|z| now - (*at - z.proved) < PROVED)
+        there.is_some_and(|z| now - (*at - z.last_success) < PROVED)
     }
 
     /// How this controller's own link stands.
-    pub fn own(&self, link: &LinkId) -> Reach {
-        self.links.get(link).map_or(Reach::Unknown, Link::reach)
+    pub fn own(&self, link: &LinkId) -> LinkState {
+        self.links.get(link).map_or(LinkState::Unknown, Link::reach)
     }
 
     /// What a peer said, if that is recent.
-    pub fn said(&self, member: &Member, now: Micros) -> Option<&LinkReport> {
+    pub fn said(&self, member: &Member, now: Micros) -> Option<&ReachabilityReport> {
         let (report, at) = self.said.get(member)?;
         (now - *at < FRESH).then_some(report)
     }
 
     /// Whether the state service answers that member, as far as is known.
-    pub fn is_served(&self, member: &Member, now: Micros) -> Reach {
+    pub fn is_served(&self, member: &Member, now: Micros) -> LinkState {
         if *member == self.me {
             return self.own(&LinkId::State);
         }
-        self.said(member, now).map_or(Reach::Unknown, |r| r.state)
+        self.said(member, now)
+            .map_or(LinkState::Unknown, |r| r.store)
     }
 
     /// Some other member is answered by the state service.
     pub fn other_served(&self, now: Micros) -> bool {
         self.peers
             .iter()
-            .any(|m| self.is_served(m, now) == Reach::Up)
+            .any(|m| self.is_served(m, now) == LinkState::Up)
     }
 
     /// The state service does not answer here, and does elsewhere, as far as can be told: somebody
@@ -288,11 +288,11 @@
     pub fn is_alone(&self, now: Micros) -> bool {
         let nobody =
             !self.peers.is_empty() && self.peers.iter().all(|m| self.said(m, now).is_none());
-        self.own(&LinkId::State) == Reach::Down && (nobody || self.other_served(now))
+        self.own(&LinkId::State) == LinkState::Down && (nobody || self.other_served(now))
     }
 
     /// Reports that come in, and orders that go out, between a member and a zone's workers.
-    pub fn directions(&self, member: &Member, zone: &Name, now: Micros) -> (Reach, Reach) {
+    pub fn directions(&self, member: &Member, zone: &Name, now: Micros) -> (LinkState, LinkState) {
         if *member == self.me {
             return (
                 self.own(&LinkId::Reports(zone.clone())),
@@ -301,23 +301,26 @@
         }
         let said = self.said(member, now);
         said.and_then(|r| r.zones.iter().find(|z| &z.zone == zone))
-            .map_or((Reach::Unknown, Reach::Unknown), |z| (z.reports, z.orders))
+            .map_or((LinkState::Unknown, LinkState::Unknown), |z| {
+                (z.heartbeats, z.commands)
+            })
     }
 
     /// Whether a member and a zone's workers reach each other. What is not known is no reason
     /// against a direction while the other works.
-    pub fn reaches(&self, member: &Member, zone: &Name, now: Micros) -> Reach {
+    pub fn reaches(&self, member: &Member, zone: &Name, now: Micros) -> LinkState {
         match self.directions(member, zone, now) {
-            (Reach::Down, _) | (_, Reach::Down) => Reach::Down,
-            (Reach::Doubtful, _) | (_, Reach::Doubtful) => Reach::Doubtful,
-            (Reach::Unknown, Reach::Unknown) => Reach::Unknown,
-            _ => Reach::Up,
+            (LinkState::Down, _) | (_, LinkState::Down) => LinkState::Down,
+            (LinkState::Suspect, _) | (_, LinkState::Suspect) => LinkState::Suspect,
+            (LinkState::Unknown, LinkState::Unknown) => LinkState::Unknown,
+            _ => LinkState::Up,
         }
     }
 
     /// Whether that member is reached from here, and has been heard.
     pub fn hears(&self, member: &Member, now: Micros) -> bool {
-        self.own(&LinkId::Peer(member.clone())) != Reach::Down && self.said(member, now).is_some()
+        self.own(&LinkId::Peer(member.clone())) != LinkState::Down
+            && self.said(member, now).is_some()
     }
 
     /// A peer through which orders get to a zone's workers.
@@ -326,7 +329,7 @@
             self.hears(m, now)
                 && matches!(
                     self.directions(m, zone, now),
-                    (_, Reach::Up) | (Reach::Up, Reach::Unknown)
+                    (_, LinkState::Up) | (LinkState::Up, LinkState::Unknown)
                 )
         })
     }
@@ -336,10 +339,10 @@
         self.peers.iter().find(|m| {
             *m != peer
                 && self.hears(m, now)
-                && self.said(m, now).is_some_and(|r| r.heard.contains(peer))
+                && self.said(m, now).is_some_and(|r| r.reachable_peers.contains(peer))
                 // Guards against one that only orders get out of: it has to hear the worker.
-                && self.directions(m, zone, now).0 == Reach::Up
-                && self.reaches(m, zone, now) == Reach::Up
+                && self.directions(m, zone, now).0 == LinkState::Up
+                && self.reaches(m, zone, now) == LinkState::Up
         })
     }
 
@@ -357,12 +360,12 @@
     /// The owner of a role at this revision says that it has stopped acting on it for good.
     pub fn let_go(&self, owner: &Member, role: Role, version: Revision, now: Micros) -> bool {
         self.said(owner, now)
-            .is_some_and(|r| r.let_go.contains(&(role, version)))
+            .is_some_and(|r| r.relinquished.contains(&(role, version)))
     }
 
     /// All of this controller's links are up, as far as they are known.
     pub fn is_calm(&self) -> bool {
-        let fine = |l: &Link| matches!(l.reach(), Reach::Up | Reach::Unknown);
+        let fine = |l: &Link| matches!(l.reach(), LinkState::Up | LinkState::Unknown);
         self.links.values().all(fine)
     }
 
@@ -372,32 +375,32 @@
         owners: Vec<(Role, Member, Revision)>,
         let_go: Vec<(Role, Revision)>,
         now: Micros,
-    ) -> LinkReport {
+    ) -> ReachabilityReport {
         self.number += 1;
         let zones = self.zones.iter().map(|(zone, state)| {
             let (reports, orders) = self.directions(&self.me, zone, now);
-            ZoneReach {
+            ZoneLinks {
                 zone: zone.clone(),
-                reports,
-                orders,
-                proved: now - state.proved,
+                heartbeats: reports,
+                commands: orders,
+                last_success: now - state.proved,
             }
         });
-        LinkReport {
+        ReachabilityReport {
             from: self.me.clone(),
-            born: self.born,
+            process_started: self.born,
             number: self.number,
-            state: self.own(&LinkId::State),
+            store: self.own(&LinkId::State),
             cloud: self.own(&LinkId::Cloud),
             zones: zones.collect(),
-            heard: self
+            reachable_peers: self
                 .peers
                 .iter()
                 .filter(|m| self.hears(m, now))
                 .cloned()
                 .collect(),
             owners,
-            let_go,
+            relinquished: let_go,
         }
     }
 }
--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -9,10 +9,10 @@
     MachineSpec, Partition, SchedConfig, Source, TeamLimits, Tuning, host::HostInput,
 };
 use jasperhill_wire::{
-    HostId, JobId, Micros, Name, Resources, Revision, Token,
-    record::{HostRecord, HostUse},
+    FencingToken, HostId, JobId, Micros, Name, Resources, Revision,
+    record::{HostAssignment, HostRecord},
     user::{JobRequest, Priority, Shape},
-    worker::{Report, TaskPhase, TaskReport},
+    worker::{Heartbeat, TaskPhase, TaskStatus},
 };
 use std::{collections::BTreeMap, hint::black_box, rc::Rc};
 
@@ -62,9 +62,9 @@
         spot: !matches!(kind, Kind::Service),
         estimate: Micros::from_secs(40),
         checkpoint_every: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_time: Micros::ZERO,
         deadline,
-        waits_on: Vec::new(),
+        dependencies: Vec::new(),
     })
 }
 
@@ -76,21 +76,21 @@
 fn report_all(part: &mut Partition, counter: u64) {
     for id in hosts(part) {
         let host = &part.hosts[&id];
-        let tasks = host.tasks.iter().map(|(task, t)| TaskReport {
+        let tasks = host.tasks.iter().map(|(task, t)| TaskStatus {
             task: task.clone(),
             attempt: t.attempt,
             phase: TaskPhase::Running,
         });
-        let report = Report {
+        let report = Heartbeat {
             host: id.clone(),
             address: host.address.clone(),
-            kind: host.spec.kind.clone(),
+            machine_type: host.spec.machine_type.clone(),
             zone: host.zone.clone(),
             spot: host.spot,
-            tenure: 1,
-            counter,
-            token: Token(5),
-            notice: None,
+            incarnation: 1,
+            sequence: counter,
+            token: FencingToken(5),
+            termination_notice: None,
             tasks: tasks.collect(),
         };
         part.on_report(&report, Source::Hello, NOW);
@@ -101,7 +101,7 @@
 fn machines(count: u64) -> Partition {
     let zones: Vec<Name> = ["a", "b", "c"].map(Name::from).into();
     let spec = Rc::new(MachineSpec {
-        kind: "box".into(),
+        machine_type: "box".into(),
         capacity: Resources::from_units(96.0, 8.0, 768.0),
         cache_gb: 60.0,
         fetch_gb_per_s: 0.25,
@@ -129,12 +129,12 @@
     let mut part = Partition::new(0, Revision(5), config, specs);
     for n in 0..count {
         let record = HostRecord {
-            usage: HostUse::Partition(0),
+            assignment: HostAssignment::Partition(0),
             address: "10.1.0.1:9000".to_owned(),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: zones[(n % 3) as usize].clone(),
             spot: n % 3 == 0,
-            bump: 0,
+            rewrites: 0,
         };
         let id = HostId::new(&format!("n-{n:06}"));
         part.upsert_host(&id, &record, Revision(4), false, NOW);
@@ -194,24 +194,24 @@
         // A takeover of this many machines: all their reports, and the pass that follows.
         group.bench_function(BenchmarkId::new("taken over", HOSTS * scale), |b| {
             let known = full(scale);
-            let reports: Vec<Report> = hosts(&known)
+            let reports: Vec<Heartbeat> = hosts(&known)
                 .into_iter()
                 .map(|id| {
                     let host = &known.hosts[&id];
-                    let tasks = host.tasks.iter().map(|(task, t)| TaskReport {
+                    let tasks = host.tasks.iter().map(|(task, t)| TaskStatus {
                         task: task.clone(),
                         attempt: t.attempt,
                         phase: TaskPhase::Running,
                     });
-                    Report {
+                    Heartbeat {
                         address: host.address.clone(),
-                        kind: host.spec.kind.clone(),
+                        machine_type: host.spec.machine_type.clone(),
                         zone: host.zone.clone(),
                         spot: host.spot,
-                        tenure: 1,
-                        counter: 99,
-                        token: Token(9),
-                        notice: None,
+                        incarnation: 1,
+                        sequence: 99,
+                        token: FencingToken(9),
+                        termination_notice: None,
                         tasks: tasks.collect(),
                         host: id,
                     }
@@ -223,12 +223,12 @@
                 let mut part = Partition::new(0, Revision(9), config, specs);
                 for (id, host) in &known.hosts {
                     let record = HostRecord {
-                        usage: HostUse::Partition(0),
+                        assignment: HostAssignment::Partition(0),
                         address: host.address.clone(),
-                        kind: host.spec.kind.clone(),
+                        machine_type: host.spec.machine_type.clone(),
                         zone: host.zone.clone(),
                         spot: host.spot,
-                        bump: 0,
+                        rewrites: 0,
                     };
                     part.upsert_host(id, &record, Revision(4), true, NOW);
                 }
--- a/crates/jasperhill-scheduler/src/book.rs
+++ b/crates/jasperhill-scheduler/src/book.rs
@@ -306,7 +306,7 @@
             self.hosts
                 .values()
                 .filter(|h| h.is_usable(now, &self.config))
-                .filter(|h| request.allows_host(&h.spec.kind, &h.zone, h.spot))
+                .filter(|h| request.allows_host(&h.spec.machine_type, &h.zone, h.spot))
                 .filter(|h| request.each.fits(&h.spec.capacity))
         };
         let (mut found, mut late) = (0, 0);
@@ -369,7 +369,7 @@
         let spec = self
             .specs
             .values()
-            .find(|s| request.allows_type(&s.kind) && request.each.fits(&s.capacity));
+            .find(|s| request.allows_type(&s.machine_type) && request.each.fits(&s.capacity));
         let Some(spec) = spec else { return 0 };
         let estimate = self.estimate(request);
         let ready = (now + elastic.1).max(at)
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -114,7 +114,7 @@
 
 #[derive(Clone, Debug)]
 pub struct MachineSpec {
-    pub kind: Name,
+    pub machine_type: Name,
     pub capacity: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
@@ -133,7 +133,7 @@
         .filter(|t| t.fetch_gb_per_s > 0.0 && t.boot_s.is_finite() && t.cpus.is_finite())
         .map(|t| {
             let spec = MachineSpec {
-                kind: t.name.clone(),
+                machine_type: t.name.clone(),
                 capacity: Resources::from_units(t.cpus, t.gpus, t.memory_gb),
                 cache_gb: t.cache_gb,
                 fetch_gb_per_s: t.fetch_gb_per_s,
@@ -158,7 +158,7 @@
     };
     let zones: BTreeSet<&Name> = specs
         .values()
-        .filter(|s| request.allows_type(&s.kind) && request.each.fits(&s.capacity))
+        .filter(|s| request.allows_type(&s.machine_type) && request.each.fits(&s.capacity))
         .flat_map(|s| &s.zones)
         .filter(|z| request.zone.as_ref().is_none_or(|allowed| *z == allowed))
         .collect();
--- a/crates/jasperhill-scheduler/src/fleet.rs
+++ b/crates/jasperhill-scheduler/src/fleet.rs
@@ -22,7 +22,7 @@
 pub fn hosts_for(request: &JobRequest, specs: &Specs) -> f64 {
     specs
         .values()
-        .find(|s| request.allows_type(&s.kind) && request.each.fits(&s.capacity))
+        .find(|s| request.allows_type(&s.machine_type) && request.each.fits(&s.capacity))
         .map_or(0.0, |s| {
             let per_host = request.each.count_in(&s.capacity).clamp(1, 1 << 20) as f64;
             (f64::from(request.tasks) / per_host).min(50.0)
@@ -55,7 +55,7 @@
         let r = d.request;
         let Some(spec) = specs
             .values()
-            .find(|s| r.allows_type(&s.kind) && r.each.fits(&s.capacity))
+            .find(|s| r.allows_type(&s.machine_type) && r.each.fits(&s.capacity))
         else {
             continue;
         };
@@ -240,7 +240,7 @@
             "expected_s":10.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":null}"#;
         let request = JobRequest::parse(text.as_bytes()).unwrap();
         let spec = MachineSpec {
-            kind: "box".into(),
+            machine_type: "box".into(),
             capacity: Resources::from_units(16.0, 2.0, 64.0),
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
--- a/crates/jasperhill-scheduler/src/host.rs
+++ b/crates/jasperhill-scheduler/src/host.rs
@@ -6,9 +6,9 @@
     progress::Pace,
 };
 use jasperhill_wire::{
-    Attempt, HostId, JobId, Micros, Name, Resources, TaskId, Token,
-    record::{HostRecord, HostUse},
-    worker::{Cause, Order, Report, TaskPhase},
+    Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, TaskId,
+    record::{HostAssignment, HostRecord},
+    worker::{Command, ExitCause, Heartbeat, TaskPhase},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -58,7 +58,7 @@
     Waiting,
     Running,
     Saving,
-    Exited(Cause),
+    Exited(ExitCause),
 }
 
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
 /// What a start was sent under.
 #[derive(Clone, Copy, Debug)]
 struct Under {
-    token: Token,
+    token: FencingToken,
     /// As of when whoever sent it knew of cancellations.
     known: Micros,
 }
@@ -107,24 +107,24 @@
     /// The host's record must be rewritten to raise the token.
     NeedsToken,
     /// Over once the host shows this token.
-    Until(Token),
+    Until(FencingToken),
 }
 
 #[derive(Debug)]
 pub enum HostInput<'a> {
-    Report(&'a Report, Source),
+    Report(&'a Heartbeat, Source),
     /// A report was answered 200 with these orders.
-    Answered(&'a [Order]),
+    Answered(&'a [Command]),
     /// Another controller may answer its reports until then.
     Kept(Micros),
     /// Orders go out directly; what is known of the store, and so of cancellations, is as of then.
-    DirectSent(Vec<Order>, Micros),
+    DirectSent(Vec<Command>, Micros),
     /// The direct orders were executed, or surely were not (their report comes separately).
     DirectSettled,
     /// No answer: they may be executed at any time.
     DirectUnanswered,
     /// The record was rewritten.
-    TokenRaised(Token),
+    TokenRaised(FencingToken),
     /// It has begun a new session although its reports were answered: it does not hear.
     Deaf,
     /// The lease has surely lapsed, or the machine is gone.
@@ -142,7 +142,7 @@
     Found(TaskId, Attempt),
     Running(TaskId),
     /// Not on the host any more. `None`: lost.
-    Ended(TaskId, Option<Cause>),
+    Ended(TaskId, Option<ExitCause>),
     Fenced,
 }
 
@@ -153,8 +153,8 @@
     pub spec: Rc<MachineSpec>,
     pub zone: Name,
     pub spot: bool,
-    pub usage: HostUse,
-    pub token: Token,
+    pub usage: HostAssignment,
+    pub token: FencingToken,
     pub reach: Reach,
     pub tenure: Option<u64>,
     counter: u64,
@@ -207,7 +207,7 @@
         id: HostId,
         record: &HostRecord,
         spec: Rc<MachineSpec>,
-        token: Token,
+        token: FencingToken,
         ghosts: bool,
         now: Micros,
     ) -> Self {
@@ -217,7 +217,7 @@
             spec,
             zone: record.zone.clone(),
             spot: record.spot,
-            usage: record.usage,
+            usage: record.assignment,
             token,
             reach: Reach::Unfenced { ghosts },
             tenure: None,
@@ -306,7 +306,7 @@
     /// May get new tasks.
     pub fn is_usable(&self, now: Micros, config: &SchedConfig) -> bool {
         self.reach == Reach::Fenced
-            && matches!(self.usage, HostUse::Partition(_))
+            && matches!(self.usage, HostAssignment::Partition(_))
             && self.notice.is_none()
             && self.doubt == Doubt::None
             && self.draining.is_none()
@@ -401,13 +401,13 @@
 
     /// All outstanding orders. Level-triggered: repeated until the reports show the effect.
     /// `durable` says whether a finished task's result is safe.
-    pub fn orders(&self, durable: impl Fn(&TaskId, Cause) -> bool) -> Vec<Order> {
+    pub fn orders(&self, durable: impl Fn(&TaskId, ExitCause) -> bool) -> Vec<Command> {
         let mut out = Vec::new();
         for (task, attempt) in &self.stale {
             // Guards against `clear` before a late `run` of the same attempt: the worker
             // would have forgotten it and start it once more.
             if !self.may_start_later(task, *attempt) {
-                out.push(Order::Forget(task.clone(), *attempt));
+                out.push(Command::Clear(task.clone(), *attempt));
             }
         }
         for (task, t) in &self.tasks {
@@ -415,11 +415,11 @@
                 (TaskState::Exited(cause), _)
                     if !self.may_start_later(task, t.attempt) && durable(task, cause) =>
                 {
-                    out.push(Order::Forget(task.clone(), t.attempt));
+                    out.push(Command::Clear(task.clone(), t.attempt));
                 }
                 (TaskState::Exited(_), _) => {}
-                (_, Some((grace, _))) => out.push(Order::Stop(task.clone(), t.attempt, grace)),
-                (TaskState::Ordered, None) => out.push(Order::Start(task.clone(), t.attempt)),
+                (_, Some((grace, _))) => out.push(Command::Stop(task.clone(), t.attempt, grace)),
+                (TaskState::Ordered, None) => out.push(Command::Start(task.clone(), t.attempt)),
                 _ => {}
             }
         }
@@ -436,7 +436,7 @@
                 self.last_answer = self.last_answer.max(now);
                 self.answered = Some(now);
                 for order in orders {
-                    if let Order::Start(task, attempt) = order
+                    if let Command::Start(task, attempt) = order
                         && let Some(t) = self.tasks.get_mut(task)
                         && t.attempt == *attempt
                     {
@@ -447,7 +447,7 @@
             HostInput::Kept(until) => self.last_answer = self.last_answer.max(until),
             HostInput::DirectSent(orders, known) => {
                 let starts = orders.into_iter().filter_map(|o| match o {
-                    Order::Start(task, attempt) => Some((task, attempt)),
+                    Command::Start(task, attempt) => Some((task, attempt)),
                     _ => None,
                 });
                 let token = self.token;
@@ -511,7 +511,7 @@
                     self.tasks.remove(task);
                     out.push(HostOutput::Ended(
                         task.clone(),
-                        Some(Cause::Stopped { saved: false }),
+                        Some(ExitCause::Stopped { saved: false }),
                     ));
                 } else if let Some(t) = self.tasks.get_mut(task) {
                     match t.stopping {
@@ -544,37 +544,37 @@
 
     fn on_report(
         &mut self,
-        report: &Report,
+        report: &Heartbeat,
         source: Source,
         now: Micros,
         out: &mut Vec<HostOutput>,
     ) {
-        let order = (report.tenure, report.counter);
+        let order = (report.incarnation, report.sequence);
         if self.tenure.is_some_and(|t| order <= (t, self.counter)) {
             // Late: as old as the moment it was sent.
             return;
         }
-        if self.tenure.is_some_and(|t| report.tenure > t) {
+        if self.tenure.is_some_and(|t| report.incarnation > t) {
             // A larger tenure proves that all earlier tasks are gone.
             self.drop_all(out);
         }
-        let begun = self.tenure.is_some_and(|t| t < report.tenure);
+        let begun = self.tenure.is_some_and(|t| t < report.incarnation);
         match source {
             Source::Hello => self.spoke = Some(now),
             Source::Direct if begun => self.spoke = None,
             Source::Direct => {}
         }
-        if self.tenure != Some(report.tenure) {
+        if self.tenure != Some(report.incarnation) {
             // The lease of a session that we did not know runs from its beginning, which may be
             // long after our last answer. Guards against taking the new session for lapsed with
             // the old one, while what was sent to it directly runs.
             self.last_answer = self.last_answer.max(now);
         }
-        self.tenure = Some(report.tenure);
-        self.counter = report.counter;
+        self.tenure = Some(report.incarnation);
+        self.counter = report.sequence;
         self.last_heard = now;
         self.address.clone_from(&report.address);
-        self.notice = report.notice.map(|n| now + n);
+        self.notice = report.termination_notice.map(|n| now + n);
         if let Doubt::Until(token) = self.doubt
             && report.token >= token
         {
@@ -621,7 +621,7 @@
                         self.tasks.remove(&task);
                         out.push(HostOutput::Ended(
                             task,
-                            Some(Cause::Stopped { saved: false }),
+                            Some(ExitCause::Stopped { saved: false }),
                         ));
                     } else if source == Source::Hello
                         && let Some(t) = self.tasks.get_mut(&task)
@@ -639,7 +639,7 @@
 
     fn on_task(
         &mut self,
-        item: &jasperhill_wire::worker::TaskReport,
+        item: &jasperhill_wire::worker::TaskStatus,
         now: Micros,
         out: &mut Vec<HostOutput>,
     ) {
@@ -647,7 +647,7 @@
             TaskPhase::Fetching => TaskState::Fetching,
             TaskPhase::Waiting => TaskState::Waiting,
             TaskPhase::Running => TaskState::Running,
-            TaskPhase::Saving => TaskState::Saving,
+            TaskPhase::Checkpointing => TaskState::Saving,
             TaskPhase::Exited(cause) => TaskState::Exited(cause),
         };
         match self.tasks.get_mut(&item.task) {
--- a/crates/jasperhill-scheduler/src/partition.rs
+++ b/crates/jasperhill-scheduler/src/partition.rs
@@ -12,10 +12,10 @@
     trust::{self, Trust},
 };
 use jasperhill_wire::{
-    Attempt, HostId, JobId, Micros, Name, Resources, Revision, TaskId, Token,
-    record::{HostRecord, HostUse, Remains},
+    Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
+    record::{HostAssignment, HostRecord, ResidualUsage},
     user::{JobRequest, Priority, Shape},
-    worker::{Cause, Order, Report},
+    worker::{Command, ExitCause, Heartbeat},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -183,9 +183,11 @@
             let known = ghosts
                 .0
                 .iter()
-                .any(|(k, z, s)| k == &h.spec.kind && z == &h.zone && *s == h.spot);
+                .any(|(k, z, s)| k == &h.spec.machine_type && z == &h.zone && *s == h.spot);
             if !known {
-                ghosts.0.push((h.spec.kind.clone(), h.zone.clone(), h.spot));
+                ghosts
+                    .0
+                    .push((h.spec.machine_type.clone(), h.zone.clone(), h.spot));
             }
         }
         ghosts
@@ -245,7 +247,7 @@
 
     /// A job that was cancelled under an earlier owner, of which tasks may run on hosts that are not
     /// known yet. Guards against a limit that is given out again while they do.
-    pub fn recall_cancelled(&mut self, id: &JobId, remains: &Remains, now: Micros) {
+    pub fn recall_cancelled(&mut self, id: &JobId, remains: &ResidualUsage, now: Micros) {
         let request = JobRequest {
             id: id.clone(),
             class: "".into(),
@@ -264,9 +266,9 @@
             spot: true,
             estimate: Micros::ZERO,
             checkpoint_every: Micros::ZERO,
-            save: Micros::ZERO,
+            checkpoint_time: Micros::ZERO,
             deadline: None,
-            waits_on: Vec::new(),
+            dependencies: Vec::new(),
         };
         let mut job = Job::new(Rc::new(request), Revision(0), now, &[]);
         job.ending = Some(Ending::Cancelled);
@@ -310,13 +312,13 @@
         now: Micros,
     ) {
         // The greater of the revisions at which the owner and the host's record were written.
-        let token = Token(version.0.max(self.since.0));
-        let Some(spec) = self.specs.get(&record.kind) else {
+        let token = FencingToken(version.0.max(self.since.0));
+        let Some(spec) = self.specs.get(&record.machine_type) else {
             return;
         };
         match self.hosts.get_mut(id) {
             Some(host) => {
-                host.usage = record.usage;
+                host.usage = record.assignment;
                 host.apply(HostInput::TokenRaised(token), now);
             }
             None => {
@@ -340,7 +342,7 @@
         self.changed = true;
     }
 
-    pub fn on_report(&mut self, report: &Report, source: Source, now: Micros) {
+    pub fn on_report(&mut self, report: &Heartbeat, source: Source, now: Micros) {
         let before = self.hosts.get(&report.host).map(|h| (h.tenure, h.answered));
         self.apply(&report.host, HostInput::Report(report, source), now);
         // Whoever ends a session has heard nothing for a whole lease.
@@ -446,12 +448,12 @@
         }
     }
 
-    fn ended(&mut self, id: &HostId, task: &TaskId, cause: Option<Cause>, now: Micros) {
+    fn ended(&mut self, id: &HostId, task: &TaskId, cause: Option<ExitCause>, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let here = job.live.get(&task.index) == Some(id);
-        if cause == Some(Cause::Done) && job.request.shape != Shape::Service {
+        if cause == Some(ExitCause::Done) && job.request.shape != Shape::Service {
             // A kept result counts wherever it turns up. A gang completes as one.
             let all = if job.is_gang() {
                 0..job.request.tasks
@@ -508,10 +510,10 @@
             && !over
         {
             match cause {
-                Cause::Error => {
+                ExitCause::Error => {
                     self.failed(id, task, now);
                 }
-                Cause::NoRoom | Cause::Busy | Cause::Unknown => {
+                ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown => {
                     job.not_before = now + Micros::from_secs(1);
                 }
                 _ => {}
@@ -733,13 +735,13 @@
     }
 
     /// Outstanding orders for a host.
-    pub fn orders(&self, id: &HostId) -> Vec<Order> {
+    pub fn orders(&self, id: &HostId) -> Vec<Command> {
         let Some(host) = self.hosts.get(id) else {
             return Vec::new();
         };
         host.orders(|task, cause| match self.jobs.get(&task.job) {
             // A result is forgotten by the worker only once the record has it.
-            Some(job) if cause == Cause::Done => {
+            Some(job) if cause == ExitCause::Done => {
                 job.done.contains(task.index) && !job.unsaved.contains(&task.index)
             }
             _ => true,
@@ -791,7 +793,7 @@
             return;
         };
         let grace = if job.checkpoints() {
-            job.request.save + Micros::from_secs(1)
+            job.request.checkpoint_time + Micros::from_secs(1)
         } else {
             Micros::ZERO
         };
@@ -808,7 +810,7 @@
     /// The host may be given up: empty, settled and long enough idle.
     pub fn is_spare(&self, id: &HostId, now: Micros, keep: Micros) -> bool {
         self.hosts.get(id).is_some_and(|h| {
-            matches!(h.usage, HostUse::Partition(_))
+            matches!(h.usage, HostAssignment::Partition(_))
                 && h.is_empty()
                 && h.queue.is_empty()
                 && h.reach == crate::host::Reach::Fenced
--- a/crates/jasperhill-scheduler/src/plain.rs
+++ b/crates/jasperhill-scheduler/src/plain.rs
@@ -12,10 +12,10 @@
     suit::cost,
 };
 use jasperhill_wire::{
-    HostId, JobId, Micros, Name, Resources, Revision, TaskId, Token,
-    record::{HostRecord, HostUse},
+    FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
+    record::{HostAssignment, HostRecord},
     user::{JobRequest, Priority, Shape},
-    worker::{Report, TaskPhase, TaskReport},
+    worker::{Heartbeat, TaskPhase, TaskStatus},
 };
 use proptest::prelude::*;
 use std::{collections::BTreeMap, rc::Rc};
@@ -58,9 +58,9 @@
         spot,
         estimate: Micros::from_secs(estimate),
         checkpoint_every: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_time: Micros::ZERO,
         deadline: deadline.map(Micros::from_secs),
-        waits_on: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -88,7 +88,7 @@
 
 fn build(s: &Setting) -> Partition {
     let spec = Rc::new(MachineSpec {
-        kind: "box".into(),
+        machine_type: "box".into(),
         capacity: Resources::from_units(16.0, 8.0, 64.0),
         cache_gb: 10.0,
         fetch_gb_per_s: 0.5,
@@ -121,33 +121,33 @@
         let id = HostId::new(&format!("n-{n:02}"));
         let zone: Name = if *zone { "a" } else { "b" }.into();
         let record = HostRecord {
-            usage: HostUse::Partition(0),
+            assignment: HostAssignment::Partition(0),
             address: "10.1.0.1:9000".to_owned(),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: zone.clone(),
             spot: *spot,
-            bump: 0,
+            rewrites: 0,
         };
         part.upsert_host(&id, &record, Revision(4), false, NOW);
         let mut listed = Vec::new();
         for _ in 0..*tasks {
-            listed.push(TaskReport {
+            listed.push(TaskStatus {
                 task: TaskId::new(&JobId::new("job-old"), next),
                 attempt: jasperhill_wire::Attempt(u64::from(next) + 1),
                 phase: TaskPhase::Running,
             });
             next += 1;
         }
-        let report = Report {
+        let report = Heartbeat {
             host: id.clone(),
             address: "10.1.0.1:9000".to_owned(),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone,
             spot: *spot,
-            tenure: 1,
-            counter: 1,
-            token: Token(5),
-            notice: None,
+            incarnation: 1,
+            sequence: 1,
+            token: FencingToken(5),
+            termination_notice: None,
             tasks: listed,
         };
         part.on_report(&report, Source::Hello, NOW);
@@ -252,7 +252,7 @@
     let mut copies: BTreeMap<HostId, Copy> = part
         .hosts
         .values()
-        .filter(|h| request.allows_host(&h.spec.kind, &h.zone, h.spot))
+        .filter(|h| request.allows_host(&h.spec.machine_type, &h.zone, h.spot))
         .map(|h| {
             let running = part.occupied(h, NOW);
             let before = misses(NOW, h.room(), &running, &h.queue);
--- a/crates/jasperhill-scheduler/src/room.rs
+++ b/crates/jasperhill-scheduler/src/room.rs
@@ -48,7 +48,7 @@
                 let lower = other.priority() > than && !other.is_service();
                 (lower && (whole || size == 1)).then(|| {
                     let (lost, grace) = if other.checkpoints() {
-                        (other.request.save, other.request.save)
+                        (other.request.checkpoint_time, other.request.checkpoint_time)
                     } else {
                         (now - t.running.unwrap_or(now), Micros::ZERO)
                     };
--- a/crates/jasperhill-scheduler/src/suit.rs
+++ b/crates/jasperhill-scheduler/src/suit.rs
@@ -145,7 +145,7 @@
     /// the others are.
     pub(crate) fn suits(job: &Job, host: &Host) -> bool {
         job.request
-            .allows_host(&host.spec.kind, &host.zone, host.spot)
+            .allows_host(&host.spec.machine_type, &host.zone, host.spot)
             && !job.trust.avoids(&host.id)
     }
 
--- a/crates/jasperhill-scheduler/tests/config.rs
+++ b/crates/jasperhill-scheduler/tests/config.rs
@@ -30,7 +30,7 @@
         let kind: jasperhill_wire::Name = format!("t{n}").as_str().into();
         let here = (0..3).filter(|z| zones & (1 << z) != 0);
         let spec = MachineSpec {
-            kind: kind.clone(),
+            machine_type: kind.clone(),
             capacity: Resources::from_units(16.0, f64::from(*gpus), 64.0),
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
--- a/crates/jasperhill-scheduler/tests/machines.rs
+++ b/crates/jasperhill-scheduler/tests/machines.rs
@@ -6,10 +6,10 @@
     job::{Ending, Gate, Place},
 };
 use jasperhill_wire::{
-    Attempt, HostId, JobId, Micros, Resources, Revision, TaskId, Token,
-    record::{HostRecord, HostUse, JobRecord},
+    Attempt, FencingToken, HostId, JobId, Micros, Resources, Revision, TaskId,
+    record::{HostAssignment, HostRecord, JobRecord},
     user::{JobRequest, Priority},
-    worker::{Cause, Order, Report, TaskPhase, TaskReport},
+    worker::{Command, ExitCause, Heartbeat, TaskPhase, TaskStatus},
 };
 use proptest::prelude::*;
 use std::{collections::BTreeMap, rc::Rc};
@@ -18,7 +18,7 @@
 
 fn spec() -> Rc<MachineSpec> {
     Rc::new(MachineSpec {
-        kind: "box".into(),
+        machine_type: "box".into(),
         capacity: Resources::from_units(16.0, 2.0, 128.0),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
@@ -31,26 +31,26 @@
 
 fn record(zone: &str) -> HostRecord {
     HostRecord {
-        usage: HostUse::Partition(0),
+        assignment: HostAssignment::Partition(0),
         address: "10.1.0.1:9000".to_owned(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: zone.into(),
         spot: false,
-        bump: 0,
+        rewrites: 0,
     }
 }
 
-fn report(host: &str, tenure: u64, counter: u64, token: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+fn report(host: &str, tenure: u64, counter: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
         host: host.into(),
         address: "10.1.0.1:9000".to_owned(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
-        tenure,
-        counter,
-        token: Token(token),
-        notice: None,
+        incarnation: tenure,
+        sequence: counter,
+        token: FencingToken(token),
+        termination_notice: None,
         tasks,
     }
 }
@@ -59,8 +59,8 @@
     TaskId::new(&JobId::new("job-1"), i)
 }
 
-fn seen(i: u32, attempt: u64, phase: TaskPhase) -> TaskReport {
-    TaskReport {
+fn seen(i: u32, attempt: u64, phase: TaskPhase) -> TaskStatus {
+    TaskStatus {
         task: task(i),
         attempt: Attempt(attempt),
         phase,
@@ -68,7 +68,14 @@
 }
 
 fn host() -> Host {
-    let mut host = Host::new("n-1".into(), &record("a"), spec(), Token(5), false, NOW);
+    let mut host = Host::new(
+        "n-1".into(),
+        &record("a"),
+        spec(),
+        FencingToken(5),
+        false,
+        NOW,
+    );
     host.apply(
         HostInput::Report(&report("n-1", 1, 1, 5, vec![]), Source::Hello),
         NOW,
@@ -92,21 +99,21 @@
     host.apply(HostInput::DirectSent(orders, NOW), NOW);
     host.apply(HostInput::DirectUnanswered, NOW);
     assert!(host.needs_token());
-    let exited = vec![seen(0, 7, TaskPhase::Exited(Cause::Done))];
+    let exited = vec![seen(0, 7, TaskPhase::Exited(ExitCause::Done))];
     host.apply(
         HostInput::Report(&report("n-1", 1, 2, 5, exited.clone()), Source::Hello),
         NOW,
     );
     // The late `run` would start it once more.
     assert_eq!(host.orders(|_, _| true), vec![]);
-    host.apply(HostInput::TokenRaised(Token(9)), NOW);
+    host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
         HostInput::Report(&report("n-1", 1, 3, 9, exited), Source::Hello),
         NOW,
     );
     assert_eq!(
         host.orders(|_, _| true),
-        vec![Order::Forget(task(0), Attempt(7))]
+        vec![Command::Clear(task(0), Attempt(7))]
     );
     // And not before the result is durable.
     assert_eq!(host.orders(|_, _| false), vec![]);
@@ -122,7 +129,7 @@
         NOW,
     );
     assert!(host.needs_token() && !host.is_usable(NOW, &config()));
-    host.apply(HostInput::TokenRaised(Token(9)), NOW);
+    host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
         HostInput::Report(&report("n-1", 1, 3, 9, vec![]), Source::Hello),
         NOW,
@@ -212,7 +219,7 @@
     let cancelled = request("job-old", "array", 3, 1.0, None);
     let running = |n: u32| {
         let task = TaskId::new(&JobId::new("job-old"), n);
-        TaskReport {
+        TaskStatus {
             task,
             attempt: Attempt(1),
             phase: TaskPhase::Running,
@@ -223,7 +230,7 @@
         let mut part = partition(2, true);
         if recalled {
             let record = JobRecord::cancelled(&cancelled, 0, NOW);
-            part.recall_cancelled(&cancelled.id, &record.remains.unwrap(), NOW);
+            part.recall_cancelled(&cancelled.id, &record.residual_usage.unwrap(), NOW);
         } else {
             part.upsert_job(&cancelled, Revision(3), NOW, &[], (0, NOW));
         }
@@ -243,7 +250,7 @@
         let stops = part
             .orders(&one)
             .iter()
-            .any(|o| matches!(o, Order::Stop(t, ..) if t.index == 0));
+            .any(|o| matches!(o, Command::Stop(t, ..) if t.index == 0));
         assert!(stops);
         // The other host shows one, which is stopped as well; the third is nowhere.
         part.on_report(
@@ -256,7 +263,7 @@
         // Gone, both.
         for (host, n) in [("n-1", 0), ("n-2", 2)] {
             let mut gone = running(n);
-            gone.phase = TaskPhase::Exited(Cause::Stopped { saved: false });
+            gone.phase = TaskPhase::Exited(ExitCause::Stopped { saved: false });
             part.on_report(&report(host, 1, 2, 5, vec![gone]), Source::Hello, NOW);
         }
         part.pass(NOW);
@@ -274,7 +281,7 @@
     for recalled in [false, true] {
         let mut part = partition(2, true);
         if recalled {
-            let remains = record.remains.as_ref().unwrap();
+            let remains = record.residual_usage.as_ref().unwrap();
             part.recall_cancelled(&cancelled.id, remains, NOW);
         } else {
             part.upsert_job(&cancelled, Revision(3), NOW, &[], (0, NOW));
@@ -303,7 +310,14 @@
     let (config, silence) = (config(), config().silence());
     let taken = |ghosts| {
         let now = NOW;
-        Host::new("n-1".into(), &record("a"), spec(), Token(5), ghosts, now)
+        Host::new(
+            "n-1".into(),
+            &record("a"),
+            spec(),
+            FencingToken(5),
+            ghosts,
+            now,
+        )
     };
     let heard = |host: &mut Host, (tenure, counter), source, at| {
         host.apply(
@@ -527,7 +541,7 @@
     part.end_job(&JobId::new("job-1"), Ending::Cancelled, NOW);
     part.pass(NOW);
     let orders = part.orders(&"n-1".into());
-    assert!(matches!(orders[..], [Order::Stop(..)]), "{orders:?}");
+    assert!(matches!(orders[..], [Command::Stop(..)]), "{orders:?}");
 }
 
 #[test]
@@ -556,10 +570,10 @@
             .collect();
         let tasks = on
             .into_iter()
-            .map(|(task, attempt)| TaskReport {
+            .map(|(task, attempt)| TaskStatus {
                 task,
                 attempt,
-                phase: TaskPhase::Exited(Cause::Error),
+                phase: TaskPhase::Exited(ExitCause::Error),
             })
             .collect();
         counter += 1;
@@ -572,14 +586,20 @@
 }
 
 /// What a host says: all tasks that are on it have failed, or have completed.
-fn all_exit(part: &mut Partition, host: &str, counter: u64, cause: Cause, now: Micros) -> usize {
-    let exited = |(id, t): (&TaskId, &jasperhill_scheduler::host::HostTask)| TaskReport {
+fn all_exit(
+    part: &mut Partition,
+    host: &str,
+    counter: u64,
+    cause: ExitCause,
+    now: Micros,
+) -> usize {
+    let exited = |(id, t): (&TaskId, &jasperhill_scheduler::host::HostTask)| TaskStatus {
         task: id.clone(),
         attempt: t.attempt,
         phase: TaskPhase::Exited(cause),
     };
     let on = part.hosts[&HostId::new(host)].tasks.iter();
-    let tasks: Vec<TaskReport> = on.filter(|(_, t)| t.is_on()).map(exited).collect();
+    let tasks: Vec<TaskStatus> = on.filter(|(_, t)| t.is_on()).map(exited).collect();
     let n = tasks.len();
     part.on_report(&report(host, 1, counter, 5, tasks), Source::Hello, now);
     n
@@ -601,7 +621,7 @@
     assert_eq!(live(&part, "job-1"), 40, "all tasks run, on several hosts");
     let mut failed = 0;
     for n in 1..=6 {
-        failed += all_exit(&mut part, &format!("n-{n}"), 5, Cause::Error, NOW);
+        failed += all_exit(&mut part, &format!("n-{n}"), 5, ExitCause::Error, NOW);
     }
     assert_eq!(failed, 40);
     assert!(part.jobs[&id].trust.is_suspect());
@@ -615,7 +635,7 @@
     assert_eq!(live(&part, "job-1"), 1);
     // The try completes: it was not the job, and the others are blamed after all.
     let host = part.jobs[&id].live.values().next().unwrap().clone();
-    all_exit(&mut part, host.as_str(), 6, Cause::Done, later);
+    all_exit(&mut part, host.as_str(), 6, ExitCause::Done, later);
     assert!(!part.jobs[&id].trust.is_suspect());
     for h in part.hosts.values() {
         assert_eq!(h.is_usable(later, &part.config), h.id == host);
@@ -707,7 +727,7 @@
                 Step::Stop(i) => { host.apply(HostInput::Stop(&task(i), Micros::ZERO), NOW); }
                 Step::Send if !host.in_flight() && !host.in_doubt() => {
                     let orders = host.orders(|_, _| true);
-                    unsettled = orders.iter().filter(|o| matches!(o, Order::Start(..)))
+                    unsettled = orders.iter().filter(|o| matches!(o, Command::Start(..)))
                         .map(|o| (o.key().0.clone(), o.key().1)).collect();
                     host.apply(HostInput::DirectSent(orders, NOW), NOW);
                 }
@@ -721,17 +741,17 @@
                     let orders = host.orders(|_, _| true);
                     host.apply(HostInput::Answered(&orders), NOW);
                 }
-                Step::Raise => { token += 10; host.apply(HostInput::TokenRaised(Token(token)), NOW); }
+                Step::Raise => { token += 10; host.apply(HostInput::TokenRaised(FencingToken(token)), NOW); }
                 Step::Gone => { doubted.clear(); host.apply(HostInput::Gone, NOW); }
                 Step::Report { counter, tenure, token: shown, phases } => {
-                    let tasks: Vec<TaskReport> = phases.iter().enumerate().filter_map(|(i, p)| {
+                    let tasks: Vec<TaskStatus> = phases.iter().enumerate().filter_map(|(i, p)| {
                         let known = host.tasks.get(&task(i as u32))?;
                         let phase = match (*p)? {
                             0 => TaskPhase::Fetching,
                             1 => TaskPhase::Running,
                             2 => TaskPhase::Waiting,
-                            3 => TaskPhase::Exited(Cause::Done),
-                            _ => TaskPhase::Exited(Cause::Error),
+                            3 => TaskPhase::Exited(ExitCause::Done),
+                            _ => TaskPhase::Exited(ExitCause::Error),
                         };
                         Some(seen(i as u32, known.attempt.0, phase))
                     }).collect();
@@ -743,7 +763,7 @@
             }
             prop_assert!(host.token.0 >= 5);
             for order in host.orders(|_, _| true) {
-                if let Order::Forget(task, attempt) = order {
+                if let Command::Clear(task, attempt) = order {
                     prop_assert!(!doubted.contains(&(task.clone(), attempt)), "cleared in doubt");
                     prop_assert!(!unsettled.contains(&(task, attempt)), "cleared in flight");
                 }
@@ -768,10 +788,10 @@
     let on = live(&part, "job-1");
     assert!((100..1_000).contains(&on), "{on}");
     let orders = part.orders(&id);
-    let text = jasperhill_wire::worker::orders_body(part.hosts[&id].token, Some(1), &orders);
+    let text = jasperhill_wire::worker::commands_body(part.hosts[&id].token, Some(1), &orders);
     assert!(text.len() < 60_000, "{}", text.len());
     // Exited tasks that can't be cleared yet count as well.
-    all_exit(&mut part, "n-1", 9, Cause::Done, NOW);
+    all_exit(&mut part, "n-1", 9, ExitCause::Done, NOW);
     part.pass(NOW);
     assert!(part.hosts[&id].listed() <= on + 1);
     // Once the results are in the record, others follow.
@@ -885,7 +905,7 @@
 fn all_runs(part: &mut Partition, host: &str, counter: u64, now: Micros) {
     let id = HostId::new(host);
     let tasks = part.hosts[&id].tasks.iter().filter(|(_, t)| t.is_on());
-    let tasks = tasks.map(|(task, t)| TaskReport {
+    let tasks = tasks.map(|(task, t)| TaskStatus {
         task: task.clone(),
         attempt: t.attempt,
         phase: TaskPhase::Running,
@@ -956,7 +976,7 @@
     part.pass(NOW);
     let stops = |host: &str| {
         let orders = part.orders(&host.into());
-        orders.iter().any(|o| matches!(o, Order::Stop(..)))
+        orders.iter().any(|o| matches!(o, Command::Stop(..)))
     };
     assert!(stops("n-1") && stops("n-2"));
 }
@@ -990,11 +1010,11 @@
             part.pass(NOW);
             all_runs(&mut part, "n-1", 6, NOW + Micros::from_secs(9));
             let tasks = part.hosts[&host].tasks.iter();
-            let tasks = tasks.map(|(task, t)| TaskReport {
+            let tasks = tasks.map(|(task, t)| TaskStatus {
                 task: task.clone(),
                 attempt: t.attempt,
                 phase: match task.job.as_str() {
-                    "job-x" => TaskPhase::Exited(Cause::Done),
+                    "job-x" => TaskPhase::Exited(ExitCause::Done),
                     _ => TaskPhase::Running,
                 },
             });
@@ -1042,7 +1062,7 @@
     let later = NOW + secs(38);
     heard(&mut part, 3, 20, 5, later);
     assert!(!usable(&part, later) && part.hosts[&id].needs_token());
-    part.apply(&id, HostInput::TokenRaised(Token(9)), later);
+    part.apply(&id, HostInput::TokenRaised(FencingToken(9)), later);
     heard(&mut part, 3, 21, 5, later);
     assert!(!usable(&part, later));
     heard(&mut part, 3, 22, 9, later);
@@ -1092,14 +1112,14 @@
             part.upsert_job(&request, Revision(0), NOW, &[], (0, NOW));
         }
         let mut newest = [(1, 1), (1, 1)];
-        let mut told: [Vec<TaskReport>; 2] = [vec![], vec![]];
+        let mut told: [Vec<TaskStatus>; 2] = [vec![], vec![]];
         for word in words {
             match word {
                 Word::Report(h, newer, session, ran) => {
                     let (mut tenure, mut counter) = newest[h];
                     tenure += u64::from(session);
                     counter += newer;
-                    let mut tasks: BTreeMap<TaskId, TaskReport> = BTreeMap::new();
+                    let mut tasks: BTreeMap<TaskId, TaskStatus> = BTreeMap::new();
                     for (job, index, attempt, phase) in ran {
                         let task = TaskId::new(&JobId::new(jobs[job]), index);
                         // What we ordered there, as likely as not.
@@ -1112,12 +1132,12 @@
                             0 => TaskPhase::Fetching,
                             1 => TaskPhase::Waiting,
                             2 => TaskPhase::Running,
-                            3 => TaskPhase::Saving,
-                            _ => TaskPhase::Exited(Cause::Done),
+                            3 => TaskPhase::Checkpointing,
+                            _ => TaskPhase::Exited(ExitCause::Done),
                         };
-                        tasks.insert(task.clone(), TaskReport { task, attempt, phase });
+                        tasks.insert(task.clone(), TaskStatus { task, attempt, phase });
                     }
-                    let tasks: Vec<TaskReport> = tasks.into_values().collect();
+                    let tasks: Vec<TaskStatus> = tasks.into_values().collect();
                     let host = format!("n-{}", h + 1);
                     let said = report(&host, tenure, counter, 5, tasks.clone());
                     part.on_report(&said, Source::Hello, NOW);
@@ -1145,7 +1165,7 @@
                         j.ending.is_none() && j.live.get(&t.task.index) == Some(&host)
                     });
                     let stopped = orders.iter().any(|o| {
-                        matches!(o, Order::Stop(task, attempt, _) if *task == t.task && *attempt == t.attempt)
+                        matches!(o, Command::Stop(task, attempt, _) if *task == t.task && *attempt == t.attempt)
                     });
                     prop_assert!(counted || stopped, "{t:?} on {host}: {orders:?}");
                 }
--- a/crates/jasperhill-testkit/src/rules.rs
+++ b/crates/jasperhill-testkit/src/rules.rs
@@ -190,7 +190,7 @@
             .filter(|j| !there.contains(j.id.as_str()) && !self.all_done(j) && !over(&j.id))
             .filter(|j| !self.asked.contains(j.id.as_str()) && j.class.as_str() != "broken")
             .filter(|j| {
-                j.waits_on
+                j.dependencies
                     .iter()
                     .all(|n| jobs.get(n.as_str()).is_some_and(|n| self.all_done(n)))
             })
@@ -329,7 +329,7 @@
                 }
             }
             let done = |n: &JobId| jobs.get(n.as_str()).is_some_and(|j| self.all_done(j));
-            if let Some(need) = job.waits_on.iter().find(|n| !done(n)) {
+            if let Some(need) = job.dependencies.iter().find(|n| !done(n)) {
                 self.breaks(format!("too_early: {task} starts before {need} is done"));
             }
             let siblings: Vec<&&Worker> = on
--- a/crates/jasperhill-testkit/src/state.rs
+++ b/crates/jasperhill-testkit/src/state.rs
@@ -3,7 +3,10 @@
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_wire::{
     Revision,
-    state::{Change, Event, Item, LeaseAnswer, Listing, Txn, TxnAnswer, WatchAnswer},
+    state::{
+        Change, KeyValue, LeaseResponse, Listing, Transaction, TransactionResponse, WatchEvent,
+        WatchResponse,
+    },
 };
 use serde_json::Value;
 use std::{
@@ -40,7 +43,7 @@
     pub moves: Vec<(Instant, String, String)>,
     keys: BTreeMap<String, Entry>,
     revision: u64,
-    history: VecDeque<(String, Event)>,
+    history: VecDeque<(String, WatchEvent)>,
     leases: BTreeMap<u64, (Instant, Duration)>,
     next_lease: u64,
     /// Requests of this second, and of the busiest one.
@@ -81,7 +84,7 @@
         }
     }
 
-    fn record(&mut self, event: Event, key: String) {
+    fn record(&mut self, event: WatchEvent, key: String) {
         self.history.push_back((key, event));
         if self.history.len() > HISTORY {
             self.history.pop_front();
@@ -125,7 +128,7 @@
         for key in tied {
             self.keys.remove(&key);
             self.record(
-                Event::Delete {
+                WatchEvent::Delete {
                     key: key.clone(),
                     version,
                 },
@@ -136,7 +139,7 @@
     }
 
     pub fn watch(&self, prefix: &str, after: u64) -> Option<Response> {
-        let events: Vec<Event> = self
+        let events: Vec<WatchEvent> = self
             .history
             .iter()
             .filter(|(key, e)| key.starts_with(prefix) && e.version().0 > after)
@@ -145,7 +148,7 @@
         (!events.is_empty()).then(|| {
             json(
                 200,
-                &WatchAnswer {
+                &WatchResponse {
                     revision: Revision(self.revision),
                     events,
                 },
@@ -156,7 +159,7 @@
     pub fn nothing_new(&self) -> Response {
         json(
             200,
-            &WatchAnswer {
+            &WatchResponse {
                 revision: Revision(self.revision),
                 events: Vec::new(),
             },
@@ -224,12 +227,12 @@
                 let prefix = query(&request.target, "prefix").unwrap_or("");
                 let after = query(&request.target, "after").unwrap_or("");
                 let page: usize = query(&request.target, "page").unwrap().parse().unwrap();
-                let mut items: Vec<Item> = self
+                let mut items: Vec<KeyValue> = self
                     .keys
                     .iter()
                     .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > after)
                     .take(page + 1)
-                    .map(|(k, e)| Item {
+                    .map(|(k, e)| KeyValue {
                         key: k.clone(),
                         value: e.value.clone(),
                         version: e.version,
@@ -254,7 +257,7 @@
                 self.leases.insert(self.next_lease, (now + ttl, ttl));
                 json(
                     200,
-                    &LeaseAnswer {
+                    &LeaseResponse {
                         lease: self.next_lease,
                     },
                 )
@@ -286,7 +289,7 @@
     }
 
     /// What is wrong with a transaction by the limits, if there are any.
-    fn over(&mut self, txn: &Txn, now: Instant) -> Option<Response> {
+    fn over(&mut self, txn: &Transaction, now: Instant) -> Option<Response> {
         let limits = self.limits?;
         let bytes = |c: &Change| match c {
             Change::Put { value, .. } => value.to_string().len(),
@@ -320,7 +323,7 @@
 
     fn txn(&mut self, body: &[u8], now: Instant) -> Response {
         assert!(body.len() <= 64 * 1024, "a transaction over 64 KiB");
-        let txn: Txn = serde_json::from_slice(body).unwrap();
+        let txn: Transaction = serde_json::from_slice(body).unwrap();
         if let Some(refusal) = self.over(&txn, now) {
             return refusal;
         }
@@ -333,7 +336,7 @@
         if !failed.is_empty() {
             return json(
                 409,
-                &TxnAnswer {
+                &TransactionResponse {
                     revision: Revision(self.revision),
                     failed,
                 },
@@ -365,7 +368,7 @@
                         },
                     );
                     self.record(
-                        Event::Put {
+                        WatchEvent::Put {
                             key: key.clone(),
                             value,
                             version,
@@ -376,7 +379,7 @@
                 Change::Delete { key } => {
                     if self.keys.remove(&key).is_some() {
                         self.record(
-                            Event::Delete {
+                            WatchEvent::Delete {
                                 key: key.clone(),
                                 version,
                             },
@@ -388,7 +391,7 @@
         }
         json(
             200,
-            &TxnAnswer {
+            &TransactionResponse {
                 revision: version,
                 failed: Vec::new(),
             },
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -255,7 +255,7 @@
         let mut counts: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         for (id, at) in &self.accepted_at {
             let job = &self.jobs[id];
-            let over = self.rules.asked.contains(id) || !job.waits_on.is_empty();
+            let over = self.rules.asked.contains(id) || !job.dependencies.is_empty();
             if over || job.class.as_str() == "broken" || now - *at < BEGUN_WITHIN {
                 continue;
             }
@@ -276,7 +276,7 @@
         for (id, at) in &self.accepted_at {
             let job = &self.jobs[id];
             let begun = self.rules.begun.get(id);
-            let over = !job.waits_on.is_empty() || job.class.as_str() == "broken";
+            let over = !job.dependencies.is_empty() || job.class.as_str() == "broken";
             let left = begun.is_none() && self.rules.asked.contains(id);
             if over || left || now - *at < LARGEST_WITHIN {
                 continue;
@@ -303,7 +303,7 @@
         let mut all: Vec<String> = Vec::new();
         let mut next = vec![id.to_owned()];
         while let Some(id) = next.pop() {
-            for need in self.jobs.get(&id).iter().flat_map(|j| &j.waits_on) {
+            for need in self.jobs.get(&id).iter().flat_map(|j| &j.dependencies) {
                 if !all.iter().any(|a| a == need.as_str()) {
                     all.push(need.to_string());
                     next.push(need.to_string());
@@ -1195,8 +1195,8 @@
                 for ((task, _), t) in &worker.tasks {
                     let id = task.job.to_string();
                     let lasts = matches!(t.phase, Phase::Running { until } if until.is_none_or(|t| t > far));
-                    let own =
-                        inner.accepted_at.contains_key(&id) && inner.jobs[&id].waits_on.is_empty();
+                    let own = inner.accepted_at.contains_key(&id)
+                        && inner.jobs[&id].dependencies.is_empty();
                     if lasts && own && !inner.rules.asked.contains(&id) {
                         found.entry(id).or_default().push(worker.id.clone());
                     }
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -16,10 +16,10 @@
     world::{Gone, Outcome, Scale},
 };
 use jasperhill_wire::{
-    Attempt, Micros, Resources, TaskId, Token,
-    record::{HostRecord, HostUse},
+    Attempt, FencingToken, Micros, Resources, TaskId,
+    record::{HostAssignment, HostRecord},
     user::JobRequest,
-    worker::{Report, orders_body},
+    worker::{Heartbeat, commands_body},
 };
 use std::{
     collections::BTreeMap,
@@ -381,15 +381,15 @@
     let mut worker = Worker::new("n-000001", "a", false, 0, origin);
     let mut rules = Rules::default();
     let record = HostRecord {
-        usage: HostUse::Partition(0),
+        assignment: HostAssignment::Partition(0),
         address: "10.1.0.1:9000".to_owned(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
-        bump: 0,
+        rewrites: 0,
     };
     let spec = Rc::new(MachineSpec {
-        kind: "box".into(),
+        machine_type: "box".into(),
         capacity: Resources::from_units(16.0, 2.0, 128.0),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
@@ -399,13 +399,20 @@
         zones: vec!["a".into()],
     });
     let start = Micros::from_secs(1_000);
-    let mut host = Host::new("n-000001".into(), &record, spec, Token(5), false, start);
+    let mut host = Host::new(
+        "n-000001".into(),
+        &record,
+        spec,
+        FencingToken(5),
+        false,
+        start,
+    );
     let mut sent = Vec::new();
     for half in 0..240u64 {
         let now = start + Micros::from_millis(500 * half);
         let at = origin + millis(500 * half);
         if half % 5 == 0 {
-            let report = Report::parse(worker.report().to_string().as_bytes()).unwrap();
+            let report = Heartbeat::parse(worker.report().to_string().as_bytes()).unwrap();
             host.apply(HostInput::Report(&report, Source::Hello), now);
             let orders = host.orders(|_, _| true);
             let withheld = host
@@ -413,7 +420,7 @@
                 .is_some_and(|known| now >= bounds.until(known));
             if !(guarded && withheld) {
                 host.apply(HostInput::Answered(&orders), now);
-                let answer = serde_json::from_slice(&orders_body(host.token, None, &orders));
+                let answer = serde_json::from_slice(&commands_body(host.token, None, &orders));
                 worker.answered(&answer.unwrap(), at, worker.tenure, &jobs, at);
             }
         }
@@ -422,7 +429,7 @@
                 let begin = HostInput::Start(task.clone(), Attempt(7), each, image.clone());
                 host.apply(begin, now);
                 let orders = host.orders(|_, _| true);
-                sent = orders_body(host.token, host.tenure, &orders);
+                sent = commands_body(host.token, host.tenure, &orders);
                 host.apply(HostInput::DirectSent(orders, now), now);
             }
             3 => {
--- a/crates/jasperhill-wire/src/cloud.rs
+++ b/crates/jasperhill-wire/src/cloud.rs
@@ -74,7 +74,7 @@
     #[serde(rename = "rental")]
     pub request: String,
     #[serde(rename = "hosttype")]
-    pub kind: Name,
+    pub machine_type: Name,
     #[serde(rename = "hall")]
     pub zone: Name,
     #[serde(rename = "reclaimable")]
@@ -103,7 +103,7 @@
     #[serde(default)]
     pub address: Option<String>,
     #[serde(rename = "hosttype")]
-    pub kind: Name,
+    pub machine_type: Name,
     #[serde(rename = "hall")]
     pub zone: Name,
     #[serde(rename = "reclaimable")]
--- a/crates/jasperhill-wire/src/ids.rs
+++ b/crates/jasperhill-wire/src/ids.rs
@@ -88,7 +88,7 @@
 );
 number_type!(
     /// A fencing token shown to workers.
-    Token
+    FencingToken
 );
 number_type!(
     /// Tells one start of a task from another.
--- a/crates/jasperhill-wire/src/lib.rs
+++ b/crates/jasperhill-wire/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod worker;
 
 pub use fields::Malformed;
-pub use ids::{Attempt, HostId, JobId, Member, Name, Revision, TaskId, Token};
+pub use ids::{Attempt, FencingToken, HostId, JobId, Member, Name, Revision, TaskId};
 pub use units::{Micros, Resources};
--- a/crates/jasperhill-wire/src/record.rs
+++ b/crates/jasperhill-wire/src/record.rs
@@ -17,7 +17,7 @@
 pub fn session_key(member: &Member) -> String {
     format!("jh/session/{member}")
 }
-pub fn format_key(member: &Member) -> String {
+pub fn feature_level_key(member: &Member) -> String {
     format!("jh/format/{member}")
 }
 /// A role that one controller holds at a time: a partition, or the fleet.
@@ -30,7 +30,7 @@
 
 /// A keeper's name for one part of its asks. The first is its own, so that a single part looks
 /// as it always did; an owner of any version answers each part as an ask of its own.
-pub fn ask_part(keeper: &Member, part: u32) -> Member {
+pub fn delegation_part(keeper: &Member, part: u32) -> Member {
     if part == 0 {
         keeper.clone()
     } else {
@@ -38,15 +38,15 @@
     }
 }
 /// What a controller asks to keep alive for owners that are out of reach.
-pub fn ask_key(keeper: &Member) -> String {
+pub fn delegation_request_key(keeper: &Member) -> String {
     format!("jh/ask/{keeper}")
 }
 /// A job that its owner is asked to decide on, by one who does not reach it.
-pub fn want_key(id: &JobId) -> String {
+pub fn proposal_key(id: &JobId) -> String {
     format!("jh/want/{id}")
 }
 /// What an owner lets a keeper answer for.
-pub fn grant_key(partition: u32, keeper: &Member) -> String {
+pub fn delegation_grant_key(partition: u32, keeper: &Member) -> String {
     format!("jh/grant/{partition}/{keeper}")
 }
 
@@ -63,10 +63,10 @@
     Hosts(u32),
     Session(Member),
     Role(Role),
-    Ask(Member),
-    Grant(u32, Member),
-    Format(Member),
-    Want(JobId),
+    DelegationRequest(Member),
+    DelegationGrant(u32, Member),
+    FeatureLevel(Member),
+    Proposal(JobId),
     /// One part of the machine types.
     Types(u32),
 }
@@ -95,12 +95,12 @@
             "hosts" => Self::Hosts(name.parse().ok()?),
             "session" => Self::Session(name.into()),
             "types" => Self::Types(name.parse().ok().filter(|n| *n > 0)?),
-            "format" => Self::Format(name.into()),
-            "ask" => Self::Ask(name.into()),
-            "want" => Self::Want(name.into()),
+            "format" => Self::FeatureLevel(name.into()),
+            "ask" => Self::DelegationRequest(name.into()),
+            "want" => Self::Proposal(name.into()),
             "grant" => {
                 let (partition, keeper) = name.split_once('/')?;
-                Self::Grant(partition.parse().ok()?, keeper.into())
+                Self::DelegationGrant(partition.parse().ok()?, keeper.into())
             }
             "part" => Self::Role(Role::Partition(name.parse().ok()?)),
             _ => return None,
@@ -139,17 +139,17 @@
     pub finished: Vec<u32>,
     /// The tries after which it failed wherever it ran; 0 if nothing speaks against it.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
-    pub failing: u32,
+    pub failed_attempts: u32,
     /// What its tasks may still take, if it was cancelled while they could run. Earlier versions
     /// neither write nor read it.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    pub remains: Option<Remains>,
+    pub residual_usage: Option<ResidualUsage>,
 }
 
 /// What the tasks of a cancelled job take until they are gone: whoever owns its partition next counts
 /// it against the team's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Remains {
+pub struct ResidualUsage {
     #[serde(rename = "t")]
     pub team: Name,
     #[serde(rename = "r")]
@@ -163,41 +163,41 @@
 
 impl JobRecord {
     /// What stays of a job that is over.
-    pub fn over(phase: RecordPhase, done_count: u32) -> Self {
+    pub fn terminal(phase: RecordPhase, done_count: u32) -> Self {
         Self {
             phase,
             done_count,
             request: None,
             submitted: None,
             finished: Vec::new(),
-            failing: 0,
-            remains: None,
+            failed_attempts: 0,
+            residual_usage: None,
         }
     }
 
     /// What stays of a job that is called off, and may run.
     pub fn cancelled(request: &JobRequest, done_count: u32, at: Micros) -> Self {
-        let remains = Remains {
+        let remains = ResidualUsage {
             team: request.team.clone(),
             each: request.each,
             tasks: request.tasks,
             cancelled: at,
         };
         Self {
-            remains: Some(remains),
-            ..Self::over(RecordPhase::Cancelled, done_count)
+            residual_usage: Some(remains),
+            ..Self::terminal(RecordPhase::Cancelled, done_count)
         }
     }
 }
 
 /// What this version understands. 0, or no word of it: nothing beyond single jobs and blocks of
 /// any size. [`PIPELINES`] and [`LINKS`] say what came with the others.
-pub const FORMAT: u32 = LINKS;
+pub const FEATURE_LEVEL: u32 = REACHABILITY;
 /// `waits_on`, the spreading of cancellations, small blocks, asks in parts.
-pub const PIPELINES: u32 = 1;
+pub const DEPENDENCIES: u32 = 1;
 /// Messages about links, orders through another controller, roles taken by the owner's word, jobs
 /// put before their owner through the store.
-pub const LINKS: u32 = 2;
+pub const REACHABILITY: u32 = 2;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionRecord {
@@ -209,14 +209,14 @@
     /// The time of day at which its process began, and the quick lives just before it. Earlier
     /// versions neither write nor read these; nothing but who serves depends on them.
     #[serde(rename = "b", default)]
-    pub began: Micros,
+    pub process_started: Micros,
     #[serde(rename = "q", default, skip_serializing_if = "is_zero")]
-    pub quick: u32,
+    pub quick_restarts: u32,
 }
 
 /// The format that a member's last process understood; outlasts its session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FormatRecord {
+pub struct FeatureLevelRecord {
     #[serde(rename = "f")]
     pub format: u32,
 }
@@ -231,7 +231,7 @@
 
 /// The hosts that a keeper asks for. The lease and the number name the ask.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AskRecord {
+pub struct DelegationRequestRecord {
     #[serde(rename = "n")]
     pub number: u64,
     #[serde(rename = "l")]
@@ -242,10 +242,10 @@
 
 /// A job that is put before its owner through the store; gone with the asker's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WantRecord {
+pub struct ProposalRecord {
     /// Who asks.
     #[serde(rename = "b")]
-    pub by: Member,
+    pub proposer: Member,
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request: Option<JobRequest>,
     /// Refused by the owner.
@@ -257,17 +257,17 @@
 /// that this answers. The owner names the tokens: another controller's mirror may have read a
 /// host's record as part of a younger block, and a token above the owner's would shut it out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GrantRecord {
+pub struct DelegationGrantRecord {
     #[serde(rename = "n")]
     pub number: u64,
     #[serde(rename = "l")]
     pub lease: u64,
     #[serde(rename = "h")]
-    pub hosts: BTreeMap<HostId, Token>,
+    pub hosts: BTreeMap<HostId, FencingToken>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HostUse {
+pub enum HostAssignment {
     /// In a partition, whose owner may start tasks.
     #[serde(rename = "p")]
     Partition(u32),
@@ -276,24 +276,24 @@
     Free,
     /// To be returned to the cloud; never used again. With a partition while tasks may run.
     #[serde(rename = "x")]
-    Condemned(Option<u32>),
+    Decommissioned(Option<u32>),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
     #[serde(rename = "u")]
-    pub usage: HostUse,
+    pub assignment: HostAssignment,
     #[serde(rename = "a")]
     pub address: String,
     #[serde(rename = "k")]
-    pub kind: Name,
+    pub machine_type: Name,
     #[serde(rename = "z")]
     pub zone: Name,
     #[serde(rename = "s")]
     pub spot: bool,
     /// Rewritten only to raise the token.
     #[serde(rename = "g", default)]
-    pub bump: u64,
+    pub rewrites: u64,
 }
 
 /// The hosts that share a record.
@@ -305,8 +305,8 @@
 
 impl HostRecord {
     pub fn partition(&self) -> Option<u32> {
-        match self.usage {
-            HostUse::Partition(p) | HostUse::Condemned(Some(p)) => Some(p),
+        match self.assignment {
+            HostAssignment::Partition(p) | HostAssignment::Decommissioned(Some(p)) => Some(p),
             _ => None,
         }
     }
--- a/crates/jasperhill-wire/src/state.rs
+++ b/crates/jasperhill-wire/src/state.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "guards", default)]
     pub guards: Vec<Guard>,
     #[serde(rename = "then", default)]
@@ -47,7 +47,7 @@
 
 /// Answers that carry a revision; `failed` in a 409.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TransactionResponse {
     #[serde(rename = "generation")]
     pub revision: Revision,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     #[serde(rename = "k")]
     pub key: String,
     #[serde(rename = "data")]
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listing {
     #[serde(rename = "pairs")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     pub more: bool,
     #[serde(rename = "generation")]
     pub revision: Revision,
@@ -77,7 +77,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Event {
+pub enum WatchEvent {
     Put {
         #[serde(rename = "write")]
         key: String,
@@ -94,7 +94,7 @@
     },
 }
 
-impl Event {
+impl WatchEvent {
     pub fn version(&self) -> Revision {
         match self {
             Self::Put { version, .. } | Self::Delete { version, .. } => *version,
@@ -103,15 +103,15 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     #[serde(rename = "generation")]
     pub revision: Revision,
     #[serde(rename = "news", default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     #[serde(rename = "permit")]
     pub lease: u64,
 }
--- a/crates/jasperhill-wire/src/user.rs
+++ b/crates/jasperhill-wire/src/user.rs
@@ -65,12 +65,12 @@
     #[serde(rename = "ce")]
     pub checkpoint_every: Micros,
     #[serde(rename = "sv")]
-    pub save: Micros,
+    pub checkpoint_time: Micros,
     #[serde(rename = "d")]
     pub deadline: Option<Micros>,
     /// Jobs that have to be done before any task of this one starts; sorted, each once.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub waits_on: Vec<JobId>,
+    pub dependencies: Vec<JobId>,
 }
 
 pub const TASKS_MAX: u64 = 100_000;
@@ -125,9 +125,9 @@
             spot: f.flag("reclaimable")?,
             estimate: secs(f.amount("expected_s")?),
             checkpoint_every: secs(f.amount("snapshot_every_s")?),
-            save: secs(f.amount("snapshot_s")?),
+            checkpoint_time: secs(f.amount("snapshot_s")?),
             deadline: f.opt_amount("due_s")?.map(secs),
-            waits_on: Self::waits(&f)?,
+            dependencies: Self::waits(&f)?,
         })
     }
 
@@ -183,7 +183,7 @@
 
 /// The answer to a submission or a cancellation.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct JobAnswer<'a> {
+pub struct JobResponse<'a> {
     #[serde(rename = "uid")]
     pub id: &'a str,
     pub phase: JobPhase,
--- a/crates/jasperhill-wire/src/worker.rs
+++ b/crates/jasperhill-wire/src/worker.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum ExitCause {
     Done,
     Stopped { saved: bool },
     Peers,
@@ -24,12 +24,12 @@
     Fetching,
     Waiting,
     Running,
-    Saving,
-    Exited(Cause),
+    Checkpointing,
+    Exited(ExitCause),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TaskReport {
+pub struct TaskStatus {
     pub task: TaskId,
     pub attempt: Attempt,
     pub phase: TaskPhase,
@@ -37,23 +37,23 @@
 
 /// A worker's report, from `/hello`, `/do` or `/inspect`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     pub host: HostId,
     pub address: String,
-    pub kind: Name,
+    pub machine_type: Name,
     pub zone: Name,
     pub spot: bool,
-    pub tenure: u64,
-    pub counter: u64,
-    pub token: Token,
-    pub notice: Option<Micros>,
-    pub tasks: Vec<TaskReport>,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub token: FencingToken,
+    pub termination_notice: Option<Micros>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// More tasks than any machine could hold.
 const REPORT_TASKS_MAX: usize = 2_000;
 
-impl Report {
+impl Heartbeat {
     pub fn parse(body: &[u8]) -> Result<Self, Malformed> {
         let map = object(body)?;
         let f = Fields(&map);
@@ -71,18 +71,18 @@
         Ok(Self {
             host: f.text("host")?.into(),
             address: f.text("address")?.to_owned(),
-            kind: f.text("hosttype")?.into(),
+            machine_type: f.text("hosttype")?.into(),
             zone: f.text("hall")?.into(),
             spot: f.flag("reclaimable")?,
-            tenure: f.count("tenure")?,
-            counter: f.count("counter")?,
-            token: Token(f.count("epoch")?),
-            notice: f.opt_amount("warning_s")?.map(Micros::from_secs_f64),
+            incarnation: f.count("tenure")?,
+            sequence: f.count("counter")?,
+            token: FencingToken(f.count("epoch")?),
+            termination_notice: f.opt_amount("warning_s")?.map(Micros::from_secs_f64),
             tasks,
         })
     }
 
-    fn task(f: &Fields<'_>) -> Result<TaskReport, Malformed> {
+    fn task(f: &Fields<'_>) -> Result<TaskStatus, Malformed> {
         let Some(task) = TaskId::parse(f.text("shard")?) else {
             return bad("shard", "not of the form job-000412/3");
         };
@@ -90,23 +90,23 @@
             "pulling" => TaskPhase::Fetching,
             "waiting" => TaskPhase::Waiting,
             "running" => TaskPhase::Running,
-            "flushing" => TaskPhase::Saving,
+            "flushing" => TaskPhase::Checkpointing,
             "exited" => TaskPhase::Exited(match f.text("cause")? {
-                "done" => Cause::Done,
-                "halted" => Cause::Stopped {
+                "done" => ExitCause::Done,
+                "halted" => ExitCause::Stopped {
                     saved: f.opt("kept").and_then(Value::as_bool).unwrap_or(false),
                 },
-                "peers" => Cause::Peers,
-                "incomplete" => Cause::Incomplete,
-                "error" => Cause::Error,
-                "no_room" => Cause::NoRoom,
-                "busy" => Cause::Busy,
-                "no_such" => Cause::Unknown,
+                "peers" => ExitCause::Peers,
+                "incomplete" => ExitCause::Incomplete,
+                "error" => ExitCause::Error,
+                "no_room" => ExitCause::NoRoom,
+                "busy" => ExitCause::Busy,
+                "no_such" => ExitCause::Unknown,
                 _ => return bad("cause", "unknown"),
             }),
             _ => return bad("phase", "unknown"),
         };
-        Ok(TaskReport {
+        Ok(TaskStatus {
             task,
             attempt: Attempt(f.count("try")?),
             phase,
@@ -116,22 +116,22 @@
 
 /// What a worker is told to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     Start(TaskId, Attempt),
     Stop(TaskId, Attempt, Micros),
-    Forget(TaskId, Attempt),
+    Clear(TaskId, Attempt),
 }
 
-impl Order {
+impl Command {
     pub fn key(&self) -> (&TaskId, Attempt) {
         match self {
-            Self::Start(t, a) | Self::Stop(t, a, _) | Self::Forget(t, a) => (t, *a),
+            Self::Start(t, a) | Self::Stop(t, a, _) | Self::Clear(t, a) => (t, *a),
         }
     }
 }
 
 #[derive(Serialize)]
-struct OrderOut {
+struct CommandBody {
     verb: &'static str,
     shard: String,
     #[serde(rename = "try")]
@@ -141,25 +141,31 @@
 }
 
 #[derive(Serialize)]
-struct OrdersOut {
-    epoch: Token,
+struct CommandsBody {
+    epoch: FencingToken,
     #[serde(skip_serializing_if = "Option::is_none")]
-    tenure: Option<u64>,
-    orders: Vec<OrderOut>,
+    #[serde(rename = "tenure")]
+    incarnation: Option<u64>,
+    #[serde(rename = "orders")]
+    commands: Vec<CommandBody>,
 }
 
 /// The body of a 200 to a report (`tenure` absent) or of a `/do` (`tenure` given).
-pub fn orders_body(token: Token, tenure: Option<u64>, orders: &[Order]) -> Vec<u8> {
-    let orders = orders
+pub fn commands_body(
+    token: FencingToken,
+    incarnation: Option<u64>,
+    commands: &[Command],
+) -> Vec<u8> {
+    let commands = commands
         .iter()
-        .map(|order| {
-            let (task, attempt) = order.key();
-            let (verb, wind_down_s) = match order {
-                Order::Start(..) => ("run", None),
-                Order::Stop(_, _, grace) => ("halt", Some(grace.as_secs_f64())),
-                Order::Forget(..) => ("clear", None),
+        .map(|command| {
+            let (task, attempt) = command.key();
+            let (verb, wind_down_s) = match command {
+                Command::Start(..) => ("run", None),
+                Command::Stop(_, _, grace) => ("halt", Some(grace.as_secs_f64())),
+                Command::Clear(..) => ("clear", None),
             };
-            OrderOut {
+            CommandBody {
                 verb,
                 shard: task.to_string(),
                 attempt,
@@ -167,10 +173,10 @@
             }
         })
         .collect();
-    serde_json::to_vec(&OrdersOut {
+    serde_json::to_vec(&CommandsBody {
         epoch: token,
-        tenure,
-        orders,
+        incarnation,
+        commands,
     })
     .unwrap_or_default()
 }
