--- a/crates/jasperhill-wire/tests/earlier.rs
+++ b/crates/jasperhill-wire/tests/earlier.rs
@@ -2,12 +2,16 @@
 //! by a copy of the shapes of the version before it.
 
 use jasperhill_wire::{
-    HostId, JobId, Member, Micros, Name, Resources, Revision, Token,
+    FencingToken, HostId, JobId, Member, Micros, Name, Resources, Revision,
     cloud::{MachineType, MachineTypes},
-    mesh::{LinkReport, MeshAnswer, MeshRequest, Reach, VERSION, ZoneReach, decode, encode},
+    mesh::{
+        LinkState, MeshRequest, MeshResponse, ReachabilityReport, VERSION, ZoneLinks, decode,
+        encode,
+    },
     record::{
-        AskRecord, GrantRecord, HostBlock, HostUse, JobRecord, Key, RecordPhase, Role, RoleRecord,
-        SessionRecord, WantRecord, ask_key, ask_part, format_key, grant_key, types_key, want_key,
+        DelegationGrantRecord, DelegationRequestRecord, HostAssignment, HostBlock, JobRecord, Key,
+        ProposalRecord, RecordPhase, Role, RoleRecord, SessionRecord, delegation_grant_key,
+        delegation_part, delegation_request_key, feature_level_key, proposal_key, types_key,
     },
     user::{JobRequest, Priority, Shape},
 };
@@ -29,7 +33,7 @@
     let record: JobRecord = from_value(active).unwrap();
     assert_eq!(record.phase, RecordPhase::Active);
     assert_eq!(
-        (record.finished.as_slice(), record.failing),
+        (record.finished.as_slice(), record.failed_attempts),
         (&[0, 3, 2, 2][..], 7)
     );
     let request = record.request.unwrap();
@@ -39,7 +43,7 @@
         (Shape::Gang, Priority::High)
     );
     assert_eq!(request.deadline, Some(Micros::from_secs(900)));
-    assert!(request.waits_on.is_empty());
+    assert!(request.dependencies.is_empty());
     for (sample, phase) in [
         (json!({"p":"d","n":16}), RecordPhase::Done),
         (json!({"p":"c","n":0}), RecordPhase::Cancelled),
@@ -57,13 +61,21 @@
         "n-000232":{"u":"f","a":"10.1.0.233:9000","k":"g8","z":"b","s":false},
         "n-000233":{"u":{"x":null},"a":"10.1.0.234:9000","k":"g8","z":"b","s":false,"g":0}}}))
     .unwrap();
-    let usage: Vec<HostUse> = block.hosts.values().map(|h| h.usage).collect();
-    let condemned = HostUse::Condemned(None);
-    assert_eq!(usage, [HostUse::Partition(2), HostUse::Free, condemned]);
-    let ask: AskRecord = from_value(json!({"n":4,"l":7,"h":["n-000231"]})).unwrap();
+    let usage: Vec<HostAssignment> = block.hosts.values().map(|h| h.assignment).collect();
+    let condemned = HostAssignment::Decommissioned(None);
+    assert_eq!(
+        usage,
+        [
+            HostAssignment::Partition(2),
+            HostAssignment::Free,
+            condemned
+        ]
+    );
+    let ask: DelegationRequestRecord = from_value(json!({"n":4,"l":7,"h":["n-000231"]})).unwrap();
     assert_eq!((ask.number, ask.hosts.len()), (4, 1));
-    let grant: GrantRecord = from_value(json!({"n":4,"l":7,"h":{"n-000231":99}})).unwrap();
-    assert_eq!(grant.hosts[&HostId::new("n-000231")], Token(99));
+    let grant: DelegationGrantRecord =
+        from_value(json!({"n":4,"l":7,"h":{"n-000231":99}})).unwrap();
+    assert_eq!(grant.hosts[&HostId::new("n-000231")], FencingToken(99));
     let types: MachineTypes = from_value(json!({"hosttypes":[{"name":"g8","vcpus":96.0,
         "accelerators":8.0,"memory_gb":768.0,"local_gb":200.0,"pull_gb_per_s":1.0,"hourly":12.0,
         "spot_price":4.5,"ready_s":45.0,"halls":["a","b"]}]}))
@@ -143,7 +155,7 @@
 
 fn pipeline() -> JobRequest {
     let mut request: JobRequest = from_value(request_before()).unwrap();
-    request.waits_on = vec![JobId::new("job-000398"), JobId::new("job-000405")];
+    request.dependencies = vec![JobId::new("job-000398"), JobId::new("job-000405")];
     request
 }
 
@@ -155,8 +167,8 @@
         request: Some(pipeline()),
         submitted: Some(Micros(5)),
         finished: vec![0, 2],
-        failing: 0,
-        remains: None,
+        failed_attempts: 0,
+        residual_usage: None,
     };
     let text = to_value(&record).unwrap();
     let before: RecordBefore = from_value(text.clone()).unwrap();
@@ -172,8 +184,8 @@
     assert_eq!((before.p, before.n), (RecordPhase::Cancelled, 2));
     assert_eq!(from_value::<JobRecord>(text).unwrap(), cancelled);
     let session = SessionRecord {
-        began: Micros::ZERO,
-        quick: 0,
+        process_started: Micros::ZERO,
+        quick_restarts: 0,
         lease: 7,
         format: 1,
     };
@@ -189,20 +201,23 @@
     assert_eq!(parts, [types]);
     let before: TypesBefore = from_value(to_value(&parts[0]).unwrap()).unwrap();
     assert_eq!(before.hosttypes.len(), 1);
-    for key in [format_key(&one), types_key(1)] {
+    for key in [feature_level_key(&one), types_key(1)] {
         let space = key.strip_prefix("jh/").unwrap().split('/').next().unwrap();
         assert!(!["job", "hosts", "session", "ask", "grant", "part"].contains(&space));
     }
     // Parts of an ask are asks of further keepers to it, and so are their grants.
-    assert_eq!(ask_key(&ask_part(&one, 0)), "jh/ask/worker-0");
-    let second = ask_part(&one, 2);
     assert_eq!(
-        Key::parse(&ask_key(&second)),
-        Some(Key::Ask(second.clone()))
+        delegation_request_key(&delegation_part(&one, 0)),
+        "jh/ask/worker-0"
+    );
+    let second = delegation_part(&one, 2);
+    assert_eq!(
+        Key::parse(&delegation_request_key(&second)),
+        Some(Key::DelegationRequest(second.clone()))
     );
     assert_eq!(
-        Key::parse(&grant_key(1, &second)),
-        Some(Key::Grant(1, second))
+        Key::parse(&delegation_grant_key(1, &second)),
+        Some(Key::DelegationGrant(1, second))
     );
 }
 
@@ -214,14 +229,14 @@
     );
     let asks = [
         MeshRequest::Admit(Box::new(pipeline())),
-        MeshRequest::Counts(vec![JobId::new("job-1")]),
-        MeshRequest::Relay("{}".to_owned()),
-        MeshRequest::IsFresh,
-        MeshRequest::Elastic {
+        MeshRequest::TaskCounts(vec![JobId::new("job-1")]),
+        MeshRequest::RelayHeartbeat("{}".to_owned()),
+        MeshRequest::IsStoreReachable,
+        MeshRequest::SpareCapacity {
             machines: 3,
-            ready: Micros(9),
+            boot_time: Micros(9),
         },
-        MeshRequest::Unmet {
+        MeshRequest::UnmetDemand {
             partition: 1,
             thousandths: 500,
         },
@@ -235,16 +250,16 @@
         match (ask, again) {
             // Only what it does not know is gone, which is why it is not asked before all are new.
             (MeshRequest::Admit(new), MeshRequest::Admit(old)) => {
-                assert!(old.waits_on.is_empty());
+                assert!(old.dependencies.is_empty());
                 assert_eq!((&old.id, old.deadline), (&new.id, new.deadline));
             }
             (new, old) => assert_eq!(new, old),
         }
     }
     // Messages as the version of commit 42517fd encodes them.
-    let refused = MeshAnswer::Refused { retry_after_s: 3 };
+    let refused = MeshResponse::Rejected { retry_after_s: 3 };
     let sample = bytes("a2617602616da16752656675736564a16d72657472795f61667465725f7303");
-    assert_eq!(decode::<MeshAnswer>(&sample).unwrap(), refused);
+    assert_eq!(decode::<MeshResponse>(&sample).unwrap(), refused);
     assert_eq!(encode(refused).unwrap(), sample);
     let sample = bytes(
         "a2617602616da16541646d6974b261756a6a6f622d303030343132616365747261696e617466766973696f6e61\
@@ -261,36 +276,36 @@
 /// answers that it does not understand, which the sender takes for not acted on.
 #[test]
 fn messages_and_records_of_links_keep_their_form() {
-    let want: WantRecord = from_value(json!({"b":"worker-1","r":request_before()})).unwrap();
+    let want: ProposalRecord = from_value(json!({"b":"worker-1","r":request_before()})).unwrap();
     assert_eq!(want.request.as_ref().unwrap().id.as_str(), "job-000412");
     let refused = json!({"b":"worker-1","x":8});
-    let word: WantRecord = from_value(refused.clone()).unwrap();
+    let word: ProposalRecord = from_value(refused.clone()).unwrap();
     assert_eq!(
         (word.request.is_none(), word.retry_after_s),
         (true, Some(8))
     );
     assert_eq!(to_value(&word).unwrap(), refused);
     let id = JobId::from("job-000412");
-    assert_eq!(Key::parse(&want_key(&id)), Some(Key::Want(id)));
-    let report = LinkReport {
+    assert_eq!(Key::parse(&proposal_key(&id)), Some(Key::Proposal(id)));
+    let report = ReachabilityReport {
         from: Member::new("worker-1"),
-        born: Micros(1_700_000_000_000_000),
+        process_started: Micros(1_700_000_000_000_000),
         number: 3,
-        state: Reach::Down,
-        cloud: Reach::Unknown,
-        zones: vec![ZoneReach {
+        store: LinkState::Down,
+        cloud: LinkState::Unknown,
+        zones: vec![ZoneLinks {
             zone: Name::new("a"),
-            reports: Reach::Up,
-            orders: Reach::Doubtful,
-            proved: Micros::from_millis(300),
+            heartbeats: LinkState::Up,
+            commands: LinkState::Suspect,
+            last_success: Micros::from_millis(300),
         }],
-        heard: vec![Member::new("worker-0")],
+        reachable_peers: vec![Member::new("worker-0")],
         owners: vec![(Role::Partition(2), Member::new("worker-2"), Revision(9))],
-        let_go: vec![(Role::Leader, Revision(7))],
+        relinquished: vec![(Role::Leader, Revision(7))],
     };
-    let sent = encode(MeshRequest::Links(Box::new(report.clone()))).unwrap();
+    let sent = encode(MeshRequest::Reachability(Box::new(report.clone()))).unwrap();
     let back: MeshRequest = decode(&sent).unwrap();
-    assert_eq!(back, MeshRequest::Links(Box::new(report)));
+    assert_eq!(back, MeshRequest::Reachability(Box::new(report)));
     /// The requests of the version before.
     #[derive(Debug, Deserialize)]
     #[allow(dead_code)]
--- a/crates/jasperhill-wire/tests/formats.rs
+++ b/crates/jasperhill-wire/tests/formats.rs
@@ -1,12 +1,12 @@
 //! Every format survives the round trip, and malformed input is refused, never a panic.
 
 use jasperhill_wire::{
-    Attempt, JobId, Micros, Name, Resources, Revision, TaskId, Token,
-    mesh::{Counts, MeshAnswer, MeshRequest, decode, encode},
-    record::{JobRecord, RecordPhase, Remains},
-    state::{Change, Guard, Txn},
+    Attempt, FencingToken, JobId, Micros, Name, Resources, Revision, TaskId,
+    mesh::{MeshRequest, MeshResponse, TaskCounts, decode, encode},
+    record::{JobRecord, RecordPhase, ResidualUsage},
+    state::{Change, Guard, Transaction},
     user::{JobRequest, Priority, Shape},
-    worker::{Order, Report, orders_body},
+    worker::{Command, Heartbeat, commands_body},
 };
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -87,7 +87,7 @@
         let mut body = submission();
         body["waits_on"] = waits;
         let ids: Vec<JobId> = read.into_iter().map(JobId::new).collect();
-        assert_eq!(parse(&body).unwrap().waits_on, ids);
+        assert_eq!(parse(&body).unwrap().dependencies, ids);
     }
     let mut more = submission();
     more["unknown"] = json!({"a": 1});
@@ -142,9 +142,9 @@
                     spot: c,
                     estimate: Micros(time),
                     checkpoint_every: Micros(time / 2),
-                    save: Micros(time / 3),
+                    checkpoint_time: Micros(time / 3),
                     deadline: due.map(Micros),
-                    waits_on: (0..id % 4)
+                    dependencies: (0..id % 4)
                         .map(|n| JobId::new(&format!("job-{n}")))
                         .collect(),
                 }
@@ -159,35 +159,35 @@
     fn mesh_messages_round_trip(request in request(), body in "[ -~]{0,200}", running in any::<u32>()) {
         for message in [
             MeshRequest::Admit(Box::new(request.clone())),
-            MeshRequest::Counts(vec![request.id.clone()]),
-            MeshRequest::Relay(body.clone()),
+            MeshRequest::TaskCounts(vec![request.id.clone()]),
+            MeshRequest::RelayHeartbeat(body.clone()),
         ] {
             prop_assert_eq!(decode::<MeshRequest>(&encode(&message).unwrap()).unwrap(), message);
         }
-        let answer = MeshAnswer::Counts(vec![None, Some(Counts { running, done: 1 })]);
-        prop_assert_eq!(decode::<MeshAnswer>(&encode(&answer).unwrap()).unwrap(), answer);
+        let answer = MeshResponse::TaskCounts(vec![None, Some(TaskCounts { running, done: 1 })]);
+        prop_assert_eq!(decode::<MeshResponse>(&encode(&answer).unwrap()).unwrap(), answer);
     }
 
     #[test]
     fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode::<MeshRequest>(&bytes);
-        let _ = decode::<MeshAnswer>(&bytes);
+        let _ = decode::<MeshResponse>(&bytes);
         prop_assert!(JobRequest::parse(&bytes).is_err());
-        prop_assert!(Report::parse(&bytes).is_err());
+        prop_assert!(Heartbeat::parse(&bytes).is_err());
     }
 
     #[test]
     fn records_and_transactions_round_trip(request in request(), runs in proptest::collection::vec(any::<u32>(), 0..9)) {
         let record = JobRecord {
             phase: RecordPhase::Active, done_count: 3, request: Some(request),
-            submitted: Some(Micros(7)), finished: runs, failing: 2,
-            remains: Some(Remains {
+            submitted: Some(Micros(7)), finished: runs, failed_attempts: 2,
+            residual_usage: Some(ResidualUsage {
                 team: "red".into(), each: Resources::from_units(1.0, 2.0, 3.0), tasks: 4, cancelled: Micros(9),
             }),
         };
         let value = serde_json::to_value(&record).unwrap();
         prop_assert_eq!(serde_json::from_value::<JobRecord>(value.clone()).unwrap(), record);
-        let txn = Txn {
+        let txn = Transaction {
             guards: vec![Guard { key: "a/b".to_owned(), version: Revision(4) }],
             changes: vec![
                 Change::Put { key: "a/b".to_owned(), value, lease: Some(7) },
@@ -195,7 +195,7 @@
             ],
         };
         let text = serde_json::to_string(&txn).unwrap();
-        prop_assert_eq!(serde_json::from_str::<Txn>(&text).unwrap(), txn);
+        prop_assert_eq!(serde_json::from_str::<Transaction>(&text).unwrap(), txn);
     }
 
     #[test]
@@ -210,11 +210,11 @@
         let mut report = json!({"host":"n-1","address":"10.1.0.1:9","hosttype":"g8","hall":"a",
             "reclaimable":true,"tenure":1,"counter":88,"epoch":41,"warning_s":null,
             "shards":[{"shard":"job-1/3","try":2,"phase":"exited","cause":"done"}]});
-        prop_assert!(Report::parse(report.to_string().as_bytes()).is_ok());
+        prop_assert!(Heartbeat::parse(report.to_string().as_bytes()).is_ok());
         let field = report.as_object().unwrap().keys().nth(which).unwrap().clone();
         let value = [json!(-1), json!("x"), json!([1]), json!({}), json!(1.5), json!(null)][junk].clone();
         report[&field] = value;
-        let _ = Report::parse(report.to_string().as_bytes());
+        let _ = Heartbeat::parse(report.to_string().as_bytes());
     }
 }
 
@@ -222,11 +222,12 @@
 fn orders_are_written_as_the_protocol_says() {
     let task = TaskId::parse("job-000412/4").unwrap();
     let orders = [
-        Order::Start(task.clone(), Attempt(2)),
-        Order::Stop(task.clone(), Attempt(1), Micros::from_secs(10)),
-        Order::Forget(task, Attempt(1)),
+        Command::Start(task.clone(), Attempt(2)),
+        Command::Stop(task.clone(), Attempt(1), Micros::from_secs(10)),
+        Command::Clear(task, Attempt(1)),
     ];
-    let body: Value = serde_json::from_slice(&orders_body(Token(41), None, &orders)).unwrap();
+    let body: Value =
+        serde_json::from_slice(&commands_body(FencingToken(41), None, &orders)).unwrap();
     assert_eq!(
         body,
         json!({"epoch":41,"orders":[
--- a/crates/jasperhill-wire/tests/samples.rs
+++ b/crates/jasperhill-wire/tests/samples.rs
@@ -2,17 +2,21 @@
 //! keeps its bytes, and what is stored or sent is read back as the same value.
 
 use jasperhill_wire::{
-    Attempt, HostId, JobId, Member, Micros, Name, Resources, Revision, TaskId, Token,
+    Attempt, FencingToken, HostId, JobId, Member, Micros, Name, Resources, Revision, TaskId,
     cloud::{HostNames, MachineType, MachineTypes, RentRequest},
-    mesh::{Counts, LinkReport, MeshAnswer, MeshRequest, Reach, ZoneReach, decode, encode},
+    mesh::{
+        LinkState, MeshRequest, MeshResponse, ReachabilityReport, TaskCounts, ZoneLinks, decode,
+        encode,
+    },
     record::{
-        AskRecord, FormatRecord, GrantRecord, HostBlock, HostRecord, HostUse, JobRecord, Key,
-        RecordPhase, Role, RoleRecord, SessionRecord, WantRecord, ask_key, ask_part, block_key,
-        format_key, grant_key, job_key, role_key, session_key, types_key, want_key,
+        DelegationGrantRecord, DelegationRequestRecord, FeatureLevelRecord, HostAssignment,
+        HostBlock, HostRecord, JobRecord, Key, ProposalRecord, RecordPhase, Role, RoleRecord,
+        SessionRecord, block_key, delegation_grant_key, delegation_part, delegation_request_key,
+        feature_level_key, job_key, proposal_key, role_key, session_key, types_key,
     },
-    state::{Change, Guard, Txn},
-    user::{ErrorBody, JobAnswer, JobPhase, JobRequest, JobStatus, Priority, Shape},
-    worker::{Order, orders_body, redirect_body},
+    state::{Change, Guard, Transaction},
+    user::{ErrorBody, JobPhase, JobRequest, JobResponse, JobStatus, Priority, Shape},
+    worker::{Command, commands_body, redirect_body},
 };
 use serde::{Serialize, de::DeserializeOwned};
 use std::{collections::BTreeMap, fmt::Debug};
@@ -66,9 +70,9 @@
         spot: true,
         estimate: Micros::from_secs(240),
         checkpoint_every: Micros::from_secs(30),
-        save: Micros::from_secs(4),
+        checkpoint_time: Micros::from_secs(4),
         deadline: Some(Micros::from_secs(900)),
-        waits_on: vec![JobId::new("job-000398")],
+        dependencies: vec![JobId::new("job-000398")],
     }
 }
 
@@ -80,19 +84,19 @@
         types: None,
         zone: None,
         deadline: None,
-        waits_on: Vec::new(),
+        dependencies: Vec::new(),
         ..request()
     }
 }
 
-fn host(usage: HostUse) -> HostRecord {
+fn host(usage: HostAssignment) -> HostRecord {
     HostRecord {
-        usage,
+        assignment: usage,
         address: "10.1.0.232:9000".to_owned(),
-        kind: Name::new("g8"),
+        machine_type: Name::new("g8"),
         zone: Name::new("a"),
         spot: true,
-        bump: 3,
+        rewrites: 3,
     }
 }
 
@@ -106,8 +110,8 @@
             request: Some(request()),
             submitted: Some(Micros(1_700_000_000_000_000)),
             finished: vec![0, 3, 2, 2],
-            failing: 7,
-            remains: None,
+            failed_attempts: 7,
+            residual_usage: None,
         },
     );
     keeps(
@@ -118,11 +122,11 @@
             request: Some(short_request()),
             submitted: Some(Micros(5)),
             finished: Vec::new(),
-            failing: 0,
-            remains: None,
+            failed_attempts: 0,
+            residual_usage: None,
         },
     );
-    keeps("record-done", JobRecord::over(RecordPhase::Done, 16));
+    keeps("record-done", JobRecord::terminal(RecordPhase::Done, 16));
     keeps(
         "record-cancelled",
         JobRecord::cancelled(&request(), 2, Micros(9)),
@@ -142,10 +146,10 @@
 #[test]
 fn records_of_hosts_and_types_keep_their_form() {
     let uses = [
-        HostUse::Partition(2),
-        HostUse::Free,
-        HostUse::Condemned(None),
-        HostUse::Condemned(Some(1)),
+        HostAssignment::Partition(2),
+        HostAssignment::Free,
+        HostAssignment::Decommissioned(None),
+        HostAssignment::Decommissioned(Some(1)),
     ];
     let hosts = (0..).zip(uses);
     let hosts = hosts.map(|(n, usage)| (HostId::new(&format!("n-00023{n}")), host(usage)));
@@ -181,11 +185,11 @@
         SessionRecord {
             lease: 7,
             format: 2,
-            began: Micros(1_700_000_000_000_000),
-            quick: 4,
+            process_started: Micros(1_700_000_000_000_000),
+            quick_restarts: 4,
         },
     );
-    keeps("record-format", FormatRecord { format: 2 });
+    keeps("record-format", FeatureLevelRecord { format: 2 });
     keeps(
         "record-role",
         RoleRecord {
@@ -195,7 +199,7 @@
     );
     keeps(
         "record-ask",
-        AskRecord {
+        DelegationRequestRecord {
             number: 4,
             lease: 7,
             hosts: vec![HostId::new("n-000231")],
@@ -203,24 +207,24 @@
     );
     keeps(
         "record-grant",
-        GrantRecord {
+        DelegationGrantRecord {
             number: 4,
             lease: 7,
-            hosts: BTreeMap::from([(HostId::new("n-000231"), Token(99))]),
+            hosts: BTreeMap::from([(HostId::new("n-000231"), FencingToken(99))]),
         },
     );
     keeps(
         "record-want",
-        WantRecord {
-            by: Member::new("worker-1"),
+        ProposalRecord {
+            proposer: Member::new("worker-1"),
             request: Some(request()),
             retry_after_s: None,
         },
     );
     keeps(
         "record-want-refused",
-        WantRecord {
-            by: Member::new("worker-1"),
+        ProposalRecord {
+            proposer: Member::new("worker-1"),
             request: None,
             retry_after_s: Some(8),
         },
@@ -230,19 +234,31 @@
 #[test]
 fn keys_keep_their_form_and_are_told_apart() {
     let (me, job) = (Member::new("worker-1"), JobId::new("job-000412"));
-    let part = ask_part(&me, 2);
+    let part = delegation_part(&me, 2);
     for (key, means) in [
         (job_key(&job), Key::Job(job.clone())),
         (block_key(12), Key::Hosts(12)),
         (session_key(&me), Key::Session(me.clone())),
-        (format_key(&me), Key::Format(me.clone())),
+        (feature_level_key(&me), Key::FeatureLevel(me.clone())),
         (role_key(Role::Partition(2)), Key::Role(Role::Partition(2))),
         (role_key(Role::Leader), Key::Role(Role::Leader)),
-        (ask_key(&me), Key::Ask(me.clone())),
-        (ask_key(&part), Key::Ask(part.clone())),
-        (want_key(&job), Key::Want(job.clone())),
-        (grant_key(1, &me), Key::Grant(1, me.clone())),
-        (grant_key(1, &part), Key::Grant(1, part)),
+        (
+            delegation_request_key(&me),
+            Key::DelegationRequest(me.clone()),
+        ),
+        (
+            delegation_request_key(&part),
+            Key::DelegationRequest(part.clone()),
+        ),
+        (proposal_key(&job), Key::Proposal(job.clone())),
+        (
+            delegation_grant_key(1, &me),
+            Key::DelegationGrant(1, me.clone()),
+        ),
+        (
+            delegation_grant_key(1, &part),
+            Key::DelegationGrant(1, part),
+        ),
         (types_key(0), Key::Types(0)),
         (types_key(3), Key::Types(3)),
     ] {
@@ -257,95 +273,116 @@
     sends("mesh-admit", MeshRequest::Admit(Box::new(request())));
     sends(
         "mesh-counts",
-        MeshRequest::Counts(vec![JobId::new("job-1")]),
+        MeshRequest::TaskCounts(vec![JobId::new("job-1")]),
     );
-    sends("mesh-relay", MeshRequest::Relay("{}".to_owned()));
-    sends("mesh-is-fresh", MeshRequest::IsFresh);
+    sends("mesh-relay", MeshRequest::RelayHeartbeat("{}".to_owned()));
+    sends("mesh-is-fresh", MeshRequest::IsStoreReachable);
     let ready = Micros::from_secs(9);
-    sends("mesh-elastic", MeshRequest::Elastic { machines: 3, ready });
+    sends(
+        "mesh-elastic",
+        MeshRequest::SpareCapacity {
+            machines: 3,
+            boot_time: ready,
+        },
+    );
     sends(
         "mesh-unmet",
-        MeshRequest::Unmet {
+        MeshRequest::UnmetDemand {
             partition: 1,
             thousandths: 1_500,
         },
     );
-    sends("mesh-links", MeshRequest::Links(Box::new(links())));
-    sends("mesh-relay-on", MeshRequest::RelayOn("{}".to_owned()));
+    sends("mesh-links", MeshRequest::Reachability(Box::new(links())));
+    sends(
+        "mesh-relay-on",
+        MeshRequest::RelayHeartbeatOnward("{}".to_owned()),
+    );
     let host = HostId::new("n-000231");
     let body = Some("{\"epoch\":9}".to_owned());
-    let push = MeshRequest::Push {
+    let push = MeshRequest::RelayCommands {
         host: host.clone(),
         body,
     };
     sends("mesh-push", push);
-    sends("mesh-push-inspect", MeshRequest::Push { host, body: None });
+    sends(
+        "mesh-push-inspect",
+        MeshRequest::RelayCommands { host, body: None },
+    );
 }
 
-fn links() -> LinkReport {
-    let zone = |name: &str, reports, orders| ZoneReach {
+fn links() -> ReachabilityReport {
+    let zone = |name: &str, reports, orders| ZoneLinks {
         zone: Name::new(name),
-        reports,
-        orders,
-        proved: Micros::from_millis(300),
+        heartbeats: reports,
+        commands: orders,
+        last_success: Micros::from_millis(300),
     };
-    LinkReport {
+    ReachabilityReport {
         from: Member::new("worker-1"),
-        born: Micros(1_700_000_000_000_000),
+        process_started: Micros(1_700_000_000_000_000),
         number: 3,
-        state: Reach::Down,
-        cloud: Reach::Unknown,
+        store: LinkState::Down,
+        cloud: LinkState::Unknown,
         zones: vec![
-            zone("a", Reach::Up, Reach::Doubtful),
-            zone("b", Reach::Down, Reach::Unknown),
+            zone("a", LinkState::Up, LinkState::Suspect),
+            zone("b", LinkState::Down, LinkState::Unknown),
         ],
-        heard: vec![Member::new("worker-0")],
+        reachable_peers: vec![Member::new("worker-0")],
         owners: vec![
             (Role::Partition(2), Member::new("worker-2"), Revision(9)),
             (Role::Leader, Member::new("worker-0"), Revision(11)),
         ],
-        let_go: vec![(Role::Leader, Revision(7))],
+        relinquished: vec![(Role::Leader, Revision(7))],
     }
 }
 
 #[test]
 fn answers_between_controllers_keep_their_form() {
-    sends("mesh-accepted", MeshAnswer::Accepted);
-    sends("mesh-known", MeshAnswer::Known);
-    sends("mesh-refused", MeshAnswer::Refused { retry_after_s: 3 });
-    sends("mesh-unavailable", MeshAnswer::Unavailable);
-    let counts = Counts {
+    sends("mesh-accepted", MeshResponse::Accepted);
+    sends("mesh-known", MeshResponse::Known);
+    sends("mesh-refused", MeshResponse::Rejected { retry_after_s: 3 });
+    sends("mesh-unavailable", MeshResponse::Unavailable);
+    let counts = TaskCounts {
         running: 3,
         done: 4,
     };
-    sends("mesh-counted", MeshAnswer::Counts(vec![Some(counts), None]));
+    sends(
+        "mesh-counted",
+        MeshResponse::TaskCounts(vec![Some(counts), None]),
+    );
     let (status, body) = (200, "{\"epoch\":9}".to_owned());
     sends(
         "mesh-relayed",
-        MeshAnswer::Relayed {
+        MeshResponse::HeartbeatRelayed {
             status,
             body: body.clone(),
         },
     );
-    sends("mesh-fresh", MeshAnswer::Fresh(true));
-    sends("mesh-noted", MeshAnswer::Noted);
-    sends("mesh-links-back", MeshAnswer::Links(Box::new(links())));
-    sends("mesh-pushed", MeshAnswer::Pushed { status, body });
-    sends("mesh-not-pushed", MeshAnswer::NotPushed);
+    sends("mesh-fresh", MeshResponse::StoreReachable(true));
+    sends("mesh-noted", MeshResponse::Acknowledged);
+    sends(
+        "mesh-links-back",
+        MeshResponse::Reachability(Box::new(links())),
+    );
+    sends(
+        "mesh-pushed",
+        MeshResponse::CommandsRelayed { status, body },
+    );
+    sends("mesh-not-pushed", MeshResponse::CommandsNotSent);
 }
 
 #[test]
 fn bodies_for_workers_keep_their_form() {
     let task = |i| TaskId::new(&JobId::new("job-000412"), i);
     let orders = [
-        Order::Start(task(0), Attempt(31)),
-        Order::Stop(task(1), Attempt(32), Micros::from_millis(2_500)),
-        Order::Forget(task(2), Attempt(33)),
+        Command::Start(task(0), Attempt(31)),
+        Command::Stop(task(1), Attempt(32), Micros::from_millis(2_500)),
+        Command::Clear(task(2), Attempt(33)),
     ];
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    let direct = text(orders_body(Token(9), Some(4), &orders));
+    let direct = text(commands_body(FencingToken(9), Some(4), &orders));
     assert_eq!(direct, sample("orders-direct"));
-    let answer = text(orders_body(Token(9), None, &orders[..1]));
+    let answer = text(commands_body(FencingToken(9), None, &orders[..1]));
     assert_eq!(answer, sample("orders-answer"));
     let to = Member::new("worker-1");
     assert_eq!(text(redirect_body(Some(&to))), sample("redirect"));
@@ -355,7 +392,7 @@
 #[test]
 fn bodies_for_users_the_store_and_the_cloud_keep_their_form() {
     let (id, phase) = ("job-000412", JobPhase::Pending);
-    writes("job-answer", &JobAnswer { id, phase });
+    writes("job-answer", &JobResponse { id, phase });
     let phases = [
         JobPhase::Pending,
         JobPhase::Running,
@@ -377,7 +414,7 @@
         value: serde_json::json!({"p": "d", "n": 1}),
         lease,
     };
-    let transaction = Txn {
+    let transaction = Transaction {
         guards: vec![Guard {
             key: "jh/part/1".to_owned(),
             version: Revision(8),
@@ -393,7 +430,7 @@
     keeps("transaction", transaction);
     let rental = RentRequest {
         request: "r-9-1".to_owned(),
-        kind: Name::new("g8"),
+        machine_type: Name::new("g8"),
         zone: Name::new("a"),
         spot: true,
         count: 4,
