--- a/crates/jasperhill-connections/src/account.rs
+++ b/crates/jasperhill-connections/src/account.rs
@@ -7,7 +7,7 @@
 //! of workers make way only when they are overdue, for a worker that has gone elsewhere says
 //! nothing; those to the state service never do.
 
-use crate::plan::{Class, Plan};
+use crate::plan::{BudgetPlan, Class};
 use enum_map::{EnumMap, enum_map};
 use jasperhill_wire::Micros;
 use slotmap::SlotMap;
@@ -15,7 +15,7 @@
 
 slotmap::new_key_type! {
     /// One connection.
-    pub struct Key;
+    pub struct ConnectionId;
 }
 
 /// What goes on on a connection.
@@ -40,43 +40,43 @@
     /// A connection is wanted, or was accepted.
     Open(Class),
     /// A request is under way on it; what it is for is known by now.
-    Begins(Key, Class),
+    RequestStarted(ConnectionId, Class),
     /// Nothing is under way any more.
-    Ends(Key),
+    RequestFinished(ConnectionId),
     /// It is closed.
-    Closed(Key),
+    Closed(ConnectionId),
 }
 
 /// What follows for whoever asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// There is a socket. If another one has to make way first, that one.
-    Granted(Key, Option<Key>),
+    Granted(ConnectionId, Option<ConnectionId>),
     /// There is none: to be closed or not to be opened.
     Refused,
     /// The request may be carried out.
-    Goes,
+    Proceed,
     /// It may not: an answer that says so, and the end of the connection.
-    Full,
+    Overloaded,
     /// The connection may stay open.
-    Stays,
+    KeepAlive,
     /// It closes with this answer.
-    Closes,
+    Close,
     /// Nothing to say.
-    Noted,
+    Recorded,
 }
 
 /// What a class has come to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct ClassUsage {
     pub open: usize,
     pub idle: usize,
     /// The most at a time, ever.
     pub peak: usize,
-    pub floor: usize,
+    pub guaranteed: usize,
     /// Connections refused, requests refused, and connections closed to make way, ever.
     pub refused: u64,
-    pub made_way: u64,
+    pub evicted: u64,
     /// When somebody was last refused.
     pub last_refused: Option<Micros>,
 }
@@ -89,20 +89,20 @@
 const SPEECHLESS: Micros = Micros::from_secs(1);
 
 #[derive(Debug)]
-pub struct Account {
-    plan: Plan,
+pub struct ConnectionBudget {
+    plan: BudgetPlan,
     /// A worker that has said nothing for so long has gone elsewhere.
     overdue: Micros,
-    entries: SlotMap<Key, Entry>,
-    idle: EnumMap<Class, BTreeSet<(Micros, Key)>>,
+    entries: SlotMap<ConnectionId, Entry>,
+    idle: EnumMap<Class, BTreeSet<(Micros, ConnectionId)>>,
     leaving: usize,
     peak: usize,
-    reports: EnumMap<Class, Report>,
+    reports: EnumMap<Class, ClassUsage>,
 }
 
-impl Account {
+impl ConnectionBudget {
     /// `overdue`: the time after which a silent worker's connection may make way.
-    pub fn new(plan: Plan, overdue: Micros) -> Self {
+    pub fn new(plan: BudgetPlan, overdue: Micros) -> Self {
         Self {
             plan,
             overdue,
@@ -110,16 +110,16 @@
             idle: enum_map! { _ => BTreeSet::new() },
             leaving: 0,
             peak: 0,
-            reports: enum_map! { _ => Report::default() },
+            reports: enum_map! { _ => ClassUsage::default() },
         }
     }
 
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &BudgetPlan {
         &self.plan
     }
 
     /// Another number of machines is known.
-    pub fn resize(&mut self, plan: Plan) {
+    pub fn resize(&mut self, plan: BudgetPlan) {
         self.plan = plan;
     }
 
@@ -131,10 +131,10 @@
         self.peak
     }
 
-    pub fn report(&self, class: Class) -> Report {
-        Report {
+    pub fn report(&self, class: Class) -> ClassUsage {
+        ClassUsage {
             idle: self.idle[class].len(),
-            floor: self.plan.floors[class],
+            guaranteed: self.plan.guaranteed[class],
             ..self.reports[class]
         }
     }
@@ -143,20 +143,20 @@
     pub fn apply(&mut self, input: Input, now: Micros) -> Output {
         match input {
             Input::Open(class) => self.come(class, now),
-            Input::Begins(key, class) => self.begin(key, class, now),
-            Input::Ends(key) => self.end(key, now),
+            Input::RequestStarted(key, class) => self.begin(key, class, now),
+            Input::RequestFinished(key) => self.end(key, now),
             Input::Closed(key) => {
                 if let Some(entry) = self.entries.remove(key) {
                     self.leave(key, entry);
                     self.reports[entry.class].open -= 1;
                 }
-                Output::Noted
+                Output::Recorded
             }
         }
     }
 
     /// Takes a connection out of whatever its phase keeps of it.
-    fn leave(&mut self, key: Key, entry: Entry) {
+    fn leave(&mut self, key: ConnectionId, entry: Entry) {
         match entry.phase {
             Phase::Idle(since) => {
                 self.idle[entry.class].remove(&(since, key));
@@ -166,7 +166,7 @@
         }
     }
 
-    fn set(&mut self, key: Key, class: Class, phase: Phase) {
+    fn set(&mut self, key: ConnectionId, class: Class, phase: Phase) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -187,7 +187,7 @@
 
     /// Idle ones hold nothing, since they can be had again.
     fn gives_way(class: Class) -> bool {
-        matches!(class, Class::Peers | Class::Orders | Class::Users)
+        matches!(class, Class::Peers | Class::Commands | Class::Users)
     }
 
     fn held(&self, class: Class) -> usize {
@@ -203,9 +203,9 @@
     /// not passed on, and connections between controllers that are refused, while most places stand
     /// empty for workers who are elsewhere: what is passed on is over in seconds.
     fn reserved(&self, class: Class) -> usize {
-        let floor = self.plan.floors[class];
+        let floor = self.plan.guaranteed[class];
         match class {
-            Class::Reports => floor - floor / LENT,
+            Class::Heartbeats => floor - floor / LENT,
             _ => floor,
         }
     }
@@ -214,12 +214,12 @@
     fn may_hold(&self, class: Class) -> bool {
         let guaranteed = |classes: &[Class]| {
             let held: usize = classes.iter().map(|c| self.held(*c)).sum();
-            held < classes.iter().map(|c| self.plan.floors[*c]).sum()
+            held < classes.iter().map(|c| self.plan.guaranteed[*c]).sum()
         };
         // Most of what comes in are workers who have not said so yet. Guards against a door that
         // is too narrow for a whole fleet that comes at once.
         if guaranteed(&[class])
-            || (class == Class::Door && guaranteed(&[Class::Door, Class::Reports]))
+            || (class == Class::Accepted && guaranteed(&[Class::Accepted, Class::Heartbeats]))
         {
             return true;
         }
@@ -266,22 +266,22 @@
     }
 
     /// The one that makes way: the oldest idle one of the first class that has any.
-    fn make_way(&mut self, now: Micros) -> Option<Key> {
+    fn make_way(&mut self, now: Micros) -> Option<ConnectionId> {
         if self.leaving >= LEAVING_MAX {
             return None;
         }
         let after = |class: Class| match class {
-            Class::Orders | Class::Peers | Class::Users => Some(Micros::ZERO),
-            Class::Door => Some(SPEECHLESS),
-            Class::Reports => Some(self.overdue),
+            Class::Commands | Class::Peers | Class::Users => Some(Micros::ZERO),
+            Class::Accepted => Some(SPEECHLESS),
+            Class::Heartbeats => Some(self.overdue),
             Class::Health | Class::Mesh => Some(self.overdue + self.overdue),
             Class::State | Class::Cloud => None,
         };
         let order = [
-            Class::Orders,
+            Class::Commands,
             Class::Peers,
-            Class::Door,
-            Class::Reports,
+            Class::Accepted,
+            Class::Heartbeats,
             Class::Users,
             Class::Health,
             Class::Mesh,
@@ -291,17 +291,17 @@
             (now - since >= after(class)?).then_some((class, key))
         })?;
         self.set(key, class, Phase::Leaving);
-        self.reports[class].made_way += 1;
+        self.reports[class].evicted += 1;
         Some(key)
     }
 
-    fn begin(&mut self, key: Key, class: Class, now: Micros) -> Output {
+    fn begin(&mut self, key: ConnectionId, class: Class, now: Micros) -> Output {
         let Some(entry) = self.entries.get(key).copied() else {
-            return Output::Full;
+            return Output::Overloaded;
         };
         if entry.phase == Phase::Leaving {
             // Its request came in the same moment: it is carried out, and closes after.
-            return Output::Goes;
+            return Output::Proceed;
         }
         // Only users are told to come back: workers' reports keep tasks alive, and whoever asks
         // for health is to be told.
@@ -310,25 +310,25 @@
         self.set(key, class, Phase::Busy);
         if full {
             self.refuse(class, now);
-            return Output::Full;
+            return Output::Overloaded;
         }
-        Output::Goes
+        Output::Proceed
     }
 
-    fn end(&mut self, key: Key, now: Micros) -> Output {
+    fn end(&mut self, key: ConnectionId, now: Micros) -> Output {
         let Some(entry) = self.entries.get(key).copied() else {
-            return Output::Closes;
+            return Output::Close;
         };
         if entry.phase == Phase::Leaving {
-            return Output::Closes;
+            return Output::Close;
         }
         let class = entry.class;
         let guaranteed = !Self::gives_way(class)
-            && (self.reports[class].open <= self.plan.floors[class] || class == Class::State);
+            && (self.reports[class].open <= self.plan.guaranteed[class] || class == Class::State);
         if self.in_use() > self.plan.soft && !guaranteed {
-            return Output::Closes;
+            return Output::Close;
         }
         self.set(key, class, Phase::Idle(now));
-        Output::Stays
+        Output::KeepAlive
     }
 }
--- a/crates/jasperhill-connections/src/lib.rs
+++ b/crates/jasperhill-connections/src/lib.rs
@@ -10,6 +10,6 @@
 pub mod plan;
 pub mod window;
 
-pub use account::{Account, Input, Key, Output, Report};
-pub use plan::{Class, Plan, Sizes};
-pub use window::Window;
+pub use account::{ClassUsage, ConnectionBudget, ConnectionId, Input, Output};
+pub use plan::{BudgetPlan, Class, PlanInputs};
+pub use window::ConcurrencyLimiter;
--- a/crates/jasperhill-connections/src/plan.rs
+++ b/crates/jasperhill-connections/src/plan.rs
@@ -13,15 +13,15 @@
     /// To other controllers.
     Peers,
     /// To workers.
-    Orders,
+    Commands,
     /// Accepted, and nothing was said on it yet.
-    Door,
+    Accepted,
     /// From whoever asks whether this controller is ready.
     Health,
     /// From other controllers.
     Mesh,
     /// From workers.
-    Reports,
+    Heartbeats,
     /// From users.
     Users,
 }
@@ -31,11 +31,11 @@
         Self::State,
         Self::Cloud,
         Self::Peers,
-        Self::Orders,
-        Self::Door,
+        Self::Commands,
+        Self::Accepted,
         Self::Health,
         Self::Mesh,
-        Self::Reports,
+        Self::Heartbeats,
         Self::Users,
     ];
 
@@ -45,11 +45,11 @@
             Self::State => "state",
             Self::Cloud => "cloud",
             Self::Peers => "peers",
-            Self::Orders => "orders",
-            Self::Door => "door",
+            Self::Commands => "orders",
+            Self::Accepted => "door",
             Self::Health => "health",
             Self::Mesh => "mesh",
-            Self::Reports => "reports",
+            Self::Heartbeats => "reports",
             Self::Users => "users",
         }
     }
@@ -57,7 +57,7 @@
 
 /// What a plan is made of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sizes {
+pub struct PlanInputs {
     /// What the platform allows the process, as its settings say.
     pub most: usize,
     /// Other controllers.
@@ -68,20 +68,20 @@
 
 /// Numbers of sockets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct BudgetPlan {
     /// What the platform allows.
     pub most: usize,
     /// In all, for what is counted here.
     pub bound: usize,
     /// Beyond this, connections of users are closed with their answers.
     pub soft: usize,
-    pub floors: EnumMap<Class, usize>,
+    pub guaranteed: EnumMap<Class, usize>,
 }
 
-impl Plan {
+impl BudgetPlan {
     /// A quarter of the platform's limit stays free: for connections that the kernel still closes,
     /// and those that the account has never heard of.
-    pub fn new(sizes: Sizes) -> Self {
+    pub fn new(sizes: PlanInputs) -> Self {
         let most = sizes.most.max(16);
         let bound = (most * 3 / 4).max(12);
         // Parts of the bound, so that a small limit is divided in the same way as a large one.
@@ -90,16 +90,16 @@
             Class::State => part(100, 3, 12),
             Class::Cloud => part(400, 1, 4),
             Class::Peers | Class::Mesh => part(60, 1, 16) * sizes.peers.clamp(1, 8),
-            Class::Orders => part(20, 1, 128),
-            Class::Door => part(30, 1, 64),
+            Class::Commands => part(20, 1, 128),
+            Class::Accepted => part(30, 1, 64),
             Class::Health => part(300, 1, 8),
             Class::Users => part(12, 1, 4_096),
-            Class::Reports => 0,
+            Class::Heartbeats => 0,
         };
         // As many as there are machines, as far as the others leave it.
         let others: usize = floors.values().sum();
         let workers = sizes.machines + sizes.machines / 20 + 1;
-        floors[Class::Reports] = workers.min(bound.saturating_sub(others)).max(1);
+        floors[Class::Heartbeats] = workers.min(bound.saturating_sub(others)).max(1);
         // A limit of a few dozen: nobody is guaranteed more than there is.
         while floors.values().sum::<usize>() > bound {
             let most = Class::ALL.into_iter().max_by_key(|c| floors[*c]);
@@ -112,7 +112,7 @@
             most,
             bound,
             soft: bound * 23 / 25,
-            floors,
+            guaranteed: floors,
         }
     }
 }
--- a/crates/jasperhill-connections/src/window.rs
+++ b/crates/jasperhill-connections/src/window.rs
@@ -39,20 +39,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input<K> {
     /// Something is to be sent to it.
-    Wanted(K),
+    Enqueue(K),
     /// It was heard by another way: it need not rest.
     Heard(K),
     /// What was under way is over, with an answer or without, or nothing was sent after all.
-    Over(K, Option<bool>),
+    Completed(K, Option<bool>),
     /// Time has passed: those whose rest is over get their turn.
     Tick,
     /// So many at a time from now on.
-    Size(usize),
+    Resize(usize),
 }
 
 /// A bounded number of hosts that are sent something at a time.
 #[derive(Debug)]
-pub struct Window<K: Ord + Clone> {
+pub struct ConcurrencyLimiter<K: Ord + Clone> {
     size: usize,
     hosts: BTreeMap<K, Host>,
     /// Those that have answered, and the others.
@@ -63,7 +63,7 @@
     waits: Histogram<u64>,
 }
 
-impl<K: Ord + Clone> Window<K> {
+impl<K: Ord + Clone> ConcurrencyLimiter<K> {
     pub fn new(size: usize) -> Self {
         Self {
             size: size.max(2),
@@ -79,7 +79,7 @@
     }
 
     /// On their way now, and those that wait for a place.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.under_way
     }
     pub fn waiting(&self) -> usize {
@@ -98,7 +98,7 @@
     /// The one function that changes it; the hosts whose turn it is.
     pub fn apply(&mut self, input: Input<K>, now: Micros) -> Vec<K> {
         match input {
-            Input::Wanted(key) => self.want(key, now),
+            Input::Enqueue(key) => self.want(key, now),
             Input::Heard(key) => {
                 if let Some(host) = self.hosts.get_mut(&key) {
                     let was = std::mem::replace(&mut host.proven, true);
@@ -112,7 +112,7 @@
                     }
                 }
             }
-            Input::Over(key, answered) => self.over(&key, answered, now),
+            Input::Completed(key, answered) => self.over(&key, answered, now),
             Input::Tick => {
                 let due = |h: &Host| matches!(h.phase, Phase::Resting { until, wanted: true } if now >= until);
                 let due: Vec<K> = (self.hosts.iter().filter(|(_, h)| due(h)))
@@ -122,7 +122,7 @@
                     self.want(key, now);
                 }
             }
-            Input::Size(size) => self.size = size.max(2),
+            Input::Resize(size) => self.size = size.max(2),
         }
         self.turns(now)
     }
--- a/crates/jasperhill-connections/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -1,7 +1,10 @@
 //! Generated histories: whatever comes in whatever order, the account keeps to its bound and its
 //! floors, and the window to its size.
 
-use jasperhill_connections::{Account, Class, Input, Key, Output, Plan, Sizes, Window, window};
+use jasperhill_connections::{
+    BudgetPlan, Class, ConcurrencyLimiter, ConnectionBudget, ConnectionId, Input, Output,
+    PlanInputs, window,
+};
 use jasperhill_wire::Micros;
 use proptest::{prelude::*, test_runner::RngSeed};
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,22 +45,23 @@
 
 /// Plays a history. Whoever is told to make way is closed at once, as the process does.
 fn play(most: usize, steps: &[Step]) -> Result<(), TestCaseError> {
-    let sizes = |machines| Sizes {
+    let sizes = |machines| PlanInputs {
         most,
         peers: 2,
         machines,
     };
-    let mut account = Account::new(Plan::new(sizes(100)), Micros::from_secs(12));
+    let mut account = ConnectionBudget::new(BudgetPlan::new(sizes(100)), Micros::from_secs(12));
     let mut now = START;
-    let mut open: Vec<(Key, Class, bool)> = Vec::new();
+    let mut open: Vec<(ConnectionId, Class, bool)> = Vec::new();
     for step in steps {
-        let pick =
-            |n: usize, open: &[(Key, Class, bool)]| (!open.is_empty()).then(|| n % open.len());
+        let pick = |n: usize, open: &[(ConnectionId, Class, bool)]| {
+            (!open.is_empty()).then(|| n % open.len())
+        };
         match *step {
             Step::Open(c) => {
                 let class = Class::ALL[c];
                 let of = |c: Class| open.iter().filter(|(_, x, _)| *x == c).count();
-                let guaranteed = of(class) < account.plan().floors[class];
+                let guaranteed = of(class) < account.plan().guaranteed[class];
                 let full = account.open() >= account.plan().bound;
                 match account.apply(Input::Open(class), now) {
                     Output::Granted(key, gone) => {
@@ -82,17 +86,17 @@
                 let (key, was, _) = open[n];
                 // Only what was accepted finds out what it is for.
                 let class = match was {
-                    Class::Door => Class::ALL[c],
+                    Class::Accepted => Class::ALL[c],
                     was => was,
                 };
-                let out = account.apply(Input::Begins(key, class), now);
-                prop_assert!(out == Output::Goes || class == Class::Users);
+                let out = account.apply(Input::RequestStarted(key, class), now);
+                prop_assert!(out == Output::Proceed || class == Class::Users);
                 open[n] = (key, class, false);
             }
             Step::End(n) => {
                 let Some(n) = pick(n, &open) else { continue };
                 let (key, class, _) = open[n];
-                if account.apply(Input::Ends(key), now) == Output::Stays {
+                if account.apply(Input::RequestFinished(key), now) == Output::KeepAlive {
                     open[n] = (key, class, true);
                 } else {
                     prop_assert!(account.open() > account.plan().soft);
@@ -109,7 +113,7 @@
                 account.apply(Input::Closed(key), now);
             }
             Step::Wait(ms) => now += Micros::from_millis(ms),
-            Step::Machines(n) => account.resize(Plan::new(sizes(n))),
+            Step::Machines(n) => account.resize(BudgetPlan::new(sizes(n))),
         }
         let counted: usize = Class::ALL.iter().map(|c| account.report(*c).open).sum();
         prop_assert_eq!(counted, open.len());
@@ -132,11 +136,11 @@
     /// Floors fit within the bound, whatever the limit and the number of machines.
     #[test]
     fn what_is_guaranteed_is_there(most in 16..100_000usize, peers in 0..10usize, machines in 0..50_000usize) {
-        let plan = Plan::new(Sizes { most, peers, machines });
-        let all: usize = plan.floors.values().sum();
+        let plan = BudgetPlan::new(PlanInputs { most, peers, machines });
+        let all: usize = plan.guaranteed.values().sum();
         prop_assert!(all <= plan.bound, "{plan:?}");
         prop_assert!(plan.bound * 5 <= most * 4);
-        prop_assert!(plan.floors.values().all(|n| *n > 0));
+        prop_assert!(plan.guaranteed.values().all(|n| *n > 0));
     }
 
     /// Hosts that answer, or don't, or are heard by other ways, wanted at any time.
@@ -146,7 +150,7 @@
         dead in prop::collection::btree_set(0..40u32, 0..30),
         steps in prop::collection::vec((0..40u32, 0..4u8, 1..400u64), 1..500),
     ) {
-        let mut window = Window::new(size);
+        let mut window = ConcurrencyLimiter::new(size);
         let mut now = START;
         let mut under_way: Vec<u32> = Vec::new();
         let mut failed_at: BTreeMap<u32, Micros> = BTreeMap::new();
@@ -156,7 +160,7 @@
             let turns = match what {
                 0 | 1 => {
                     wanted.insert(host);
-                    window.apply(window::Input::Wanted(host), now)
+                    window.apply(window::Input::Enqueue(host), now)
                 }
                 2 if !under_way.is_empty() => {
                     let host = under_way.remove(host as usize % under_way.len());
@@ -164,7 +168,7 @@
                     if !answered {
                         failed_at.insert(host, now);
                     }
-                    window.apply(window::Input::Over(host, Some(answered)), now)
+                    window.apply(window::Input::Completed(host, Some(answered)), now)
                 }
                 3 => {
                     failed_at.remove(&host);
@@ -181,7 +185,7 @@
                 under_way.push(host);
             }
             prop_assert!(under_way.len() <= size);
-            prop_assert_eq!(window.under_way(), under_way.len());
+            prop_assert_eq!(window.in_flight(), under_way.len());
             now += Micros::from_millis(ms);
         }
         // What was wanted goes out once there is room, whoever is dead.
@@ -189,7 +193,7 @@
             now += Micros::from_millis(500);
             for host in std::mem::take(&mut under_way) {
                 let answered = !dead.contains(&host);
-                under_way.extend(window.apply(window::Input::Over(host, Some(answered)), now));
+                under_way.extend(window.apply(window::Input::Completed(host, Some(answered)), now));
             }
             under_way.extend(window.apply(window::Input::Tick, now));
             sent.extend(&under_way);
@@ -206,7 +210,7 @@
 fn dead_hosts_do_not_keep_living_ones_waiting() {
     const REPORT: u64 = 5_000;
     let is_dead = |host: u32| host.is_multiple_of(3);
-    let mut window = Window::new(64);
+    let mut window = ConcurrencyLimiter::new(64);
     let mut busy: Vec<(u64, u32)> = Vec::new();
     let mut answered = BTreeSet::new();
     let (mut whole, mut orders, mut waited) = (None, 0, 0);
@@ -217,7 +221,7 @@
         let mut turns = Vec::new();
         for host in 0..900 {
             if ms == 0 {
-                turns.extend(window.apply(window::Input::Wanted(host), now));
+                turns.extend(window.apply(window::Input::Enqueue(host), now));
             }
             if !is_dead(host) && ms % REPORT == u64::from(host) * 7 % REPORT {
                 turns.extend(window.apply(window::Input::Heard(host), now));
@@ -228,13 +232,13 @@
             if fine {
                 answered.insert(host);
             }
-            turns.extend(window.apply(window::Input::Over(host, Some(fine)), now));
+            turns.extend(window.apply(window::Input::Completed(host, Some(fine)), now));
         }
         if answered.len() == 600 {
             whole.get_or_insert(ms);
         }
         if ms % 100 == 0 && answered.contains(&1) {
-            let now_or_later = window.apply(window::Input::Wanted(1), now);
+            let now_or_later = window.apply(window::Input::Enqueue(1), now);
             orders += 1;
             waited += usize::from(!now_or_later.contains(&1));
             turns.extend(now_or_later);
--- a/crates/jasperhill-controller/src/cloud/listing.rs
+++ b/crates/jasperhill-controller/src/cloud/listing.rs
@@ -9,7 +9,7 @@
     store::{Urgency, Written},
 };
 use jasperhill_http::Method;
-use jasperhill_scheduler::boots::Boots;
+use jasperhill_scheduler::boots::BootTimes;
 use jasperhill_wire::{
     HostId, Micros,
     cloud::{Machine, MachineList, MachinePhase},
@@ -98,7 +98,7 @@
                     MachinePhase::Failed => {
                         returns.insert(machine.id.clone());
                     }
-                    MachinePhase::Booting if Boots::never_comes(boot, age) => {
+                    MachinePhase::Booting if BootTimes::never_comes(boot, age) => {
                         tracing::info!(host = %machine.id, "never came up");
                         returns.insert(machine.id.clone());
                     }
--- a/crates/jasperhill-controller/src/cloud/mod.rs
+++ b/crates/jasperhill-controller/src/cloud/mod.rs
@@ -15,7 +15,7 @@
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_membership::view::LinkId;
 use jasperhill_scheduler::{
-    boots::{Boots, replaceable},
+    boots::{BootTimes, replaceable},
     config::{Specs, specs},
 };
 use jasperhill_wire::{
@@ -39,7 +39,7 @@
     pub(super) counter: u64,
     pub booting: BTreeMap<HostId, Booting>,
     /// How long machines take to come up.
-    pub(super) boots: Boots,
+    pub(super) boots: BootTimes,
     /// When a machine was first seen in a list, or by its record.
     pub(super) listed: BTreeMap<HostId, Micros>,
     /// No capacity there before.
@@ -102,7 +102,7 @@
             since,
             counter: 0,
             booting: BTreeMap::new(),
-            boots: Boots::default(),
+            boots: BootTimes::default(),
             listed: BTreeMap::new(),
             refused: BTreeMap::new(),
             rental: None,
--- a/crates/jasperhill-controller/src/cloud/returning.rs
+++ b/crates/jasperhill-controller/src/cloud/returning.rs
@@ -7,7 +7,7 @@
     store::{Urgency, Written},
 };
 use jasperhill_http::Method;
-use jasperhill_scheduler::Reach;
+use jasperhill_scheduler::FencingState;
 use jasperhill_wire::{
     HostId, Micros, Revision,
     cloud::HostNames,
@@ -127,13 +127,13 @@
                     {
                         continue;
                     }
-                    let lost = host.reach == Reach::Lapsed
+                    let lost = host.reach == FencingState::Lapsed
                         && now - host.last_answer > self.sched.lapse() + Micros::from_secs(30);
                     let bad = host.is_empty() && (host.is_faulty(now) || host.slowness > 2.2);
                     let spare = stock.have > stock.want
                         && (host.spot || stock.have_ordinary > stock.want_ordinary)
                         && partition.is_spare(&id, now, keep);
-                    let usage = if lost || (bad && host.reach == Reach::Fenced) {
+                    let usage = if lost || (bad && host.reach == FencingState::Fenced) {
                         HostAssignment::Decommissioned(None)
                     } else if spare && short {
                         HostAssignment::Free
--- a/crates/jasperhill-controller/src/cloud/stock.rs
+++ b/crates/jasperhill-controller/src/cloud/stock.rs
@@ -5,8 +5,8 @@
     mirror::ActiveJob,
 };
 use jasperhill_scheduler::{
-    chain::Standing,
-    fleet::{Demand, Need, plan},
+    chain::DependencyState,
+    fleet::{CapacityDemand, JobDemand, plan},
 };
 use jasperhill_wire::{JobId, Micros, Name, record::HostAssignment};
 use std::collections::BTreeMap;
@@ -83,20 +83,20 @@
         let now = self.now();
         // What waits for others counts from when a machine rented now would be there for it: not
         // while these wait themselves. Guards against walking long chains once for each of their jobs.
-        let ready = |id: &JobId| state.mirror.chain.standing(id) == Standing::Ready;
+        let ready = |id: &JobId| state.mirror.chain.standing(id) == DependencyState::Ready;
         let near = |job: &ActiveJob| {
             let request = &job.request;
             ready(&request.id)
                 || (request.dependencies.iter().all(ready)
                     && self.release_of(state, request, now) <= boot)
         };
-        let demands: Vec<Demand<'_>> = state
+        let demands: Vec<JobDemand<'_>> = state
             .mirror
             .active()
             // No machine is rented for what fails wherever it runs.
             .filter(|job| job.failing == 0 && near(job))
             .filter_map(|job| {
-                Some(Demand {
+                Some(JobDemand {
                     request: &job.request,
                     partition: self.partition_of(&job.request.team)?,
                     unfinished: job.request.tasks.saturating_sub(job.done_count),
@@ -107,7 +107,7 @@
         let tuning = &self.settings.own.tuning;
         let mut stocks: Vec<Stock> = (0..)
             .zip(plan(&demands, &self.sched, specs))
-            .map(|(p, need): (u32, Need)| {
+            .map(|(p, need): (u32, CapacityDemand)| {
                 let within = &self.sched.start_within;
                 let expected = state.arrivals.expected(p, boot, within, now);
                 let coming = expected
--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -16,22 +16,22 @@
     store::Writer,
     upgrade::{Seen, Upgrade},
 };
-use jasperhill_connections::{Class, Window};
+use jasperhill_connections::{Class, ConcurrencyLimiter};
 use jasperhill_http::{Request, Response};
 use jasperhill_membership::{
-    Lives, Roles, View,
+    Reachability, RestartHistory, Roles,
     authority::{self, Authority, Session},
-    link::Evidence,
+    link::Observation,
     roles,
     view::LinkId,
 };
 use jasperhill_scheduler::{
-    Partition, SchedConfig,
-    chain::Standing,
+    Partition, SchedulerConfig,
+    chain::DependencyState,
     config::{Specs, specs},
-    fleet::Arrivals,
-    job::{Ending, Gate, Place},
-    partition::Note,
+    fleet::DemandForecast,
+    job::{DependencyStatus, Readiness, Termination},
+    partition::Event,
 };
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Name, record::RecordPhase, user::JobRequest, worker::Heartbeat,
@@ -103,8 +103,8 @@
     pub requests: Bucket,
     pub cloud: Bucket,
     pub roles: Roles,
-    pub lives: Lives,
-    pub view: View,
+    pub lives: RestartHistory,
+    pub view: Reachability,
     pub passing: Passing,
     /// Workers whose own reports were answered here, and when.
     pub answered_here: BTreeMap<HostId, Micros>,
@@ -123,7 +123,7 @@
     pub first_asked: BTreeMap<JobId, Refused>,
     /// The hosts that refused jobs would need, by partition, and since when that is known.
     pub unmet: BTreeMap<u32, (f64, Micros)>,
-    pub arrivals: Arrivals,
+    pub arrivals: DemandForecast,
     /// The state service answers others, but not this controller.
     pub alone: bool,
     /// Since when, if it has been so since.
@@ -141,13 +141,13 @@
     /// Since when controllers have not been heard.
     pub unheard: BTreeMap<Member, Micros>,
     /// What goes out to workers, so many at a time.
-    pub window: Window<(u32, HostId)>,
+    pub window: ConcurrencyLimiter<(u32, HostId)>,
     tasks: JoinSet<()>,
 }
 
 pub(crate) struct Inner {
     pub settings: Settings,
-    pub sched: Rc<SchedConfig>,
+    pub sched: Rc<SchedulerConfig>,
     pub split: BTreeMap<Name, u32>,
     pub members: Vec<Member>,
     pub clock: Clock,
@@ -208,9 +208,9 @@
             // that a second allows.
             requests: Bucket::new(rps, rps, now).starting_at(STARTS_WITH),
             cloud: Bucket::new(settings.cloud_rps * 0.8, settings.cloud_rps, now),
-            lives: Lives::new(settings.restless_after(), now),
+            lives: RestartHistory::new(settings.restless_after(), now),
             roles: Roles::new(settings.member.clone(), settings.members(), settings.size),
-            view: View::new(
+            view: Reachability::new(
                 settings.member.clone(),
                 settings.peers.iter().map(|p| p.member.clone()).collect(),
                 clock.wall(),
@@ -226,7 +226,7 @@
             releasing: BTreeSet::new(),
             first_asked: BTreeMap::new(),
             unmet: BTreeMap::new(),
-            arrivals: Arrivals::new(now),
+            arrivals: DemandForecast::new(now),
             alone: false,
             alone_since: None,
             answered_blind: 0,
@@ -235,7 +235,7 @@
             redirected: BTreeMap::new(),
             probes: BTreeMap::new(),
             unheard: BTreeMap::new(),
-            window: Window::new(net.sockets().report(Class::Orders).floor),
+            window: ConcurrencyLimiter::new(net.sockets().report(Class::Commands).guaranteed),
             tasks: JoinSet::new(),
         };
         let inner = Rc::new(Inner {
@@ -347,7 +347,7 @@
                     if state.wanting.contains(&id) {
                         self.wake_wants.notify_waiters();
                     }
-                    if following && state.mirror.chain.standing(&id) == Standing::Ready {
+                    if following && state.mirror.chain.standing(&id) == DependencyState::Ready {
                         self.note_arrival(&mut state, &id, now);
                     }
                     pass |= self.job_changed(&mut state, &id, now);
@@ -432,13 +432,13 @@
     }
 
     /// How a job stands in its pipeline, by the steady clock.
-    pub fn place_of(&self, state: &State, job: &ActiveJob) -> Place {
+    pub fn place_of(&self, state: &State, job: &ActiveJob) -> DependencyStatus {
         let id = &job.request.id;
         let claim = state.mirror.chain.claim(id);
-        Place {
+        DependencyStatus {
             gate: match state.mirror.chain.standing(id) {
-                Standing::Ready => Gate::Open,
-                _ => Gate::Waiting,
+                DependencyState::Ready => Readiness::Open,
+                _ => Readiness::Waiting,
             },
             since: match state.released.get(id) {
                 Some(at) => *at,
@@ -458,14 +458,14 @@
         let mut recent: Vec<(Micros, Rc<JobRequest>)> = state
             .mirror
             .active()
-            .filter(|job| state.mirror.chain.standing(&job.request.id) == Standing::Ready)
+            .filter(|job| state.mirror.chain.standing(&job.request.id) == DependencyState::Ready)
             .map(|job| (self.clock.steady(job.submitted), job.request.clone()))
             .collect();
         recent.sort_by_key(|(at, _)| *at);
         let Some((first, _)) = recent.first() else {
             return;
         };
-        state.arrivals = Arrivals::new(*first);
+        state.arrivals = DemandForecast::new(*first);
         for (at, request) in recent {
             if state.arrivals.counts(at)
                 && self.settings.waited_for.contains_key(&request.class)
@@ -500,8 +500,8 @@
     fn job_changed(&self, state: &mut State, id: &JobId, now: Micros) -> bool {
         if let Some((phase, _)) = state.mirror.final_phase(id) {
             let ending = match phase {
-                RecordPhase::Done => Ending::Done,
-                _ => Ending::Cancelled,
+                RecordPhase::Done => Termination::Done,
+                _ => Termination::Cancelled,
             };
             state.released.remove(id);
             for partition in state.partitions.values_mut() {
@@ -590,7 +590,9 @@
                 let unfenced: Vec<HostId> = partition
                     .hosts
                     .values()
-                    .filter(|h| matches!(h.reach, jasperhill_scheduler::Reach::Unfenced { .. }))
+                    .filter(|h| {
+                        matches!(h.reach, jasperhill_scheduler::FencingState::Unfenced { .. })
+                    })
                     .map(|h| h.id.clone())
                     .collect();
                 partition.dirty.extend(unfenced);
@@ -681,7 +683,7 @@
             None => pulse::Input::Unanswered { sent },
         };
         self.state.borrow_mut().pulse.apply(heard, self.now());
-        self.note_link(LinkId::State, evidence_of(answer.is_some()));
+        self.note_link(LinkId::Store, evidence_of(answer.is_some()));
         match answer {
             Some(true) => {
                 self.state
@@ -702,42 +704,44 @@
 }
 
 /// One counterpart that answered or did not.
-pub(crate) fn evidence_of(answered: bool) -> Evidence {
+pub(crate) fn evidence_of(answered: bool) -> Observation {
     if answered {
-        Evidence::Carried
+        Observation::Success
     } else {
-        Evidence::Failed { by: 0, of: 1 }
+        Observation::Failure { by: 0, of: 1 }
     }
 }
 
-fn log_note(note: &Note) {
+fn log_note(note: &Event) {
     match note {
-        Note::HostLost(host) => tracing::info!(%host, "host lost: its lease has lapsed"),
-        Note::HostAside(host) => tracing::info!(%host, "host set aside: it fails what it starts"),
-        Note::Failed(task, host, ran) => {
+        Event::HostLost(host) => tracing::info!(%host, "host lost: its lease has lapsed"),
+        Event::HostAside(host) => tracing::info!(%host, "host set aside: it fails what it starts"),
+        Event::Failed(task, host, ran) => {
             tracing::debug!(%task, %host, ran_s = ran.as_secs_f64(), "task failed");
         }
-        Note::JobSuspect(job) => tracing::info!(%job, "job suspect: it fails wherever it runs"),
-        Note::Stopped(task, host, why) => tracing::info!(%task, %host, why, "task stopped"),
-        Note::HostSlow(host, times) => tracing::info!(%host, times, "host slow by what runs there"),
-        Note::Behind(group, Some(s)) => tracing::info!(
+        Event::JobSuspect(job) => tracing::info!(%job, "job suspect: it fails wherever it runs"),
+        Event::Stopped(task, host, why) => tracing::info!(%task, %host, why, "task stopped"),
+        Event::HostSlow(host, times) => {
+            tracing::info!(%host, times, "host slow by what runs there")
+        }
+        Event::Behind(group, Some(s)) => tracing::info!(
             ?group,
             share = s.share,
             waiting = s.waiting,
             "behind its floor"
         ),
-        Note::Behind(group, None) => tracing::info!(?group, "no more behind its floor"),
-        Note::Whole(r) => tracing::info!(
+        Event::Behind(group, None) => tracing::info!(?group, "no more behind its floor"),
+        Event::Whole(r) => tracing::info!(
             after_s = r.after.as_secs_f64(),
             lost = r.lost,
             overtaken = r.overtaken,
             "production is whole again"
         ),
-        Note::AllKnown(after, lapsed) => tracing::info!(
+        Event::AllKnown(after, lapsed) => tracing::info!(
             after_s = after.as_secs_f64(),
             lapsed,
             "all hosts are known after the takeover"
         ),
-        Note::Strange(task, host, why) => tracing::warn!(%task, %host, why, "task stopped"),
+        Event::Strange(task, host, why) => tracing::warn!(%task, %host, why, "task stopped"),
     }
 }
--- a/crates/jasperhill-controller/src/keep.rs
+++ b/crates/jasperhill-controller/src/keep.rs
@@ -155,7 +155,7 @@
     fn is_unreached(&self, state: &State, member: &Member, now: Micros) -> bool {
         if self.has_links(state) {
             // Guards against one lost message that is taken for a cut.
-            return state.view.own(&LinkId::Peer(member.clone())) == LinkState::Down;
+            return state.view.own_link(&LinkId::Peer(member.clone())) == LinkState::Down;
         }
         let at = state.keeping.unreached.get(member);
         at.is_some_and(|t| now - *t < UNREACHED_FOR)
@@ -221,7 +221,7 @@
         };
         // The bound on cancellations: whoever keeps a host knows what is to be stopped there.
         let known = state.authority.fresh();
-        if !state.authority.holds(now) || now >= self.settings.bounds.kept_until(known) {
+        if !state.authority.holds(now) || now >= self.settings.bounds.delegate_until(known) {
             return None;
         }
         // Guards against a bare renewal for a task of a job that is not known here: it may be
@@ -385,7 +385,8 @@
                 .iter()
                 .filter_map(|id| partition.hosts.get(id))
                 .filter(|h| {
-                    h.reach != jasperhill_scheduler::Reach::Lapsed && now - h.last_heard > quiet
+                    h.reach != jasperhill_scheduler::FencingState::Lapsed
+                        && now - h.last_heard > quiet
                 })
                 // The keeper renews under this token until then, whatever is on its way.
                 .filter(|h| {
@@ -399,7 +400,7 @@
             }
             for id in silent.keys() {
                 // Before the grant can be seen by anybody.
-                partition.apply(id, HostInput::Kept(until), now);
+                partition.apply(id, HostInput::LeaseDelegated(until), now);
             }
             state
                 .granted
--- a/crates/jasperhill-controller/src/links.rs
+++ b/crates/jasperhill-controller/src/links.rs
@@ -12,8 +12,8 @@
 };
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_membership::{
-    link::Evidence,
-    roles::Fit,
+    link::Observation,
+    roles::Eligibility,
     view::{self, LinkId, Output},
 };
 use jasperhill_wire::{
@@ -140,19 +140,19 @@
     }
 
     /// Something got through a link, or did not.
-    pub fn note_link(&self, link: LinkId, evidence: Evidence) {
+    pub fn note_link(&self, link: LinkId, evidence: Observation) {
         self.feed_view(view::Input::Evidence(link, evidence));
     }
 
     /// A worker of a zone answered, or not, out of so many there.
     pub fn note_worker(&self, zone: &Name, host: &HostId, of: usize, answered: bool) {
         let evidence = if answered {
-            Evidence::Carried
+            Observation::Success
         } else {
             let by = number_of(host);
-            Evidence::Failed { by, of }
+            Observation::Failure { by, of }
         };
-        self.note_link(LinkId::Orders(zone.clone()), evidence);
+        self.note_link(LinkId::Commands(zone.clone()), evidence);
     }
 
     fn feed_view(&self, input: view::Input<'_>) -> Vec<Name> {
@@ -193,7 +193,7 @@
             let now = self.now();
             let (speaks, calm) = {
                 let state = self.state.borrow();
-                (self.has_links(&state), state.view.is_calm())
+                (self.has_links(&state), state.view.all_links_up())
             };
             let pause = if calm { TELL_CALM } else { TELL };
             if speaks && (woken || now - told >= pause) {
@@ -209,7 +209,7 @@
     fn tell_answered_blind(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let down = state.view.own(&LinkId::State) == LinkState::Down;
+        let down = state.view.own_link(&LinkId::Store) == LinkState::Down;
         if state.answered_blind > 0 && !(down && state.authority.holds(now)) {
             let reports = std::mem::take(&mut state.answered_blind);
             tracing::info!(reports, "answered without knowing more");
@@ -223,7 +223,7 @@
             let zones = self.settings.zones.iter().cloned();
             let mut due: BTreeMap<Name, u32> = zones.map(|z| (z, 0)).collect();
             for host in state.partitions.values().flat_map(|p| p.hosts.values()) {
-                if host.reach != jasperhill_scheduler::Reach::Lapsed {
+                if host.reach != jasperhill_scheduler::FencingState::Lapsed {
                     *due.entry(host.zone.clone()).or_default() += 1;
                 }
             }
@@ -231,7 +231,7 @@
         };
         for (zone, hosts) in &due {
             let report = self.settings.report;
-            let probes = self.feed_view(view::Input::Expect {
+            let probes = self.feed_view(view::Input::ExpectHeartbeats {
                 zone,
                 hosts: *hosts,
                 report,
@@ -276,7 +276,7 @@
 
     fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
         // What a mirror shows that is no longer brought up to date is not told as news.
-        let owners = if state.view.own(&LinkId::State) == LinkState::Up {
+        let owners = if state.view.own_link(&LinkId::Store) == LinkState::Up {
             let seats = state.mirror.seats();
             let live = seats.into_iter().filter(|(_, s)| s.live);
             live.map(|(role, s)| (role, s.owner, s.version)).collect()
@@ -286,7 +286,7 @@
         let me = &self.settings.member;
         let let_go: Vec<(Role, Revision)> = state
             .roles
-            .given_up()
+            .relinquished()
             .filter(|(role, version)| {
                 let kept = state.mirror.roles.get(role);
                 kept.is_some_and(|k| k.version == *version && &k.value.owner == me)
@@ -308,7 +308,7 @@
                 let ask = MeshRequest::Reachability(Box::new(report));
                 let answer = inner.ask(to, ask, Micros::from_secs(1)).await;
                 if let Some(MeshResponse::Reachability(theirs)) = answer {
-                    inner.feed_view(view::Input::Said(&theirs));
+                    inner.feed_view(view::Input::PeerReport(&theirs));
                     inner.follow_links();
                 }
             });
@@ -317,7 +317,7 @@
 
     /// Another controller tells how its links stand.
     pub fn hear_links(self: &Rc<Self>, theirs: &ReachabilityReport) -> ReachabilityReport {
-        self.feed_view(view::Input::Said(theirs));
+        self.feed_view(view::Input::PeerReport(theirs));
         self.follow_links();
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -330,7 +330,11 @@
             let now = self.now();
             let state = self.state.borrow();
             let mut seats = state.mirror.roles.iter();
-            seats.any(|(role, k)| state.view.let_go(&k.value.owner, *role, k.version, now))
+            seats.any(|(role, k)| {
+                state
+                    .view
+                    .has_relinquished(&k.value.owner, *role, k.version, now)
+            })
         };
         if let_go {
             self.wake_roles.notify_one();
@@ -348,8 +352,8 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if self.has_links(&state) {
-            let down = state.view.own(&LinkId::State) == LinkState::Down;
-            let alone = state.view.is_alone(now);
+            let down = state.view.own_link(&LinkId::Store) == LinkState::Down;
+            let alone = state.view.is_isolated(now);
             let long = state.alone_since.is_some_and(|t| now - t >= STAYS_ALONE);
             if alone {
                 state.alone_since.get_or_insert(now);
@@ -367,7 +371,7 @@
         &self,
         state: &State,
         now: Micros,
-    ) -> (BTreeMap<(Role, Member), Fit>, BTreeMap<Role, u32>) {
+    ) -> (BTreeMap<(Role, Member), Eligibility>, BTreeMap<Role, u32>) {
         let zones = by_zone(state);
         let roles = (0..self.settings.size).map(Role::Partition);
         let (mut fits, mut hosts) = (BTreeMap::new(), BTreeMap::new());
@@ -376,25 +380,25 @@
             let here = zones.get(&role).unwrap_or(&none);
             hosts.insert(role, here.values().sum());
             for member in &self.members {
-                let mut fit = Fit {
-                    state: state.view.is_served(member, now),
-                    ..Fit::default()
+                let mut fit = Eligibility {
+                    state: state.view.store_link(member, now),
+                    ..Eligibility::default()
                 };
                 for (zone, n) in here {
-                    let proved = state.view.is_proved(member, zone, now);
+                    let proved = state.view.has_recent_contact(member, zone, now);
                     match state.view.reaches(member, zone, now) {
                         LinkState::Up if member == &self.settings.member || proved => {
-                            fit.reached += n
+                            fit.reachable_hosts += n
                         }
-                        LinkState::Down => fit.unreached += n,
+                        LinkState::Down => fit.unreachable_hosts += n,
                         _ => {}
                     }
                 }
                 if role == Role::Leader {
-                    fit.needs = if member == &self.settings.member {
-                        state.view.own(&LinkId::Cloud)
+                    fit.other_link = if member == &self.settings.member {
+                        state.view.own_link(&LinkId::Cloud)
                     } else {
-                        let said = state.view.said(member, now);
+                        let said = state.view.peer_report(member, now);
                         said.map_or(LinkState::Unknown, |r| r.cloud)
                     };
                 }
@@ -432,8 +436,8 @@
             return None;
         }
         let view = &state.view;
-        if !view.hears(owner, now) {
-            let third = view.between(owner, zone, now)?.clone();
+        if !view.hears_peer(owner, now) {
+            let third = view.relay_to_owner(owner, zone, now)?.clone();
             let last = state.redirected.get(&report.host);
             let came_back = last.is_some_and(|t| now - *t < RELAY_MEMORY);
             return Some(if came_back {
@@ -442,7 +446,7 @@
                 Course::Go(third)
             });
         }
-        let (reports, _) = view.directions(owner, zone, now);
+        let (reports, _) = view.zone_links(owner, zone, now);
         // Sent to its owner, the worker would lose ten seconds that its tasks may not have.
         if matches!(reports, LinkState::Down | LinkState::Suspect) {
             return Some(Course::Pass);
@@ -557,12 +561,12 @@
     pub fn way(&self, zone: &Name) -> Way {
         let now = self.now();
         let state = self.state.borrow();
-        if state.view.own(&LinkId::Orders(zone.clone())) != LinkState::Down
+        if state.view.own_link(&LinkId::Commands(zone.clone())) != LinkState::Down
             || !self.has_links(&state)
         {
             return Way::Straight;
         }
-        let peer = state.view.way_to(zone, now).cloned();
+        let peer = state.view.relay_to_zone(zone, now).cloned();
         match peer.and_then(|m| self.address_of(&m)) {
             Some(address) => Way::Through(address),
             None => Way::None,
--- a/crates/jasperhill-controller/src/mirror.rs
+++ b/crates/jasperhill-controller/src/mirror.rs
@@ -1,8 +1,10 @@
 //! The mirror: a copy of the store, kept by a listing and a watch. Every change goes through
 //! [`Mirror::apply`].
 
-use jasperhill_membership::Seat;
-use jasperhill_scheduler::chain::{self, Chain, Fate, Output, Standing, Terms};
+use jasperhill_membership::RoleOwnership;
+use jasperhill_scheduler::chain::{
+    self, DependencyGraph, DependencyState, JobUrgency, Output, RecordedOutcome,
+};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Revision,
     cloud::MachineTypes,
@@ -112,7 +114,7 @@
     /// What the jobs that were cancelled last may still take, by when they were.
     remains: BTreeMap<(Micros, JobId), ResidualUsage>,
     /// What follows from the jobs that need others.
-    pub chain: Chain,
+    pub chain: DependencyGraph,
     pub hosts: BTreeMap<HostId, KeptHost>,
     /// Hosts that their block no longer names and that may turn up in another one: a move is
     /// seen as two changes in either order, or by a listing on two pages. They are gone only
@@ -146,7 +148,7 @@
             jobs: HashMap::new(),
             active: BTreeSet::new(),
             remains: BTreeMap::new(),
-            chain: Chain::default(),
+            chain: DependencyGraph::default(),
             hosts: BTreeMap::new(),
             between: BTreeSet::new(),
             blocks: BTreeMap::new(),
@@ -181,7 +183,7 @@
     /// Unfinished jobs, without those that are cancelled because a job before them is.
     pub fn active(&self) -> impl Iterator<Item = &ActiveJob> {
         self.active.iter().filter_map(|id| match self.jobs.get(id) {
-            Some(JobEntry::Active(job)) if self.chain.standing(id) != Standing::Doomed => {
+            Some(JobEntry::Active(job)) if self.chain.standing(id) != DependencyState::Doomed => {
                 Some(&**job)
             }
             _ => None,
@@ -192,7 +194,7 @@
     pub fn final_phase(&self, id: &JobId) -> Option<(RecordPhase, u32)> {
         match self.jobs.get(id)? {
             JobEntry::Final { phase, done } => Some((*phase, *done)),
-            JobEntry::Active(job) => (self.chain.standing(id) == Standing::Doomed)
+            JobEntry::Active(job) => (self.chain.standing(id) == DependencyState::Doomed)
                 .then_some((RecordPhase::Cancelled, job.done_count)),
         }
     }
@@ -219,9 +221,9 @@
     }
 
     /// What the store says of every role.
-    pub fn seats(&self) -> BTreeMap<Role, Seat> {
+    pub fn seats(&self) -> BTreeMap<Role, RoleOwnership> {
         let seat = |(role, kept): (&Role, &Kept<RoleRecord>)| {
-            let seat = Seat {
+            let seat = RoleOwnership {
                 owner: kept.value.owner.clone(),
                 lease: kept.value.lease,
                 version: kept.version,
@@ -483,7 +485,7 @@
         let entry = match (record.phase, record.request) {
             (RecordPhase::Active, Some(request)) => {
                 if self.active.insert(id.clone()) {
-                    let terms = Terms {
+                    let terms = JobUrgency {
                         due: request
                             .deadline
                             .map(|d| record.submitted.unwrap_or_default() + d),
@@ -493,10 +495,10 @@
                     let jobs = &self.jobs;
                     let fate = |id: &JobId| match jobs.get(id) {
                         Some(JobEntry::Final { phase, .. }) => match phase {
-                            RecordPhase::Done => Fate::Done,
-                            _ => Fate::Cancelled,
+                            RecordPhase::Done => RecordedOutcome::Done,
+                            _ => RecordedOutcome::Cancelled,
                         },
-                        _ => Fate::Open,
+                        _ => RecordedOutcome::Open,
                     };
                     related.extend(self.chain.apply(chain::Input::Accepted {
                         id: &id,
@@ -523,7 +525,7 @@
                 // What was called cancelled stays so, whatever a controller wrote that did not
                 // know of the job before it.
                 let phase = match self.chain.standing(&id) {
-                    Standing::Doomed => RecordPhase::Cancelled,
+                    DependencyState::Doomed => RecordPhase::Cancelled,
                     _ => phase,
                 };
                 let done = phase == RecordPhase::Done;
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -6,10 +6,10 @@
     store::{Urgency, Written, guard, put},
 };
 use jasperhill_membership::{
-    lives::{self, Former, Phase},
-    roles::{self, Facts, Step},
+    lives::{self, Phase, ProcessRun},
+    roles::{self, Snapshot, Transition},
 };
-use jasperhill_scheduler::{Host, Partition, job::Gate};
+use jasperhill_scheduler::{Host, Partition, job::Readiness};
 use jasperhill_wire::{
     Member, Micros, Revision,
     record::{DEPENDENCIES, Role, RoleRecord, SessionRecord, role_key, session_key},
@@ -17,8 +17,8 @@
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-pub(crate) fn former_of(record: &SessionRecord) -> Former {
-    Former {
+pub(crate) fn former_of(record: &SessionRecord) -> ProcessRun {
+    ProcessRun {
         began: record.process_started,
         quick: record.quick_restarts,
     }
@@ -30,12 +30,12 @@
             let _ = timeout(Duration::from_millis(500), self.wake_roles.notified()).await;
             for step in self.look_at_roles() {
                 match step {
-                    Step::Take(role) => self.clone().spawn(self.clone().take(role)),
-                    Step::HandOver { role, to, urgent } => {
+                    Transition::Acquire(role) => self.clone().spawn(self.clone().take(role)),
+                    Transition::HandOver { role, to, urgent } => {
                         let task = self.clone().hand_over(role, to, urgent);
                         self.clone().spawn(task);
                     }
-                    Step::Hold(..) | Step::Release(_) | Step::LetGo(_) => {}
+                    Transition::Hold(..) | Transition::Release(_) | Transition::Relinquish(_) => {}
                 }
             }
         }
@@ -49,9 +49,9 @@
             .mirror
             .sessions
             .iter()
-            .filter(|(m, k)| *m != me && former_of(&k.value).is_restless(after, wall));
+            .filter(|(m, k)| *m != me && former_of(&k.value).is_crash_looping(after, wall));
         let mut restless: BTreeSet<Member> = others.map(|(m, _)| m.clone()).collect();
-        if matches!(state.lives.phase(), Phase::Restless { .. }) {
+        if matches!(state.lives.phase(), Phase::CrashLooping { .. }) {
             restless.insert(me.clone());
         }
         restless
@@ -60,7 +60,7 @@
     /// This controller has ended again and again while others live on: it leaves roles and users to
     /// them until it has lived for a while.
     pub fn leaves_to_others(&self, state: &State) -> bool {
-        if !matches!(state.lives.phase(), Phase::Restless { .. }) {
+        if !matches!(state.lives.phase(), Phase::CrashLooping { .. }) {
             return false;
         }
         let restless = self.restless(state);
@@ -69,7 +69,7 @@
     }
 
     /// Begins and ends acting on what the store says; the rest of the steps take time.
-    fn look_at_roles(&self) -> Vec<Step> {
+    fn look_at_roles(&self) -> Vec<Transition> {
         let now = self.now();
         let mut guarded = self.state.borrow_mut();
         let state = &mut *guarded;
@@ -82,36 +82,38 @@
         let held = state.partitions.keys().map(|p| Role::Partition(*p));
         let mut seats = state.mirror.seats();
         for (role, seat) in &mut seats {
-            seat.let_go = state.view.let_go(&seat.owner, *role, seat.version, now);
+            seat.let_go = state
+                .view
+                .has_relinquished(&seat.owner, *role, seat.version, now);
         }
         let (fits, hosts) = self.fits(state, now);
-        let facts = Facts {
+        let facts = Snapshot {
             lease,
-            seats,
+            ownerships: seats,
             held: held
                 .chain(state.leader.iter().map(|_| Role::Leader))
                 .collect(),
-            may_take: state.authority.holds(now),
-            by_reach: self.has_links(state),
-            restless: self.restless(state),
-            fits,
+            may_acquire: state.authority.holds(now),
+            reachability_enabled: self.has_links(state),
+            crash_looping: self.restless(state),
+            eligibility: fits,
             hosts,
             damping: self.settings.lease,
         };
         state.lives.apply(lives::Input::Tick, now);
-        let steps = state.roles.apply(roles::Input::Look(&facts), now);
+        let steps = state.roles.apply(roles::Input::Evaluate(&facts), now);
         for step in &steps {
             match step {
                 // Built only once the mirror holds everything up to the takeover.
-                Step::Hold(role, version) if state.mirror.revision >= *version => {
+                Transition::Hold(role, version) if state.mirror.revision >= *version => {
                     self.load(state, *role, *version, now);
                 }
-                Step::Release(role) => self.unload(state, *role),
+                Transition::Release(role) => self.unload(state, *role),
                 // Stops first: the word that goes out next must be true.
-                Step::LetGo(role) => {
+                Transition::Relinquish(role) => {
                     if let Some(kept) = state.mirror.roles.get(role) {
                         tracing::info!(?role, "let go: the state service answers others");
-                        let given_up = roles::Input::GivenUp(*role, kept.version);
+                        let given_up = roles::Input::Relinquished(*role, kept.version);
                         state.roles.apply(given_up, now);
                         self.unload(state, *role);
                         self.wake_links.notify_one();
@@ -153,7 +155,7 @@
                         // A job that waits for others now was never started by a controller
                         // that knows of that.
                         let created = match place.gate {
-                            Gate::Waiting if state.upgrade.understands(DEPENDENCIES) => {
+                            Readiness::Waiting if state.upgrade.understands(DEPENDENCIES) => {
                                 Revision(u64::MAX)
                             }
                             _ => Revision(0),
@@ -179,7 +181,11 @@
                 for ((q, _), grant) in &state.mirror.grants {
                     if *q == p {
                         for id in grant.value.hosts.keys() {
-                            part.apply(id, jasperhill_scheduler::HostInput::Kept(until), now);
+                            part.apply(
+                                id,
+                                jasperhill_scheduler::HostInput::LeaseDelegated(until),
+                                now,
+                            );
                         }
                     }
                 }
@@ -218,9 +224,12 @@
                     Some(kept) => {
                         guards.push(guard(role_key(role), kept.version));
                         let by_word = self.has_links(&state)
-                            && state
-                                .view
-                                .let_go(&kept.value.owner, role, kept.version, self.now());
+                            && state.view.has_relinquished(
+                                &kept.value.owner,
+                                role,
+                                kept.version,
+                                self.now(),
+                            );
                         // By its owner's word, it has stopped at this version for good: the
                         // guard on that is enough.
                         if kept.value.owner != me && !by_word {
@@ -277,7 +286,7 @@
             };
             match (version, session) {
                 (Some(version), Some(session)) if settled => {
-                    let given_up = roles::Input::GivenUp(role, version);
+                    let given_up = roles::Input::Relinquished(role, version);
                     state.roles.apply(given_up, self.now());
                     tracing::info!(?role, %to, "handing over");
                     self.unload(state, role);
@@ -307,7 +316,7 @@
     /// What a step began is over.
     fn settled(&self, role: Role) {
         let now = self.now();
-        let over = roles::Input::Settled(role);
+        let over = roles::Input::TransitionOver(role);
         self.state.borrow_mut().roles.apply(over, now);
     }
 }
--- a/crates/jasperhill-controller/src/room.rs
+++ b/crates/jasperhill-controller/src/room.rs
@@ -20,7 +20,7 @@
         {
             let window = &mut self.state.borrow_mut().window;
             for key in hosts {
-                turns.extend(window.apply(Input::Wanted(key), now));
+                turns.extend(window.apply(Input::Enqueue(key), now));
             }
             if tick {
                 turns.extend(window.apply(Input::Tick, now));
@@ -35,7 +35,7 @@
             let inner = self.clone();
             self.clone().spawn(async move {
                 let answered = inner.direct(p, host.clone()).await;
-                let over = Input::Over((p, host), answered);
+                let over = Input::Completed((p, host), answered);
                 let now = inner.now();
                 let turns = inner.state.borrow_mut().window.apply(over, now);
                 inner.send(turns);
@@ -57,9 +57,13 @@
             let sockets = self.net.sockets();
             let machines = self.state.borrow().mirror.hosts.len();
             sockets.resize(machines);
-            let size = sockets.report(Class::Orders).floor;
+            let size = sockets.report(Class::Commands).guaranteed;
             let now = self.now();
-            let turns = self.state.borrow_mut().window.apply(Input::Size(size), now);
+            let turns = self
+                .state
+                .borrow_mut()
+                .window
+                .apply(Input::Resize(size), now);
             self.send(turns);
             let at_bound = self.at_bound();
             let (open, peak, most) = sockets.totals();
@@ -75,7 +79,7 @@
                         (false, true) => tracing::warn!(
                             class = name,
                             open = r.open,
-                            guaranteed = r.floor,
+                            guaranteed = r.guaranteed,
                             refused = r.refused,
                             all = open,
                             "sockets at their bound"
@@ -96,7 +100,7 @@
     fn tell_room(&self, open: usize, peak: usize, most: usize) {
         let sockets = self.net.sockets();
         let [reports, users, orders] =
-            [Class::Reports, Class::Users, Class::Orders].map(|c| sockets.report(c));
+            [Class::Heartbeats, Class::Users, Class::Commands].map(|c| sockets.report(c));
         let mut state = self.state.borrow_mut();
         tracing::info!(
             open,
@@ -105,7 +109,7 @@
             reports = reports.open,
             users = users.open,
             orders = orders.open,
-            users_made_way = users.made_way,
+            users_made_way = users.evicted,
             orders_waiting = state.window.waiting(),
             order_waited_ms = state.window.waited(0.99).0 / 1_000,
             "sockets"
--- a/crates/jasperhill-controller/src/settings.rs
+++ b/crates/jasperhill-controller/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings that the platform hands over, checked, and the operators' own.
 
-use jasperhill_membership::{Bounds, Terms};
-use jasperhill_scheduler::{SchedConfig, TeamLimits, Tuning};
+use jasperhill_membership::{FreshnessBounds, LeaseTerms};
+use jasperhill_scheduler::{SchedulerConfig, TeamLimits, Tuning};
 use jasperhill_wire::{Member, Micros, Name, Resources};
 use serde::Deserialize;
 use std::{
@@ -63,7 +63,7 @@
     pub gang_peer: Micros,
     pub cancel: Micros,
     /// How old the knowledge may be that a renewal of a lease rests on.
-    pub bounds: Bounds,
+    pub bounds: FreshnessBounds,
     pub state_rps: f64,
     pub state_write_rps: f64,
     /// What a value may hold, now and later.
@@ -314,7 +314,7 @@
         let lease = seconds("params.workers.lease_s", w.lease_s)?;
         let cancel = seconds("params.workers.cancel_s", w.cancel_s)?;
         // Without this, tasks out of reach could not be gone in time.
-        let bounds = Terms { lease, cancel }.bounds().or_else(|short| {
+        let bounds = LeaseTerms { lease, cancel }.bounds().or_else(|short| {
             let least = short.least.as_secs_f64();
             let why = format!(
                 "must be at least {least:.2} with a lease_s of {}",
@@ -373,8 +373,8 @@
         })
     }
 
-    pub fn sched(&self) -> SchedConfig {
-        SchedConfig {
+    pub fn sched(&self) -> SchedulerConfig {
+        SchedulerConfig {
             partitions: self.size,
             teams: self.teams.clone(),
             report: self.report,
--- a/crates/jasperhill-controller/src/store.rs
+++ b/crates/jasperhill-controller/src/store.rs
@@ -9,7 +9,7 @@
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_membership::{
     authority::{self, Session},
-    link::Evidence,
+    link::Observation,
     lives,
     view::LinkId,
 };
@@ -459,7 +459,7 @@
             } else {
                 // Asks for an answer at once while none comes: a watch that waits would show only
                 // late that the link is back.
-                let down = self.state.borrow().view.own(&LinkId::State) == LinkState::Down;
+                let down = self.state.borrow().view.own_link(&LinkId::Store) == LinkState::Down;
                 let block = if down {
                     Micros::ZERO
                 } else {
@@ -572,7 +572,7 @@
                     events: news.events,
                 });
                 self.fresh(sent);
-                self.note_link(LinkId::State, Evidence::Carried);
+                self.note_link(LinkId::Store, Observation::Success);
                 true
             }
             410 => self.list_all().await,
@@ -678,7 +678,7 @@
             let state = &mut *guarded;
             let told = state.mirror.formats.get(me).map(|k| k.value.format);
             let old = state.mirror.sessions.get(me).cloned();
-            let begins = lives::Input::Begins {
+            let begins = lives::Input::SessionStarting {
                 former: old.as_ref().map(|k| crate::roles::former_of(&k.value)),
                 wall: self.clock.wall(),
             };
@@ -688,7 +688,7 @@
             let leaves = self.leaves_to_others(state);
             if leaves {
                 tracing::warn!(
-                    quick = state.lives.mine().quick,
+                    quick = state.lives.current().quick,
                     ?phase,
                     "leaves its roles: it has ended again and again"
                 );
@@ -700,7 +700,7 @@
                 .filter(|(_, k)| &k.value.owner == me && !leaves)
                 .map(|(role, k)| (*role, k.version))
                 .collect();
-            (old, told, roles, state.lives.mine())
+            (old, told, roles, state.lives.current())
         };
         let mut guards = vec![guard(&key, old.as_ref().map_or(Revision(0), |k| k.version))];
         let session = SessionRecord {
--- a/crates/jasperhill-controller/src/users.rs
+++ b/crates/jasperhill-controller/src/users.rs
@@ -6,7 +6,7 @@
     store::{Urgency, Written, guard, put},
 };
 use jasperhill_http::{Method, Request, Response};
-use jasperhill_scheduler::{Verdict, chain::Standing, config::impossible};
+use jasperhill_scheduler::{AdmissionDecision, chain::DependencyState, config::impossible};
 use jasperhill_wire::{
     JobId, Member, Micros, Revision,
     mesh::{MeshRequest, MeshResponse, TaskCounts},
@@ -416,7 +416,7 @@
                 return MeshResponse::Unavailable;
             };
             let verdict = partition.admit(&request, asked, now, release, elastic);
-            if verdict == Verdict::Admit {
+            if verdict == AdmissionDecision::Admit {
                 state.first_asked.remove(&request.id);
             } else if state.first_asked.len() <= ASKED_MAX {
                 let hosts = jasperhill_scheduler::fleet::hosts_for(&request, specs);
@@ -431,8 +431,8 @@
             (verdict, p, partition.since)
         };
         match verdict {
-            (Verdict::Admit, p, since) => self.create(&request, Some((p, since))).await,
-            (Verdict::Refuse, ..) => {
+            (AdmissionDecision::Admit, p, since) => self.create(&request, Some((p, since))).await,
+            (AdmissionDecision::Refuse, ..) => {
                 if !self.barrier().await {
                     MeshResponse::Unavailable
                 } else if self.known(&request.id).is_some() {
@@ -458,7 +458,7 @@
                 .partition_of(&job.request.team)
                 .and_then(|p| state.partitions.get(&p));
             let estimate = own.map_or(job.request.estimate, |p| p.estimate(&job.request));
-            if state.mirror.chain.standing(id) != Standing::Ready {
+            if state.mirror.chain.standing(id) != DependencyState::Ready {
                 return estimate;
             }
             let since = match state.released.get(id) {
--- a/crates/jasperhill-controller/src/wants.rs
+++ b/crates/jasperhill-controller/src/wants.rs
@@ -32,7 +32,8 @@
     /// Whether the owner had better be asked through the store.
     pub fn asks_by_store(&self, owner: &Member) -> bool {
         let state = self.state.borrow();
-        self.has_links(&state) && state.view.own(&LinkId::Peer(owner.clone())) == LinkState::Down
+        self.has_links(&state)
+            && state.view.own_link(&LinkId::Peer(owner.clone())) == LinkState::Down
     }
 
     /// Puts a job before its owner through the store, and waits for its word.
--- a/crates/jasperhill-controller/src/workers.rs
+++ b/crates/jasperhill-controller/src/workers.rs
@@ -10,8 +10,8 @@
 };
 use jasperhill_connections::window;
 use jasperhill_http::{ClientError, Method, Request, Response};
-use jasperhill_membership::{link::Evidence, view::LinkId};
-use jasperhill_scheduler::{HostInput, Partition, Reach, Source};
+use jasperhill_membership::{link::Observation, view::LinkId};
+use jasperhill_scheduler::{FencingState, HostInput, Partition, Source};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Revision, mesh,
     record::{HostAssignment, HostRecord, JobRecord, RecordPhase, Role, job_key, role_key},
@@ -96,8 +96,8 @@
         };
         // Zones that nobody knows would be remembered without bound.
         if self.settings.zones.contains(&report.zone) {
-            let zone = LinkId::Reports(report.zone.clone());
-            self.note_link(zone, Evidence::Carried);
+            let zone = LinkId::Heartbeats(report.zone.clone());
+            self.note_link(zone, Observation::Success);
         }
         self.take_on(&report, began).await;
         let mine = match self.report(&report) {
@@ -241,9 +241,9 @@
                     silent + HOLD + NOTICED >= ttl && silent < ttl + NOTICED
                 })
             };
-            let here =
-                state.view.own(&LinkId::State) == mesh::LinkState::Up && state.authority.holds(now);
-            let moves = here || (owner.is_none() && state.view.other_served(now));
+            let here = state.view.own_link(&LinkId::Store) == mesh::LinkState::Up
+                && state.authority.holds(now);
+            let moves = here || (owner.is_none() && state.view.is_store_reachable_elsewhere(now));
             let lost = self.has_links(&state)
                 && owner.is_none_or(ends)
                 && moves
@@ -301,7 +301,7 @@
         let now = self.now();
         let (probe, stays, probing) = {
             let state = self.state.borrow();
-            let orders = state.view.own(&LinkId::Orders(report.zone.clone()));
+            let orders = state.view.own_link(&LinkId::Commands(report.zone.clone()));
             let lease = self.settings.lease;
             let lately = |t: Option<&Micros>| t.is_some_and(|t| now - *t < lease);
             // Asking each of them would take as many requests as there are workers: the link is
@@ -375,7 +375,7 @@
         };
         let Some(p) = kept.value.partition() else {
             // What it became since a stale mirror last heard of it, the leader knows.
-            let stale = state.view.own(&LinkId::State) == mesh::LinkState::Down;
+            let stale = state.view.own_link(&LinkId::Store) == mesh::LinkState::Down;
             let leader = self.owner_now(state, Role::Leader).filter(|_| stale);
             return match self.redirect_to(leader) {
                 told @ Told { owner: Some(_), .. } => Ok(told),
@@ -392,7 +392,7 @@
         if !state.authority.holds(now) {
             return Err(unavailable());
         }
-        partition.on_report(report, Source::Hello, now);
+        partition.on_report(report, Source::Heartbeat, now);
         let orders = partition.orders(&host);
         let Some((token, rests_on)) = partition.hosts.get(&host).map(|h| (h.token, h.rests_on()))
         else {
@@ -409,7 +409,7 @@
         if partition.changed {
             self.wake_pass.notify_one();
         }
-        let blind = state.view.own(&LinkId::State) == mesh::LinkState::Down;
+        let blind = state.view.own_link(&LinkId::Store) == mesh::LinkState::Down;
         state.answered_blind += u32::from(blind);
         let turns = state.window.apply(window::Input::Heard((p, host)), now);
         drop(guarded);
@@ -657,7 +657,7 @@
         }
         let (tenure, token) = (host.tenure?, host.token);
         let pressing = orders.iter().any(|o| !matches!(o, Command::Clear(..)));
-        let unfenced = matches!(host.reach, Reach::Unfenced { .. });
+        let unfenced = matches!(host.reach, FencingState::Unfenced { .. });
         if host.in_flight() || host.in_doubt() || !(pressing || unfenced) {
             return None;
         }
@@ -830,7 +830,7 @@
         let each = job.request.tasks.to_string().len() + 1;
         let most = self.settings.value_bytes.saturating_sub(used) / each;
         let finished = job.done.to_runs(most);
-        let durable = jasperhill_scheduler::DoneSet::from_runs(job.request.tasks, &finished);
+        let durable = jasperhill_scheduler::TaskSet::from_runs(job.request.tasks, &finished);
         let tasks: BTreeSet<u32> = job
             .unsaved
             .iter()
--- a/crates/jasperhill-http/src/client.rs
+++ b/crates/jasperhill-http/src/client.rs
@@ -4,9 +4,9 @@
 use crate::{
     head::{Framing, HeadError, Request, Response, parse_response},
     server::read_chunked,
-    sockets::{Sockets, Ticket},
+    sockets::{ConnectionPermit, ConnectionTracker},
 };
-use jasperhill_connections::{Class, Key};
+use jasperhill_connections::{Class, ConnectionId};
 use std::{
     cell::{Cell, RefCell},
     collections::HashMap,
@@ -69,7 +69,7 @@
 
 struct Idle {
     stream: TcpStream,
-    ticket: Ticket,
+    ticket: ConnectionPermit,
     since: Instant,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Pool {
-    fn close(&self, address: SocketAddr, key: Key) {
+    fn close(&self, address: SocketAddr, key: ConnectionId) {
         let closed = {
             let mut idle = self.idle.borrow_mut();
             let Some(list) = idle.get_mut(&address) else {
@@ -121,7 +121,7 @@
 
 pub struct Client {
     limits: ClientLimits,
-    sockets: Sockets,
+    sockets: ConnectionTracker,
     class_of: Rc<dyn Fn(SocketAddr) -> Class>,
     pool: Rc<Pool>,
 }
@@ -130,7 +130,7 @@
     /// `class_of`: what connections to an address are for.
     pub fn new(
         limits: ClientLimits,
-        sockets: Sockets,
+        sockets: ConnectionTracker,
         class_of: impl Fn(SocketAddr) -> Class + 'static,
     ) -> Self {
         Self {
@@ -141,7 +141,11 @@
         }
     }
 
-    fn take_idle(&self, address: SocketAddr, class: Class) -> Option<(TcpStream, Ticket)> {
+    fn take_idle(
+        &self,
+        address: SocketAddr,
+        class: Class,
+    ) -> Option<(TcpStream, ConnectionPermit)> {
         let mut probe = [0u8; 1];
         loop {
             let found = {
@@ -167,7 +171,7 @@
         }
     }
 
-    fn keep(&self, address: SocketAddr, stream: TcpStream, ticket: Ticket) {
+    fn keep(&self, address: SocketAddr, stream: TcpStream, ticket: ConnectionPermit) {
         let open = |pool: &Pool| pool.idle.borrow().get(&address).map_or(0, Vec::len);
         if open(&self.pool) >= self.limits.idle_per_address {
             return;
--- a/crates/jasperhill-http/src/lib.rs
+++ b/crates/jasperhill-http/src/lib.rs
@@ -8,7 +8,7 @@
 pub use client::{Client, ClientError, ClientLimits};
 pub use head::{Method, Request, Response};
 pub use server::{Door, ServerLimits, serve};
-pub use sockets::{Sockets, Ticket};
+pub use sockets::{ConnectionPermit, ConnectionTracker};
 
 /// Bodies of requests are never longer.
 pub const BODY_MAX: usize = 64 * 1024;
--- a/crates/jasperhill-http/src/server.rs
+++ b/crates/jasperhill-http/src/server.rs
@@ -3,7 +3,7 @@
 use crate::{
     BODY_MAX,
     head::{Framing, HEAD_MAX, HeadError, Method, Request, RequestHead, Response, parse_request},
-    sockets::{Sockets, Ticket},
+    sockets::{ConnectionPermit, ConnectionTracker},
 };
 use jasperhill_connections::Class;
 use std::{future::Future, rc::Rc, time::Duration};
@@ -42,7 +42,7 @@
 /// Where connections come in, and what for.
 #[derive(Clone)]
 pub struct Door {
-    pub sockets: Sockets,
+    pub sockets: ConnectionTracker,
     /// What a connection is for by its first request, and by each one after.
     pub class_of: fn(&Request) -> Class,
     /// What it counts as before.
@@ -87,14 +87,14 @@
 }
 
 /// Marks a connection idle; false if it is to be closed.
-fn rests(ticket: &Ticket, leave: &Rc<Notify>) -> bool {
+fn rests(ticket: &ConnectionPermit, leave: &Rc<Notify>) -> bool {
     let leave = leave.clone();
     ticket.ends(move || leave.notify_one())
 }
 
 async fn connection<H, F>(
     mut stream: TcpStream,
-    ticket: Ticket,
+    ticket: ConnectionPermit,
     class_of: fn(&Request) -> Class,
     limits: ServerLimits,
     handler: H,
@@ -121,7 +121,7 @@
             Incoming::Request(request, keep_alive) => {
                 let class = class_of(&request);
                 wait = match class {
-                    Class::Reports => limits.idle_worker,
+                    Class::Heartbeats => limits.idle_worker,
                     _ => limits.idle,
                 };
                 let response = if ticket.begins(class) {
--- a/crates/jasperhill-http/src/sockets.rs
+++ b/crates/jasperhill-http/src/sockets.rs
@@ -1,7 +1,9 @@
 //! The face of the account of sockets: tickets that connections hold, and the way to those that
 //! have to make way. What is decided stands in `jasperhill-connections`.
 
-use jasperhill_connections::{Account, Class, Input, Key, Output, Plan, Report, Sizes};
+use jasperhill_connections::{
+    BudgetPlan, Class, ClassUsage, ConnectionBudget, ConnectionId, Input, Output, PlanInputs,
+};
 use jasperhill_wire::Micros;
 use slotmap::SecondaryMap;
 use std::{cell::RefCell, rc::Rc, time::Duration};
@@ -11,29 +13,29 @@
 
 struct Shared {
     origin: Instant,
-    account: RefCell<Account>,
+    account: RefCell<ConnectionBudget>,
     /// What closes an idle connection that has to make way.
-    hooks: RefCell<SecondaryMap<Key, Hook>>,
-    sizes: RefCell<Sizes>,
+    hooks: RefCell<SecondaryMap<ConnectionId, Hook>>,
+    sizes: RefCell<PlanInputs>,
 }
 
 /// All connections of this process.
 #[derive(Clone)]
-pub struct Sockets(Rc<Shared>);
+pub struct ConnectionTracker(Rc<Shared>);
 
 /// A place in the account, given back when dropped.
-pub struct Ticket {
-    sockets: Sockets,
-    key: Key,
+pub struct ConnectionPermit {
+    sockets: ConnectionTracker,
+    key: ConnectionId,
 }
 
-impl Sockets {
+impl ConnectionTracker {
     /// `overdue`: when a silent worker's connection may make way.
-    pub fn new(sizes: Sizes, overdue: Duration) -> Self {
+    pub fn new(sizes: PlanInputs, overdue: Duration) -> Self {
         let overdue = Micros(overdue.as_micros().try_into().unwrap_or(u64::MAX));
         Self(Rc::new(Shared {
             origin: Instant::now(),
-            account: RefCell::new(Account::new(Plan::new(sizes), overdue)),
+            account: RefCell::new(ConnectionBudget::new(BudgetPlan::new(sizes), overdue)),
             hooks: RefCell::new(SecondaryMap::new()),
             sizes: RefCell::new(sizes),
         }))
@@ -50,7 +52,7 @@
     }
 
     /// A place for one more connection. Whoever has to make way for it is closed first.
-    pub fn open(&self, class: Class) -> Option<Ticket> {
+    pub fn open(&self, class: Class) -> Option<ConnectionPermit> {
         let Output::Granted(key, gone) = self.apply(Input::Open(class)) else {
             return None;
         };
@@ -61,7 +63,7 @@
             }
         }
         let sockets = self.clone();
-        Some(Ticket { sockets, key })
+        Some(ConnectionPermit { sockets, key })
     }
 
     /// So many machines are known.
@@ -69,11 +71,11 @@
         let mut sizes = self.0.sizes.borrow_mut();
         if sizes.machines != machines {
             sizes.machines = machines;
-            self.0.account.borrow_mut().resize(Plan::new(*sizes));
+            self.0.account.borrow_mut().resize(BudgetPlan::new(*sizes));
         }
     }
 
-    pub fn report(&self, class: Class) -> Report {
+    pub fn report(&self, class: Class) -> ClassUsage {
         self.0.account.borrow().report(class)
     }
 
@@ -95,21 +97,21 @@
     }
 }
 
-impl Ticket {
-    pub fn key(&self) -> Key {
+impl ConnectionPermit {
+    pub fn key(&self) -> ConnectionId {
         self.key
     }
 
     /// A request is under way; false if there is no room to carry it out.
     pub fn begins(&self, class: Class) -> bool {
         self.sockets.0.hooks.borrow_mut().remove(self.key);
-        self.sockets.apply(Input::Begins(self.key, class)) != Output::Full
+        self.sockets.apply(Input::RequestStarted(self.key, class)) != Output::Overloaded
     }
 
     /// Nothing is under way; true if the connection may stay open. `close` is called when it has
     /// to make way before the next request begins.
     pub fn ends(&self, close: impl Fn() + 'static) -> bool {
-        let stays = self.sockets.apply(Input::Ends(self.key)) == Output::Stays;
+        let stays = self.sockets.apply(Input::RequestFinished(self.key)) == Output::KeepAlive;
         if stays {
             let mut hooks = self.sockets.0.hooks.borrow_mut();
             hooks.insert(self.key, Rc::new(close));
@@ -118,7 +120,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.sockets.0.hooks.borrow_mut().remove(self.key);
         self.sockets.apply(Input::Closed(self.key));
--- a/crates/jasperhill-http/tests/loopback.rs
+++ b/crates/jasperhill-http/tests/loopback.rs
@@ -1,9 +1,9 @@
 //! The server and client over loopback: bad input is bounded and answered.
 
-use jasperhill_connections::{Class, Sizes};
+use jasperhill_connections::{Class, PlanInputs};
 use jasperhill_http::{
-    Client, ClientError, ClientLimits, Door, Method, Request, Response, ServerLimits, Sockets,
-    serve,
+    Client, ClientError, ClientLimits, ConnectionTracker, Door, Method, Request, Response,
+    ServerLimits, serve,
 };
 use std::{future::Future, net::SocketAddr, time::Duration};
 use tokio::{
@@ -12,22 +12,22 @@
     task::{LocalSet, spawn_local},
 };
 
-fn sockets(most: usize) -> Sockets {
-    let sizes = Sizes {
+fn sockets(most: usize) -> ConnectionTracker {
+    let sizes = PlanInputs {
         most,
         peers: 2,
         machines: 4,
     };
-    Sockets::new(sizes, Duration::from_secs(15))
+    ConnectionTracker::new(sizes, Duration::from_secs(15))
 }
 
 fn client() -> Client {
-    Client::new(ClientLimits::default(), sockets(1_000), |_| Class::Orders)
+    Client::new(ClientLimits::default(), sockets(1_000), |_| Class::Commands)
 }
 
 fn class_of(request: &Request) -> Class {
     match request.path() {
-        "/hello" => Class::Reports,
+        "/hello" => Class::Heartbeats,
         "/ready" => Class::Health,
         _ => Class::Users,
     }
@@ -48,7 +48,7 @@
         let door = Door {
             sockets: sockets(most),
             class_of,
-            entry: Class::Door,
+            entry: Class::Accepted,
         };
         spawn_local(serve(
             listener,
@@ -173,17 +173,17 @@
 fn no_socket_is_told_from_no_connection() {
     with_server(1_000, ServerLimits::default(), |address| async move {
         let own = sockets(20);
-        let held: Vec<_> = (0..20).map_while(|_| own.open(Class::Orders)).collect();
+        let held: Vec<_> = (0..20).map_while(|_| own.open(Class::Commands)).collect();
         assert!(!held.is_empty());
         let client = |class| Client::new(ClientLimits::default(), own.clone(), move |_| class);
         let request = Request::new(Method::Get, "/", Vec::new());
         let limit = Duration::from_secs(5);
-        let orders = client(Class::Orders).call(address, &request, limit).await;
+        let orders = client(Class::Commands).call(address, &request, limit).await;
         assert_eq!(orders.unwrap_err(), ClientError::NoSocket);
         assert!(ClientError::NoSocket.is_unsent() && !ClientError::NoAnswer.is_unsent());
         let state = client(Class::State).call(address, &request, limit).await;
         assert_eq!(state.unwrap().status, 200);
-        assert_eq!(own.at_bound(Duration::from_secs(5)), [Class::Orders]);
+        assert_eq!(own.at_bound(Duration::from_secs(5)), [Class::Commands]);
     });
 }
 
--- a/crates/jasperhill-membership/src/bounds.rs
+++ b/crates/jasperhill-membership/src/bounds.rs
@@ -22,7 +22,7 @@
 
 /// What the platform's settings say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// A worker's tasks end so long after it sent the last report that was answered.
     pub lease: Micros,
     /// The tasks of a cancelled job are gone so long after its user was told.
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct FreshnessBounds {
     owner: Micros,
     keeper: Micros,
 }
@@ -41,7 +41,7 @@
     pub least: Micros,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// What is spent before and after an answer, whatever it rests on.
     fn spent(&self) -> Micros {
         self.lease + self.lease.scale(DRIFT * DRIFTS) + TIMERS
@@ -49,7 +49,7 @@
 
     /// # Errors
     /// [`TooShort`] if no answer could be given that surely ends in time.
-    pub fn bounds(&self) -> Result<Bounds, TooShort> {
+    pub fn bounds(&self) -> Result<FreshnessBounds, TooShort> {
         let left = self.cancel - self.spent();
         if left < LEAST {
             let least = self.spent() + LEAST;
@@ -57,14 +57,14 @@
         }
         // No longer than a lease: by then those whom it does not answer are lost anyway.
         let owner = left.min(self.lease);
-        Ok(Bounds {
+        Ok(FreshnessBounds {
             owner,
             keeper: KEEPER.min(owner),
         })
     }
 }
 
-impl Bounds {
+impl FreshnessBounds {
     /// How old an owner's knowledge may be when it renews a lease.
     pub fn owner(&self) -> Micros {
         self.owner
@@ -77,7 +77,7 @@
     }
 
     /// The same for a keeper.
-    pub fn kept_until(&self, known: Micros) -> Micros {
+    pub fn delegate_until(&self, known: Micros) -> Micros {
         known + self.keeper
     }
 }
@@ -94,8 +94,8 @@
         answered + lease * (1.0 + DRIFT) + late
     }
 
-    fn settings() -> impl Strategy<Value = Terms> {
-        (100u64..120_000, 0u64..200_000).prop_map(|(lease, more)| Terms {
+    fn settings() -> impl Strategy<Value = LeaseTerms> {
+        (100u64..120_000, 0u64..200_000).prop_map(|(lease, more)| LeaseTerms {
             lease: Micros::from_millis(lease),
             cancel: Micros::from_millis(lease + more),
         })
@@ -134,7 +134,7 @@
             // A clock that runs slow lets whoever answers go on for longer.
             let by = |bound: Micros| known + bound.as_secs_f64() * (1.0 + DRIFT) * part + late;
             let owner = by(bounds.until(Micros::ZERO));
-            let keeper = by(bounds.kept_until(Micros::ZERO));
+            let keeper = by(bounds.delegate_until(Micros::ZERO));
             // The owner's own answer, one passed on, one held for a takeover: given by an owner.
             prop_assert!(gone(owner, lease, worker_late) < cancel);
             // A keeper's, whose own knowledge counts.
@@ -151,14 +151,14 @@
         #[test]
         fn bounds_are_monotone(terms in settings(), more in 0u64..60_000) {
             if let Ok(bounds) = terms.bounds() {
-                let longer = Terms { cancel: terms.cancel + Micros::from_millis(more), ..terms };
+                let longer = LeaseTerms { cancel: terms.cancel + Micros::from_millis(more), ..terms };
                 let wider = longer.bounds().unwrap();
                 prop_assert!(wider.owner() >= bounds.owner());
-                prop_assert!(bounds.kept_until(Micros::ZERO) <= bounds.until(Micros::ZERO));
+                prop_assert!(bounds.delegate_until(Micros::ZERO) <= bounds.until(Micros::ZERO));
                 prop_assert!(bounds.owner() <= terms.lease);
             } else {
                 let TooShort { least } = terms.bounds().unwrap_err();
-                let enough = Terms { cancel: least, ..terms };
+                let enough = LeaseTerms { cancel: least, ..terms };
                 prop_assert!(enough.bounds().is_ok());
             }
         }
--- a/crates/jasperhill-membership/src/lib.rs
+++ b/crates/jasperhill-membership/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod view;
 
 pub use authority::{Authority, Session};
-pub use bounds::{Bounds, Terms};
-pub use lives::Lives;
-pub use roles::{Roles, Seat, Step};
-pub use view::{LinkId, View};
+pub use bounds::{FreshnessBounds, LeaseTerms};
+pub use lives::RestartHistory;
+pub use roles::{RoleOwnership, Roles, Transition};
+pub use view::{LinkId, Reachability};
--- a/crates/jasperhill-membership/src/link.rs
+++ b/crates/jasperhill-membership/src/link.rs
@@ -24,26 +24,26 @@
 
 /// What is known without asking, or was asked for where nothing else speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
+pub enum Observation {
     /// Something got through, in time to be of use.
-    Carried,
+    Success,
     /// Something did not. `by` tells the counterparts apart; there are `of` of them.
-    Failed { by: u64, of: usize },
+    Failure { by: u64, of: usize },
     /// Nobody is there that could speak: nothing is known any more.
-    Nobody,
+    NoCounterpart,
 }
 
 /// How soon a link is believed to be down, and up again.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Thresholds {
     pub down: Micros,
     pub up: Micros,
 }
 
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct LinkHealth {
     reach: LinkState,
-    patience: Patience,
+    patience: Thresholds,
     /// Failures since something last got through: when they began, how many, of whom.
     failing: Option<Micros>,
     streak: u32,
@@ -58,8 +58,8 @@
     fed: Micros,
 }
 
-impl Link {
-    pub fn new(patience: Patience) -> Self {
+impl LinkHealth {
+    pub fn new(patience: Thresholds) -> Self {
         Self {
             reach: LinkState::Unknown,
             patience,
@@ -83,14 +83,14 @@
     }
 
     /// The one function that changes it. True if it stands otherwise now.
-    pub fn apply(&mut self, evidence: Evidence, now: Micros) -> bool {
+    pub fn apply(&mut self, evidence: Observation, now: Micros) -> bool {
         let passed = (now - self.fed).as_secs_f64();
         let fade = (-passed / MEMORY_S).exp();
         self.good *= fade;
         self.bad *= fade;
         self.fed = now;
         let to = match evidence {
-            Evidence::Carried => {
+            Observation::Success => {
                 self.good += 1.0;
                 // A cut that is over leaves nothing behind: what failed in it does not speak
                 // against the link. But not again and again, or a limp link would look whole.
@@ -115,7 +115,7 @@
                     _ => LinkState::Up,
                 }
             }
-            Evidence::Failed { by, of } => {
+            Observation::Failure { by, of } => {
                 self.bad += 1.0;
                 self.rising = None;
                 self.streak = self.streak.saturating_add(1);
@@ -132,7 +132,7 @@
                     _ => LinkState::Suspect,
                 }
             }
-            Evidence::Nobody => {
+            Observation::NoCounterpart => {
                 *self = Self::new(self.patience);
                 self.fed = now;
                 LinkState::Unknown
@@ -151,25 +151,25 @@
     use super::*;
     use proptest::prelude::*;
 
-    const PATIENCE: Patience = Patience {
+    const PATIENCE: Thresholds = Thresholds {
         down: Micros::from_secs(1),
         up: Micros::from_secs(2),
     };
 
-    fn fail(by: u64) -> Evidence {
-        Evidence::Failed { by, of: 100 }
+    fn fail(by: u64) -> Observation {
+        Observation::Failure { by, of: 100 }
     }
 
     /// Guards against a link that is taken for down for seconds after a long cut.
     #[test]
     fn after_a_cut_it_is_up_with_the_first_thing_that_gets_through() {
         let at = Micros::from_millis;
-        let mut link = Link::new(Patience {
+        let mut link = LinkHealth::new(Thresholds {
             up: Micros::ZERO,
             ..PATIENCE
         });
         let mut now = 1_000;
-        let cut = |link: &mut Link, now: &mut u64| {
+        let cut = |link: &mut LinkHealth, now: &mut u64| {
             for _ in 0..20 {
                 *now += 900;
                 link.apply(fail(*now), at(*now));
@@ -177,7 +177,7 @@
             assert_eq!(link.reach(), LinkState::Down);
         };
         cut(&mut link, &mut now);
-        link.apply(Evidence::Carried, at(now + 100));
+        link.apply(Observation::Success, at(now + 100));
         assert_eq!(link.reach(), LinkState::Up);
         // One that flaps has to show more.
         for by in 0..4 {
@@ -185,15 +185,15 @@
             link.apply(fail(by), at(now));
         }
         assert_eq!(link.reach(), LinkState::Down);
-        link.apply(Evidence::Carried, at(now + 100));
+        link.apply(Observation::Success, at(now + 100));
         assert_eq!(link.reach(), LinkState::Down);
     }
 
     #[test]
     fn one_machine_that_hangs_is_no_cut_and_several_are() {
         let at = Micros::from_millis;
-        let mut link = Link::new(PATIENCE);
-        link.apply(Evidence::Carried, at(1_000));
+        let mut link = LinkHealth::new(PATIENCE);
+        link.apply(Observation::Success, at(1_000));
         assert_eq!(link.reach(), LinkState::Up);
         for n in 0..3 {
             link.apply(fail(7), at(2_000 + 500 * n));
@@ -203,14 +203,14 @@
         link.apply(fail(9), at(3_500));
         assert_eq!(link.reach(), LinkState::Down);
         // It is not up with the first thing that gets through, but soon.
-        link.apply(Evidence::Carried, at(9_000));
+        link.apply(Observation::Success, at(9_000));
         assert_eq!(link.reach(), LinkState::Down);
         link.apply(fail(7), at(10_000));
-        link.apply(Evidence::Carried, at(11_000));
-        link.apply(Evidence::Carried, at(12_500));
+        link.apply(Observation::Success, at(11_000));
+        link.apply(Observation::Success, at(12_500));
         assert_eq!(link.reach(), LinkState::Down);
         for n in 0..4 {
-            link.apply(Evidence::Carried, at(13_000 + 200 * n));
+            link.apply(Observation::Success, at(13_000 + 200 * n));
         }
         assert_eq!(link.reach(), LinkState::Up);
     }
@@ -218,10 +218,10 @@
     /// Guards against a lossy link that counts as up because something gets through at times.
     #[test]
     fn a_limp_link_is_down_for_what_it_cannot_do() {
-        let mut link = Link::new(PATIENCE);
+        let mut link = LinkHealth::new(PATIENCE);
         for n in 0..40 {
             let fine = n % 3 == 0;
-            let evidence = if fine { Evidence::Carried } else { fail(n) };
+            let evidence = if fine { Observation::Success } else { fail(n) };
             link.apply(evidence, Micros::from_millis(300 * n));
         }
         assert_eq!(link.reach(), LinkState::Down);
@@ -240,12 +240,12 @@
             steps in proptest::collection::vec((any::<bool>(), 0u64..6, 10u64..900), 1..80),
             fine in any::<bool>(),
         ) {
-            let mut link = Link::new(PATIENCE);
+            let mut link = LinkHealth::new(PATIENCE);
             let (mut now, mut broke) = (Micros::from_secs(10), Micros::ZERO);
             for (good, by, gap) in steps {
                 now += Micros::from_millis(gap);
                 let before = link.reach();
-                link.apply(if good { Evidence::Carried } else { fail(by) }, now);
+                link.apply(if good { Observation::Success } else { fail(by) }, now);
                 if !good {
                     broke = now;
                 }
@@ -255,7 +255,7 @@
             }
             for by in 0..30 {
                 now += Micros::from_millis(400);
-                link.apply(if fine { Evidence::Carried } else { fail(by) }, now);
+                link.apply(if fine { Observation::Success } else { fail(by) }, now);
             }
             prop_assert_eq!(link.reach(), if fine { LinkState::Up } else { LinkState::Down });
         }
--- a/crates/jasperhill-membership/src/lives.rs
+++ b/crates/jasperhill-membership/src/lives.rs
@@ -19,16 +19,16 @@
 
 /// What a session's record tells of its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Former {
+pub struct ProcessRun {
     /// The time of day at which it began.
     pub began: Micros,
     /// The quick lives just before it.
     pub quick: u32,
 }
 
-impl Former {
+impl ProcessRun {
     /// How long its process has to live to be steady.
-    pub fn rest(&self, after: u32) -> Micros {
+    pub fn backoff(&self, after: u32) -> Micros {
         if after == 0 || self.quick < after {
             return Micros::ZERO;
         }
@@ -38,8 +38,8 @@
 
     /// Whether it has ended quickly that often and has not lived for long since. The time of day
     /// may be off by a second or so, which is all that can go wrong here.
-    pub fn is_restless(&self, after: u32, wall: Micros) -> bool {
-        wall - self.began < self.rest(after)
+    pub fn is_crash_looping(&self, after: u32, wall: Micros) -> bool {
+        wall - self.began < self.backoff(after)
     }
 }
 
@@ -47,18 +47,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// It has no session yet.
-    Unborn,
+    NotStarted,
     /// It has ended quickly again and again, and leaves its roles until then.
-    Restless { until: Micros },
+    CrashLooping { until: Micros },
     /// It may have any role.
-    Steady,
+    Stable,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Input {
     /// It is about to begin a session; what the record of its former life says, if that is there.
-    Begins {
-        former: Option<Former>,
+    SessionStarting {
+        former: Option<ProcessRun>,
         /// The time of day.
         wall: Micros,
     },
@@ -67,22 +67,22 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Lives {
+pub struct RestartHistory {
     /// After so many quick lives; 0: never.
     after: u32,
     phase: Phase,
     /// What this life's record says.
-    mine: Former,
+    mine: ProcessRun,
     /// When this process began, by the steady clock.
     since: Micros,
 }
 
-impl Lives {
+impl RestartHistory {
     pub fn new(after: u32, now: Micros) -> Self {
         Self {
             after,
-            phase: Phase::Unborn,
-            mine: Former::default(),
+            phase: Phase::NotStarted,
+            mine: ProcessRun::default(),
             since: now,
         }
     }
@@ -92,7 +92,7 @@
     }
 
     /// What the record of this process's session is to say.
-    pub fn mine(&self) -> Former {
+    pub fn current(&self) -> ProcessRun {
         self.mine
     }
 
@@ -103,23 +103,23 @@
     /// The one function that changes it.
     pub fn apply(&mut self, input: Input, now: Micros) -> Phase {
         match (self.phase, input) {
-            (Phase::Unborn, Input::Begins { former, wall }) => {
-                let soon = |f: &Former| wall - f.began < SOON + f.rest(self.after);
+            (Phase::NotStarted, Input::SessionStarting { former, wall }) => {
+                let soon = |f: &ProcessRun| wall - f.began < SOON + f.backoff(self.after);
                 let quick = former.filter(soon).map_or(0, |f| f.quick + 1);
-                self.mine = Former {
+                self.mine = ProcessRun {
                     began: wall,
                     quick: quick.min(QUICK_MAX),
                 };
-                let until = self.since + self.mine.rest(self.after);
+                let until = self.since + self.mine.backoff(self.after);
                 self.phase = if now < until {
-                    Phase::Restless { until }
+                    Phase::CrashLooping { until }
                 } else {
-                    Phase::Steady
+                    Phase::Stable
                 };
             }
             // The same process begins a session anew: it has lived on.
-            (Phase::Restless { until }, _) if now >= until => self.phase = Phase::Steady,
-            (Phase::Unborn | Phase::Restless { .. } | Phase::Steady, _) => {}
+            (Phase::CrashLooping { until }, _) if now >= until => self.phase = Phase::Stable,
+            (Phase::NotStarted | Phase::CrashLooping { .. } | Phase::Stable, _) => {}
         }
         self.phase
     }
@@ -136,9 +136,12 @@
         let (mut wall, mut former) = (DAY, None);
         let mut phases = Vec::new();
         for ms in lengths {
-            let mut lives = Lives::new(3, Micros::from_secs(3_600));
-            phases.push(lives.apply(Input::Begins { former, wall }, Micros::from_secs(3_600)));
-            former = Some(lives.mine());
+            let mut lives = RestartHistory::new(3, Micros::from_secs(3_600));
+            phases.push(lives.apply(
+                Input::SessionStarting { former, wall },
+                Micros::from_secs(3_600),
+            ));
+            former = Some(lives.current());
             wall += Micros::from_millis(*ms);
         }
         phases
@@ -147,8 +150,8 @@
     #[test]
     fn one_or_two_quick_ends_are_no_habit_and_more_are() {
         let phases = lives(&[1_000, 1_000, 1_000, 1_000, 300, 300]);
-        assert_eq!(phases[..3], [Phase::Steady; 3]);
-        let until = |s: u64| Phase::Restless {
+        assert_eq!(phases[..3], [Phase::Stable; 3]);
+        let until = |s: u64| Phase::CrashLooping {
             until: Micros::from_secs(3_600 + s),
         };
         assert_eq!(phases[3..], [until(4), until(6), until(8)]);
@@ -157,31 +160,39 @@
     #[test]
     fn one_that_has_lived_for_long_starts_from_nothing() {
         let phases = lives(&[1_000, 1_000, 1_000, 120_000, 1_000, 1_000]);
-        assert!(matches!(phases[3], Phase::Restless { .. }));
-        assert_eq!(phases[4..], [Phase::Steady; 2]);
+        assert!(matches!(phases[3], Phase::CrashLooping { .. }));
+        assert_eq!(phases[4..], [Phase::Stable; 2]);
     }
 
     #[test]
     fn it_is_steady_once_it_has_lived_for_a_while() {
         let now = Micros::from_secs(3_600);
-        let former = Some(Former {
+        let former = Some(ProcessRun {
             began: DAY,
             quick: 5,
         });
-        let mut lives = Lives::new(3, now);
+        let mut lives = RestartHistory::new(3, now);
         let wall = DAY + Micros::from_secs(1);
-        lives.apply(Input::Begins { former, wall }, now);
-        assert!(lives.mine().is_restless(3, wall + Micros::from_secs(9)));
-        assert!(!lives.mine().is_restless(3, wall + Micros::from_secs(10)));
+        lives.apply(Input::SessionStarting { former, wall }, now);
+        assert!(
+            lives
+                .current()
+                .is_crash_looping(3, wall + Micros::from_secs(9))
+        );
+        assert!(
+            !lives
+                .current()
+                .is_crash_looping(3, wall + Micros::from_secs(10))
+        );
         let later = |s: u64| now + Micros::from_secs(s);
         assert!(matches!(
             lives.apply(Input::Tick, later(9)),
-            Phase::Restless { .. }
+            Phase::CrashLooping { .. }
         ));
-        assert_eq!(lives.apply(Input::Tick, later(10)), Phase::Steady);
+        assert_eq!(lives.apply(Input::Tick, later(10)), Phase::Stable);
         // A session that is begun anew by the same process changes nothing.
-        let again = Input::Begins { former, wall };
-        assert_eq!(lives.apply(again, later(11)), Phase::Steady);
-        assert_eq!(Lives::new(0, now).apply(again, now), Phase::Steady);
+        let again = Input::SessionStarting { former, wall };
+        assert_eq!(lives.apply(again, later(11)), Phase::Stable);
+        assert_eq!(RestartHistory::new(0, now).apply(again, now), Phase::Stable);
     }
 }
--- a/crates/jasperhill-membership/src/roles.rs
+++ b/crates/jasperhill-membership/src/roles.rs
@@ -25,7 +25,7 @@
 
 /// What the store says of a role.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct RoleOwnership {
     pub owner: Member,
     /// The owner's session when it was written.
     pub lease: u64,
@@ -38,54 +38,54 @@
 
 /// How well a member could act on a role, as far as is known here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fit {
+pub struct Eligibility {
     /// The state service answers it.
     pub state: LinkState,
     /// What the role needs beyond hosts: the cloud, for the leader.
-    pub needs: LinkState,
+    pub other_link: LinkState,
     /// How many of the role's hosts it reaches, and surely does not reach.
-    pub reached: u32,
-    pub unreached: u32,
+    pub reachable_hosts: u32,
+    pub unreachable_hosts: u32,
     /// The roles that it holds.
     pub load: u32,
 }
 
-impl Fit {
+impl Eligibility {
     /// Whether a role held by `self` is better off with `other`.
-    fn is_worse_than(&self, other: &Fit, of: u32) -> bool {
+    fn is_worse_than(&self, other: &Eligibility, of: u32) -> bool {
         let margin = (of / 10).max(1);
         other.state == LinkState::Up
-            && ((other.reached > (of - self.unreached.min(of)) + margin
-                && other.needs != LinkState::Down)
-                || (self.needs == LinkState::Down && other.needs == LinkState::Up))
+            && ((other.reachable_hosts > (of - self.unreachable_hosts.min(of)) + margin
+                && other.other_link != LinkState::Down)
+                || (self.other_link == LinkState::Down && other.other_link == LinkState::Up))
     }
 }
 
 /// What this controller sees when it looks around.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct Snapshot {
     /// This controller's session.
     pub lease: u64,
-    pub seats: BTreeMap<Role, Seat>,
+    pub ownerships: BTreeMap<Role, RoleOwnership>,
     /// The roles that it acts on.
     pub held: BTreeSet<Role>,
     /// It has authority, so it may take what is free.
-    pub may_take: bool,
+    pub may_acquire: bool,
     /// Every member understands roles that follow reach.
-    pub by_reach: bool,
+    pub reachability_enabled: bool,
     /// Members that have ended again and again and have not lived for long since.
-    pub restless: BTreeSet<Member>,
+    pub crash_looping: BTreeSet<Member>,
     /// How fit the members are for the roles, and how many hosts each role has.
-    pub fits: BTreeMap<(Role, Member), Fit>,
+    pub eligibility: BTreeMap<(Role, Member), Eligibility>,
     pub hosts: BTreeMap<Role, u32>,
     /// No role moves twice within this time for the sake of reach.
     pub damping: Micros,
 }
 
-impl Facts {
-    fn fit(&self, role: Role, member: &Member) -> Fit {
+impl Snapshot {
+    fn fit(&self, role: Role, member: &Member) -> Eligibility {
         let key = (role, member.clone());
-        self.fits.get(&key).copied().unwrap_or_default()
+        self.eligibility.get(&key).copied().unwrap_or_default()
     }
     fn of(&self, role: Role) -> u32 {
         self.hosts.get(&role).copied().unwrap_or(0)
@@ -97,22 +97,22 @@
     /// A member has a session with this lease, or has none.
     Session(&'a Member, Option<u64>),
     /// Acting on a role at this revision has ended for good.
-    GivenUp(Role, Revision),
+    Relinquished(Role, Revision),
     /// What a step began is over, whatever became of it.
-    Settled(Role),
+    TransitionOver(Role),
     /// Time to look around.
-    Look(&'a Facts),
+    Evaluate(&'a Snapshot),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Transition {
     /// It is this controller's: act on it.
     Hold(Role, Revision),
     /// It is not: stop acting on it.
     Release(Role),
     /// Nobody's: take it.
-    Take(Role),
+    Acquire(Role),
     /// Stop acting, then write this owner.
     /// `urgent`: its hosts are not reached from here, so what is outstanding there can't be
     /// waited for; the next owner takes nothing for settled anyway.
@@ -122,7 +122,7 @@
         urgent: bool,
     },
     /// Stop acting, then say so: this controller can't write, and somebody else can.
-    LetGo(Role),
+    Relinquish(Role),
 }
 
 #[derive(Clone, Debug)]
@@ -170,7 +170,7 @@
     }
 
     /// The roles that this controller has stopped acting on, at which revisions.
-    pub fn given_up(&self) -> impl Iterator<Item = (Role, Revision)> + '_ {
+    pub fn relinquished(&self) -> impl Iterator<Item = (Role, Revision)> + '_ {
         self.given_up
             .iter()
             .map(|(role, version)| (*role, *version))
@@ -186,7 +186,7 @@
     }
 
     /// The one function that changes it.
-    pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Step> {
+    pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Transition> {
         match input {
             // Guards against roles that go home to a process which has just begun anew, again and
             // again: it has been there for as long as its newest session.
@@ -199,18 +199,18 @@
             Input::Session(member, None) => {
                 self.alive.remove(member);
             }
-            Input::GivenUp(role, version) => {
+            Input::Relinquished(role, version) => {
                 self.given_up.insert(role, version);
             }
-            Input::Settled(role) => {
+            Input::TransitionOver(role) => {
                 self.moving.remove(&role);
             }
-            Input::Look(facts) => return self.look(facts, now),
+            Input::Evaluate(facts) => return self.look(facts, now),
         }
         Vec::new()
     }
 
-    fn look(&mut self, facts: &Facts, now: Micros) -> Vec<Step> {
+    fn look(&mut self, facts: &Snapshot, now: Micros) -> Vec<Transition> {
         let mut steps = Vec::new();
         let roles = (0..self.size)
             .map(Role::Partition)
@@ -220,33 +220,33 @@
         self.note_unknown(facts, now);
         let lets_go = self.lets_go(facts, now);
         for role in roles {
-            let seat = facts.seats.get(&role);
+            let seat = facts.ownerships.get(&role);
             let mine = seat.is_some_and(|s| s.owner == self.me && s.lease == facts.lease);
             let version = seat.map(|s| s.version);
             if mine && self.given_up.get(&role) != version.as_ref() {
                 self.orphaned.remove(&role);
-                steps.extend(version.map(|v| Step::Hold(role, v)));
+                steps.extend(version.map(|v| Transition::Hold(role, v)));
                 if !facts.held.contains(&role) {
                     continue;
                 }
                 if lets_go {
-                    steps.push(Step::LetGo(role));
+                    steps.push(Transition::Relinquish(role));
                 } else if let Some((to, urgent)) = self.better(role, facts, now)
                     && self.moving.insert(role)
                 {
-                    steps.push(Step::HandOver { role, to, urgent });
+                    steps.push(Transition::HandOver { role, to, urgent });
                 }
                 continue;
             }
             self.wished.remove(&role);
-            steps.push(Step::Release(role));
+            steps.push(Transition::Release(role));
             if !mine && seat.is_some_and(|s| s.live && !s.let_go) {
                 self.orphaned.remove(&role);
                 continue;
             }
             // Guards against a write that is executed without an answer: the word that was given
             // names a version, and would be worth nothing once the store shows another.
-            if facts.by_reach && facts.fit(role, &self.me).state == LinkState::Down {
+            if facts.reachability_enabled && facts.fit(role, &self.me).state == LinkState::Down {
                 continue;
             }
             // Guards against a role that one takes who ends again before it can serve it.
@@ -255,24 +255,24 @@
             }
             let since = *self.orphaned.entry(role).or_insert(now);
             if now - since >= self.patience(role, seat.is_some(), facts)
-                && facts.may_take
+                && facts.may_acquire
                 && self.moving.insert(role)
             {
-                steps.push(Step::Take(role));
+                steps.push(Transition::Acquire(role));
             }
         }
         steps
     }
 
     /// This controller leaves roles to the others, since some of them live on and it does not.
-    fn leaves(&self, facts: &Facts) -> bool {
-        let steady = |m: &&Member| !facts.restless.contains(*m) && self.alive.contains_key(*m);
-        facts.restless.contains(&self.me) && self.members.iter().any(|m| steady(&m))
+    fn leaves(&self, facts: &Snapshot) -> bool {
+        let steady = |m: &&Member| !facts.crash_looping.contains(*m) && self.alive.contains_key(*m);
+        facts.crash_looping.contains(&self.me) && self.members.iter().any(|m| steady(&m))
     }
 
     /// Notes when a role goes from one owner to another whose session goes on.
-    fn note_moves(&mut self, facts: &Facts, now: Micros) {
-        for (role, seat) in &facts.seats {
+    fn note_moves(&mut self, facts: &Snapshot, now: Micros) {
+        for (role, seat) in &facts.ownerships {
             let (owner, lease) = (&seat.owner, seat.lease);
             let last = self.seen.insert(*role, (owner.clone(), lease));
             let from = last.filter(|(from, _)| from != owner);
@@ -283,7 +283,7 @@
     }
 
     /// Notes since when nothing is known of how a member stands.
-    fn note_unknown(&mut self, facts: &Facts, now: Micros) {
+    fn note_unknown(&mut self, facts: &Snapshot, now: Micros) {
         for member in &self.members {
             if facts.fit(Role::Leader, member).state == LinkState::Unknown {
                 self.unknown.entry(member.clone()).or_insert(now);
@@ -294,10 +294,10 @@
     }
 
     /// This controller can't write and somebody else with a session can, for a while already.
-    fn lets_go(&mut self, facts: &Facts, now: Micros) -> bool {
+    fn lets_go(&mut self, facts: &Snapshot, now: Micros) -> bool {
         let served = |m: &Member| facts.fit(Role::Leader, m).state;
         let others = || self.members.iter().filter(|m| **m != self.me);
-        let unserved = facts.by_reach
+        let unserved = facts.reachability_enabled
             && served(&self.me) == LinkState::Down
             && others().any(|m| self.alive.contains_key(m) && served(m) == LinkState::Up);
         if !unserved {
@@ -308,7 +308,7 @@
     }
 
     /// How long an orphan is left to those who come before.
-    fn patience(&self, role: Role, was_owned: bool, facts: &Facts) -> Micros {
+    fn patience(&self, role: Role, was_owned: bool, facts: &Snapshot) -> Micros {
         let n = self.members.len();
         let place = |m: &Member| self.members.iter().position(|x| x == m).unwrap_or(0);
         let mut rank = ((place(&self.me) + n - place(self.home(role))) % n) as u64;
@@ -328,12 +328,12 @@
     }
 
     /// The member with a session that is best off with a role, if this controller is worse off.
-    fn fitter(&self, role: Role, facts: &Facts) -> Option<Member> {
+    fn fitter(&self, role: Role, facts: &Snapshot) -> Option<Member> {
         let mine = facts.fit(role, &self.me);
         let of = facts.of(role);
         let fitter = |m: &&Member| {
-            facts.by_reach
-                && !facts.restless.contains(*m)
+            facts.reachability_enabled
+                && !facts.crash_looping.contains(*m)
                 && **m != self.me
                 && self.alive.contains_key(*m)
                 && mine.is_worse_than(&facts.fit(role, m), of)
@@ -341,7 +341,7 @@
         let home = self.home(role);
         let best = self.members.iter().filter(fitter).max_by_key(|m| {
             let fit = facts.fit(role, m);
-            (fit.reached, *m == home, std::cmp::Reverse(fit.load))
+            (fit.reachable_hosts, *m == home, std::cmp::Reverse(fit.load))
         });
         best.or_else(|| self.unheard(role, facts)).cloned()
     }
@@ -349,9 +349,9 @@
     /// Where this controller reaches none of a role's hosts, one with a session that is not heard
     /// can't be worse off. Guards against partitions that stay with an owner without workers while
     /// controllers don't hear one another.
-    fn unheard(&self, role: Role, facts: &Facts) -> Option<&Member> {
+    fn unheard(&self, role: Role, facts: &Snapshot) -> Option<&Member> {
         let (mine, of) = (facts.fit(role, &self.me), facts.of(role));
-        let cut_off = facts.by_reach && of > 0 && mine.unreached >= of;
+        let cut_off = facts.reachability_enabled && of > 0 && mine.unreachable_hosts >= of;
         let unheard = |m: &&Member| {
             cut_off
                 && **m != self.me
@@ -364,9 +364,9 @@
 
     /// Who should hold a role instead of this controller: whoever reaches clearly more, or for a
     /// partition its home once that is back and no worse off.
-    fn better(&mut self, role: Role, facts: &Facts, now: Micros) -> Option<(Member, bool)> {
+    fn better(&mut self, role: Role, facts: &Snapshot, now: Micros) -> Option<(Member, bool)> {
         let moved = self.moved.get(&role);
-        let damped = facts.by_reach && moved.is_some_and(|t| now - *t < facts.damping);
+        let damped = facts.reachability_enabled && moved.is_some_and(|t| now - *t < facts.damping);
         if let Some(to) = self.fitter(role, facts) {
             let (who, since) = self.wished.entry(role).or_insert((to.clone(), now));
             if *who != to {
@@ -387,15 +387,16 @@
             .get(home)
             .is_some_and(|(_, t)| now - *t > SETTLED);
         let partition = matches!(role, Role::Partition(_));
-        let restless = facts.restless.contains(home);
+        let restless = facts.crash_looping.contains(home);
         if !partition || home == &self.me || !settled || damped || restless {
             return None;
         }
         let there = facts.fit(role, home);
-        let worse = there.state != LinkState::Up || there.unreached > (facts.of(role) / 10).max(1);
+        let worse =
+            there.state != LinkState::Up || there.unreachable_hosts > (facts.of(role) / 10).max(1);
         // Guards against a role that goes home to one who is worse off, or has ended and whose
         // session has not.
-        (!facts.by_reach || !worse).then(|| (home.clone(), false))
+        (!facts.reachability_enabled || !worse).then(|| (home.clone(), false))
     }
 }
 
--- a/crates/jasperhill-membership/src/roles/tests.rs
+++ b/crates/jasperhill-membership/src/roles/tests.rs
@@ -8,36 +8,36 @@
 }
 
 /// Three members with sessions; `m0` is looking and owns partition 0 of a hundred hosts.
-fn begin() -> (Roles, Facts) {
+fn begin() -> (Roles, Snapshot) {
     let members: Vec<Member> = (0..3).map(member).collect();
     let mut roles = Roles::new(member(0), members.clone(), 1);
-    let mut facts = Facts {
+    let mut facts = Snapshot {
         lease: 7,
         held: [P].into(),
-        may_take: true,
-        by_reach: true,
+        may_acquire: true,
+        reachability_enabled: true,
         hosts: [(P, 100)].into(),
         damping: Micros::from_secs(30),
-        ..Facts::default()
+        ..Snapshot::default()
     };
     for role in [P, Role::Leader] {
         let owner = if role == P { 0 } else { 1 };
-        facts.seats.insert(role, seat(owner, 5));
+        facts.ownerships.insert(role, seat(owner, 5));
         for m in &members {
             roles.apply(Input::Session(m, Some(1)), Micros::ZERO);
-            let fit = Fit {
+            let fit = Eligibility {
                 state: LinkState::Up,
-                reached: 100,
-                ..Fit::default()
+                reachable_hosts: 100,
+                ..Eligibility::default()
             };
-            facts.fits.insert((role, m.clone()), fit);
+            facts.eligibility.insert((role, m.clone()), fit);
         }
     }
     (roles, facts)
 }
 
-fn seat(owner: usize, version: u64) -> Seat {
-    Seat {
+fn seat(owner: usize, version: u64) -> RoleOwnership {
+    RoleOwnership {
         owner: member(owner),
         lease: 7 + owner as u64,
         version: Revision(version),
@@ -46,15 +46,15 @@
     }
 }
 
-fn set(facts: &mut Facts, m: usize, change: impl Fn(&mut Fit)) {
+fn set(facts: &mut Snapshot, m: usize, change: impl Fn(&mut Eligibility)) {
     for role in [P, Role::Leader] {
-        change(facts.fits.get_mut(&(role, member(m))).unwrap());
+        change(facts.eligibility.get_mut(&(role, member(m))).unwrap());
     }
 }
 
-fn moves(roles: &mut Roles, facts: &Facts, now: Micros) -> Vec<Step> {
-    let mut steps = roles.apply(Input::Look(facts), now);
-    steps.retain(|s| !matches!(s, Step::Hold(..) | Step::Release(_)));
+fn moves(roles: &mut Roles, facts: &Snapshot, now: Micros) -> Vec<Transition> {
+    let mut steps = roles.apply(Input::Evaluate(facts), now);
+    steps.retain(|s| !matches!(s, Transition::Hold(..) | Transition::Release(_)));
     steps
 }
 
@@ -63,11 +63,15 @@
 fn a_role_goes_to_whoever_reaches_more_but_not_at_once() {
     let (mut roles, mut facts) = begin();
     assert!(moves(&mut roles, &facts, AT).is_empty());
-    set(&mut facts, 0, |f| (f.reached, f.unreached) = (0, 100));
-    set(&mut facts, 1, |f| (f.reached, f.unreached) = (60, 40));
+    set(&mut facts, 0, |f| {
+        (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+    });
+    set(&mut facts, 1, |f| {
+        (f.reachable_hosts, f.unreachable_hosts) = (60, 40)
+    });
     assert!(moves(&mut roles, &facts, AT).is_empty());
     let later = AT + BETTER_FOR;
-    let step = Step::HandOver {
+    let step = Transition::HandOver {
         role: P,
         to: member(2),
         urgent: true,
@@ -81,12 +85,14 @@
 #[test]
 fn a_role_never_goes_to_one_who_is_worse_off() {
     for change in [
-        (|f| f.state = LinkState::Suspect) as fn(&mut Fit),
-        |f| f.reached = 0,
-        |f| f.reached = 8,
+        (|f| f.state = LinkState::Suspect) as fn(&mut Eligibility),
+        |f| f.reachable_hosts = 0,
+        |f| f.reachable_hosts = 8,
     ] {
         let (mut roles, mut facts) = begin();
-        set(&mut facts, 0, |f| (f.reached, f.unreached) = (0, 100));
+        set(&mut facts, 0, |f| {
+            (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+        });
         set(&mut facts, 1, change);
         set(&mut facts, 2, change);
         for s in 0..20 {
@@ -103,10 +109,10 @@
     for (reached, goes) in [(0, true), (30, false)] {
         let (mut roles, mut facts) = begin();
         set(&mut facts, 0, |f| {
-            (f.reached, f.unreached) = (reached, 100 - reached);
+            (f.reachable_hosts, f.unreachable_hosts) = (reached, 100 - reached);
         });
         for m in [1, 2] {
-            set(&mut facts, m, |f| *f = Fit::default());
+            set(&mut facts, m, |f| *f = Eligibility::default());
         }
         assert!(moves(&mut roles, &facts, AT).is_empty());
         assert!(moves(&mut roles, &facts, AT + BETTER_FOR).is_empty());
@@ -120,12 +126,14 @@
 fn no_role_moves_twice_within_the_damping() {
     let (mut roles, mut facts) = begin();
     // It comes from m1, whose session goes on.
-    facts.seats.insert(P, seat(1, 4));
+    facts.ownerships.insert(P, seat(1, 4));
     facts.held.clear();
     moves(&mut roles, &facts, AT);
-    facts.seats.insert(P, seat(0, 5));
+    facts.ownerships.insert(P, seat(0, 5));
     facts.held.insert(P);
-    set(&mut facts, 0, |f| (f.reached, f.unreached) = (0, 100));
+    set(&mut facts, 0, |f| {
+        (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+    });
     for s in 1..30 {
         let now = AT + Micros::from_secs(s);
         assert!(moves(&mut roles, &facts, now).is_empty(), "{s}");
@@ -137,10 +145,10 @@
 /// Home is only better where it is no worse off.
 #[test]
 fn a_partition_goes_home_unless_home_is_cut_off_or_has_ended() {
-    type Change = fn(&mut Fit);
-    let cut: Change = |f| (f.reached, f.unreached) = (0, 100);
+    type Change = fn(&mut Eligibility);
+    let cut: Change = |f| (f.reachable_hosts, f.unreachable_hosts) = (0, 100);
     // Its session outlives it.
-    let ended: Change = |f| *f = Fit::default();
+    let ended: Change = |f| *f = Eligibility::default();
     let cases: [(Option<Change>, bool); 4] = [
         (None, true),
         (Some(cut), true),
@@ -151,8 +159,8 @@
         let (mut roles, mut facts) = begin();
         roles.me = member(1);
         facts.lease = 8;
-        facts.by_reach = by_reach;
-        facts.seats.insert(P, seat(1, 5));
+        facts.reachability_enabled = by_reach;
+        facts.ownerships.insert(P, seat(1, 5));
         if let Some(worse) = worse {
             set(&mut facts, 0, worse);
         }
@@ -169,21 +177,26 @@
     set(&mut facts, 0, |f| f.state = LinkState::Down);
     assert!(moves(&mut roles, &facts, AT).is_empty());
     let later = AT + UNSERVED_FOR;
-    assert_eq!(moves(&mut roles, &facts, later), [Step::LetGo(P)]);
+    assert_eq!(
+        moves(&mut roles, &facts, later),
+        [Transition::Relinquish(P)]
+    );
     for m in [1, 2] {
         set(&mut facts, m, |f| f.state = LinkState::Down);
     }
     assert!(moves(&mut roles, &facts, later).is_empty());
     // What is given up stays so at this revision, and only at this one.
-    roles.apply(Input::GivenUp(P, Revision(5)), later);
+    roles.apply(Input::Relinquished(P, Revision(5)), later);
     for s in 0..20 {
         let now = later + Micros::from_secs(s);
-        let steps = roles.apply(Input::Look(&facts), now);
-        assert!(steps.contains(&Step::Release(P)) && !steps.contains(&Step::Take(P)));
+        let steps = roles.apply(Input::Evaluate(&facts), now);
+        assert!(
+            steps.contains(&Transition::Release(P)) && !steps.contains(&Transition::Acquire(P))
+        );
     }
-    facts.seats.insert(P, seat(0, 6));
-    let steps = roles.apply(Input::Look(&facts), later);
-    assert!(steps.contains(&Step::Hold(P, Revision(6))));
+    facts.ownerships.insert(P, seat(0, 6));
+    let steps = roles.apply(Input::Evaluate(&facts), later);
+    assert!(steps.contains(&Transition::Hold(P, Revision(6))));
 }
 
 /// An orphan, or one that was let go, is taken by whoever is better off first.
@@ -191,27 +204,29 @@
 fn whoever_reaches_less_leaves_an_orphan_to_others_first() {
     let (mut roles, mut facts) = begin();
     facts.held.clear();
-    facts.seats.insert(
+    facts.ownerships.insert(
         P,
-        Seat {
+        RoleOwnership {
             let_go: true,
             ..seat(1, 5)
         },
     );
-    set(&mut facts, 0, |f| (f.reached, f.unreached) = (0, 100));
+    set(&mut facts, 0, |f| {
+        (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+    });
     assert!(moves(&mut roles, &facts, AT).is_empty());
     let later = AT + WORSE_OFF;
-    assert_eq!(moves(&mut roles, &facts, later), [Step::Take(P)]);
+    assert_eq!(moves(&mut roles, &facts, later), [Transition::Acquire(P)]);
     let (mut roles, mut facts) = begin();
     facts.held.clear();
-    facts.seats.insert(
+    facts.ownerships.insert(
         P,
-        Seat {
+        RoleOwnership {
             let_go: true,
             ..seat(1, 5)
         },
     );
-    assert_eq!(moves(&mut roles, &facts, AT), [Step::Take(P)]);
+    assert_eq!(moves(&mut roles, &facts, AT), [Transition::Acquire(P)]);
 }
 
 /// A process that ends again and again leaves orphans to those who live on, and takes them when
@@ -220,14 +235,14 @@
 fn roles_are_left_to_those_who_live_on() {
     let (mut roles, mut facts) = begin();
     facts.held.clear();
-    facts.seats.get_mut(&P).unwrap().lease = 99;
-    facts.seats.get_mut(&P).unwrap().live = false;
-    facts.restless = [member(0)].into();
+    facts.ownerships.get_mut(&P).unwrap().lease = 99;
+    facts.ownerships.get_mut(&P).unwrap().live = false;
+    facts.crash_looping = [member(0)].into();
     let late = AT + Micros::from_secs(60);
     assert_eq!(moves(&mut roles, &facts, AT), []);
     assert_eq!(moves(&mut roles, &facts, late), []);
-    facts.restless = (0..3).map(member).collect();
-    assert_eq!(moves(&mut roles, &facts, late), [Step::Take(P)]);
+    facts.crash_looping = (0..3).map(member).collect();
+    assert_eq!(moves(&mut roles, &facts, late), [Transition::Acquire(P)]);
 
     // Home is another's, which begins a new session every two seconds.
     let members: Vec<Member> = [1, 0, 2].map(member).to_vec();
@@ -242,14 +257,14 @@
         roles.apply(Input::Session(&member(1), Some(100 + n)), now);
         assert_eq!(moves(&mut roles, &facts, now), []);
     }
-    let home = Step::HandOver {
+    let home = Transition::HandOver {
         role: P,
         to: member(1),
         urgent: false,
     };
     let now = AT + Micros::from_secs(30);
-    facts.restless = [member(1)].into();
+    facts.crash_looping = [member(1)].into();
     assert_eq!(moves(&mut roles, &facts, now), []);
-    facts.restless.clear();
+    facts.crash_looping.clear();
     assert_eq!(moves(&mut roles, &facts, now), [home]);
 }
--- a/crates/jasperhill-membership/src/view.rs
+++ b/crates/jasperhill-membership/src/view.rs
@@ -1,7 +1,7 @@
 //! What this controller knows of the links: its own, and those that others have told it of.
 //! Advice only: no rule hangs on it. Every change goes through [`View::apply`].
 
-use crate::link::{Evidence, Link, Patience};
+use crate::link::{LinkHealth, Observation, Thresholds};
 use jasperhill_wire::{
     Member, Micros, Name, Revision,
     mesh::{LinkState, ReachabilityReport, ZoneLinks},
@@ -31,26 +31,26 @@
 /// One link of this controller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkId {
-    State,
+    Store,
     Cloud,
     Peer(Member),
     /// Reports of a zone's workers that come in here.
-    Reports(Name),
+    Heartbeats(Name),
     /// Orders that go out to a zone's workers.
-    Orders(Name),
+    Commands(Name),
 }
 
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    Evidence(LinkId, Evidence),
+    Evidence(LinkId, Observation),
     /// So many hosts of a zone should report here; `report` is their pause.
-    Expect {
+    ExpectHeartbeats {
         zone: &'a Name,
         hosts: u32,
         report: Micros,
     },
     /// Another controller told how it stands.
-    Said(&'a ReachabilityReport),
+    PeerReport(&'a ReachabilityReport),
 }
 
 /// What to do about it.
@@ -73,9 +73,9 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct Reachability {
     me: Member,
-    links: BTreeMap<LinkId, Link>,
+    links: BTreeMap<LinkId, LinkHealth>,
     zones: BTreeMap<Name, Zone>,
     said: BTreeMap<Member, (ReachabilityReport, Micros)>,
     born: Micros,
@@ -83,7 +83,7 @@
     peers: Vec<Member>,
 }
 
-impl View {
+impl Reachability {
     pub fn new(me: Member, peers: Vec<Member>, born: Micros) -> Self {
         Self {
             me,
@@ -100,24 +100,24 @@
     pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Output> {
         match input {
             Input::Evidence(link, evidence) => {
-                if evidence == Evidence::Carried {
+                if evidence == Observation::Success {
                     match &link {
-                        LinkId::Reports(zone) => {
+                        LinkId::Heartbeats(zone) => {
                             let zone = self.zone(zone, now);
                             (zone.last_report, zone.proved) = (now, now);
                         }
-                        LinkId::Orders(zone) => self.zone(zone, now).proved = now,
+                        LinkId::Commands(zone) => self.zone(zone, now).proved = now,
                         _ => {}
                     }
                 }
                 self.feed(link, evidence, now)
             }
-            Input::Expect {
+            Input::ExpectHeartbeats {
                 zone,
                 hosts,
                 report,
             } => self.expect(zone, hosts, report, now),
-            Input::Said(report) => {
+            Input::PeerReport(report) => {
                 let known = report.from != self.me && self.peers.contains(&report.from);
                 let older = self.said.get(&report.from).is_some_and(|(r, _)| {
                     (r.process_started, r.number) >= (report.process_started, report.number)
@@ -139,26 +139,26 @@
         })
     }
 
-    fn feed(&mut self, id: LinkId, evidence: Evidence, now: Micros) -> Vec<Output> {
+    fn feed(&mut self, id: LinkId, evidence: Observation, now: Micros) -> Vec<Output> {
         let patience = match id {
             // Whoever waits for the state service or a peer notices each answer.
-            LinkId::State => Patience {
+            LinkId::Store => Thresholds {
                 down: Micros::from_millis(1_200),
                 up: Micros::ZERO,
             },
-            LinkId::Peer(_) => Patience {
+            LinkId::Peer(_) => Thresholds {
                 down: Micros::from_secs(1),
                 up: Micros::ZERO,
             },
-            LinkId::Cloud => Patience {
+            LinkId::Cloud => Thresholds {
                 down: Micros::from_secs(6),
                 up: Micros::ZERO,
             },
-            LinkId::Reports(_) => Patience {
+            LinkId::Heartbeats(_) => Thresholds {
                 down: Micros::from_millis(400),
                 up: Micros::from_millis(500),
             },
-            LinkId::Orders(_) => Patience {
+            LinkId::Commands(_) => Thresholds {
                 down: Micros::from_millis(600),
                 up: Micros::from_secs(1),
             },
@@ -166,16 +166,16 @@
         let link = self
             .links
             .entry(id.clone())
-            .or_insert_with(|| Link::new(patience));
+            .or_insert_with(|| LinkHealth::new(patience));
         let before = link.reach();
         if link.apply(evidence, now) {
             let after = link.reach();
             let mut out = vec![Output::Changed(id.clone(), before, after)];
             // Both were cut, and one direction is whole again: reports may be as well.
-            if let LinkId::Orders(zone) = id
+            if let LinkId::Commands(zone) = id
                 && (before, after) == (LinkState::Down, LinkState::Up)
             {
-                out.extend(self.feed(LinkId::Reports(zone), Evidence::Nobody, now));
+                out.extend(self.feed(LinkId::Heartbeats(zone), Observation::NoCounterpart, now));
             }
             out
         } else {
@@ -185,11 +185,11 @@
 
     /// Silence where reports are due, and questions where nothing else speaks.
     fn expect(&mut self, zone: &Name, hosts: u32, report: Micros, now: Micros) -> Vec<Output> {
-        let orders = self.own(&LinkId::Orders(zone.clone()));
+        let orders = self.own_link(&LinkId::Commands(zone.clone()));
         let fed = self
             .links
-            .get(&LinkId::Orders(zone.clone()))
-            .map_or(Micros::ZERO, Link::fed);
+            .get(&LinkId::Commands(zone.clone()))
+            .map_or(Micros::ZERO, LinkHealth::fed);
         let round = FIND_US.scale(self.peers.len() as f64);
         let state = self.zone(zone, now);
         if !std::mem::replace(&mut state.expected, hosts > 0) {
@@ -224,12 +224,12 @@
             state.probed = now;
         }
         let mut out = Vec::new();
-        let id = LinkId::Reports(zone.clone());
+        let id = LinkId::Heartbeats(zone.clone());
         if hosts > 0 && quiet >= allowed {
-            let silence = Evidence::Failed { by: now.0, of: 1 };
+            let silence = Observation::Failure { by: now.0, of: 1 };
             out.extend(self.feed(id, silence, now));
-        } else if hosts == 0 && quiet > FORGOTTEN && self.own(&id) != LinkState::Unknown {
-            out.extend(self.feed(id, Evidence::Nobody, now));
+        } else if hosts == 0 && quiet > FORGOTTEN && self.own_link(&id) != LinkState::Unknown {
+            out.extend(self.feed(id, Observation::NoCounterpart, now));
         }
         if probe {
             out.push(Output::Probe(zone.clone()));
@@ -246,7 +246,7 @@
 
     /// Whether a member has shown lately that it reaches a zone's workers. Guards against a role
     /// that goes to somebody beyond the same cut who has not noticed it yet.
-    pub fn is_proved(&self, member: &Member, zone: &Name, now: Micros) -> bool {
+    pub fn has_recent_contact(&self, member: &Member, zone: &Name, now: Micros) -> bool {
         let Some((report, at)) = self.said.get(member) else {
             return false;
         };
@@ -255,51 +255,57 @@
     }
 
     /// How this controller's own link stands.
-    pub fn own(&self, link: &LinkId) -> LinkState {
-        self.links.get(link).map_or(LinkState::Unknown, Link::reach)
+    pub fn own_link(&self, link: &LinkId) -> LinkState {
+        self.links
+            .get(link)
+            .map_or(LinkState::Unknown, LinkHealth::reach)
     }
 
     /// What a peer said, if that is recent.
-    pub fn said(&self, member: &Member, now: Micros) -> Option<&ReachabilityReport> {
+    pub fn peer_report(&self, member: &Member, now: Micros) -> Option<&ReachabilityReport> {
         let (report, at) = self.said.get(member)?;
         (now - *at < FRESH).then_some(report)
     }
 
     /// Whether the state service answers that member, as far as is known.
-    pub fn is_served(&self, member: &Member, now: Micros) -> LinkState {
+    pub fn store_link(&self, member: &Member, now: Micros) -> LinkState {
         if *member == self.me {
-            return self.own(&LinkId::State);
+            return self.own_link(&LinkId::Store);
         }
-        self.said(member, now)
+        self.peer_report(member, now)
             .map_or(LinkState::Unknown, |r| r.store)
     }
 
     /// Some other member is answered by the state service.
-    pub fn other_served(&self, now: Micros) -> bool {
+    pub fn is_store_reachable_elsewhere(&self, now: Micros) -> bool {
         self.peers
             .iter()
-            .any(|m| self.is_served(m, now) == LinkState::Up)
+            .any(|m| self.store_link(m, now) == LinkState::Up)
     }
 
     /// The state service does not answer here, and does elsewhere, as far as can be told: somebody
     /// says so, or nobody is heard any more. Guards against users who hold on to a controller that
     /// has lost the state service and all others, and get no answer for as long as that lasts. In an
     /// outage that everybody sees, others are heard and say so.
-    pub fn is_alone(&self, now: Micros) -> bool {
-        let nobody =
-            !self.peers.is_empty() && self.peers.iter().all(|m| self.said(m, now).is_none());
-        self.own(&LinkId::State) == LinkState::Down && (nobody || self.other_served(now))
+    pub fn is_isolated(&self, now: Micros) -> bool {
+        let nobody = !self.peers.is_empty()
+            && self
+                .peers
+                .iter()
+                .all(|m| self.peer_report(m, now).is_none());
+        self.own_link(&LinkId::Store) == LinkState::Down
+            && (nobody || self.is_store_reachable_elsewhere(now))
     }
 
     /// Reports that come in, and orders that go out, between a member and a zone's workers.
-    pub fn directions(&self, member: &Member, zone: &Name, now: Micros) -> (LinkState, LinkState) {
+    pub fn zone_links(&self, member: &Member, zone: &Name, now: Micros) -> (LinkState, LinkState) {
         if *member == self.me {
             return (
-                self.own(&LinkId::Reports(zone.clone())),
-                self.own(&LinkId::Orders(zone.clone())),
+                self.own_link(&LinkId::Heartbeats(zone.clone())),
+                self.own_link(&LinkId::Commands(zone.clone())),
             );
         }
-        let said = self.said(member, now);
+        let said = self.peer_report(member, now);
         said.and_then(|r| r.zones.iter().find(|z| &z.zone == zone))
             .map_or((LinkState::Unknown, LinkState::Unknown), |z| {
                 (z.heartbeats, z.commands)
@@ -309,7 +315,7 @@
     /// Whether a member and a zone's workers reach each other. What is not known is no reason
     /// against a direction while the other works.
     pub fn reaches(&self, member: &Member, zone: &Name, now: Micros) -> LinkState {
-        match self.directions(member, zone, now) {
+        match self.zone_links(member, zone, now) {
             (LinkState::Down, _) | (_, LinkState::Down) => LinkState::Down,
             (LinkState::Suspect, _) | (_, LinkState::Suspect) => LinkState::Suspect,
             (LinkState::Unknown, LinkState::Unknown) => LinkState::Unknown,
@@ -318,30 +324,30 @@
     }
 
     /// Whether that member is reached from here, and has been heard.
-    pub fn hears(&self, member: &Member, now: Micros) -> bool {
-        self.own(&LinkId::Peer(member.clone())) != LinkState::Down
-            && self.said(member, now).is_some()
+    pub fn hears_peer(&self, member: &Member, now: Micros) -> bool {
+        self.own_link(&LinkId::Peer(member.clone())) != LinkState::Down
+            && self.peer_report(member, now).is_some()
     }
 
     /// A peer through which orders get to a zone's workers.
-    pub fn way_to(&self, zone: &Name, now: Micros) -> Option<&Member> {
+    pub fn relay_to_zone(&self, zone: &Name, now: Micros) -> Option<&Member> {
         self.peers.iter().find(|m| {
-            self.hears(m, now)
+            self.hears_peer(m, now)
                 && matches!(
-                    self.directions(m, zone, now),
+                    self.zone_links(m, zone, now),
                     (_, LinkState::Up) | (LinkState::Up, LinkState::Unknown)
                 )
         })
     }
 
     /// A third member that hears both a peer and a zone's workers.
-    pub fn between(&self, peer: &Member, zone: &Name, now: Micros) -> Option<&Member> {
+    pub fn relay_to_owner(&self, peer: &Member, zone: &Name, now: Micros) -> Option<&Member> {
         self.peers.iter().find(|m| {
             *m != peer
-                && self.hears(m, now)
-                && self.said(m, now).is_some_and(|r| r.reachable_peers.contains(peer))
+                && self.hears_peer(m, now)
+                && self.peer_report(m, now).is_some_and(|r| r.reachable_peers.contains(peer))
                 // Guards against one that only orders get out of: it has to hear the worker.
-                && self.directions(m, zone, now).0 == LinkState::Up
+                && self.zone_links(m, zone, now).0 == LinkState::Up
                 && self.reaches(m, zone, now) == LinkState::Up
         })
     }
@@ -350,7 +356,7 @@
     pub fn owner(&self, role: Role, now: Micros) -> Option<(&Member, Revision)> {
         self.peers
             .iter()
-            .filter_map(|m| self.said(m, now))
+            .filter_map(|m| self.peer_report(m, now))
             .flat_map(|r| &r.owners)
             .filter(|(r, ..)| *r == role)
             .map(|(_, owner, version)| (owner, *version))
@@ -358,14 +364,20 @@
     }
 
     /// The owner of a role at this revision says that it has stopped acting on it for good.
-    pub fn let_go(&self, owner: &Member, role: Role, version: Revision, now: Micros) -> bool {
-        self.said(owner, now)
+    pub fn has_relinquished(
+        &self,
+        owner: &Member,
+        role: Role,
+        version: Revision,
+        now: Micros,
+    ) -> bool {
+        self.peer_report(owner, now)
             .is_some_and(|r| r.relinquished.contains(&(role, version)))
     }
 
     /// All of this controller's links are up, as far as they are known.
-    pub fn is_calm(&self) -> bool {
-        let fine = |l: &Link| matches!(l.reach(), LinkState::Up | LinkState::Unknown);
+    pub fn all_links_up(&self) -> bool {
+        let fine = |l: &LinkHealth| matches!(l.reach(), LinkState::Up | LinkState::Unknown);
         self.links.values().all(fine)
     }
 
@@ -378,7 +390,7 @@
     ) -> ReachabilityReport {
         self.number += 1;
         let zones = self.zones.iter().map(|(zone, state)| {
-            let (reports, orders) = self.directions(&self.me, zone, now);
+            let (reports, orders) = self.zone_links(&self.me, zone, now);
             ZoneLinks {
                 zone: zone.clone(),
                 heartbeats: reports,
@@ -390,13 +402,13 @@
             from: self.me.clone(),
             process_started: self.born,
             number: self.number,
-            store: self.own(&LinkId::State),
-            cloud: self.own(&LinkId::Cloud),
+            store: self.own_link(&LinkId::Store),
+            cloud: self.own_link(&LinkId::Cloud),
             zones: zones.collect(),
             reachable_peers: self
                 .peers
                 .iter()
-                .filter(|m| self.hears(m, now))
+                .filter(|m| self.hears_peer(m, now))
                 .cloned()
                 .collect(),
             owners,
--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -6,7 +6,7 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use jasperhill_scheduler::{
-    MachineSpec, Partition, SchedConfig, Source, TeamLimits, Tuning, host::HostInput,
+    MachineSpec, Partition, SchedulerConfig, Source, TeamLimits, Tuning, host::HostInput,
 };
 use jasperhill_wire::{
     FencingToken, HostId, JobId, Micros, Name, Resources, Revision,
@@ -93,7 +93,7 @@
             termination_notice: None,
             tasks: tasks.collect(),
         };
-        part.on_report(&report, Source::Hello, NOW);
+        part.on_report(&report, Source::Heartbeat, NOW);
         part.apply(&id, HostInput::Answered(&[]), NOW);
     }
 }
@@ -115,7 +115,7 @@
         guaranteed: Resources::default(),
         most: Resources::default(),
     };
-    let config = Rc::new(SchedConfig {
+    let config = Rc::new(SchedulerConfig {
         partitions: 3,
         teams: (0..3).map(team).collect(),
         report: Micros::from_secs(6),
--- a/crates/jasperhill-scheduler/src/book.rs
+++ b/crates/jasperhill-scheduler/src/book.rs
@@ -6,7 +6,7 @@
     forward::{Booking, Occupied, density, insert, misses, place, remaining},
     host::{Host, TaskState},
     job::{Job, TaskStep},
-    partition::{Partition, Verdict},
+    partition::{AdmissionDecision, Partition},
     pass::{Begin, Pass},
     suit::start_delay,
 };
@@ -281,19 +281,19 @@
         now: Micros,
         release: Micros,
         elastic: (u32, Micros),
-    ) -> Verdict {
+    ) -> AdmissionDecision {
         let Some(deadline) = request.deadline else {
-            return Verdict::Admit;
+            return AdmissionDecision::Admit;
         };
         let due = submitted + deadline;
         let estimate = self.estimate(request);
         let at = now + release;
         if due - at <= estimate {
-            return Verdict::Refuse;
+            return AdmissionDecision::Refuse;
         }
         // What lies beyond the team's limit waits unadmitted: only the part within it is tested.
         let Some(team) = self.config.team(&request.team) else {
-            return Verdict::Refuse;
+            return AdmissionDecision::Refuse;
         };
         let used = self.team_use(&request.team);
         let mut tested = 0;
@@ -312,23 +312,23 @@
         let (mut found, mut late) = (0, 0);
         for host in hosts() {
             if found >= tested {
-                return Verdict::Admit;
+                return AdmissionDecision::Admit;
             }
             let (can, misses) = self.takes(host, request, due, at, tested - found);
             found += can;
             late += misses;
         }
         if found >= tested {
-            return Verdict::Admit;
+            return AdmissionDecision::Admit;
         }
         // Work that is late already takes its part of the machines that could be rented now.
         let rented = self
             .rentable(request, due, (now, at), elastic)
             .saturating_sub(late as u64);
         if u64::from(tested - found) <= rented {
-            Verdict::Admit
+            AdmissionDecision::Admit
         } else {
-            Verdict::Refuse
+            AdmissionDecision::Refuse
         }
     }
 
--- a/crates/jasperhill-scheduler/src/boots.rs
+++ b/crates/jasperhill-scheduler/src/boots.rs
@@ -21,11 +21,11 @@
 
 /// The boots seen.
 #[derive(Clone, Debug, Default)]
-pub struct Boots {
+pub struct BootTimes {
     seen: BTreeMap<(Name, Name), VecDeque<(Micros, Micros)>>,
 }
 
-impl Boots {
+impl BootTimes {
     /// A machine has come up after so long.
     pub fn note(&mut self, kind: &Name, zone: &Name, took: Micros, now: Micros) {
         let seen = self.seen.entry((kind.clone(), zone.clone())).or_default();
@@ -85,7 +85,7 @@
 
     const NOMINAL: Micros = Micros::from_secs(30);
 
-    fn late(boots: &Boots, age: u64, now: Micros) -> bool {
+    fn late(boots: &BootTimes, age: u64, now: Micros) -> bool {
         let (kind, zone) = ("box".into(), "a".into());
         boots.is_late(&kind, &zone, NOMINAL, Micros::from_secs(age), now)
     }
@@ -93,7 +93,7 @@
     /// Guards against machines that never come and count as supply for minutes.
     #[test]
     fn a_machine_is_late_by_what_others_take() {
-        let mut boots = Boots::default();
+        let mut boots = BootTimes::default();
         let now = Micros::from_secs(1_000);
         assert!(!late(&boots, 45, now) && late(&boots, 60, now));
         // Where all take three times as long none is late before, and elsewhere nothing changes.
@@ -110,6 +110,6 @@
             boots.note(&"box".into(), &"a".into(), Micros::from_secs(1), now);
         }
         assert!(!late(&boots, 45, now));
-        assert!(Boots::never_comes(NOMINAL, Micros::from_secs(141)));
+        assert!(BootTimes::never_comes(NOMINAL, Micros::from_secs(141)));
     }
 }
--- a/crates/jasperhill-scheduler/src/chain.rs
+++ b/crates/jasperhill-scheduler/src/chain.rs
@@ -8,7 +8,7 @@
 
 /// How an unfinished job stands to the jobs that it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum DependencyState {
     /// All that it needs is done.
     Ready,
     Waiting,
@@ -18,7 +18,7 @@
 
 /// What the records say of a job that another one needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RecordedOutcome {
     /// Not seen yet, or unfinished.
     Open,
     Done,
@@ -27,7 +27,7 @@
 
 /// What of a job passes backwards to those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct JobUrgency {
     /// By the time of day, which means the same to all controllers.
     pub due: Option<Micros>,
     /// How long it takes once it may start.
@@ -37,12 +37,12 @@
 
 /// What the jobs after one leave it: by when it should be done, and the most important of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Claim {
+pub struct InheritedUrgency {
     pub due: Option<Micros>,
     pub priority: Option<Priority>,
 }
 
-impl Claim {
+impl InheritedUrgency {
     fn with(self, other: Self) -> Self {
         fn least<T: Ord>(a: Option<T>, b: Option<T>) -> Option<T> {
             match (a, b) {
@@ -63,8 +63,8 @@
     Accepted {
         id: &'a JobId,
         needs: &'a [JobId],
-        terms: Terms,
-        fate: &'a dyn Fn(&JobId) -> Fate,
+        terms: JobUrgency,
+        fate: &'a dyn Fn(&JobId) -> RecordedOutcome,
     },
     /// The record of a job has become final.
     Ended { id: &'a JobId, done: bool },
@@ -88,9 +88,9 @@
     /// Unfinished jobs that need it.
     after: BTreeSet<JobId>,
     doomed: bool,
-    claim: Claim,
+    claim: InheritedUrgency,
     /// `None`: its own record has not been seen.
-    terms: Option<Terms>,
+    terms: Option<JobUrgency>,
 }
 
 /// Claims passed on by one event, at most: they are only an order of preference.
@@ -99,22 +99,22 @@
 const LOOK_MAX: usize = 2_000;
 
 #[derive(Debug, Default)]
-pub struct Chain {
+pub struct DependencyGraph {
     nodes: HashMap<JobId, Node>,
     doomed: BTreeSet<JobId>,
 }
 
-impl Chain {
+impl DependencyGraph {
     /// Of an unfinished job.
-    pub fn standing(&self, id: &JobId) -> Standing {
+    pub fn standing(&self, id: &JobId) -> DependencyState {
         match self.nodes.get(id) {
-            Some(node) if node.doomed => Standing::Doomed,
-            Some(node) if !node.left.is_empty() => Standing::Waiting,
-            _ => Standing::Ready,
+            Some(node) if node.doomed => DependencyState::Doomed,
+            Some(node) if !node.left.is_empty() => DependencyState::Waiting,
+            _ => DependencyState::Ready,
         }
     }
 
-    pub fn claim(&self, id: &JobId) -> Claim {
+    pub fn claim(&self, id: &JobId) -> InheritedUrgency {
         self.nodes.get(id).map(|n| n.claim).unwrap_or_default()
     }
 
@@ -147,8 +147,8 @@
         &mut self,
         id: &JobId,
         needs: &[JobId],
-        terms: Terms,
-        fate: &dyn Fn(&JobId) -> Fate,
+        terms: JobUrgency,
+        fate: &dyn Fn(&JobId) -> RecordedOutcome,
         outputs: &mut Vec<Output>,
     ) {
         if needs.is_empty() {
@@ -162,9 +162,9 @@
         // A job can't need itself: it was not accepted before.
         for need in needs.iter().filter(|n| *n != id) {
             match fate(need) {
-                Fate::Done => {}
-                Fate::Cancelled => doomed = true,
-                Fate::Open => {
+                RecordedOutcome::Done => {}
+                RecordedOutcome::Cancelled => doomed = true,
+                RecordedOutcome::Open => {
                     let node = self.nodes.entry(need.clone()).or_default();
                     node.after.insert(id.clone());
                     doomed |= node.doomed;
@@ -223,19 +223,19 @@
     }
 
     /// What this job leaves those that it needs.
-    fn leaves(&self, id: &JobId) -> Claim {
+    fn leaves(&self, id: &JobId) -> InheritedUrgency {
         let Some((node, terms)) = self.nodes.get(id).and_then(|n| Some((n, n.terms?))) else {
-            return Claim::default();
+            return InheritedUrgency::default();
         };
         if node.doomed {
-            return Claim::default();
+            return InheritedUrgency::default();
         }
-        let own = Claim {
+        let own = InheritedUrgency {
             due: terms.due,
             priority: Some(terms.priority),
         };
         let all = node.claim.with(own);
-        Claim {
+        InheritedUrgency {
             due: all.due.map(|due| due - terms.span),
             ..all
         }
@@ -280,7 +280,9 @@
             let claim = node
                 .after
                 .iter()
-                .fold(Claim::default(), |all, a| all.with(self.leaves(a)));
+                .fold(InheritedUrgency::default(), |all, a| {
+                    all.with(self.leaves(a))
+                });
             let idle = node.after.is_empty() && node.left.is_empty() && !node.doomed;
             if claim != node.claim {
                 next.extend(node.left.iter().cloned());
@@ -350,30 +352,30 @@
                 || (!self.ended.contains_key(&n)
                     && self.needs[&n].iter().any(|m| self.cancelled(*m)))
         }
-        fn standing(&self, n: usize) -> Standing {
+        fn standing(&self, n: usize) -> DependencyState {
             if self.cancelled(n) {
-                Standing::Doomed
+                DependencyState::Doomed
             } else if self.needs[&n]
                 .iter()
                 .all(|m| self.ended.get(m) == Some(&true))
             {
-                Standing::Ready
+                DependencyState::Ready
             } else {
-                Standing::Waiting
+                DependencyState::Waiting
             }
         }
         fn due(&self, n: usize) -> Option<Micros> {
             terms(n).due
         }
         /// What the unfinished jobs after this one leave it.
-        fn claim(&self, n: usize) -> Claim {
+        fn claim(&self, n: usize) -> InheritedUrgency {
             let open = |m: &usize| !self.ended.contains_key(m) && !self.cancelled(*m);
             let after = self
                 .needs
                 .keys()
                 .filter(|m| open(m) && self.needs[m].contains(&n));
-            after.fold(Claim::default(), |all, m| {
-                let own = Claim {
+            after.fold(InheritedUrgency::default(), |all, m| {
+                let own = InheritedUrgency {
                     due: self.due(*m),
                     priority: Some(terms(*m).priority),
                 };
@@ -384,9 +386,9 @@
         }
     }
 
-    fn terms(n: usize) -> Terms {
+    fn terms(n: usize) -> JobUrgency {
         let priorities = [Priority::Low, Priority::Normal, Priority::High];
-        Terms {
+        JobUrgency {
             due: (n % 3 == 2).then(|| Micros::from_secs(1_000 + n as u64 * 7 % 50)),
             span: Micros::from_secs(1 + n as u64 % 5),
             priority: priorities[n % 3],
@@ -415,7 +417,7 @@
                         let n = usize::from(a) % jobs;
                         let done = kind % 3 == 1;
                         if plain.ended.contains_key(&n)
-                            || (done && plain.standing(n) != Standing::Ready)
+                            || (done && plain.standing(n) != DependencyState::Ready)
                         {
                             continue;
                         }
@@ -431,8 +433,8 @@
     /// The records as one controller sees them: a final record may be the first it sees of a job.
     #[derive(Default)]
     struct Seen {
-        chain: Chain,
-        fates: BTreeMap<usize, Fate>,
+        chain: DependencyGraph,
+        fates: BTreeMap<usize, RecordedOutcome>,
         outputs: Vec<Output>,
     }
 
@@ -441,7 +443,7 @@
             let fates = &self.fates;
             let fate = |j: &JobId| {
                 let n: usize = j.as_str()[4..].parse().unwrap();
-                fates.get(&n).copied().unwrap_or(Fate::Open)
+                fates.get(&n).copied().unwrap_or(RecordedOutcome::Open)
             };
             let outputs = match event {
                 Event::Submit(n, _) if fates.contains_key(n) => Vec::new(),
@@ -459,7 +461,11 @@
                         id: &id(*n),
                         done: *done,
                     });
-                    let to = if *done { Fate::Done } else { Fate::Cancelled };
+                    let to = if *done {
+                        RecordedOutcome::Done
+                    } else {
+                        RecordedOutcome::Cancelled
+                    };
                     self.fates.insert(*n, to);
                     out
                 }
@@ -528,20 +534,20 @@
         }
     }
 
-    fn submit(chain: &mut Chain, n: usize, needs: &[usize]) -> Vec<Output> {
+    fn submit(chain: &mut DependencyGraph, n: usize, needs: &[usize]) -> Vec<Output> {
         let needs: Vec<JobId> = needs.iter().map(|m| id(*m)).collect();
         chain.apply(Input::Accepted {
             id: &id(n),
             needs: &needs,
             terms: terms(n),
-            fate: &|_| Fate::Open,
+            fate: &|_| RecordedOutcome::Open,
         })
     }
 
     /// A deep chain, a diamond and a fan cost no depth of the stack and are done with at once.
     #[test]
     fn deep_chains_and_wide_fans_are_cancelled_whole() {
-        let mut chain = Chain::default();
+        let mut chain = DependencyGraph::default();
         for n in 1..=20_000 {
             submit(&mut chain, n, &[n - 1]);
         }
@@ -561,7 +567,7 @@
 
     #[test]
     fn the_wait_is_the_longest_path() {
-        let mut chain = Chain::default();
+        let mut chain = DependencyGraph::default();
         submit(&mut chain, 1, &[0]);
         submit(&mut chain, 2, &[0]);
         submit(&mut chain, 3, &[1, 2]);
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -78,7 +78,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct SchedConfig {
+pub struct SchedulerConfig {
     pub partitions: u32,
     pub teams: Vec<TeamLimits>,
     pub report: Micros,
@@ -90,7 +90,7 @@
     pub tuning: Tuning,
 }
 
-impl SchedConfig {
+impl SchedulerConfig {
     /// How long after the last possible answer a worker's tasks are surely gone: its lease,
     /// and what two drifting clocks and late timers can add.
     pub fn lapse(&self) -> Micros {
@@ -150,7 +150,7 @@
 /// Why a job can never run, if so.
 pub fn impossible(
     request: &JobRequest,
-    config: &SchedConfig,
+    config: &SchedulerConfig,
     specs: &Specs,
 ) -> Option<&'static str> {
     let Some(team) = config.team(&request.team) else {
--- a/crates/jasperhill-scheduler/src/done.rs
+++ b/crates/jasperhill-scheduler/src/done.rs
@@ -1,13 +1,13 @@
 //! The set of a job's finished tasks, compact in memory and in its record.
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DoneSet {
+pub struct TaskSet {
     words: Vec<u64>,
     len: u32,
     count: u32,
 }
 
-impl DoneSet {
+impl TaskSet {
     pub fn new(len: u32) -> Self {
         Self {
             words: vec![0; len.div_ceil(64) as usize],
@@ -82,17 +82,17 @@
         })]
         #[test]
         fn runs_round_trip(len in 1u32..500, picks in proptest::collection::vec(0u32..500, 0..200)) {
-            let mut set = DoneSet::new(len);
+            let mut set = TaskSet::new(len);
             for p in picks { set.insert(p); }
-            prop_assert_eq!(&DoneSet::from_runs(len, &set.to_runs(usize::MAX)), &set);
+            prop_assert_eq!(&TaskSet::from_runs(len, &set.to_runs(usize::MAX)), &set);
             // A shortened record never claims a task that is not done.
-            let cut = DoneSet::from_runs(len, &set.to_runs(6));
+            let cut = TaskSet::from_runs(len, &set.to_runs(6));
             prop_assert!((0..len).all(|i| !cut.contains(i) || set.contains(i)));
         }
 
         #[test]
         fn any_runs_are_read(len in 1u32..300, runs in proptest::collection::vec(any::<u32>(), 0..20)) {
-            let set = DoneSet::from_runs(len, &runs);
+            let set = TaskSet::from_runs(len, &runs);
             prop_assert_eq!(set.count(), (0..len).filter(|i| set.contains(*i)).count() as u32);
         }
     }
--- a/crates/jasperhill-scheduler/src/drain.rs
+++ b/crates/jasperhill-scheduler/src/drain.rs
@@ -4,7 +4,7 @@
 use crate::{
     host::Host,
     job::Job,
-    partition::{Note, Partition},
+    partition::{Event, Partition},
     suit::ZoneRooms,
 };
 use jasperhill_wire::{HostId, Micros, TaskId};
@@ -173,7 +173,7 @@
             if !self.moves.take(replicas, now) {
                 return;
             }
-            self.notes.push(Note::Stopped(
+            self.notes.push(Event::Stopped(
                 task.clone(),
                 host.clone(),
                 "moved to empty the host",
--- a/crates/jasperhill-scheduler/src/fleet.rs
+++ b/crates/jasperhill-scheduler/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet plan: how many hosts each partition needs, from the job records alone, so that
 //! every controller comes to the same answer.
 
-use crate::config::{SchedConfig, Specs};
+use crate::config::{SchedulerConfig, Specs};
 use jasperhill_wire::{
     Micros, Name,
     user::{JobRequest, Priority, Shape},
@@ -10,7 +10,7 @@
 
 /// What the plan looks at of each unfinished job.
 #[derive(Clone, Debug)]
-pub struct Demand<'a> {
+pub struct JobDemand<'a> {
     pub request: &'a JobRequest,
     pub partition: u32,
     pub unfinished: u32,
@@ -31,7 +31,7 @@
 
 /// Hosts needed, as fractions that add up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Need {
+pub struct CapacityDemand {
     /// Work that must run on ordinary machines.
     pub ordinary: f64,
     /// Work that may run on spot machines.
@@ -40,15 +40,19 @@
     pub pressing: f64,
 }
 
-impl Need {
+impl CapacityDemand {
     pub fn total(&self) -> f64 {
         self.ordinary + self.flexible
     }
 }
 
 /// The need of every partition.
-pub fn plan(demands: &[Demand<'_>], config: &SchedConfig, specs: &Specs) -> Vec<Need> {
-    let mut needs = vec![Need::default(); config.partitions as usize];
+pub fn plan(
+    demands: &[JobDemand<'_>],
+    config: &SchedulerConfig,
+    specs: &Specs,
+) -> Vec<CapacityDemand> {
+    let mut needs = vec![CapacityDemand::default(); config.partitions as usize];
     // Team limits bound what can run at once.
     let mut by_team: BTreeMap<&Name, u64> = BTreeMap::new();
     for d in demands {
@@ -142,12 +146,12 @@
 /// Arrivals of the classes whose starts are waited for, by partition. Tells how much room to
 /// keep free: what is expected to come while a machine boots, and its usual deviation.
 #[derive(Clone, Debug)]
-pub struct Arrivals {
+pub struct DemandForecast {
     since: Micros,
     flows: BTreeMap<(u32, Name), Flow>,
 }
 
-impl Arrivals {
+impl DemandForecast {
     /// Counts from a little after `first`, when the oldest job that is known was submitted.
     pub fn new(first: Micros) -> Self {
         Self {
@@ -251,7 +255,7 @@
         };
         let specs: Specs = BTreeMap::from([("box".into(), Rc::new(spec))]);
         let first = Micros::from_secs(3_600);
-        let mut arrivals = Arrivals::new(first);
+        let mut arrivals = DemandForecast::new(first);
         assert!(!arrivals.counts(first + Micros::from_secs(5)));
         // Two hosts every five seconds, from when it counts.
         for n in 0..4 {
--- a/crates/jasperhill-scheduler/src/floors.rs
+++ b/crates/jasperhill-scheduler/src/floors.rs
@@ -71,7 +71,7 @@
 
 /// Of one class or team.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct ServedShare {
     /// The part of its jobs that has begun, of those that have begun lately or wait for too long.
     pub share: f64,
     /// Those that wait for too long.
@@ -79,16 +79,16 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Floors {
+pub struct StarvationGuard {
     /// How many jobs have begun lately, and as of when.
     begun: BTreeMap<Group, (f64, Micros)>,
-    standing: BTreeMap<Group, Standing>,
+    standing: BTreeMap<Group, ServedShare>,
     turns: BTreeSet<JobId>,
     /// When it last looked around.
     looked: Option<Micros>,
 }
 
-impl Floors {
+impl StarvationGuard {
     /// The one function that changes it. `least`: the floor; 0: none.
     pub fn apply(&mut self, input: Input<'_>, least: f64, now: Micros) {
         match input {
@@ -122,7 +122,7 @@
             let share = begun / all.max(1.0);
             let waiting = jobs.len();
             self.standing
-                .insert(group.clone(), Standing { share, waiting });
+                .insert(group.clone(), ServedShare { share, waiting });
             if share < least && waiting >= FEW {
                 let mut oldest: Vec<_> = jobs.iter().map(|w| (w.since, w.id)).collect();
                 oldest.sort();
@@ -145,13 +145,13 @@
 
     /// Those that get turns.
     pub fn behind(&self, least: f64) -> BTreeSet<Group> {
-        let behind = |s: &Standing| s.share < least && s.waiting >= FEW;
+        let behind = |s: &ServedShare| s.share < least && s.waiting >= FEW;
         let groups = self.standing.iter().filter(|(_, s)| behind(s));
         groups.map(|(g, _)| g.clone()).collect()
     }
 
     /// Those of whose jobs some wait for too long.
-    pub fn standing(&self) -> &BTreeMap<Group, Standing> {
+    pub fn standing(&self) -> &BTreeMap<Group, ServedShare> {
         &self.standing
     }
 }
@@ -175,7 +175,7 @@
         let ids: Vec<JobId> = (0..8)
             .map(|n| JobId::parse(&format!("job-{n:06}")).unwrap())
             .collect();
-        let mut floors = Floors::default();
+        let mut floors = StarvationGuard::default();
         for n in 0..100 {
             let (class, team) = (&urgent, &teams[n % 2]);
             let id = &ids[7];
--- a/crates/jasperhill-scheduler/src/gang.rs
+++ b/crates/jasperhill-scheduler/src/gang.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     host::{Host, LISTED_MAX},
-    job::{Job, KeptHosts},
+    job::{HostReservation, Job},
     partition::Partition,
     pass::Pass,
     suit::{ZoneRooms, cost, unproved},
@@ -180,7 +180,7 @@
         }
         let whole = hosts.len() == request.tasks as usize;
         if let Some(job) = self.jobs.get_mut(id) {
-            job.kept = whole.then_some(KeptHosts {
+            job.kept = whole.then_some(HostReservation {
                 hosts,
                 until: pass.now + KEPT_FOR,
                 ready: at,
--- a/crates/jasperhill-scheduler/src/host.rs
+++ b/crates/jasperhill-scheduler/src/host.rs
@@ -2,7 +2,7 @@
 //! state goes through [`Host::apply`].
 
 use crate::{
-    config::{MachineSpec, SchedConfig},
+    config::{MachineSpec, SchedulerConfig},
     progress::Pace,
 };
 use jasperhill_wire::{
@@ -34,7 +34,7 @@
 
 /// How well a host is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum FencingState {
     /// Has not shown our token yet. `ghosts`: a predecessor may have started anything there.
     Unfenced { ghosts: bool },
     /// Has shown our token: its reports say all that runs there.
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    Hello,
+    Heartbeat,
     Direct,
 }
 
@@ -116,7 +116,7 @@
     /// A report was answered 200 with these orders.
     Answered(&'a [Command]),
     /// Another controller may answer its reports until then.
-    Kept(Micros),
+    LeaseDelegated(Micros),
     /// Orders go out directly; what is known of the store, and so of cancellations, is as of then.
     DirectSent(Vec<Command>, Micros),
     /// The direct orders were executed, or surely were not (their report comes separately).
@@ -155,7 +155,7 @@
     pub spot: bool,
     pub usage: HostAssignment,
     pub token: FencingToken,
-    pub reach: Reach,
+    pub reach: FencingState,
     pub tenure: Option<u64>,
     counter: u64,
     pub tasks: BTreeMap<TaskId, HostTask>,
@@ -219,7 +219,7 @@
             spot: record.spot,
             usage: record.assignment,
             token,
-            reach: Reach::Unfenced { ghosts },
+            reach: FencingState::Unfenced { ghosts },
             tenure: None,
             counter: 0,
             tasks: BTreeMap::new(),
@@ -251,7 +251,7 @@
     }
 
     pub fn has_ghosts(&self) -> bool {
-        self.reach == Reach::Unfenced { ghosts: true }
+        self.reach == FencingState::Unfenced { ghosts: true }
     }
     pub fn needs_token(&self) -> bool {
         self.doubt == Doubt::NeedsToken
@@ -304,8 +304,8 @@
     }
 
     /// May get new tasks.
-    pub fn is_usable(&self, now: Micros, config: &SchedConfig) -> bool {
-        self.reach == Reach::Fenced
+    pub fn is_usable(&self, now: Micros, config: &SchedulerConfig) -> bool {
+        self.reach == FencingState::Fenced
             && matches!(self.usage, HostAssignment::Partition(_))
             && self.notice.is_none()
             && self.doubt == Doubt::None
@@ -444,7 +444,7 @@
                     }
                 }
             }
-            HostInput::Kept(until) => self.last_answer = self.last_answer.max(until),
+            HostInput::LeaseDelegated(until) => self.last_answer = self.last_answer.max(until),
             HostInput::DirectSent(orders, known) => {
                 let starts = orders.into_iter().filter_map(|o| match o {
                     Command::Start(task, attempt) => Some((task, attempt)),
@@ -460,7 +460,7 @@
             HostInput::DirectUnanswered => {
                 if let Some(flight) = self.flight.take()
                     && !flight.starts.is_empty()
-                    && self.reach != Reach::Lapsed
+                    && self.reach != FencingState::Lapsed
                 {
                     self.doubted.extend(flight.starts);
                     self.doubt_under = Some(flight.under);
@@ -481,7 +481,7 @@
             HostInput::Deaf => {}
             HostInput::Gone => {
                 self.drop_all(&mut out);
-                self.reach = Reach::Lapsed;
+                self.reach = FencingState::Lapsed;
             }
             HostInput::Start(task, attempt, each, image) => {
                 self.idle_since = None;
@@ -560,7 +560,7 @@
         }
         let begun = self.tenure.is_some_and(|t| t < report.incarnation);
         match source {
-            Source::Hello => self.spoke = Some(now),
+            Source::Heartbeat => self.spoke = Some(now),
             Source::Direct if begun => self.spoke = None,
             Source::Direct => {}
         }
@@ -587,8 +587,8 @@
             // record is rewritten, which raises the token above any that was ever shown.
             self.doubt = Doubt::NeedsToken;
         }
-        if report.token >= self.token && self.reach != Reach::Fenced {
-            self.reach = Reach::Fenced;
+        if report.token >= self.token && self.reach != FencingState::Fenced {
+            self.reach = FencingState::Fenced;
             out.push(HostOutput::Fenced);
         }
         let mut listed = BTreeSet::new();
@@ -623,7 +623,7 @@
                             task,
                             Some(ExitCause::Stopped { saved: false }),
                         ));
-                    } else if source == Source::Hello
+                    } else if source == Source::Heartbeat
                         && let Some(t) = self.tasks.get_mut(&task)
                     {
                         t.answered = false;
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -1,7 +1,7 @@
 //! The job machine: which tasks of a job are finished, live, booked or pending. Every change
 //! of a task's state goes through [`Job::set`].
 
-use crate::{done::DoneSet, progress::Siblings, trust::Trust};
+use crate::{done::TaskSet, progress::Siblings, trust::FailureHistory};
 use jasperhill_wire::{
     Attempt, HostId, Micros, Resources, Revision,
     user::{JobRequest, Priority, Shape},
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Termination {
     Cancelled,
     Done,
 }
@@ -32,7 +32,7 @@
 /// Hosts that a waiting gang keeps free, until the choice is made anew, and when they are
 /// expected to have room.
 #[derive(Clone, Debug)]
-pub struct KeptHosts {
+pub struct HostReservation {
     pub hosts: Vec<HostId>,
     pub until: Micros,
     pub ready: Micros,
@@ -40,7 +40,7 @@
 
 /// Whether tasks of a job may start, as far as the jobs that it needs go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gate {
+pub enum Readiness {
     /// Some job that it needs is not done: it holds nothing, books nothing, displaces nobody.
     Waiting,
     Open,
@@ -48,8 +48,8 @@
 
 /// How a job stands in its pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    pub gate: Gate,
+pub struct DependencyStatus {
+    pub gate: Readiness,
     /// Since when it may start; its submission if it never waited.
     pub since: Micros,
     /// By when the jobs after it need it.
@@ -66,10 +66,10 @@
     /// Its age counts from here: its submission, or when the last job that it needs was done.
     pub submitted: Micros,
     pub due: Option<Micros>,
-    pub gate: Gate,
+    pub gate: Readiness,
     /// What the jobs after it leave it.
     left: (Option<Micros>, Option<Priority>),
-    pub done: DoneSet,
+    pub done: TaskSet,
     /// Finished, but not yet in the record.
     pub unsaved: BTreeSet<u32>,
     pub live: BTreeMap<u32, HostId>,
@@ -84,9 +84,9 @@
     cursor: u32,
     returned: BTreeSet<u32>,
     /// Set when the record has become final: nothing starts any more.
-    pub ending: Option<Ending>,
+    pub ending: Option<Termination>,
     /// Whether its failures are its own.
-    pub trust: Trust,
+    pub trust: FailureHistory,
     /// What its record says of them.
     pub failing_saved: u32,
     /// A start was refused: not again before then.
@@ -96,7 +96,7 @@
     /// Room is being made there, and is waited for until then.
     pub making_room: Vec<(HostId, Micros)>,
     /// Hosts kept free for this waiting gang.
-    pub kept: Option<KeptHosts>,
+    pub kept: Option<HostReservation>,
     /// The attempt of a gang under way.
     pub attempt: Option<Attempt>,
     pub preempted: u32,
@@ -113,13 +113,13 @@
         submitted: Micros,
         finished: &[u32],
     ) -> Self {
-        let done = DoneSet::from_runs(request.tasks, finished);
+        let done = TaskSet::from_runs(request.tasks, finished);
         Self {
             due: request.deadline.map(|d| submitted + d),
             request,
             created,
             submitted,
-            gate: Gate::Open,
+            gate: Readiness::Open,
             left: (None, None),
             done,
             unsaved: BTreeSet::new(),
@@ -131,7 +131,7 @@
             cursor: 0,
             returned: BTreeSet::new(),
             ending: None,
-            trust: Trust::Sound,
+            trust: FailureHistory::Sound,
             failing_saved: 0,
             not_before: Micros::ZERO,
             failed: false,
@@ -146,7 +146,7 @@
 
     /// The one function that changes how it stands in its pipeline. True if something has
     /// changed.
-    pub fn stand(&mut self, place: Place) -> bool {
+    pub fn stand(&mut self, place: DependencyStatus) -> bool {
         let left = (place.due, place.priority);
         let moved = place.gate != self.gate;
         if moved {
--- a/crates/jasperhill-scheduler/src/lib.rs
+++ b/crates/jasperhill-scheduler/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod suit;
 pub mod trust;
 
-pub use config::{MachineSpec, SchedConfig, TeamLimits, Tuning};
-pub use done::DoneSet;
-pub use host::{Host, HostInput, Reach, Source};
-pub use partition::{Partition, Verdict};
+pub use config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning};
+pub use done::TaskSet;
+pub use host::{FencingState, Host, HostInput, Source};
+pub use partition::{AdmissionDecision, Partition};
--- a/crates/jasperhill-scheduler/src/partition.rs
+++ b/crates/jasperhill-scheduler/src/partition.rs
@@ -2,14 +2,14 @@
 //! and job machines and keeps them consistent with each other.
 
 use crate::{
-    config::{SchedConfig, Specs},
+    config::{SchedulerConfig, Specs},
     drain::Moves,
-    floors::{Floors, Group, Standing},
+    floors::{Group, ServedShare, StarvationGuard},
     host::{Host, HostInput, HostOutput, Source, TaskState},
-    job::{Ending, Gate, Job, Place, TaskStep},
+    job::{DependencyStatus, Job, Readiness, TaskStep, Termination},
     progress::Watched,
     recover::{self, Recovered, Recovery, Returning},
-    trust::{self, Trust},
+    trust::{self, FailureHistory},
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
@@ -24,14 +24,14 @@
 
 /// The answer of the admission test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     Admit,
     Refuse,
 }
 
 /// Something that operators want to read about.
 #[derive(Clone, Debug)]
-pub enum Note {
+pub enum Event {
     HostLost(HostId),
     HostAside(HostId),
     JobSuspect(JobId),
@@ -42,7 +42,7 @@
     /// Its tasks take so many times as long.
     HostSlow(HostId, f64),
     /// A class or team is behind its floor, or no more.
-    Behind(Group, Option<Standing>),
+    Behind(Group, Option<ServedShare>),
     /// Production is whole again.
     Whole(Recovered),
     /// After a takeover: no host can run what is not known any more. After how long, and on
@@ -52,9 +52,9 @@
 
 /// The kinds of hosts (type, zone, spot) that may run what a predecessor started.
 #[derive(Clone, Debug, Default)]
-pub struct Ghosts(Vec<(Name, Name, bool)>);
+pub struct UnconfirmedTasks(Vec<(Name, Name, bool)>);
 
-impl Ghosts {
+impl UnconfirmedTasks {
     fn may_hold(&self, request: &JobRequest) -> bool {
         self.0
             .iter()
@@ -66,7 +66,7 @@
     pub id: u32,
     /// Revision at which the present ownership began.
     pub since: Revision,
-    pub config: Rc<SchedConfig>,
+    pub config: Rc<SchedulerConfig>,
     pub specs: Rc<Specs>,
     pub jobs: BTreeMap<JobId, Job>,
     pub hosts: BTreeMap<HostId, Host>,
@@ -78,7 +78,7 @@
     pub dirty: BTreeSet<HostId>,
     /// Jobs with results to be written.
     pub unsaved: BTreeSet<JobId>,
-    pub notes: Vec<Note>,
+    pub notes: Vec<Event>,
     /// Something changed that a pass could make use of.
     pub changed: bool,
     /// Jobs that the last pass went through.
@@ -91,14 +91,14 @@
     pub(crate) watched: Watched,
     pub(crate) moves: Moves,
     /// Who falls behind.
-    pub floors: Floors,
+    pub floors: StarvationGuard,
 }
 
 /// Attempts are unique by construction: the ownership's revision, then a counter.
 const ATTEMPT_BITS: u32 = 22;
 
 impl Partition {
-    pub fn new(id: u32, since: Revision, config: Rc<SchedConfig>, specs: Rc<Specs>) -> Self {
+    pub fn new(id: u32, since: Revision, config: Rc<SchedulerConfig>, specs: Rc<Specs>) -> Self {
         Self {
             id,
             since,
@@ -119,7 +119,7 @@
             returning: Returning::default(),
             watched: Watched::default(),
             moves: Moves::default(),
-            floors: Floors::default(),
+            floors: StarvationGuard::default(),
         }
     }
 
@@ -133,9 +133,9 @@
             }
             (false, Some(since)) => {
                 self.haunted_since = None;
-                let lapsed = |h: &&Host| h.reach == crate::host::Reach::Lapsed;
+                let lapsed = |h: &&Host| h.reach == crate::host::FencingState::Lapsed;
                 let lapsed = self.hosts.values().filter(lapsed).count();
-                self.notes.push(Note::AllKnown(now - since, lapsed));
+                self.notes.push(Event::AllKnown(now - since, lapsed));
             }
             _ => {}
         }
@@ -151,20 +151,20 @@
     /// How many hosts can't get new tasks, by reason: not known yet, lapsed, in doubt, not
     /// heard, set aside or under notice, being emptied.
     pub fn unusable(&self, now: Micros) -> [usize; 6] {
-        use crate::host::Reach;
+        use crate::host::FencingState;
         let mut counts = [0; 6];
         for h in self.hosts.values() {
             if h.is_usable(now, &self.config) {
                 continue;
             }
             let reason = match h.reach {
-                Reach::Unfenced { .. } => 0,
-                Reach::Lapsed => 1,
-                Reach::Fenced if h.in_doubt() => 2,
-                Reach::Fenced if h.draining.is_some() => 5,
-                Reach::Fenced if h.notice.is_some() => 4,
-                Reach::Fenced if h.aside_until.is_some_and(|t| now < t) => 4,
-                Reach::Fenced => 3,
+                FencingState::Unfenced { .. } => 0,
+                FencingState::Lapsed => 1,
+                FencingState::Fenced if h.in_doubt() => 2,
+                FencingState::Fenced if h.draining.is_some() => 5,
+                FencingState::Fenced if h.notice.is_some() => 4,
+                FencingState::Fenced if h.aside_until.is_some_and(|t| now < t) => 4,
+                FencingState::Fenced => 3,
             };
             counts[reason] += 1;
         }
@@ -177,8 +177,8 @@
     }
 
     /// The hosts that may run what a predecessor started.
-    pub(crate) fn ghosts(&self) -> Ghosts {
-        let mut ghosts = Ghosts::default();
+    pub(crate) fn ghosts(&self) -> UnconfirmedTasks {
+        let mut ghosts = UnconfirmedTasks::default();
         for h in self.hosts.values().filter(|h| h.has_ghosts()) {
             let known = ghosts
                 .0
@@ -198,12 +198,12 @@
     /// silently does not hold up work that never runs on such.
     ///
     /// Nor does it hold up a job that still waits for others: nobody has started that.
-    pub(crate) fn is_haunted(&self, job: &Job, ghosts: &Ghosts) -> bool {
-        job.gate == Gate::Open && job.created <= self.since && ghosts.may_hold(&job.request)
+    pub(crate) fn is_haunted(&self, job: &Job, ghosts: &UnconfirmedTasks) -> bool {
+        job.gate == Readiness::Open && job.created <= self.since && ghosts.may_hold(&job.request)
     }
 
     /// How a job stands in its pipeline.
-    pub fn place_job(&mut self, id: &JobId, place: Place) {
+    pub fn place_job(&mut self, id: &JobId, place: DependencyStatus) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.changed |= job.stand(place);
         }
@@ -220,7 +220,7 @@
     ) {
         if !self.jobs.contains_key(&request.id) {
             let mut job = Job::new(request.clone(), created, submitted, finished);
-            job.trust = Trust::from_record(failing, now);
+            job.trust = FailureHistory::from_record(failing, now);
             job.failing_saved = failing;
             self.jobs.insert(request.id.clone(), job);
             self.changed = true;
@@ -228,7 +228,7 @@
     }
 
     /// The job's record has become final: whatever is left of it is stopped.
-    pub fn end_job(&mut self, id: &JobId, ending: Ending, now: Micros) {
+    pub fn end_job(&mut self, id: &JobId, ending: Termination, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -271,7 +271,7 @@
             dependencies: Vec::new(),
         };
         let mut job = Job::new(Rc::new(request), Revision(0), now, &[]);
-        job.ending = Some(Ending::Cancelled);
+        job.ending = Some(Termination::Cancelled);
         self.jobs.entry(id.clone()).or_insert(job);
     }
 
@@ -285,11 +285,11 @@
         }
     }
 
-    fn is_gone(&self, job: &Job, ghosts: &Ghosts) -> bool {
+    fn is_gone(&self, job: &Job, ghosts: &UnconfirmedTasks) -> bool {
         let unseen = match job.ending {
             None => return false,
-            Some(Ending::Done) => false,
-            Some(Ending::Cancelled) => self.is_haunted(job, ghosts),
+            Some(Termination::Done) => false,
+            Some(Termination::Cancelled) => self.is_haunted(job, ghosts),
         };
         job.live.is_empty() && !unseen
     }
@@ -394,10 +394,9 @@
         match known {
             Some((TaskStep::Pending | TaskStep::Booked(_), None, gang))
                 if gang.is_none_or(|a| a == attempt)
-                    && self
-                        .jobs
-                        .get(&task.job)
-                        .is_some_and(|j| task.index < j.request.tasks && j.gate == Gate::Open) =>
+                    && self.jobs.get(&task.job).is_some_and(|j| {
+                        task.index < j.request.tasks && j.gate == Readiness::Open
+                    }) =>
             {
                 self.unbook(&task.job, task.index);
                 self.set_step(task, TaskStep::Live(id.clone()));
@@ -422,7 +421,7 @@
                 }
             }
             // Cancelled, and still there: it counts until it is gone.
-            Some((TaskStep::Pending | TaskStep::Booked(_), Some(Ending::Cancelled), _))
+            Some((TaskStep::Pending | TaskStep::Booked(_), Some(Termination::Cancelled), _))
                 if self
                     .jobs
                     .get(&task.job)
@@ -438,7 +437,7 @@
             }
             _ => {
                 // Finished, cancelled, unknown, or of an attempt that is not the gang's.
-                self.notes.push(Note::Strange(
+                self.notes.push(Event::Strange(
                     task.clone(),
                     id.clone(),
                     "not expected there",
@@ -544,7 +543,8 @@
             .get(task)
             .and_then(|t| t.running)
             .map_or(Micros::ZERO, |began| now - began);
-        self.notes.push(Note::Failed(task.clone(), id.clone(), ran));
+        self.notes
+            .push(Event::Failed(task.clone(), id.clone(), ran));
         let (was, level) = (job.trust.is_suspect(), job.trust.failing());
         let failed = trust::Input::Failed {
             host: id,
@@ -557,13 +557,13 @@
         }
         if !job.trust.is_suspect() {
             if host.blame(&task.job, now) {
-                self.notes.push(Note::HostAside(id.clone()));
+                self.notes.push(Event::HostAside(id.clone()));
             }
         } else if !was {
             let booked: Vec<u32> = job.booked.keys().copied().collect();
             job.making_room.clear();
             job.kept = None;
-            self.notes.push(Note::JobSuspect(task.job.clone()));
+            self.notes.push(Event::JobSuspect(task.job.clone()));
             for i in booked {
                 self.unbook(&task.job, i);
             }
@@ -580,7 +580,7 @@
             return;
         };
         let hosts = match &job.trust {
-            Trust::Suspect { hosts, .. } => hosts.clone(),
+            FailureHistory::Suspect { hosts, .. } => hosts.clone(),
             _ => BTreeSet::new(),
         };
         let was = job.trust.is_suspect();
@@ -597,7 +597,7 @@
                 // Failures that nothing excuses, as many as set a host aside.
                 let news = h.blame(id, now) | h.blame(id, now);
                 if news {
-                    self.notes.push(Note::HostAside(host));
+                    self.notes.push(Event::HostAside(host));
                 }
             }
         }
@@ -754,12 +754,14 @@
         let gone: Vec<HostId> = self
             .hosts
             .values()
-            .filter(|h| h.reach != crate::host::Reach::Lapsed && now >= h.last_answer + lapse)
+            .filter(|h| {
+                h.reach != crate::host::FencingState::Lapsed && now >= h.last_answer + lapse
+            })
             .map(|h| h.id.clone())
             .collect();
         for id in gone {
             self.apply(&id, HostInput::Gone, now);
-            self.notes.push(Note::HostLost(id));
+            self.notes.push(Event::HostLost(id));
         }
     }
 
@@ -799,7 +801,7 @@
         };
         let gang = job.is_gang();
         self.notes
-            .push(Note::Stopped(task.clone(), host.clone(), why));
+            .push(Event::Stopped(task.clone(), host.clone(), why));
         if gang {
             self.stop_all(&task.job, grace, now);
         } else {
@@ -813,7 +815,7 @@
             matches!(h.usage, HostAssignment::Partition(_))
                 && h.is_empty()
                 && h.queue.is_empty()
-                && h.reach == crate::host::Reach::Fenced
+                && h.reach == crate::host::FencingState::Fenced
                 && h.idle_since.is_some_and(|t| now - t >= keep)
         })
     }
--- a/crates/jasperhill-scheduler/src/pass.rs
+++ b/crates/jasperhill-scheduler/src/pass.rs
@@ -6,8 +6,8 @@
     floors::{self, Waiting},
     forward::Occupied,
     host::{Host, HostInput, LISTED_MAX},
-    job::{Gate, Job, TaskStep},
-    partition::{Ghosts, Note, Partition},
+    job::{Job, Readiness, TaskStep},
+    partition::{Event, Partition, UnconfirmedTasks},
     room::Victim,
 };
 use jasperhill_wire::{
@@ -62,7 +62,7 @@
 /// What a pass keeps track of.
 pub(crate) struct Pass {
     pub now: Micros,
-    pub ghosts: Ghosts,
+    pub ghosts: UnconfirmedTasks,
     /// One for every host, in the order of [`Partition::hosts`]; none comes or goes meanwhile.
     pub slots: Vec<Slot>,
     /// What teams may be using unseen.
@@ -243,7 +243,7 @@
             .values()
             .filter(|j| {
                 j.ending.is_none()
-                    && j.gate == Gate::Open
+                    && j.gate == Readiness::Open
                     && (j.pending() > 0 || !j.booked.is_empty())
                     && !self.is_haunted(j, &pass.ghosts)
                     && now >= j.not_before
@@ -316,11 +316,11 @@
         let is = self.floors.behind(least);
         for group in is.difference(&was) {
             let standing = self.floors.standing().get(group).copied();
-            let note = Note::Behind(group.clone(), standing);
+            let note = Event::Behind(group.clone(), standing);
             self.notes.push(note);
         }
         let caught_up = was.difference(&is).cloned();
-        self.notes.extend(caught_up.map(|g| Note::Behind(g, None)));
+        self.notes.extend(caught_up.map(|g| Event::Behind(g, None)));
     }
 
     /// A gang that has lost a task stops the rest; a new attempt waits for the last of them.
@@ -383,7 +383,7 @@
     /// So many more tasks may start or be booked: all that the job needs is done, and its team
     /// stays within its limit.
     pub(crate) fn may_start(&self, pass: &Pass, request: &JobRequest, tasks: u64) -> bool {
-        let open = |j: &Job| j.gate == Gate::Open;
+        let open = |j: &Job| j.gate == Readiness::Open;
         if !self.jobs.get(&request.id).is_some_and(open) {
             return false;
         }
