--- a/crates/jasperhill-scheduler/src/plain.rs
+++ b/crates/jasperhill-scheduler/src/plain.rs
@@ -3,11 +3,11 @@
 
 use crate::{
     book::FOR_EVER,
-    config::{MachineSpec, SchedConfig, TeamLimits, Tuning, fetch_time},
+    config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, fetch_time},
     forward::{Booking, Occupied, density, insert, misses},
     host::Source,
     job::{Job, TaskStep},
-    partition::{Partition, Verdict},
+    partition::{AdmissionDecision, Partition},
     pass::Pass,
     suit::cost,
 };
@@ -97,7 +97,7 @@
         spot_price: 2.0,
         zones: vec!["a".into(), "b".into()],
     });
-    let config = Rc::new(SchedConfig {
+    let config = Rc::new(SchedulerConfig {
         partitions: 1,
         teams: vec![TeamLimits {
             name: "red".into(),
@@ -150,7 +150,7 @@
             termination_notice: None,
             tasks: listed,
         };
-        part.on_report(&report, Source::Hello, NOW);
+        part.on_report(&report, Source::Heartbeat, NOW);
         if let Some(host) = part.hosts.get_mut(&id) {
             host.touch_image(&Name::from(format!("i{image}").as_str()), 2.0);
             host.slowness = f64::from(*slow) / 10.0;
@@ -235,11 +235,11 @@
     request: &JobRequest,
     submitted: Micros,
     elastic: (u32, Micros),
-) -> Verdict {
+) -> AdmissionDecision {
     let due = submitted + request.deadline.unwrap_or_default();
     let estimate = part.estimate(request);
     if due - NOW <= estimate {
-        return Verdict::Refuse;
+        return AdmissionDecision::Refuse;
     }
     let team = &part.config.teams[0];
     let used = part.team_use(&request.team);
@@ -286,10 +286,10 @@
         match best {
             Some((_, id, queue)) => copies.get_mut(&id).unwrap().1 = queue,
             None if rented > 0 => rented -= 1,
-            None => return Verdict::Refuse,
+            None => return AdmissionDecision::Refuse,
         }
     }
-    Verdict::Admit
+    AdmissionDecision::Admit
 }
 
 /// Task after task on the cheapest host that has room and no queue.
--- a/crates/jasperhill-scheduler/src/progress.rs
+++ b/crates/jasperhill-scheduler/src/progress.rs
@@ -11,7 +11,7 @@
 use crate::{
     host::TaskState,
     job::Job,
-    partition::{Note, Partition},
+    partition::{Event, Partition},
 };
 use jasperhill_wire::{Attempt, HostId, Micros, Name, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -259,7 +259,7 @@
         }
         host.convicted = Some(now);
         host.slowness = host.slowness.max(times.min(SLOWEST));
-        self.notes.push(Note::HostSlow(id.clone(), times));
+        self.notes.push(Event::HostSlow(id.clone(), times));
         self.move_savers(id, now);
     }
 
--- a/crates/jasperhill-scheduler/src/recover.rs
+++ b/crates/jasperhill-scheduler/src/recover.rs
@@ -4,9 +4,9 @@
 //! meanwhile would stand in their way.
 
 use crate::{
-    host::{Host, Reach},
-    job::{Gate, Job},
-    partition::{Ghosts, Note, Partition},
+    host::{FencingState, Host},
+    job::{Job, Readiness},
+    partition::{Event, Partition, UnconfirmedTasks},
     pass::Pass,
 };
 use jasperhill_wire::{HostId, JobId, Micros, Resources, TaskId, user::Priority};
@@ -122,10 +122,10 @@
     pub(crate) fn is_silent(&self, host: &Host, now: Micros) -> bool {
         let heard = now - host.last_heard;
         match host.reach {
-            Reach::Lapsed => false,
+            FencingState::Lapsed => false,
             // Asked directly since the takeover, and asked again.
-            Reach::Unfenced { .. } => heard >= UNANSWERED.min(self.config.silence()),
-            Reach::Fenced => heard >= self.config.report.scale(1.5) + Micros::from_secs(1),
+            FencingState::Unfenced { .. } => heard >= UNANSWERED.min(self.config.silence()),
+            FencingState::Fenced => heard >= self.config.report.scale(1.5) + Micros::from_secs(1),
         }
     }
 
@@ -148,7 +148,7 @@
         job.is_service()
             && job.priority() == Priority::Production
             && job.ending.is_none()
-            && job.gate == Gate::Open
+            && job.gate == Readiness::Open
             && !job.trust.is_suspect()
     }
 
@@ -165,7 +165,7 @@
         }
         if let Some(recovered) = self.recovery.apply(Input::Missing(missing), now) {
             self.returning.overtaken.clear();
-            self.notes.push(Note::Whole(recovered));
+            self.notes.push(Event::Whole(recovered));
         }
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// How many replicas of a job may be lost without its being certain.
-    fn at_risk(&self, job: &Job, ghosts: &Ghosts, now: Micros) -> u32 {
+    fn at_risk(&self, job: &Job, ghosts: &UnconfirmedTasks, now: Micros) -> u32 {
         let silent = |id: &HostId| {
             let host = self.hosts.get(id);
             host.is_none_or(|h| self.is_silent(h, now))
--- a/crates/jasperhill-scheduler/src/room.rs
+++ b/crates/jasperhill-scheduler/src/room.rs
@@ -280,7 +280,7 @@
         let hosts: Vec<HostId> = hosts.iter().map(|at| pass.slots[*at].id.clone()).collect();
         if let Some(job) = self.jobs.get_mut(id) {
             job.making_room = hosts.iter().map(|h| (h.clone(), until)).collect();
-            job.kept = Some(crate::job::KeptHosts {
+            job.kept = Some(crate::job::HostReservation {
                 hosts,
                 until,
                 ready: pass.now + grace,
--- a/crates/jasperhill-scheduler/src/trust.rs
+++ b/crates/jasperhill-scheduler/src/trust.rs
@@ -21,7 +21,7 @@
 const HOSTS_MAX: usize = 256;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trust {
+pub enum FailureHistory {
     /// A task of it has completed: whatever fails now is not the job's fault.
     Proven,
     /// Nothing speaks against it yet.
@@ -53,7 +53,7 @@
     Runs(Micros),
 }
 
-impl Trust {
+impl FailureHistory {
     /// As a record says: so many tries that failed, or none.
     pub fn from_record(failing: u32, now: Micros) -> Self {
         match failing.checked_sub(1) {
@@ -166,7 +166,7 @@
 
     #[test]
     fn a_wave_of_failures_is_one_try() {
-        let mut trust = Trust::Sound;
+        let mut trust = FailureHistory::Sound;
         let mut now = Micros::from_secs(100);
         for n in 0..250 {
             trust.apply(failed(&HostId::new(&format!("n-{n}")), false), now);
@@ -175,7 +175,7 @@
         // Each later try that fails doubles the pause, up to a bound.
         let mut last = Micros::ZERO;
         for _ in 0..8 {
-            let Trust::Suspect { next, .. } = trust else {
+            let FailureHistory::Suspect { next, .. } = trust else {
                 panic!("{trust:?}")
             };
             assert!(!trust.may_try(Micros(next.0 - 1)) && trust.may_try(next));
@@ -196,7 +196,7 @@
         /// A job is suspect only after failures on two hosts, and never after a success.
         #[test]
         fn no_job_is_suspected_for_one_host(steps in proptest::collection::vec((0u8..5, any::<bool>()), 0..60)) {
-            let mut trust = Trust::Sound;
+            let mut trust = FailureHistory::Sound;
             let mut hosts = BTreeSet::new();
             let mut proven = false;
             for (at, (what, serves)) in steps.into_iter().enumerate() {
--- a/crates/jasperhill-scheduler/tests/config.rs
+++ b/crates/jasperhill-scheduler/tests/config.rs
@@ -1,7 +1,7 @@
 //! What can never run, and what an idle deployment keeps.
 
 use jasperhill_scheduler::config::{
-    MachineSpec, SchedConfig, Specs, TeamLimits, Tuning, impossible,
+    MachineSpec, SchedulerConfig, Specs, TeamLimits, Tuning, impossible,
 };
 use jasperhill_wire::{Micros, Resources, user::JobRequest};
 use proptest::prelude::*;
@@ -121,7 +121,7 @@
         a in asked(),
         types in [(0u32..5, 0u8..8), (0u32..5, 0u8..8)],
     ) {
-        let config = SchedConfig {
+        let config = SchedulerConfig {
             partitions: 1,
             teams: vec![TeamLimits {
                 name: "red".into(),
--- a/crates/jasperhill-scheduler/tests/machines.rs
+++ b/crates/jasperhill-scheduler/tests/machines.rs
@@ -1,9 +1,9 @@
 //! The host and partition machines, driven by chosen and by generated events.
 
 use jasperhill_scheduler::{
-    Host, HostInput, MachineSpec, Partition, Reach, SchedConfig, Source, TeamLimits, Tuning,
-    Verdict,
-    job::{Ending, Gate, Place},
+    AdmissionDecision, FencingState, Host, HostInput, MachineSpec, Partition, SchedulerConfig,
+    Source, TeamLimits, Tuning,
+    job::{DependencyStatus, Readiness, Termination},
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Resources, Revision, TaskId,
@@ -77,7 +77,7 @@
         NOW,
     );
     host.apply(
-        HostInput::Report(&report("n-1", 1, 1, 5, vec![]), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 1, 5, vec![]), Source::Heartbeat),
         NOW,
     );
     host
@@ -101,14 +101,14 @@
     assert!(host.needs_token());
     let exited = vec![seen(0, 7, TaskPhase::Exited(ExitCause::Done))];
     host.apply(
-        HostInput::Report(&report("n-1", 1, 2, 5, exited.clone()), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 2, 5, exited.clone()), Source::Heartbeat),
         NOW,
     );
     // The late `run` would start it once more.
     assert_eq!(host.orders(|_, _| true), vec![]);
     host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
-        HostInput::Report(&report("n-1", 1, 3, 9, exited), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 3, 9, exited), Source::Heartbeat),
         NOW,
     );
     assert_eq!(
@@ -125,13 +125,13 @@
 fn a_host_that_has_seen_a_higher_token_gets_none_until_ours_is_raised() {
     let mut host = host();
     host.apply(
-        HostInput::Report(&report("n-1", 1, 2, 8, vec![]), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 2, 8, vec![]), Source::Heartbeat),
         NOW,
     );
     assert!(host.needs_token() && !host.is_usable(NOW, &config()));
     host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
-        HostInput::Report(&report("n-1", 1, 3, 9, vec![]), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 3, 9, vec![]), Source::Heartbeat),
         NOW,
     );
     assert!(host.is_usable(NOW, &config()));
@@ -151,7 +151,7 @@
     );
     assert!(!host.is_empty());
     host.apply(
-        HostInput::Report(&report("n-1", 1, 3, 5, vec![]), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 3, 5, vec![]), Source::Heartbeat),
         NOW,
     );
     assert!(host.is_empty());
@@ -163,16 +163,16 @@
     start(&mut host, 0, 7);
     let running = vec![seen(0, 7, TaskPhase::Running)];
     host.apply(
-        HostInput::Report(&report("n-1", 1, 5, 5, running), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 5, 5, running), Source::Heartbeat),
         NOW,
     );
     host.apply(
-        HostInput::Report(&report("n-1", 1, 4, 5, vec![]), Source::Hello),
+        HostInput::Report(&report("n-1", 1, 4, 5, vec![]), Source::Heartbeat),
         NOW,
     );
     assert!(!host.is_empty());
     host.apply(
-        HostInput::Report(&report("n-1", 2, 6, 5, vec![]), Source::Hello),
+        HostInput::Report(&report("n-1", 2, 6, 5, vec![]), Source::Heartbeat),
         NOW,
     );
     assert!(host.is_empty());
@@ -199,15 +199,19 @@
     part.pass(just_before);
     // Nobody may renew that session: it may reach nobody.
     assert_eq!(live(&part, "job-1"), 0);
-    part.on_report(&report("n-1", 2, 10, 5, vec![]), Source::Hello, just_before);
+    part.on_report(
+        &report("n-1", 2, 10, 5, vec![]),
+        Source::Heartbeat,
+        just_before,
+    );
     part.pass(just_before);
     assert_eq!(live(&part, "job-1"), 1);
     part.pass(NOW + lease + Micros::from_secs(1));
-    assert_eq!(part.hosts[&id].reach, Reach::Fenced);
+    assert_eq!(part.hosts[&id].reach, FencingState::Fenced);
     assert_eq!(live(&part, "job-1"), 1);
     // The new session lapses in its own time.
     part.pass(just_before + lease + Micros::from_secs(1));
-    assert_eq!(part.hosts[&id].reach, Reach::Lapsed);
+    assert_eq!(part.hosts[&id].reach, FencingState::Lapsed);
 }
 
 /// After a takeover one host is known and one is not. Guards against a team's limit that is given out
@@ -242,7 +246,7 @@
             NOW,
         );
         if !recalled {
-            part.end_job(&cancelled.id, Ending::Cancelled, NOW);
+            part.end_job(&cancelled.id, Termination::Cancelled, NOW);
         }
         part.pass(NOW);
         // Three of four may be there: one more may start.
@@ -264,7 +268,7 @@
         for (host, n) in [("n-1", 0), ("n-2", 2)] {
             let mut gone = running(n);
             gone.phase = TaskPhase::Exited(ExitCause::Stopped { saved: false });
-            part.on_report(&report(host, 1, 2, 5, vec![gone]), Source::Hello, NOW);
+            part.on_report(&report(host, 1, 2, 5, vec![gone]), Source::Heartbeat, NOW);
         }
         part.pass(NOW);
         assert_eq!(gpus(&part), 4);
@@ -285,7 +289,7 @@
             part.recall_cancelled(&cancelled.id, remains, NOW);
         } else {
             part.upsert_job(&cancelled, Revision(3), NOW, &[], (0, NOW));
-            part.end_job(&cancelled.id, Ending::Cancelled, NOW);
+            part.end_job(&cancelled.id, Termination::Cancelled, NOW);
         }
         let new = request("job-new", "array", 4, 1.0, None);
         part.upsert_job(&new, Revision(6), NOW, &[], (0, NOW));
@@ -294,11 +298,11 @@
         assert_eq!(live(&part, "job-new"), 1);
         // The other host's lease has surely lapsed: nothing of it is left.
         let later = NOW + part.config.lapse() + Micros::from_secs(1);
-        part.on_report(&report("n-1", 1, 2, 5, vec![]), Source::Hello, later);
+        part.on_report(&report("n-1", 1, 2, 5, vec![]), Source::Heartbeat, later);
         part.apply(&HostId::new("n-1"), HostInput::Answered(&[]), later);
         part.pass(later);
         assert!(!part.jobs.contains_key(&cancelled.id));
-        assert_eq!(part.hosts[&HostId::new("n-2")].reach, Reach::Lapsed);
+        assert_eq!(part.hosts[&HostId::new("n-2")].reach, FencingState::Lapsed);
         assert!(live(&part, "job-new") > 1);
     }
 }
@@ -329,26 +333,26 @@
     // New here: it may not come round to us for as long as its lease lasts.
     let mut host = taken(false);
     assert!(!heard(&mut host, (1, 1), Source::Direct, NOW));
-    assert!(heard(&mut host, (1, 2), Source::Hello, NOW));
+    assert!(heard(&mut host, (1, 2), Source::Heartbeat, NOW));
     // It goes on answering, and does not report.
     let later = NOW + silence;
     assert!(!heard(&mut host, (1, 3), Source::Direct, later));
-    assert!(heard(&mut host, (1, 4), Source::Hello, later));
+    assert!(heard(&mut host, (1, 4), Source::Heartbeat, later));
     // Another session, known by a direct answer.
     assert!(!heard(&mut host, (2, 5), Source::Direct, later));
-    assert!(heard(&mut host, (2, 6), Source::Hello, later));
+    assert!(heard(&mut host, (2, 6), Source::Heartbeat, later));
     // New to us, and not in its first session: nobody has answered it.
     let mut host = taken(false);
     assert!(!heard(&mut host, (3, 1), Source::Direct, NOW));
-    assert!(heard(&mut host, (3, 2), Source::Hello, NOW));
+    assert!(heard(&mut host, (3, 2), Source::Heartbeat, NOW));
     // After a takeover any session may be one that is renewed, for a while.
     let mut host = taken(true);
     assert!(heard(&mut host, (3, 1), Source::Direct, NOW));
     assert!(!heard(&mut host, (3, 2), Source::Direct, later));
 }
 
-fn config() -> Rc<SchedConfig> {
-    Rc::new(SchedConfig {
+fn config() -> Rc<SchedulerConfig> {
+    Rc::new(SchedulerConfig {
         partitions: 1,
         teams: vec![TeamLimits {
             name: "red".into(),
@@ -382,7 +386,11 @@
         let id = HostId::new(&format!("n-{n}"));
         part.upsert_host(&id, &record("a"), Revision(4), at_takeover, NOW);
         if !at_takeover {
-            part.on_report(&report(id.as_str(), 1, 1, 5, vec![]), Source::Hello, NOW);
+            part.on_report(
+                &report(id.as_str(), 1, 1, 5, vec![]),
+                Source::Heartbeat,
+                NOW,
+            );
         }
     }
     part
@@ -414,10 +422,10 @@
     assert_eq!((live(&part, "job-old"), live(&part, "job-new")), (0, 1));
     // The other host's lease has surely lapsed.
     let later = NOW + part.config.lapse();
-    part.on_report(&report("n-1", 1, 10, 5, vec![]), Source::Hello, later);
+    part.on_report(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, later);
     part.apply(&"n-1".into(), HostInput::Answered(&[]), later);
     part.pass(later);
-    assert_eq!(part.hosts[&HostId::new("n-2")].reach, Reach::Lapsed);
+    assert_eq!(part.hosts[&HostId::new("n-2")].reach, FencingState::Lapsed);
     assert_eq!(live(&part, "job-old"), 1);
 }
 
@@ -472,15 +480,15 @@
     let none = (0, Micros::ZERO);
     assert_eq!(
         part.admit(&fits, NOW, NOW, Micros::ZERO, none),
-        Verdict::Admit
+        AdmissionDecision::Admit
     );
     assert_eq!(
         part.admit(&two_rounds, NOW, NOW, Micros::ZERO, none),
-        Verdict::Refuse
+        AdmissionDecision::Refuse
     );
     assert_eq!(
         part.admit(&hopeless, NOW, NOW, Micros::ZERO, none),
-        Verdict::Refuse
+        AdmissionDecision::Refuse
     );
     // Machines that can be had in time count as well.
     assert_eq!(
@@ -491,12 +499,12 @@
             Micros::ZERO,
             (1, Micros::from_secs(5))
         ),
-        Verdict::Admit
+        AdmissionDecision::Admit
     );
     // A retry does not get more time than the first try had.
     assert_eq!(
         part.admit(&fits, NOW - Micros::from_secs(15), NOW, Micros::ZERO, none),
-        Verdict::Refuse
+        AdmissionDecision::Refuse
     );
 }
 
@@ -519,7 +527,7 @@
     // Never sent, so taken back at once; nothing of the attempt is left.
     assert_eq!(orders, vec![]);
     assert_eq!(live(&part, "job-1"), 0);
-    part.on_report(&report("n-1", 2, 20, 5, vec![]), Source::Hello, NOW);
+    part.on_report(&report("n-1", 2, 20, 5, vec![]), Source::Heartbeat, NOW);
     part.pass(NOW);
     let next = part.jobs[&JobId::new("job-1")].attempt;
     assert!(next.is_none() || next > Some(attempt));
@@ -538,7 +546,7 @@
     part.pass(NOW);
     let orders = part.orders(&"n-1".into());
     part.apply(&"n-1".into(), HostInput::Answered(&orders), NOW);
-    part.end_job(&JobId::new("job-1"), Ending::Cancelled, NOW);
+    part.end_job(&JobId::new("job-1"), Termination::Cancelled, NOW);
     part.pass(NOW);
     let orders = part.orders(&"n-1".into());
     assert!(matches!(orders[..], [Command::Stop(..)]), "{orders:?}");
@@ -577,7 +585,7 @@
             })
             .collect();
         counter += 1;
-        part.on_report(&report("n-1", 1, counter, 5, tasks), Source::Hello, now);
+        part.on_report(&report("n-1", 1, counter, 5, tasks), Source::Heartbeat, now);
         let later = request(&format!("job-9{round}"), "array", 1, 2.0, None);
         part.upsert_job(&later, Revision(6), now, &[], (0, NOW));
     }
@@ -601,7 +609,7 @@
     let on = part.hosts[&HostId::new(host)].tasks.iter();
     let tasks: Vec<TaskStatus> = on.filter(|(_, t)| t.is_on()).map(exited).collect();
     let n = tasks.len();
-    part.on_report(&report(host, 1, counter, 5, tasks), Source::Hello, now);
+    part.on_report(&report(host, 1, counter, 5, tasks), Source::Heartbeat, now);
     n
 }
 
@@ -733,7 +741,7 @@
                 }
                 Step::Settle => { unsettled.clear(); host.apply(HostInput::DirectSettled, NOW); }
                 Step::Lose => {
-                    if host.in_flight() && host.reach != Reach::Lapsed { doubted.append(&mut unsettled); }
+                    if host.in_flight() && host.reach != FencingState::Lapsed { doubted.append(&mut unsettled); }
                     unsettled.clear();
                     host.apply(HostInput::DirectUnanswered, NOW);
                 }
@@ -756,7 +764,7 @@
                         Some(seen(i as u32, known.attempt.0, phase))
                     }).collect();
                     let before = host.tenure;
-                    host.apply(HostInput::Report(&report("n-1", tenure, counter, shown.min(token), tasks), Source::Hello), NOW);
+                    host.apply(HostInput::Report(&report("n-1", tenure, counter, shown.min(token), tasks), Source::Heartbeat), NOW);
                     if host.tenure > before || !host.in_doubt() { doubted.clear(); }
                 }
                 _ => {}
@@ -797,7 +805,7 @@
     // Once the results are in the record, others follow.
     let done: std::collections::BTreeSet<u32> = (0..50_000).collect();
     part.saved(&JobId::new("job-1"), &done, 0);
-    part.on_report(&report("n-1", 1, 10, 5, vec![]), Source::Hello, NOW);
+    part.on_report(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, NOW);
     part.pass(NOW);
     assert!(live(&part, "job-1") > 100);
 }
@@ -834,7 +842,7 @@
 fn a_waiting_job_holds_nothing_until_it_is_released() {
     let mut part = partition(2, false);
     let id = JobId::new("job-2");
-    let place = |gate, due| Place {
+    let place = |gate, due| DependencyStatus {
         gate,
         since: NOW,
         due,
@@ -843,14 +851,14 @@
     for (shape, due) in [("array", Some(100.0)), ("array", None), ("ensemble", None)] {
         let job = request("job-2", shape, 2, 1.0, due);
         part.upsert_job(&job, Revision(0), NOW, &[], (0, NOW));
-        part.place_job(&id, place(Gate::Waiting, None));
+        part.place_job(&id, place(Readiness::Waiting, None));
         part.pass(NOW);
         assert_eq!(live(&part, "job-2"), 0);
         assert!(part.jobs[&id].booked.is_empty());
         let other = request("job-3", "array", 1, 1.0, None);
         part.upsert_job(&other, Revision(7), NOW, &[], (0, NOW));
         let soon = NOW + Micros::from_secs(5);
-        part.place_job(&id, place(Gate::Open, Some(soon)));
+        part.place_job(&id, place(Readiness::Open, Some(soon)));
         let rank = |id: &str| part.jobs[&JobId::new(id)].rank();
         assert!(rank("job-2") < rank("job-3"));
         part.pass(NOW);
@@ -866,9 +874,9 @@
     let last = request("job-2", "array", 2, 1.0, Some(30.0));
     let none = (0, Micros::ZERO);
     let admit = |release| part.admit(&last, NOW, NOW, Micros::from_secs(release), none);
-    assert_eq!(admit(0), Verdict::Admit);
-    assert_eq!(admit(18), Verdict::Admit);
-    assert_eq!(admit(25), Verdict::Refuse);
+    assert_eq!(admit(0), AdmissionDecision::Admit);
+    assert_eq!(admit(18), AdmissionDecision::Admit);
+    assert_eq!(admit(25), AdmissionDecision::Refuse);
 }
 
 /// Guards against hosts that wait for a long task and hold up the emptying of others, and
@@ -911,7 +919,7 @@
         phase: TaskPhase::Running,
     });
     let report = report(host, 1, counter, 5, tasks.collect());
-    part.on_report(&report, Source::Hello, now);
+    part.on_report(&report, Source::Heartbeat, now);
     part.apply(&id, HostInput::Answered(&[]), now);
 }
 
@@ -934,7 +942,7 @@
     let other = if home.as_str() == "n-1" { "n-2" } else { "n-1" };
     all_runs(&mut part, home.as_str(), 5, NOW);
     let silent = NOW + Micros::from_secs(7);
-    part.on_report(&report(other, 1, 5, 5, vec![]), Source::Hello, silent);
+    part.on_report(&report(other, 1, 5, 5, vec![]), Source::Heartbeat, silent);
     let lesser = whole_host("job-batch", "array", 1, Priority::Normal);
     part.upsert_job(&lesser, Revision(7), silent, &[], (0, silent));
     part.pass(silent);
@@ -945,11 +953,11 @@
     part.pass(back);
     assert_eq!(live(&part, "job-batch"), 1);
     // And without it in the way, the replica is whole again as soon as its host is lost.
-    part.end_job(&JobId::new("job-batch"), Ending::Cancelled, back);
-    part.on_report(&report(other, 1, 6, 5, vec![]), Source::Hello, back);
+    part.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
+    part.on_report(&report(other, 1, 6, 5, vec![]), Source::Heartbeat, back);
     part.pass(back);
     let lost = back + part.config.lapse();
-    part.on_report(&report(other, 1, 7, 5, vec![]), Source::Hello, lost);
+    part.on_report(&report(other, 1, 7, 5, vec![]), Source::Heartbeat, lost);
     part.apply(&other.into(), HostInput::Answered(&[]), lost);
     part.pass(lost);
     assert!(part.recovery.is_short());
@@ -1019,7 +1027,7 @@
                 },
             });
             let report = report("n-1", 1, 7, 5, tasks.collect());
-            part.on_report(&report, Source::Hello, at);
+            part.on_report(&report, Source::Heartbeat, at);
         }
         let over = NOW + Micros::from_secs(21);
         all_runs(&mut part, "n-1", 9, over);
@@ -1045,7 +1053,7 @@
     let heard = |part: &mut Partition, tenure, counter, token, at| {
         part.on_report(
             &report("n-1", tenure, counter, token, vec![]),
-            Source::Hello,
+            Source::Heartbeat,
             at,
         );
         part.apply(&id, HostInput::Answered(&[]), at);
@@ -1140,14 +1148,14 @@
                     let tasks: Vec<TaskStatus> = tasks.into_values().collect();
                     let host = format!("n-{}", h + 1);
                     let said = report(&host, tenure, counter, 5, tasks.clone());
-                    part.on_report(&said, Source::Hello, NOW);
+                    part.on_report(&said, Source::Heartbeat, NOW);
                     if (tenure, counter) > newest[h] {
                         newest[h] = (tenure, counter);
                         told[h] = tasks;
                     }
                 }
                 Word::End(job, done) => {
-                    let ending = if done { Ending::Done } else { Ending::Cancelled };
+                    let ending = if done { Termination::Done } else { Termination::Cancelled };
                     part.end_job(&JobId::new(jobs[job]), ending, NOW);
                 }
                 Word::Pass => part.pass(NOW),
--- a/crates/jasperhill-testkit/src/lines.rs
+++ b/crates/jasperhill-testkit/src/lines.rs
@@ -4,7 +4,7 @@
 
 use jasperhill_connections::Class;
 use jasperhill_controller::net::class_of;
-use jasperhill_http::{Request, Sockets, Ticket};
+use jasperhill_http::{ConnectionPermit, ConnectionTracker, Request};
 use std::{
     cell::{Cell, RefCell},
     collections::HashMap,
@@ -53,7 +53,7 @@
     }
 }
 
-type Ends = (Socket, Ticket);
+type Ends = (Socket, ConnectionPermit);
 /// Idle ones by address, and since when.
 type Idle = HashMap<SocketAddr, Vec<(Ends, Instant)>>;
 
@@ -70,10 +70,10 @@
         node: usize,
         life: u64,
         platform: &Rc<Platform>,
-        own: &Sockets,
+        own: &ConnectionTracker,
     ) -> Option<Rc<Self>> {
         let socket = platform.socket()?;
-        let ticket = own.open(Class::Door)?;
+        let ticket = own.open(Class::Accepted)?;
         let ends = RefCell::new(Some((socket, ticket)));
         let line = Rc::new(Self { node, life, ends });
         line.rests().then_some(line)
@@ -118,7 +118,7 @@
 /// Connections of a controller to others, kept for a while.
 pub struct Outgoing {
     platform: Rc<Platform>,
-    pub own: Sockets,
+    pub own: ConnectionTracker,
     idle: Rc<RefCell<Idle>>,
 }
 
@@ -134,7 +134,7 @@
 }
 
 impl Outgoing {
-    pub fn new(platform: Rc<Platform>, own: Sockets) -> Self {
+    pub fn new(platform: Rc<Platform>, own: ConnectionTracker) -> Self {
         Self {
             platform,
             own,
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -11,10 +11,12 @@
     users,
     workers::{Times, Worker},
 };
-use jasperhill_connections::{Class, Sizes};
+use jasperhill_connections::{Class, PlanInputs};
 use jasperhill_controller::{Clock, Controller, Settings, Transport, net, net::Call};
-use jasperhill_http::{ClientError, Method, Request, Response, Sockets, client::ANSWER_MAX};
-use jasperhill_membership::Terms;
+use jasperhill_http::{
+    ClientError, ConnectionTracker, Method, Request, Response, client::ANSWER_MAX,
+};
+use jasperhill_membership::LeaseTerms;
 use jasperhill_wire::{Micros, user::JobRequest};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::Value;
@@ -229,7 +231,7 @@
     lives: Vec<u64>,
     /// The sockets of each one's present life, as the platform and as it counts them itself, and
     /// what came of those before.
-    sockets: Vec<Option<(Rc<Platform>, Sockets)>>,
+    sockets: Vec<Option<(Rc<Platform>, ConnectionTracker)>>,
     past_peak: usize,
     past_refused: usize,
     /// What the balancer knows.
@@ -390,7 +392,7 @@
     settings.own.session = plan.session.map(Micros::from_secs);
     if plan.blind {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
-        settings.bounds = Terms { lease, cancel }.bounds().unwrap();
+        settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
     }
     if plan.never_restless {
         settings.own.restless_after = Some(0);
@@ -410,7 +412,7 @@
             Place::Node(_) => Class::Peers,
             Place::State => Class::State,
             Place::Cloud => Class::Cloud,
-            Place::Zone(_) => Class::Orders,
+            Place::Zone(_) => Class::Commands,
         }
     }
 }
@@ -438,7 +440,7 @@
             }
         })
     }
-    fn sockets(&self) -> &Sockets {
+    fn sockets(&self) -> &ConnectionTracker {
         &self.lines.own
     }
 }
@@ -956,12 +958,12 @@
         let settings = self.settings[announced][node].clone();
         let platform = Platform::new(self.plan.sockets);
         let own = if self.plan.unaccounted {
-            let sizes = Sizes {
+            let sizes = PlanInputs {
                 most: 1_000_000,
                 peers: NODES - 1,
                 machines: 0,
             };
-            Sockets::new(sizes, Duration::from_secs(3_600))
+            ConnectionTracker::new(sizes, Duration::from_secs(3_600))
         } else {
             net::sockets(&settings)
         };
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -4,7 +4,7 @@
 //! CI plays a bounded number of drawn days on which several meet. More of them:
 //! `MEETINGS=200 cargo test --release -p jasperhill-testkit --test meetings -- --ignored`.
 
-use jasperhill_membership::Terms;
+use jasperhill_membership::LeaseTerms;
 use jasperhill_scheduler::{Host, HostInput, MachineSpec, Source};
 use jasperhill_testkit::{
     Plan,
@@ -358,7 +358,7 @@
 /// second after it was sent, which whoever sent it knows; the record of its host can't be written, so
 /// that the token stays. What the worker makes of it when it comes.
 fn a_start_comes_late(guarded: bool) -> u16 {
-    let bounds = Terms {
+    let bounds = LeaseTerms {
         lease: Micros::from_secs(16),
         cancel: Micros::from_secs(46),
     }
@@ -413,7 +413,7 @@
         let at = origin + millis(500 * half);
         if half % 5 == 0 {
             let report = Heartbeat::parse(worker.report().to_string().as_bytes()).unwrap();
-            host.apply(HostInput::Report(&report, Source::Hello), now);
+            host.apply(HostInput::Report(&report, Source::Heartbeat), now);
             let orders = host.orders(|_, _| true);
             let withheld = host
                 .rests_on()
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -201,7 +201,7 @@
         let door = Door {
             sockets: sockets.clone(),
             class_of: net::class_of,
-            entry: Class::Door,
+            entry: Class::Accepted,
         };
         let mesh_door = Door {
             sockets: sockets.clone(),
