--- a/crates/jasperhill-controller/src/budget.rs
+++ b/crates/jasperhill-controller/src/budget.rs
@@ -3,14 +3,14 @@
 use jasperhill_wire::Micros;
 
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub fn new(rate: f64, burst: f64, now: Micros) -> Self {
         let burst = burst.max(1.0);
         Self {
@@ -21,7 +21,7 @@
         }
     }
     /// As full as this part of the burst.
-    pub fn starting_at(mut self, part: f64) -> Self {
+    pub fn filled_to(mut self, part: f64) -> Self {
         self.level = self.burst * part.clamp(0.0, 1.0);
         self
     }
@@ -41,7 +41,7 @@
         }
     }
     /// Takes `n` even if that leaves a debt: for what must not wait.
-    pub fn force(&mut self, n: f64, now: Micros) {
+    pub fn take_into_debt(&mut self, n: f64, now: Micros) {
         self.fill(now);
         self.level = (self.level - n).max(-self.burst);
     }
@@ -52,7 +52,7 @@
         self.burst
     }
     /// How long until the level is at least `n`, if it is not.
-    pub fn until(&mut self, n: f64, now: Micros) -> Option<Micros> {
+    pub fn wait_for(&mut self, n: f64, now: Micros) -> Option<Micros> {
         self.fill(now);
         let lack = n.min(self.burst) - self.level;
         (lack > 0.0).then(|| Micros::from_secs_f64(lack / self.rate) + Micros::from_millis(1))
@@ -69,7 +69,7 @@
 
     #[test]
     fn a_bucket_never_lets_more_through_than_its_rate_and_burst() {
-        let mut bucket = Bucket::new(10.0, 5.0, Micros::ZERO);
+        let mut bucket = TokenBucket::new(10.0, 5.0, Micros::ZERO);
         let (mut now, mut taken) = (Micros::ZERO, 0);
         while now < Micros::from_secs(10) {
             match bucket.take(1.0, now) {
--- a/crates/jasperhill-controller/src/cloud/assigning.rs
+++ b/crates/jasperhill-controller/src/cloud/assigning.rs
@@ -2,9 +2,9 @@
 
 use super::moved;
 use crate::{
-    controller::Inner,
-    hostbook::Edit,
-    store::{Urgency, Written},
+    controller::Shared,
+    hostbook::HostUpdate,
+    store::{WriteOutcome, WritePriority},
 };
 use jasperhill_wire::{
     Micros,
@@ -12,14 +12,14 @@
 };
 use std::rc::Rc;
 
-impl Inner {
+impl Shared {
     /// Gives free hosts to partitions that are short, and condemns those nobody needs.
     pub(super) fn assign_free(self: &Rc<Self>) {
         let now = self.now();
         let mut moves = Vec::new();
         {
             let mut guarded = self.state.borrow_mut();
-            let mut stocks = self.stocks(&guarded);
+            let mut stocks = self.inventory(&guarded);
             let state = &mut *guarded;
             let Some(leader) = state.leader.as_mut() else {
                 return;
@@ -56,15 +56,15 @@
         for (id, kept, usage, since) in moves {
             let inner = self.clone();
             self.clone().spawn(async move {
-                let edit = Edit {
-                    urgency: Urgency::Finish,
+                let edit = HostUpdate {
+                    urgency: WritePriority::Finish,
                     role: (Role::Leader, since),
                     host: id.clone(),
-                    was: Some(kept.version),
-                    becomes: Some(moved(&kept, usage)),
-                    by: inner.now() + Micros::from_secs(3),
+                    expected_version: Some(kept.version),
+                    new_record: Some(moved(&kept, usage)),
+                    deadline: inner.now() + Micros::from_secs(3),
                 };
-                if let Written::Done(_) = inner.edit_host(kept.block, edit).await {
+                if let WriteOutcome::Committed(_) = inner.update_host(kept.block, edit).await {
                     tracing::info!(host = %id, ?usage, "host moved");
                 }
                 inner.state.borrow_mut().bumping.remove(&id);
--- a/crates/jasperhill-controller/src/cloud/listing.rs
+++ b/crates/jasperhill-controller/src/cloud/listing.rs
@@ -3,10 +3,10 @@
 
 use super::Booting;
 use crate::{
-    controller::{Inner, State},
-    hostbook::Edit,
-    mirror::KeptHost,
-    store::{Urgency, Written},
+    controller::{Shared, State},
+    hostbook::HostUpdate,
+    mirror::HostEntry,
+    store::{WriteOutcome, WritePriority},
 };
 use jasperhill_http::Method;
 use jasperhill_scheduler::boots::BootTimes;
@@ -17,7 +17,7 @@
 };
 use std::{collections::BTreeSet, rc::Rc};
 
-impl Inner {
+impl Shared {
     /// Reads the machine list and draws conclusions from it.
     pub(super) async fn look(self: &Rc<Self>) {
         let sent = self.now();
@@ -49,7 +49,7 @@
             }
         }
         let now = self.now();
-        let mut deletes: Vec<(HostId, KeptHost)> = Vec::new();
+        let mut deletes: Vec<(HostId, HostEntry)> = Vec::new();
         let mut returns: BTreeSet<HostId> = BTreeSet::new();
         {
             let mut guarded = self.state.borrow_mut();
@@ -138,20 +138,20 @@
         }
     }
 
-    pub(super) async fn delete_host(self: Rc<Self>, id: HostId, kept: KeptHost) {
+    pub(super) async fn delete_host(self: Rc<Self>, id: HostId, kept: HostEntry) {
         let Some(since) = self.state.borrow().leader.as_ref().map(|l| l.since) else {
             return;
         };
-        let edit = Edit {
-            urgency: Urgency::Finish,
+        let edit = HostUpdate {
+            urgency: WritePriority::Finish,
             role: (Role::Leader, since),
             host: id.clone(),
-            was: Some(kept.version),
-            becomes: None,
-            by: self.now() + Micros::from_secs(5),
+            expected_version: Some(kept.version),
+            new_record: None,
+            deadline: self.now() + Micros::from_secs(5),
         };
-        if let Written::Done(_) = self.edit_host(kept.block, edit).await {
-            self.state.borrow_mut().book.displace(&id);
+        if let WriteOutcome::Committed(_) = self.update_host(kept.block, edit).await {
+            self.state.borrow_mut().book.unassign_block(&id);
         }
     }
 }
--- a/crates/jasperhill-controller/src/cloud/mod.rs
+++ b/crates/jasperhill-controller/src/cloud/mod.rs
@@ -8,9 +8,9 @@
 mod stock;
 
 use crate::{
-    controller::{Inner, evidence_of},
-    mirror::KeptHost,
-    store::{Urgency, guard, put},
+    controller::{Shared, observation_of},
+    mirror::HostEntry,
+    store::{WritePriority, guard, put},
 };
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_membership::view::LinkId;
@@ -34,7 +34,7 @@
 }
 
 /// What the leader of the fleet knows. Lost with the role; the machine list brings it back.
-pub(crate) struct Leader {
+pub(crate) struct LeaderState {
     pub since: Revision,
     pub(super) counter: u64,
     pub booting: BTreeMap<HostId, Booting>,
@@ -55,7 +55,7 @@
 
 /// The record with another use. Every edit raises the count, so that a record never looks
 /// as it did before: its new revision is always seen, and the host's token rises.
-fn moved(kept: &KeptHost, usage: HostAssignment) -> HostRecord {
+fn moved(kept: &HostEntry, usage: HostAssignment) -> HostRecord {
     HostRecord {
         assignment: usage,
         rewrites: kept.value.rewrites + 1,
@@ -63,7 +63,7 @@
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// A machine without a record reports: it is up.
     pub fn came_up(&mut self, id: &HostId, now: Micros) {
         if let Some(b) = self.booting.remove(id) {
@@ -114,8 +114,8 @@
     }
 }
 
-impl Inner {
-    pub async fn cloud_loop(self: Rc<Self>) {
+impl Shared {
+    pub async fn provisioner_loop(self: Rc<Self>) {
         let mut types_at: Option<Micros> = None;
         loop {
             let now = self.now();
@@ -131,7 +131,7 @@
                 self.lead().await;
             }
             self.tell_unmet();
-            self.clone().give_up();
+            self.clone().decommission_surplus();
             sleep(Duration::from_secs(1)).await;
         }
     }
@@ -146,14 +146,14 @@
             let taken = self.state.borrow_mut().cloud.take(1.0, self.clock.now());
             match taken {
                 Ok(()) => break,
-                Err(wait) => sleep(crate::controller::std_time(wait)).await,
+                Err(wait) => sleep(crate::controller::to_duration(wait)).await,
             }
         }
         let request = Request::new(method, target, body);
         let limit = Micros::from_secs(4);
         let answer = self.call(self.settings.cloud, request, limit).await.ok();
         // A 503 for want of machines is an answer too; one that says trouble is everybody's.
-        self.note_link(LinkId::Cloud, evidence_of(answer.is_some()));
+        self.observe_link(LinkId::Cloud, observation_of(answer.is_some()));
         answer
     }
 
@@ -198,7 +198,7 @@
             let parts = parts.iter().enumerate();
             let changes = parts.map(|(n, part)| put(types_key(n as u32), part));
             self.write(
-                Urgency::Rest,
+                WritePriority::Background,
                 guards,
                 changes.collect(),
                 Micros::from_secs(5),
--- a/crates/jasperhill-controller/src/cloud/renting.rs
+++ b/crates/jasperhill-controller/src/cloud/renting.rs
@@ -1,7 +1,7 @@
 //! Renting: how many machines of which kind, where, and what others may count on.
 
 use super::Booting;
-use crate::controller::Inner;
+use crate::controller::Shared;
 use jasperhill_http::Method;
 use jasperhill_wire::{
     Micros, Name,
@@ -11,12 +11,12 @@
 };
 use std::rc::Rc;
 
-use super::stock::Stock;
+use super::stock::Inventory;
 
 /// Machines asked for in one request, at most; the cloud's own bound.
 const RENT_MAX: u32 = 50;
 
-impl Inner {
+impl Shared {
     /// Refused jobs come again: the fleet grows for them as for accepted ones.
     pub(super) fn tell_unmet(self: &Rc<Self>) {
         let now = self.now();
@@ -45,7 +45,7 @@
                         partition,
                         thousandths,
                     };
-                    inner.ask(address, ask, Micros::from_secs(1)).await;
+                    inner.mesh_call(address, ask, Micros::from_secs(1)).await;
                 });
             }
         }
@@ -87,7 +87,7 @@
             let (inner, address) = (self.clone(), peer.address);
             self.clone().spawn(async move {
                 inner
-                    .ask(
+                    .mesh_call(
                         address,
                         MeshRequest::SpareCapacity {
                             machines,
@@ -104,7 +104,7 @@
     pub(super) fn next_rental(&self) -> Option<RentRequest> {
         let now = self.now();
         let mut guarded = self.state.borrow_mut();
-        let stocks = self.stocks(&guarded);
+        let stocks = self.inventory(&guarded);
         let state = &mut *guarded;
         let specs = state.specs.clone()?;
         let leader = state.leader.as_mut()?;
@@ -122,7 +122,7 @@
             .count();
         let (booting_spot, booting_ordinary) = leader.coming(&specs, state.mirror.hosts.len(), now);
         let booting = booting_spot + booting_ordinary + free as i64;
-        let sum = |f: &dyn Fn(&Stock) -> i64| stocks.iter().map(|s| f(s).max(0)).sum::<i64>();
+        let sum = |f: &dyn Fn(&Inventory) -> i64| stocks.iter().map(|s| f(s).max(0)).sum::<i64>();
         let short = sum(&|s| s.want - s.have) - booting;
         let short_ordinary = sum(&|s| s.want_ordinary - s.have_ordinary) - booting_ordinary;
         // Work that may run on spot machines makes way on the ordinary ones: where those have
--- a/crates/jasperhill-controller/src/cloud/returning.rs
+++ b/crates/jasperhill-controller/src/cloud/returning.rs
@@ -2,9 +2,9 @@
 
 use super::moved;
 use crate::{
-    controller::Inner,
-    hostbook::Edit,
-    store::{Urgency, Written},
+    controller::Shared,
+    hostbook::HostUpdate,
+    store::{WriteOutcome, WritePriority},
 };
 use jasperhill_http::Method;
 use jasperhill_scheduler::FencingState;
@@ -19,7 +19,7 @@
 /// The part of the hosts that are too many that is emptied at a time.
 const DRAIN_PART: usize = 4;
 
-impl Inner {
+impl Shared {
     /// Returns what is condemned or never came into use. The record goes only when the
     /// machine is gone for sure.
     pub(super) async fn release(self: &Rc<Self>) {
@@ -85,7 +85,7 @@
 
     /// Owners give up hosts that they do not need, and condemn those that are lost or bad.
     /// The host is out of use here before the write, and back only by the record.
-    pub(super) fn give_up(self: Rc<Self>) {
+    pub(super) fn decommission_surplus(self: Rc<Self>) {
         let now = self.now();
         let mut gifts = Vec::new();
         {
@@ -93,7 +93,7 @@
             if !guarded.authority.holds(now) {
                 return;
             }
-            let mut stocks = self.stocks(&guarded);
+            let mut stocks = self.inventory(&guarded);
             let state = &mut *guarded;
             let short = stocks.iter().any(|s| s.want > s.have);
             for (p, partition) in &mut state.partitions {
@@ -103,7 +103,7 @@
                 let keep = if short {
                     Micros::from_secs(1)
                 } else {
-                    self.settings.own.tuning.idle_keep
+                    self.settings.operator.tuning.idle_keep
                 };
                 // A part at a time: what is wanted changes from one moment to the next, and a
                 // replica that moves is away for a moment.
@@ -160,19 +160,19 @@
             let inner = self.clone();
             self.clone().spawn(async move {
                 let old = kept.value.assignment;
-                let edit = Edit {
-                    urgency: Urgency::Rest,
+                let edit = HostUpdate {
+                    urgency: WritePriority::Background,
                     role: (Role::Partition(p), since),
                     host: id.clone(),
-                    was: Some(kept.version),
-                    becomes: Some(moved(&kept, usage)),
-                    by: inner.now() + Micros::from_secs(5),
+                    expected_version: Some(kept.version),
+                    new_record: Some(moved(&kept, usage)),
+                    deadline: inner.now() + Micros::from_secs(5),
                 };
-                let done = inner.edit_host(kept.block, edit).await;
-                if let Written::Done(_) = done {
+                let done = inner.update_host(kept.block, edit).await;
+                if let WriteOutcome::Committed(_) = done {
                     tracing::info!(host = %id, ?usage, "host given up");
                 } else {
-                    inner.take_back(p, since, &id, old).await;
+                    inner.reclaim_host(p, since, &id, old).await;
                 }
                 inner.state.borrow_mut().bumping.remove(&id);
             });
@@ -181,7 +181,7 @@
 
     /// After a gift that failed, or may still be carried out: the host is used again only
     /// once its record has been rewritten, which kills the late write.
-    pub(super) async fn take_back(
+    pub(super) async fn reclaim_host(
         self: &Rc<Self>,
         p: u32,
         since: Revision,
@@ -204,18 +204,18 @@
             let Some(kept) = kept.filter(|k| k.value.assignment == usage) else {
                 return;
             };
-            let edit = Edit {
-                urgency: Urgency::Rest,
+            let edit = HostUpdate {
+                urgency: WritePriority::Background,
                 role: (Role::Partition(p), since),
                 host: id.clone(),
-                was: Some(kept.version),
-                becomes: Some(moved(&kept, usage)),
-                by: self.now() + Micros::from_secs(5),
+                expected_version: Some(kept.version),
+                new_record: Some(moved(&kept, usage)),
+                deadline: self.now() + Micros::from_secs(5),
             };
-            match self.edit_host(kept.block, edit).await {
-                Written::Done(_) => return,
+            match self.update_host(kept.block, edit).await {
+                WriteOutcome::Committed(_) => return,
                 _ => {
-                    self.barrier().await;
+                    self.read_index().await;
                 }
             }
         }
--- a/crates/jasperhill-controller/src/cloud/stock.rs
+++ b/crates/jasperhill-controller/src/cloud/stock.rs
@@ -1,7 +1,7 @@
 //! What every partition should have and has, by the records alone.
 
 use crate::{
-    controller::{Inner, State},
+    controller::{Shared, State},
     mirror::ActiveJob,
 };
 use jasperhill_scheduler::{
@@ -13,7 +13,7 @@
 
 /// What a partition should have and has.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Stock {
+pub(crate) struct Inventory {
     pub want: i64,
     pub want_ordinary: i64,
     /// For production and urgent work alone.
@@ -23,17 +23,17 @@
 }
 
 /// What the partitions lack, kept up to date while machines are given out.
-pub(crate) struct Needs {
-    stocks: Vec<Stock>,
+pub(crate) struct CapacityNeeds {
+    stocks: Vec<Inventory>,
     /// Hosts of each partition in each zone.
     here: BTreeMap<(u32, Name), i64>,
 }
 
-impl Needs {
+impl CapacityNeeds {
     /// The partition that a machine does the most good to: production and urgent work
     /// first, then the greatest lack, then the one with the fewest hosts in that zone, so
     /// that replicas can be spread.
-    pub fn neediest(&self, zone: &Name, spot: bool) -> u32 {
+    pub fn partition_most_in_need(&self, zone: &Name, spot: bool) -> u32 {
         let here = |p: usize| {
             self.here
                 .get(&(p as u32, zone.clone()))
@@ -63,7 +63,7 @@
     }
 
     /// A machine of that kind was given to that partition.
-    pub fn given(&mut self, partition: u32, zone: &Name, spot: bool) {
+    pub fn record_assignment(&mut self, partition: u32, zone: &Name, spot: bool) {
         if let Some(s) = self.stocks.get_mut(partition as usize) {
             s.have += 1;
             s.have_ordinary += i64::from(!spot);
@@ -72,9 +72,9 @@
     }
 }
 
-impl Inner {
+impl Shared {
     /// What every partition should have and has, by the mirror alone.
-    pub(super) fn stocks(&self, state: &State) -> Vec<Stock> {
+    pub(super) fn inventory(&self, state: &State) -> Vec<Inventory> {
         let Some(specs) = &state.specs else {
             return Vec::new();
         };
@@ -83,12 +83,12 @@
         let now = self.now();
         // What waits for others counts from when a machine rented now would be there for it: not
         // while these wait themselves. Guards against walking long chains once for each of their jobs.
-        let ready = |id: &JobId| state.mirror.chain.standing(id) == DependencyState::Ready;
+        let ready = |id: &JobId| state.mirror.dependencies.standing(id) == DependencyState::Ready;
         let near = |job: &ActiveJob| {
             let request = &job.request;
             ready(&request.id)
                 || (request.dependencies.iter().all(ready)
-                    && self.release_of(state, request, now) <= boot)
+                    && self.time_until_ready(state, request, now) <= boot)
         };
         let demands: Vec<JobDemand<'_>> = state
             .mirror
@@ -104,8 +104,8 @@
                 })
             })
             .collect();
-        let tuning = &self.settings.own.tuning;
-        let mut stocks: Vec<Stock> = (0..)
+        let tuning = &self.settings.operator.tuning;
+        let mut stocks: Vec<Inventory> = (0..)
             .zip(plan(&demands, &self.sched, specs))
             .map(|(p, need): (u32, CapacityDemand)| {
                 let within = &self.sched.start_within;
@@ -116,11 +116,11 @@
                         _ => 0.0,
                     };
                 let floor = tuning.floor_of(p, self.settings.size);
-                Stock {
+                Inventory {
                     want: tuning.planned(need.total(), coming, floor),
                     want_ordinary: tuning.planned(need.ordinary, expected, floor),
                     want_first: tuning.planned(need.pressing, 0.0, 0),
-                    ..Stock::default()
+                    ..Inventory::default()
                 }
             })
             .collect();
@@ -136,15 +136,15 @@
     }
 
     /// What the partitions lack, for giving machines to them.
-    pub fn needs(&self, state: &State) -> Needs {
+    pub fn capacity_needs(&self, state: &State) -> CapacityNeeds {
         let mut here: BTreeMap<(u32, Name), i64> = BTreeMap::new();
         for kept in state.mirror.hosts.values() {
             if let Some(p) = kept.value.partition() {
                 *here.entry((p, kept.value.zone.clone())).or_default() += 1;
             }
         }
-        Needs {
-            stocks: self.stocks(state),
+        CapacityNeeds {
+            stocks: self.inventory(state),
             here,
         }
     }
--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -2,19 +2,19 @@
 //! never borrowed across an await.
 
 use crate::{
-    budget::Bucket,
+    budget::TokenBucket,
     clock::Clock,
-    cloud::Leader,
-    counts::Learned,
-    hostbook::HostBook,
-    keep::{Granted, Keeping},
-    links::Passing,
-    mirror::{self, ActiveJob, Change, JobEntry, Mirror},
+    cloud::LeaderState,
+    counts::TaskCountCache,
+    hostbook::HostRegistry,
+    keep::{DelegationGrants, DelegationRequests},
+    links::RelaySlots,
+    mirror::{self, ActiveJob, Change, JobEntry, WatchCache},
     net::Transport,
-    pulse::{self, Pulse},
+    pulse::{self, StallDetector},
     settings::Settings,
-    store::Writer,
-    upgrade::{Seen, Upgrade},
+    store::CommitQueue,
+    upgrade::{FeatureGate, MemberVersions},
 };
 use jasperhill_connections::{Class, ConcurrencyLimiter};
 use jasperhill_http::{Request, Response};
@@ -50,7 +50,7 @@
     time::{sleep, timeout},
 };
 
-pub(crate) fn std_time(t: Micros) -> Duration {
+pub(crate) fn to_duration(t: Micros) -> Duration {
     Duration::from_micros(t.0)
 }
 
@@ -70,7 +70,7 @@
 const RELEASED_MAX: usize = 20_000;
 
 /// A job that was refused and may come again.
-pub(crate) struct Refused {
+pub(crate) struct RejectedJob {
     pub first: Micros,
     pub last: Micros,
     pub partition: u32,
@@ -81,18 +81,18 @@
 /// All that changes.
 pub(crate) struct State {
     pub authority: Authority,
-    pub mirror: Mirror,
+    pub mirror: WatchCache,
     /// When unfinished jobs that waited for others were seen to be released.
     pub released: HashMap<JobId, Micros>,
-    pub upgrade: Upgrade,
+    pub upgrade: FeatureGate,
     pub partitions: BTreeMap<u32, Partition>,
-    pub leader: Option<Leader>,
+    pub leader: Option<LeaderState>,
     pub specs: Option<Rc<Specs>>,
-    pub writer: Writer,
-    pub book: HostBook,
-    pub keeping: Keeping,
-    pub learned: Learned,
-    pub granted: Granted,
+    pub writer: CommitQueue,
+    pub book: HostRegistry,
+    pub keeping: DelegationRequests,
+    pub learned: TaskCountCache,
+    pub granted: DelegationGrants,
     /// Jobs that this controller has put before their owners through the store.
     pub wanting: BTreeSet<JobId>,
     /// Jobs that others have put before owners, to be looked at.
@@ -100,12 +100,12 @@
     /// Keepers whose asks have changed.
     pub asked: BTreeSet<Member>,
     pub barrier: Vec<oneshot::Sender<bool>>,
-    pub requests: Bucket,
-    pub cloud: Bucket,
+    pub requests: TokenBucket,
+    pub cloud: TokenBucket,
     pub roles: Roles,
     pub lives: RestartHistory,
     pub view: Reachability,
-    pub passing: Passing,
+    pub passing: RelaySlots,
     /// Workers whose own reports were answered here, and when.
     pub answered_here: BTreeMap<HostId, Micros>,
     /// Workers that were told to come themselves, and when.
@@ -120,7 +120,7 @@
     pub newcomers: Vec<Heartbeat>,
     pub releasing: BTreeSet<HostId>,
     /// When refused jobs were first asked for, so that a retry does not get more time.
-    pub first_asked: BTreeMap<JobId, Refused>,
+    pub first_asked: BTreeMap<JobId, RejectedJob>,
     /// The hosts that refused jobs would need, by partition, and since when that is known.
     pub unmet: BTreeMap<u32, (f64, Micros)>,
     pub arrivals: DemandForecast,
@@ -130,7 +130,7 @@
     pub alone_since: Option<Micros>,
     /// Reports answered 200 since the state service last answered.
     pub answered_blind: u32,
-    pub pulse: Pulse,
+    pub pulse: StallDetector,
     /// How many more machines can be had, after how long, as the leader last said, and when.
     pub elastic: Option<(u32, Micros, Micros)>,
     /// When workers were last sent to their owners.
@@ -145,7 +145,7 @@
     tasks: JoinSet<()>,
 }
 
-pub(crate) struct Inner {
+pub(crate) struct Shared {
     pub settings: Settings,
     pub sched: Rc<SchedulerConfig>,
     pub split: BTreeMap<Name, u32>,
@@ -171,7 +171,7 @@
 }
 
 /// One controller. Dropping it ends all that it does.
-pub struct Controller(pub(crate) Rc<Inner>);
+pub struct Controller(pub(crate) Rc<Shared>);
 
 impl Drop for Controller {
     fn drop(&mut self) {
@@ -183,31 +183,31 @@
     /// Starts the loops. Needs a `LocalSet`.
     pub fn start(settings: Settings, clock: Clock, net: Rc<dyn Transport>) -> Self {
         let now = clock.now();
-        let sched = Rc::new(settings.sched());
+        let sched = Rc::new(settings.scheduler_config());
         let share = 1.0 / f64::from(settings.size);
         let rps = settings.state_rps * share * 0.9;
         let writes = settings.state_write_rps * share * 0.9;
         let state = State {
-            authority: Authority::new(settings.session(), settings.watch_age_max()),
-            mirror: Mirror::default(),
+            authority: Authority::new(settings.session(), settings.cache_age_max()),
+            mirror: WatchCache::default(),
             released: HashMap::new(),
-            upgrade: Upgrade::default(),
+            upgrade: FeatureGate::default(),
             partitions: BTreeMap::new(),
             leader: None,
             specs: None,
-            writer: Writer::new(Bucket::new(writes, writes, now), settings.txn_ops),
-            book: HostBook::default(),
-            keeping: Keeping::default(),
-            learned: Learned::default(),
-            granted: Granted::new(),
+            writer: CommitQueue::new(TokenBucket::new(writes, writes, now), settings.txn_ops),
+            book: HostRegistry::default(),
+            keeping: DelegationRequests::default(),
+            learned: TaskCountCache::default(),
+            granted: DelegationGrants::new(),
             wanting: BTreeSet::new(),
             wanted: BTreeSet::new(),
             asked: BTreeSet::new(),
             barrier: Vec::new(),
             // Guards against a process that ends again and again, and each time begins with all
             // that a second allows.
-            requests: Bucket::new(rps, rps, now).starting_at(STARTS_WITH),
-            cloud: Bucket::new(settings.cloud_rps * 0.8, settings.cloud_rps, now),
+            requests: TokenBucket::new(rps, rps, now).filled_to(STARTS_WITH),
+            cloud: TokenBucket::new(settings.cloud_rps * 0.8, settings.cloud_rps, now),
             lives: RestartHistory::new(settings.restless_after(), now),
             roles: Roles::new(settings.member.clone(), settings.members(), settings.size),
             view: Reachability::new(
@@ -215,7 +215,7 @@
                 settings.peers.iter().map(|p| p.member.clone()).collect(),
                 clock.wall(),
             ),
-            passing: Passing::default(),
+            passing: RelaySlots::default(),
             answered_here: BTreeMap::new(),
             sent_home: BTreeMap::new(),
             saving: BTreeSet::new(),
@@ -230,7 +230,7 @@
             alone: false,
             alone_since: None,
             answered_blind: 0,
-            pulse: Pulse::new(now),
+            pulse: StallDetector::new(now),
             elastic: None,
             redirected: BTreeMap::new(),
             probes: BTreeMap::new(),
@@ -238,7 +238,7 @@
             window: ConcurrencyLimiter::new(net.sockets().report(Class::Commands).guaranteed),
             tasks: JoinSet::new(),
         };
-        let inner = Rc::new(Inner {
+        let inner = Rc::new(Shared {
             split: jasperhill_scheduler::split::split(&settings.teams, settings.size),
             members: settings.members(),
             sched,
@@ -259,18 +259,18 @@
             wake_hosts: Notify::new(),
             wake_wants: Notify::new(),
         });
-        inner.clone().spawn(inner.clone().mirror_loop());
-        inner.clone().spawn(inner.clone().barrier_loop());
-        inner.clone().spawn(inner.clone().writer_loop());
+        inner.clone().spawn(inner.clone().watch_loop());
+        inner.clone().spawn(inner.clone().read_index_loop());
+        inner.clone().spawn(inner.clone().commit_loop());
         inner.clone().spawn(inner.clone().session_loop());
         inner.clone().spawn(inner.clone().roles_loop());
         inner.clone().spawn(inner.clone().pass_loop());
-        inner.clone().spawn(inner.clone().cloud_loop());
-        inner.clone().spawn(inner.clone().outage_loop());
-        inner.clone().spawn(inner.clone().keep_loop());
-        inner.clone().spawn(inner.clone().grant_loop());
-        inner.clone().spawn(inner.clone().links_loop());
-        inner.clone().spawn(inner.clone().room_loop());
+        inner.clone().spawn(inner.clone().provisioner_loop());
+        inner.clone().spawn(inner.clone().legacy_isolation_loop());
+        inner.clone().spawn(inner.clone().delegation_request_loop());
+        inner.clone().spawn(inner.clone().delegation_grant_loop());
+        inner.clone().spawn(inner.clone().reachability_loop());
+        inner.clone().spawn(inner.clone().connection_budget_loop());
         Self(inner)
     }
 
@@ -287,7 +287,7 @@
     }
 }
 
-impl Inner {
+impl Shared {
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
@@ -300,10 +300,10 @@
 
     /// Something happens: a standstill before it is noticed. True if what is taken up now has
     /// queued up in one.
-    pub fn beat(&self) -> bool {
+    pub fn note_activity(&self) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        if let Some(gap) = state.pulse.apply(pulse::Input::Beat, now) {
+        if let Some(gap) = state.pulse.apply(pulse::Input::Activity, now) {
             tracing::warn!(for_s = gap.as_secs_f64(), "stood still");
         }
         state.pulse.is_stale(now)
@@ -315,7 +315,7 @@
         request: Request,
         limit: Micros,
     ) -> Result<Response, jasperhill_http::ClientError> {
-        self.net.call(to, request, std_time(limit)).await
+        self.net.call(to, request, to_duration(limit)).await
     }
 
     pub fn has_authority(&self) -> bool {
@@ -328,14 +328,14 @@
     }
 
     /// Feeds the mirror and carries its changes over to all that depends on it.
-    pub fn apply_mirror(&self, input: mirror::Input) {
+    pub fn apply_to_cache(&self, input: mirror::Input) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let following = state.mirror.is_synced();
         let changes = state.mirror.apply(input);
         let began = !following && state.mirror.is_synced();
         if began {
-            self.look_at_versions(&mut state);
+            self.update_feature_gate(&mut state);
         }
         if changes.is_empty() {
             return;
@@ -347,8 +347,10 @@
                     if state.wanting.contains(&id) {
                         self.wake_wants.notify_waiters();
                     }
-                    if following && state.mirror.chain.standing(&id) == DependencyState::Ready {
-                        self.note_arrival(&mut state, &id, now);
+                    if following
+                        && state.mirror.dependencies.standing(&id) == DependencyState::Ready
+                    {
+                        self.record_arrival(&mut state, &id, now);
                     }
                     pass |= self.job_changed(&mut state, &id, now);
                 }
@@ -357,7 +359,7 @@
                     if state.released.len() < RELEASED_MAX {
                         state.released.insert(id.clone(), now);
                     }
-                    self.note_arrival(&mut state, &id, now);
+                    self.record_arrival(&mut state, &id, now);
                     pass |= self.job_changed(&mut state, &id, now);
                 }
                 Change::Related(id) => pass |= self.job_changed(&mut state, &id, now),
@@ -371,20 +373,20 @@
                     state
                         .roles
                         .apply(roles::Input::Session(&member, there), now);
-                    self.look_at_versions(&mut state);
+                    self.update_feature_gate(&mut state);
                     roles = true;
                 }
-                Change::Format(_) => self.look_at_versions(&mut state),
+                Change::FeatureLevel(_) => self.update_feature_gate(&mut state),
                 Change::Role(_) => {
                     // Reports that wait for it go where it went.
                     self.wake_owned.notify_waiters();
                     roles = true;
                 }
-                Change::Ask(keeper) => {
+                Change::DelegationRequest(keeper) => {
                     state.asked.insert(keeper);
                     self.wake_grant.notify_one();
                 }
-                Change::Want(id) => {
+                Change::Proposal(id) => {
                     if state.wanting.contains(&id) {
                         self.wake_wants.notify_waiters();
                     } else {
@@ -392,7 +394,7 @@
                         self.wake_grant.notify_one();
                     }
                 }
-                Change::Grant => self.wake_kept.notify_waiters(),
+                Change::DelegationGrant => self.wake_kept.notify_waiters(),
                 Change::Types => {
                     if state.specs.is_none()
                         && let Some(types) = state.mirror.types()
@@ -404,7 +406,7 @@
             }
         }
         if began {
-            self.recall_arrivals(&mut state, now);
+            self.restore_forecast(&mut state, now);
         }
         drop(state);
         if roles {
@@ -416,15 +418,15 @@
     }
 
     /// Notes whether every member is of this version.
-    fn look_at_versions(&self, state: &mut State) {
+    fn update_feature_gate(&self, state: &mut State) {
         let State {
             upgrade, mirror, ..
         } = state;
-        let seen = Seen {
+        let seen = MemberVersions {
             synced: mirror.is_synced(),
             members: &self.members,
             sessions: &mirror.sessions,
-            formats: &mirror.formats,
+            formats: &mirror.feature_levels,
         };
         if upgrade.apply(&seen) {
             tracing::info!(state = ?*upgrade, "versions of the members");
@@ -432,11 +434,11 @@
     }
 
     /// How a job stands in its pipeline, by the steady clock.
-    pub fn place_of(&self, state: &State, job: &ActiveJob) -> DependencyStatus {
+    pub fn dependency_status(&self, state: &State, job: &ActiveJob) -> DependencyStatus {
         let id = &job.request.id;
-        let claim = state.mirror.chain.claim(id);
+        let claim = state.mirror.dependencies.claim(id);
         DependencyStatus {
-            gate: match state.mirror.chain.standing(id) {
+            gate: match state.mirror.dependencies.standing(id) {
                 DependencyState::Ready => Readiness::Open,
                 _ => Readiness::Waiting,
             },
@@ -451,14 +453,16 @@
 
     /// A controller that begins learns what has come lately from the records. Guards against a
     /// fleet that shrinks when its leader has restarted and expects nothing any more.
-    fn recall_arrivals(&self, state: &mut State, now: Micros) {
+    fn restore_forecast(&self, state: &mut State, now: Micros) {
         let Some(specs) = state.specs.clone() else {
             return;
         };
         let mut recent: Vec<(Micros, Rc<JobRequest>)> = state
             .mirror
             .active()
-            .filter(|job| state.mirror.chain.standing(&job.request.id) == DependencyState::Ready)
+            .filter(|job| {
+                state.mirror.dependencies.standing(&job.request.id) == DependencyState::Ready
+            })
             .map(|job| (self.clock.steady(job.submitted), job.request.clone()))
             .collect();
         recent.sort_by_key(|(at, _)| *at);
@@ -476,7 +480,7 @@
         }
     }
 
-    fn note_arrival(&self, state: &mut State, id: &JobId, now: Micros) {
+    fn record_arrival(&self, state: &mut State, id: &JobId, now: Micros) {
         let State {
             mirror,
             specs: Some(specs),
@@ -515,7 +519,7 @@
         let Some(p) = self.partition_of(&job.request.team) else {
             return false;
         };
-        let place = self.place_of(state, job);
+        let place = self.dependency_status(state, job);
         let submitted = self.clock.steady(job.submitted);
         let Some(partition) = state.partitions.get_mut(&p) else {
             return false;
@@ -567,17 +571,17 @@
             }
             // In a large deployment something changes all the time: the tick comes all the
             // same, or hosts that did not answer after a takeover were never asked again.
-            self.beat();
+            self.note_activity();
             let now = self.now();
             let tick = now - ticked >= Micros::from_secs(1);
             if tick {
                 ticked = now;
             }
-            self.clone().pass(tick);
+            self.clone().scheduling_pass(tick);
         }
     }
 
-    pub fn pass(self: Rc<Self>, tick: bool) {
+    pub fn scheduling_pass(self: Rc<Self>, tick: bool) {
         let now = self.now();
         let mut directs = Vec::new();
         let mut state = self.state.borrow_mut();
@@ -622,10 +626,10 @@
             }
         }
         drop(state);
-        self.send_direct(directs, tick);
+        self.queue_commands(directs, tick);
         self.clone().save_results();
         self.clone().write_cancelled();
-        self.bump_tokens();
+        self.raise_tokens();
     }
 
     /// What must go at once when the session is gone: nothing is owned any more.
@@ -661,7 +665,7 @@
                 }
                 Session::Held { lease, .. } => self.renew_session(lease).await,
             };
-            sleep(std_time(pause)).await;
+            sleep(to_duration(pause)).await;
         }
     }
 
@@ -683,7 +687,7 @@
             None => pulse::Input::Unanswered { sent },
         };
         self.state.borrow_mut().pulse.apply(heard, self.now());
-        self.note_link(LinkId::Store, evidence_of(answer.is_some()));
+        self.observe_link(LinkId::Store, observation_of(answer.is_some()));
         match answer {
             Some(true) => {
                 self.state
@@ -704,7 +708,7 @@
 }
 
 /// One counterpart that answered or did not.
-pub(crate) fn evidence_of(answered: bool) -> Observation {
+pub(crate) fn observation_of(answered: bool) -> Observation {
     if answered {
         Observation::Success
     } else {
--- a/crates/jasperhill-controller/src/counts.rs
+++ b/crates/jasperhill-controller/src/counts.rs
@@ -2,7 +2,7 @@
 //! poll a job within a while, and one message asks for many jobs: what polls cost hardly
 //! grows with their number.
 
-use crate::controller::Inner;
+use crate::controller::Shared;
 use jasperhill_wire::{
     JobId, Member, Micros,
     mesh::{MeshRequest, MeshResponse, TaskCounts},
@@ -26,14 +26,14 @@
 
 /// What was learned from others, and what is being asked.
 #[derive(Default)]
-pub(crate) struct Learned {
+pub(crate) struct TaskCountCache {
     known: HashMap<JobId, (TaskCounts, Micros)>,
     wanted: BTreeMap<Member, BTreeSet<JobId>>,
     /// Owners with a question under way.
     asking: BTreeSet<Member>,
 }
 
-impl Learned {
+impl TaskCountCache {
     pub fn get(&self, id: &JobId, now: Micros) -> Option<TaskCounts> {
         let (counts, at) = self.known.get(id)?;
         (now - *at < FRESH).then_some(*counts)
@@ -49,9 +49,13 @@
     }
 }
 
-impl Inner {
+impl Shared {
     /// The counts of a job that `owner` runs, at most a little old.
-    pub async fn counts_from(self: &Rc<Self>, owner: Member, id: &JobId) -> Option<TaskCounts> {
+    pub async fn task_counts_from(
+        self: &Rc<Self>,
+        owner: Member,
+        id: &JobId,
+    ) -> Option<TaskCounts> {
         let begin = {
             let now = self.now();
             let mut state = self.state.borrow_mut();
@@ -66,7 +70,7 @@
             learned.asking.insert(owner.clone())
         };
         if begin {
-            self.clone().spawn(self.clone().ask_counts(owner));
+            self.clone().spawn(self.clone().fetch_task_counts(owner));
         }
         let answered = timeout(WAIT, async {
             loop {
@@ -81,7 +85,7 @@
     }
 
     /// Asks one owner for all that is wanted of it, until nothing is.
-    async fn ask_counts(self: Rc<Self>, owner: Member) {
+    async fn fetch_task_counts(self: Rc<Self>, owner: Member) {
         loop {
             sleep(GATHER).await;
             let wanted: Vec<JobId> = {
@@ -98,7 +102,7 @@
                 continue;
             };
             let ask = MeshRequest::TaskCounts(wanted.clone());
-            let answer = self.ask(address, ask, Micros::from_millis(300)).await;
+            let answer = self.mesh_call(address, ask, Micros::from_millis(300)).await;
             if let Some(MeshResponse::TaskCounts(found)) = answer {
                 let now = self.now();
                 let mut state = self.state.borrow_mut();
@@ -114,7 +118,7 @@
     }
 
     /// Counts of jobs that are run here, for another controller.
-    pub fn counts(&self, ids: &[JobId]) -> MeshResponse {
+    pub fn local_task_counts(&self, ids: &[JobId]) -> MeshResponse {
         let state = self.state.borrow();
         let of = |id: &JobId| {
             let job = state.partitions.values().find_map(|p| p.jobs.get(id))?;
@@ -134,7 +138,7 @@
     /// Guards against counts that are shown for too long, and against growth without bound.
     #[test]
     fn what_was_learned_is_shown_for_a_while_and_bounded() {
-        let mut learned = Learned::default();
+        let mut learned = TaskCountCache::default();
         let counts = TaskCounts {
             running: 3,
             done: 4,
--- a/crates/jasperhill-controller/src/hostbook.rs
+++ b/crates/jasperhill-controller/src/hostbook.rs
@@ -8,9 +8,9 @@
 //! so that no host is ever in two blocks or in none.
 
 use crate::{
-    controller::{Inner, State},
-    mirror::Mirror,
-    store::{Urgency, Written, guard, put},
+    controller::{Shared, State},
+    mirror::WatchCache,
+    store::{WriteOutcome, WritePriority, guard, put},
 };
 use jasperhill_wire::{
     HostId, Micros, Revision,
@@ -24,28 +24,28 @@
 use tokio::sync::oneshot;
 
 /// One change of one host's record.
-pub(crate) struct Edit {
-    pub urgency: Urgency,
+pub(crate) struct HostUpdate {
+    pub urgency: WritePriority,
     /// In what role, owned since when.
     pub role: (Role, Revision),
     pub host: HostId,
     /// The version that it changes; `None`: there is no record yet.
-    pub was: Option<Revision>,
+    pub expected_version: Option<Revision>,
     /// `None`: the record goes.
-    pub becomes: Option<HostRecord>,
+    pub new_record: Option<HostRecord>,
     /// Not written any more after that.
-    pub by: Micros,
+    pub deadline: Micros,
 }
 
-struct Waiting {
-    edit: Edit,
-    reply: oneshot::Sender<Written>,
+struct PendingUpdate {
+    edit: HostUpdate,
+    reply: oneshot::Sender<WriteOutcome>,
 }
 
 /// Edits that wait, by block.
 #[derive(Default)]
-pub(crate) struct HostBook {
-    waiting: BTreeMap<u32, Vec<Waiting>>,
+pub(crate) struct HostRegistry {
+    waiting: BTreeMap<u32, Vec<PendingUpdate>>,
     writing: BTreeSet<u32>,
     /// Where the leader has put hosts. A host keeps its block while this leadership lasts,
     /// even if a write's fate is unknown: it must never stand in two blocks.
@@ -59,9 +59,9 @@
 }
 
 /// What one write of a block consists of.
-struct Prepared {
-    edits: Vec<Waiting>,
-    urgency: Urgency,
+struct PreparedWrite {
+    edits: Vec<PendingUpdate>,
+    urgency: WritePriority,
     guards: Vec<Guard>,
     changes: Vec<Change>,
     /// The new blocks among them.
@@ -83,17 +83,17 @@
     serde_json::to_vec(record).map_or(usize::MAX / 4, |v| v.len()) + id.as_str().len() + ENTRY_MORE
 }
 
-impl HostBook {
+impl HostRegistry {
     /// A new leadership, at whose revision late writes of the earlier one die.
-    pub fn forget_places(&mut self) {
+    pub fn clear_assignments(&mut self) {
         self.placed.clear();
     }
 
     /// The block for a new host. Blocks are filled by partition, so that their owners seldom
     /// write the same one at the same time.
-    pub fn place(
+    pub fn assign_block(
         &mut self,
-        mirror: &Mirror,
+        mirror: &WatchCache,
         id: &HostId,
         record: &HostRecord,
         (partition, partitions): (u32, u32),
@@ -130,12 +130,12 @@
     }
 
     /// The record of a placed host is gone: it may be placed anew.
-    pub fn displace(&mut self, id: &HostId) {
+    pub fn unassign_block(&mut self, id: &HostId) {
         self.placed.remove(id);
     }
 
     /// Edits of this block were refused a moment ago.
-    pub fn is_refused(&self, block: u32, now: Micros) -> bool {
+    pub fn is_backing_off(&self, block: u32, now: Micros) -> bool {
         self.refused.get(&block).is_some_and(|until| now < *until)
     }
 }
@@ -168,20 +168,20 @@
     parts
 }
 
-impl Inner {
+impl Shared {
     /// Queues an edit of a host's record in this block and waits for its fate.
-    pub async fn edit_host(self: &Rc<Self>, block: u32, edit: Edit) -> Written {
+    pub async fn update_host(self: &Rc<Self>, block: u32, edit: HostUpdate) -> WriteOutcome {
         let (reply, fate) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
             let waiting = state.book.waiting.entry(block).or_default();
             if waiting.len() >= WAITING_MAX {
-                return Written::NotDone;
+                return WriteOutcome::NotExecuted;
             }
-            waiting.push(Waiting { edit, reply });
+            waiting.push(PendingUpdate { edit, reply });
         }
         self.write_block(block);
-        fate.await.unwrap_or(Written::Unknown)
+        fate.await.unwrap_or(WriteOutcome::Unknown)
     }
 
     /// Begins to write a block's edits, unless that is under way.
@@ -203,7 +203,7 @@
         let Some(prepared) = self.next_block(&mut self.state.borrow_mut(), block, now) else {
             return false;
         };
-        let Prepared {
+        let PreparedWrite {
             edits,
             urgency,
             guards,
@@ -211,20 +211,20 @@
             fresh,
         } = prepared;
         let done = if guards.is_empty() {
-            Written::NotDone
+            WriteOutcome::NotExecuted
         } else {
             let limit = Micros::from_secs(3);
             let sent = self.now();
             let done = self.write(urgency, guards, changes, limit).await;
             let now = self.now();
             let mut state = self.state.borrow_mut();
-            if done == Written::NotDone && now - sent < limit {
+            if done == WriteOutcome::NotExecuted && now - sent < limit {
                 // Refused, not merely late. Guards against one block that is written again and
                 // again although the state service does not take it.
                 state.book.refused.retain(|_, until| now < *until);
                 state.book.refused.insert(block, now + REFUSED_FOR);
             }
-            if let Written::Done(_) = done
+            if let WriteOutcome::Committed(_) = done
                 && !fresh.is_empty()
             {
                 tracing::info!(block, into = fresh.len(), "host block split");
@@ -244,14 +244,14 @@
         };
         match done {
             // Another controller has changed the block: the edits are tried on what it is now.
-            Written::Conflict => {
-                let fine = self.barrier().await;
+            WriteOutcome::Conflict => {
+                let fine = self.read_index().await;
                 let mut state = self.state.borrow_mut();
                 if fine {
                     let waiting = state.book.waiting.entry(block).or_default();
                     waiting.splice(0..0, edits);
                 } else {
-                    answer(edits, Written::Conflict);
+                    answer(edits, WriteOutcome::Conflict);
                 }
             }
             other => answer(edits, other),
@@ -265,14 +265,14 @@
         let mut due = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            if !state.upgrade.understands(DEPENDENCIES) || state.leader.is_none() {
+            if !state.upgrade.supports(DEPENDENCIES) || state.leader.is_none() {
                 return;
             }
             let now = self.now();
             for (block, bytes) in &state.mirror.block_bytes {
                 if *bytes > self.settings.value_bytes
                     && due.len() < SPLITS_MAX
-                    && !state.book.is_refused(*block, now)
+                    && !state.book.is_backing_off(*block, now)
                     && !state.book.writing.contains(block)
                 {
                     due.push(*block);
@@ -286,7 +286,7 @@
     }
 
     /// The edits of one role that can be written together now, and the write.
-    fn next_block(&self, state: &mut State, block: u32, now: Micros) -> Option<Prepared> {
+    fn next_block(&self, state: &mut State, block: u32, now: Micros) -> Option<PreparedWrite> {
         let split = state.book.splitting.remove(&block);
         let waiting = state.book.waiting.remove(&block).unwrap_or_default();
         let leader = state.leader.as_ref().map(|l| (Role::Leader, l.since));
@@ -297,22 +297,26 @@
         };
         let mut hosts = state.mirror.block(block);
         let version = state.mirror.blocks.get(&block).copied();
-        let (mut edits, mut rest): (Vec<Waiting>, Vec<Waiting>) = (Vec::new(), Vec::new());
+        let (mut edits, mut rest): (Vec<PendingUpdate>, Vec<PendingUpdate>) =
+            (Vec::new(), Vec::new());
         let mut touched: BTreeSet<HostId> = BTreeSet::new();
         // The role may have changed hands since.
         let owned = state.mirror.roles.get(&role.0).map(|k| k.version);
         for w in waiting {
-            let Edit {
-                host, was, becomes, ..
+            let HostUpdate {
+                host,
+                expected_version: was,
+                new_record: becomes,
+                ..
             } = &w.edit;
             let kept = state.mirror.hosts.get(host);
-            if now >= w.edit.by || state.book.is_refused(block, now) {
-                let _ = w.reply.send(Written::NotDone);
+            if now >= w.edit.deadline || state.book.is_backing_off(block, now) {
+                let _ = w.reply.send(WriteOutcome::NotExecuted);
             } else if kept.map(|k| k.version) != *was
                 || kept.is_some_and(|k| k.block != block)
                 || (w.edit.role == role && owned.is_some_and(|v| v > role.1))
             {
-                let _ = w.reply.send(Written::Conflict);
+                let _ = w.reply.send(WriteOutcome::Conflict);
             } else if w.edit.role != role || touched.contains(host) {
                 rest.push(w);
             } else {
@@ -328,19 +332,23 @@
             state.book.waiting.insert(block, rest);
         }
         if edits.is_empty() && !(split && version.is_some()) {
-            return state.book.waiting.contains_key(&block).then(|| Prepared {
-                edits: Vec::new(),
-                urgency: Urgency::Rest,
-                guards: Vec::new(),
-                changes: Vec::new(),
-                fresh: Vec::new(),
-            });
+            return state
+                .book
+                .waiting
+                .contains_key(&block)
+                .then(|| PreparedWrite {
+                    edits: Vec::new(),
+                    urgency: WritePriority::Background,
+                    guards: Vec::new(),
+                    changes: Vec::new(),
+                    fresh: Vec::new(),
+                });
         }
         let urgency = edits
             .iter()
             .map(|w| w.edit.urgency)
             .min()
-            .unwrap_or(Urgency::Finish);
+            .unwrap_or(WritePriority::Finish);
         let key = block_key(block);
         let mut guards = vec![
             guard(role_key(role.0), role.1),
@@ -354,8 +362,8 @@
             edits = edits.len(),
             "host block"
         );
-        if bytes <= self.settings.value_bytes || !state.upgrade.understands(DEPENDENCIES) {
-            return Some(Prepared {
+        if bytes <= self.settings.value_bytes || !state.upgrade.supports(DEPENDENCIES) {
+            return Some(PreparedWrite {
                 edits,
                 urgency,
                 guards,
@@ -380,10 +388,10 @@
             guards.push(guard(block_key(next), Revision(0)));
             changes.push(put(block_key(next), &part));
         }
-        Some(Prepared {
+        Some(PreparedWrite {
             edits,
             // Not behind what can wait: a block that is too large soon can't be written at all.
-            urgency: urgency.min(Urgency::Finish),
+            urgency: urgency.min(WritePriority::Finish),
             guards,
             changes,
             fresh,
@@ -391,7 +399,7 @@
     }
 }
 
-fn answer(edits: Vec<Waiting>, done: Written) {
+fn answer(edits: Vec<PendingUpdate>, done: WriteOutcome) {
     for w in edits {
         let _ = w.reply.send(done);
     }
--- a/crates/jasperhill-controller/src/keep.rs
+++ b/crates/jasperhill-controller/src/keep.rs
@@ -11,8 +11,8 @@
 //! the store then belongs to an ask sent before.
 
 use crate::{
-    controller::{Inner, State, evidence_of, std_time},
-    store::{Urgency, Written, guard, put, put_tied},
+    controller::{Shared, State, observation_of, to_duration},
+    store::{WriteOutcome, WritePriority, guard, put, put_with_lease},
 };
 use jasperhill_http::Response;
 use jasperhill_membership::{authority::Session, view::LinkId};
@@ -32,7 +32,7 @@
 
 /// What this controller keeps for others.
 #[derive(Default)]
-pub(crate) struct Keeping {
+pub(crate) struct DelegationRequests {
     /// Hosts that came here because they can't reach their owner, when they last did, and in
     /// which part of the asks they are.
     hosts: BTreeMap<HostId, (Micros, u32)>,
@@ -54,7 +54,7 @@
     last: Micros,
 }
 
-impl Keeping {
+impl DelegationRequests {
     /// Counts a host in, in the first part that has room for `most`. `None` if none has;
     /// otherwise whether it is new.
     fn join(&mut self, host: &HostId, most: usize, now: Micros) -> Option<bool> {
@@ -112,7 +112,7 @@
 }
 
 /// What this controller has granted, by partition and keeper: the ask answered, and when.
-pub(crate) type Granted = BTreeMap<(u32, Member), (u64, Micros)>;
+pub(crate) type DelegationGrants = BTreeMap<(u32, Member), (u64, Micros)>;
 
 /// Asks remembered: several of each part.
 const SENT_MAX: usize = 32 * PARTS_MAX as usize;
@@ -127,15 +127,15 @@
 /// An answer of another controller, or its absence, counts for so long.
 const UNREACHED_FOR: Micros = Micros::from_secs(8);
 
-impl Inner {
+impl Shared {
     /// Notes whether another controller answers.
-    pub fn note_reach(&self, to: std::net::SocketAddr, answered: bool, short: bool) {
+    pub fn record_peer_contact(&self, to: std::net::SocketAddr, answered: bool, short: bool) {
         let Some(peer) = self.settings.peers.iter().find(|p| p.address == to) else {
             return;
         };
         // What took too long there is no fault of the link: that is judged by short questions.
         if answered || short {
-            self.note_link(LinkId::Peer(peer.member.clone()), evidence_of(answered));
+            self.observe_link(LinkId::Peer(peer.member.clone()), observation_of(answered));
         }
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -153,7 +153,7 @@
     }
 
     fn is_unreached(&self, state: &State, member: &Member, now: Micros) -> bool {
-        if self.has_links(state) {
+        if self.uses_reachability(state) {
             // Guards against one lost message that is taken for a cut.
             return state.view.own_link(&LinkId::Peer(member.clone())) == LinkState::Down;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Answers a report for the owner if that has given, or soon gives, its leave.
-    pub async fn keep(self: &Rc<Self>, report: &Heartbeat) -> Option<Response> {
+    pub async fn answer_as_delegate(self: &Rc<Self>, report: &Heartbeat) -> Option<Response> {
         let begin = {
             let now = self.now();
             let mut state = self.state.borrow_mut();
@@ -202,7 +202,7 @@
         let granted = timeout(GRANT_WAIT, async {
             loop {
                 let news = self.wake_kept.notified();
-                if let Some(answer) = self.kept_answer(report) {
+                if let Some(answer) = self.delegate_response(report) {
                     return answer;
                 }
                 news.await;
@@ -213,7 +213,7 @@
 
     /// The answer for the owner: it renews the lease and stops what is cancelled. `None`
     /// without a grant that still holds.
-    fn kept_answer(&self, report: &Heartbeat) -> Option<Response> {
+    fn delegate_response(&self, report: &Heartbeat) -> Option<Response> {
         let now = self.now();
         let state = self.state.borrow();
         let Session::Held { lease, .. } = state.authority.session() else {
@@ -236,14 +236,14 @@
         let p = kept.value.partition()?;
         let (_, part) = *state.keeping.hosts.get(&report.host)?;
         let me = delegation_part(&self.settings.member, part);
-        let grant = state.mirror.grants.get(&(p, me))?;
+        let grant = state.mirror.delegation_grants.get(&(p, me))?;
         let token = *grant.value.hosts.get(&report.host)?;
         if grant.value.lease != lease {
             return None;
         }
         let sent = *state.keeping.sent.get(&grant.value.number)?;
-        let margin = Micros::from_millis(200) + self.settings.grant().scale(0.002);
-        if now + margin >= sent + self.settings.grant() {
+        let margin = Micros::from_millis(200) + self.settings.delegation_time().scale(0.002);
+        if now + margin >= sent + self.settings.delegation_time() {
             return None;
         }
         let orders: Vec<Command> = report
@@ -256,18 +256,18 @@
     }
 
     /// Writes the asks when they change, and again and again while there is something to keep.
-    pub async fn keep_loop(self: Rc<Self>) {
+    pub async fn delegation_request_loop(self: Rc<Self>) {
         loop {
             let _ = timeout(Duration::from_millis(500), self.wake_keep.notified()).await;
             let now = self.now();
             let prepared = {
                 let mut guarded = self.state.borrow_mut();
                 let state = &mut *guarded;
-                let gone = self.settings.report.scale(2.5) + Micros::from_secs(5);
+                let gone = self.settings.heartbeat_interval.scale(2.5) + Micros::from_secs(5);
                 state.keeping.leave(gone, now);
                 match state.authority.session() {
                     Session::Held { lease, version } => {
-                        let again = self.settings.grant().scale(0.25);
+                        let again = self.settings.delegation_time().scale(0.25);
                         Some((lease, version, state.keeping.due(again, now)))
                     }
                     Session::None => None,
@@ -280,17 +280,19 @@
                 continue;
             }
             for (part, number, hosts) in due {
-                self.clone().spawn(
-                    self.clone()
-                        .write_ask((lease, version), part, number, hosts),
-                );
+                self.clone().spawn(self.clone().write_delegation_request(
+                    (lease, version),
+                    part,
+                    number,
+                    hosts,
+                ));
             }
             self.ping_unreached();
-            sleep(std_time(ASK_PAUSE)).await;
+            sleep(to_duration(ASK_PAUSE)).await;
         }
     }
 
-    async fn write_ask(
+    async fn write_delegation_request(
         self: Rc<Self>,
         (lease, version): (u64, Revision),
         part: u32,
@@ -308,15 +310,15 @@
                 lease,
                 hosts,
             };
-            put_tied(key, &record, lease)
+            put_with_lease(key, &record, lease)
         };
         let guards = vec![guard(session_key(me), version)];
         let limit = Micros::from_secs(1);
         let done = self
-            .write(Urgency::Accept, guards, vec![change], limit)
+            .write(WritePriority::Accept, guards, vec![change], limit)
             .await;
         if let Some(part) = self.state.borrow_mut().keeping.parts.get_mut(&part) {
-            part.written = !empty || !matches!(done, Written::Done(_));
+            part.written = !empty || !matches!(done, WriteOutcome::Committed(_));
         }
     }
 
@@ -333,13 +335,13 @@
             let inner = self.clone();
             self.clone().spawn(async move {
                 let ask = jasperhill_wire::mesh::MeshRequest::IsStoreReachable;
-                inner.ask(address, ask, Micros::from_secs(1)).await;
+                inner.mesh_call(address, ask, Micros::from_secs(1)).await;
             });
         }
     }
 
     /// Answers asks, and removes grants that are over.
-    pub async fn grant_loop(self: Rc<Self>) {
+    pub async fn delegation_grant_loop(self: Rc<Self>) {
         loop {
             let _ = timeout(Duration::from_secs(1), self.wake_grant.notified()).await;
             let (asked, wanted) = {
@@ -350,22 +352,27 @@
                 )
             };
             for id in wanted {
-                self.clone().spawn(self.clone().consider_want(id));
+                self.clone().spawn(self.clone().decide_proposal(id));
             }
             for keeper in asked {
-                self.consider_ask(&keeper);
+                self.consider_delegation_request(&keeper);
             }
-            self.tend_grants();
+            self.remove_expired_grants();
         }
     }
 
     /// Grants what a keeper asks for, as far as the hosts are this controller's and have not
     /// been heard here.
-    fn consider_ask(self: &Rc<Self>, keeper: &Member) {
+    fn consider_delegation_request(self: &Rc<Self>, keeper: &Member) {
         let now = self.now();
         let mut guarded = self.state.borrow_mut();
         let state = &mut *guarded;
-        let Some(ask) = state.mirror.asks.get(keeper).map(|k| k.value.clone()) else {
+        let Some(ask) = state
+            .mirror
+            .delegation_requests
+            .get(keeper)
+            .map(|k| k.value.clone())
+        else {
             return;
         };
         let me = self.settings.member.as_str();
@@ -375,9 +382,9 @@
         if own || !state.authority.holds(now) {
             return;
         }
-        let until = now + self.settings.grant();
+        let until = now + self.settings.delegation_time();
         let bounds = self.settings.bounds;
-        let quiet = self.settings.report.scale(1.25) + Micros::from_millis(500);
+        let quiet = self.settings.heartbeat_interval.scale(1.25) + Micros::from_millis(500);
         let mut grants = Vec::new();
         for (p, partition) in &mut state.partitions {
             let silent: BTreeMap<HostId, FencingToken> = ask
@@ -416,23 +423,23 @@
                 hosts,
             };
             let change = put(delegation_grant_key(p, keeper), &record);
-            self.write_grant(p, since, change);
+            self.write_delegation_grant(p, since, change);
         }
     }
 
-    fn write_grant(self: &Rc<Self>, p: u32, since: Revision, change: Change) {
+    fn write_delegation_grant(self: &Rc<Self>, p: u32, since: Revision, change: Change) {
         let inner = self.clone();
         self.clone().spawn(async move {
             let guards = vec![guard(role_key(Role::Partition(p)), since)];
             let limit = Micros::from_secs(1);
             inner
-                .write(Urgency::Accept, guards, vec![change], limit)
+                .write(WritePriority::Accept, guards, vec![change], limit)
                 .await;
         });
     }
 
     /// Removes grants that nobody can use any more.
-    fn tend_grants(self: &Rc<Self>) {
+    fn remove_expired_grants(self: &Rc<Self>) {
         let now = self.now();
         let mut over = Vec::new();
         {
@@ -442,14 +449,15 @@
                 return;
             }
             for (p, partition) in &state.partitions {
-                for (q, keeper) in state.mirror.grants.keys() {
+                for (q, keeper) in state.mirror.delegation_grants.keys() {
                     if q != p {
                         continue;
                     }
                     let key = (*p, keeper.clone());
                     // One from before this ownership counts as given now.
                     let (_, at) = *state.granted.entry(key.clone()).or_insert((0, now));
-                    if now - at > self.settings.grant().scale(1.5) + Micros::from_secs(2) {
+                    if now - at > self.settings.delegation_time().scale(1.5) + Micros::from_secs(2)
+                    {
                         over.push((key, partition.since));
                     }
                 }
@@ -460,7 +468,7 @@
         }
         for ((p, keeper), since) in over {
             let key = delegation_grant_key(p, &keeper);
-            self.write_grant(p, since, Change::Delete { key });
+            self.write_delegation_grant(p, since, Change::Delete { key });
         }
     }
 }
@@ -473,7 +481,7 @@
     /// for others' changes, and against growth without bound.
     #[test]
     fn hosts_are_asked_for_in_parts_that_fit() {
-        let mut keeping = Keeping::default();
+        let mut keeping = DelegationRequests::default();
         let host = |n: usize| HostId::new(&format!("n-{n:06}"));
         let (now, again) = (Micros::from_secs(100), Micros::from_secs(3));
         for n in 0..100 {
--- a/crates/jasperhill-controller/src/lib.rs
+++ b/crates/jasperhill-controller/src/lib.rs
@@ -26,4 +26,4 @@
 pub use clock::Clock;
 pub use controller::Controller;
 pub use net::{HttpTransport, Transport};
-pub use settings::{OwnSettings, Settings, SettingsError};
+pub use settings::{OperatorSettings, Settings, SettingsError};
--- a/crates/jasperhill-controller/src/links.rs
+++ b/crates/jasperhill-controller/src/links.rs
@@ -7,7 +7,7 @@
 //! owner exactly as one that it sent itself.
 
 use crate::{
-    controller::{Inner, State},
+    controller::{Shared, State},
     workers::RELAY_MEMORY,
 };
 use jasperhill_http::{ClientError, Method, Request, Response};
@@ -57,16 +57,16 @@
 
 /// Counts of what is being passed on.
 #[derive(Default)]
-pub(crate) struct Passing {
+pub(crate) struct RelaySlots {
     pushes: Rc<Cell<usize>>,
     relays: Rc<Cell<usize>>,
     holds: Rc<Cell<usize>>,
 }
 
-impl Passing {
+impl RelaySlots {
     /// A place among the reports that wait for a takeover.
-    pub fn hold(&self) -> Option<Turn> {
-        Turn::take(&self.holds, HOLDS_MAX)
+    pub fn deferred_heartbeat(&self) -> Option<RelaySlot> {
+        RelaySlot::take(&self.holds, HOLDS_MAX)
     }
 
     fn is_holding(&self) -> bool {
@@ -76,9 +76,9 @@
 
 /// A place among those that are passed on. Given back when dropped, since whoever waits for an
 /// answer may go away in the midst of it.
-pub(crate) struct Turn(Rc<Cell<usize>>);
+pub(crate) struct RelaySlot(Rc<Cell<usize>>);
 
-impl Turn {
+impl RelaySlot {
     fn take(count: &Rc<Cell<usize>>, most: usize) -> Option<Self> {
         let n = count.get();
         (n < most).then(|| {
@@ -88,31 +88,31 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for RelaySlot {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
 /// How orders get to a worker.
-pub(crate) enum Way {
-    Straight,
+pub(crate) enum CommandRoute {
+    Direct,
     Through(SocketAddr),
     /// Not at all: they wait for the next report.
     None,
 }
 
 /// Where a report goes that another controller owns.
-pub(crate) enum Course {
+pub(crate) enum HeartbeatRoute {
     /// The worker is sent there.
-    Go(Member),
+    Redirect(Member),
     /// The worker was there and came back: the report is passed on by that controller.
     Through(Member),
     /// The report is passed on.
-    Pass,
+    RelayOnly,
     /// The same, unless that fails: then the worker may go and try itself. The owner decides
     /// whether it reaches the worker, since it alone knows whom it has answered.
-    Offer,
+    RelayFirst,
 }
 
 fn number_of(host: &HostId) -> u64 {
@@ -122,7 +122,7 @@
 }
 
 /// How many hosts of a partition, or of all, are in each zone.
-fn by_zone(state: &State) -> BTreeMap<Role, BTreeMap<Name, u32>> {
+fn hosts_by_role_and_zone(state: &State) -> BTreeMap<Role, BTreeMap<Name, u32>> {
     let mut counts: BTreeMap<Role, BTreeMap<Name, u32>> = BTreeMap::new();
     for kept in state.mirror.hosts.values() {
         if let Some(p) = kept.value.partition() {
@@ -133,29 +133,29 @@
     counts
 }
 
-impl Inner {
+impl Shared {
     /// Roles follow reach, and links are spoken of, only when every member understands that.
-    pub fn has_links(&self, state: &State) -> bool {
-        state.upgrade.understands(REACHABILITY)
+    pub fn uses_reachability(&self, state: &State) -> bool {
+        state.upgrade.supports(REACHABILITY)
     }
 
     /// Something got through a link, or did not.
-    pub fn note_link(&self, link: LinkId, evidence: Observation) {
-        self.feed_view(view::Input::Evidence(link, evidence));
+    pub fn observe_link(&self, link: LinkId, evidence: Observation) {
+        self.update_reachability(view::Input::Evidence(link, evidence));
     }
 
     /// A worker of a zone answered, or not, out of so many there.
-    pub fn note_worker(&self, zone: &Name, host: &HostId, of: usize, answered: bool) {
+    pub fn observe_worker(&self, zone: &Name, host: &HostId, of: usize, answered: bool) {
         let evidence = if answered {
             Observation::Success
         } else {
             let by = number_of(host);
             Observation::Failure { by, of }
         };
-        self.note_link(LinkId::Commands(zone.clone()), evidence);
+        self.observe_link(LinkId::Commands(zone.clone()), evidence);
     }
 
-    fn feed_view(&self, input: view::Input<'_>) -> Vec<Name> {
+    fn update_reachability(&self, input: view::Input<'_>) -> Vec<Name> {
         let now = self.now();
         let outputs = self.state.borrow_mut().view.apply(input, now);
         let mut probes = Vec::new();
@@ -185,7 +185,7 @@
     }
 
     /// Looks at the links and tells the others of them.
-    pub async fn links_loop(self: Rc<Self>) {
+    pub async fn reachability_loop(self: Rc<Self>) {
         let mut told = Micros::ZERO;
         loop {
             let woken = timeout(LOOK, self.wake_links.notified()).await.is_ok();
@@ -193,20 +193,20 @@
             let now = self.now();
             let (speaks, calm) = {
                 let state = self.state.borrow();
-                (self.has_links(&state), state.view.all_links_up())
+                (self.uses_reachability(&state), state.view.all_links_up())
             };
             let pause = if calm { TELL_CALM } else { TELL };
             if speaks && (woken || now - told >= pause) {
                 told = now;
-                self.tell_links();
+                self.send_reachability();
             }
-            self.look_for_others();
-            self.tell_answered_blind();
+            self.update_isolation();
+            self.log_answers_without_store();
         }
     }
 
     /// Says how many reports were answered while the state service was silent, once that is over.
-    fn tell_answered_blind(&self) {
+    fn log_answers_without_store(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let down = state.view.own_link(&LinkId::Store) == LinkState::Down;
@@ -230,8 +230,8 @@
             due
         };
         for (zone, hosts) in &due {
-            let report = self.settings.report;
-            let probes = self.feed_view(view::Input::ExpectHeartbeats {
+            let report = self.settings.heartbeat_interval;
+            let probes = self.update_reachability(view::Input::ExpectHeartbeats {
                 zone,
                 hosts: *hosts,
                 report,
@@ -268,7 +268,7 @@
                 let request = Request::new(Method::Get, "/inspect", Vec::new());
                 let answer = inner.call(address, request, PROBE_LIMIT).await;
                 if !matches!(answer, Err(ClientError::NoSocket)) {
-                    inner.note_worker(&zone, &host, of, answer.is_ok());
+                    inner.observe_worker(&zone, &host, of, answer.is_ok());
                 }
             });
         }
@@ -277,7 +277,7 @@
     fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
         // What a mirror shows that is no longer brought up to date is not told as news.
         let owners = if state.view.own_link(&LinkId::Store) == LinkState::Up {
-            let seats = state.mirror.seats();
+            let seats = state.mirror.ownerships();
             let live = seats.into_iter().filter(|(_, s)| s.live);
             live.map(|(role, s)| (role, s.owner, s.version)).collect()
         } else {
@@ -296,7 +296,7 @@
     }
 
     /// Tells every other controller how the links stand; their answers say the same of theirs.
-    fn tell_links(self: &Rc<Self>) {
+    fn send_reachability(self: &Rc<Self>) {
         let now = self.now();
         let report = {
             let mut state = self.state.borrow_mut();
@@ -306,26 +306,29 @@
             let (inner, to, report) = (self.clone(), peer.address, report.clone());
             self.clone().spawn(async move {
                 let ask = MeshRequest::Reachability(Box::new(report));
-                let answer = inner.ask(to, ask, Micros::from_secs(1)).await;
+                let answer = inner.mesh_call(to, ask, Micros::from_secs(1)).await;
                 if let Some(MeshResponse::Reachability(theirs)) = answer {
-                    inner.feed_view(view::Input::PeerReport(&theirs));
-                    inner.follow_links();
+                    inner.update_reachability(view::Input::PeerReport(&theirs));
+                    inner.after_peer_report();
                 }
             });
         }
     }
 
     /// Another controller tells how its links stand.
-    pub fn hear_links(self: &Rc<Self>, theirs: &ReachabilityReport) -> ReachabilityReport {
-        self.feed_view(view::Input::PeerReport(theirs));
-        self.follow_links();
+    pub fn receive_reachability(
+        self: &Rc<Self>,
+        theirs: &ReachabilityReport,
+    ) -> ReachabilityReport {
+        self.update_reachability(view::Input::PeerReport(theirs));
+        self.after_peer_report();
         let now = self.now();
         let mut state = self.state.borrow_mut();
         self.own_report(&mut state, now)
     }
 
     /// What follows at once from what another has told.
-    fn follow_links(&self) {
+    fn after_peer_report(&self) {
         let let_go = {
             let now = self.now();
             let state = self.state.borrow();
@@ -343,15 +346,15 @@
         if self.state.borrow().passing.is_holding() {
             self.wake_owned.notify_waiters();
         }
-        self.look_for_others();
+        self.update_isolation();
     }
 
     /// Whether users are better served elsewhere: the state service answers others, but not
     /// this controller. In an outage that everybody sees, it stays.
-    fn look_for_others(&self) {
+    fn update_isolation(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        if self.has_links(&state) {
+        if self.uses_reachability(&state) {
             let down = state.view.own_link(&LinkId::Store) == LinkState::Down;
             let alone = state.view.is_isolated(now);
             let long = state.alone_since.is_some_and(|t| now - t >= STAYS_ALONE);
@@ -367,12 +370,12 @@
     }
 
     /// How fit each member is for each role, as far as is known here.
-    pub fn fits(
+    pub fn role_eligibility(
         &self,
         state: &State,
         now: Micros,
     ) -> (BTreeMap<(Role, Member), Eligibility>, BTreeMap<Role, u32>) {
-        let zones = by_zone(state);
+        let zones = hosts_by_role_and_zone(state);
         let roles = (0..self.settings.size).map(Role::Partition);
         let (mut fits, mut hosts) = (BTreeMap::new(), BTreeMap::new());
         let none = BTreeMap::new();
@@ -416,11 +419,13 @@
 
     /// The owner of a role by the youngest that is known: the own mirror, or what others have
     /// told while this controller can't hear of it itself.
-    pub fn owner_now(&self, state: &State, role: Role) -> Option<Member> {
+    pub fn latest_owner(&self, state: &State, role: Role) -> Option<Member> {
         let now = self.now();
         let mine = state.mirror.roles.get(&role).map(|k| k.version);
         match state.view.owner(role, now) {
-            Some((owner, version)) if self.has_links(state) && mine.is_none_or(|v| v < version) => {
+            Some((owner, version))
+                if self.uses_reachability(state) && mine.is_none_or(|v| v < version) =>
+            {
                 Some(owner.clone())
             }
             _ => state.mirror.owner(role).cloned(),
@@ -428,11 +433,11 @@
     }
 
     /// Where a report from this zone goes whose owner is elsewhere. `None` without an opinion.
-    pub fn course(&self, owner: &Member, report: &Heartbeat) -> Option<Course> {
+    pub fn heartbeat_route(&self, owner: &Member, report: &Heartbeat) -> Option<HeartbeatRoute> {
         let now = self.now();
         let state = self.state.borrow();
         let zone = &report.zone;
-        if !self.has_links(&state) {
+        if !self.uses_reachability(&state) {
             return None;
         }
         let view = &state.view;
@@ -441,38 +446,38 @@
             let last = state.redirected.get(&report.host);
             let came_back = last.is_some_and(|t| now - *t < RELAY_MEMORY);
             return Some(if came_back {
-                Course::Through(third)
+                HeartbeatRoute::Through(third)
             } else {
-                Course::Go(third)
+                HeartbeatRoute::Redirect(third)
             });
         }
         let (reports, _) = view.zone_links(owner, zone, now);
         // Sent to its owner, the worker would lose ten seconds that its tasks may not have.
         if matches!(reports, LinkState::Down | LinkState::Suspect) {
-            return Some(Course::Pass);
+            return Some(HeartbeatRoute::RelayOnly);
         }
         let known = state.mirror.hosts.contains_key(&report.host);
-        known.then_some(Course::Offer)
+        known.then_some(HeartbeatRoute::RelayFirst)
     }
 
     /// Passes a report on to its owner, and the owner's answer back, until then at the latest.
-    pub async fn pass_on(
+    pub async fn relay_to_owner(
         self: &Rc<Self>,
         owner: Member,
         host: &HostId,
         body: &[u8],
         by: Micros,
     ) -> Option<Response> {
-        let _turn = Turn::take(&self.state.borrow().passing.relays, RELAYS_MAX)?;
-        self.try_owners(owner, host, body, by).await
+        let _turn = RelaySlot::take(&self.state.borrow().passing.relays, RELAYS_MAX)?;
+        self.relay_until_answered(owner, host, body, by).await
     }
 
     /// Passes a report on by way of one who hears its owner.
-    pub async fn pass_through(&self, third: &Member, body: &[u8]) -> Option<Response> {
-        let _turn = Turn::take(&self.state.borrow().passing.relays, RELAYS_MAX)?;
+    pub async fn relay_through(&self, third: &Member, body: &[u8]) -> Option<Response> {
+        let _turn = RelaySlot::take(&self.state.borrow().passing.relays, RELAYS_MAX)?;
         let address = self.address_of(third)?;
         let ask = MeshRequest::RelayHeartbeatOnward(String::from_utf8_lossy(body).into_owned());
-        match self.ask(address, ask, RELAY_LIMIT).await? {
+        match self.mesh_call(address, ask, RELAY_LIMIT).await? {
             MeshResponse::HeartbeatRelayed { status: 200, body } => {
                 Some(Response::new(200, body.into_bytes()))
             }
@@ -481,8 +486,8 @@
     }
 
     /// A report for an owner whom the sender does not hear: one step further, no more.
-    pub async fn relay_on(self: &Rc<Self>, body: &[u8]) -> Response {
-        let answer = self.relayed(body).await;
+    pub async fn relay_onward(self: &Rc<Self>, body: &[u8]) -> Response {
+        let answer = self.handle_relayed_heartbeat(body).await;
         let owner = match answer.status {
             421 => jasperhill_wire::worker::redirected_to(&answer.body),
             _ => None,
@@ -490,7 +495,7 @@
         match (owner, Heartbeat::parse(body)) {
             (Some(owner), Ok(report)) => {
                 let passed = self
-                    .pass_on(owner, &report.host, body, self.now() + RELAY_LIMIT)
+                    .relay_to_owner(owner, &report.host, body, self.now() + RELAY_LIMIT)
                     .await;
                 passed.unwrap_or(answer)
             }
@@ -498,7 +503,7 @@
         }
     }
 
-    async fn try_owners(
+    async fn relay_until_answered(
         self: &Rc<Self>,
         owner: Member,
         host: &HostId,
@@ -514,7 +519,7 @@
             }
             let address = self.address_of(&to)?;
             let ask = MeshRequest::RelayHeartbeat(String::from_utf8_lossy(body).into_owned());
-            match self.ask(address, ask, left.min(RELAY_EACH)).await {
+            match self.mesh_call(address, ask, left.min(RELAY_EACH)).await {
                 Some(MeshResponse::HeartbeatRelayed { status: 200, body }) => {
                     return Some(Response::new(200, body.into_bytes()));
                 }
@@ -542,7 +547,7 @@
                     tracing::debug!(%host, %to, status, "a report was not taken");
                 }
             }
-            if !self.has_links(&self.state.borrow()) || !self.reaches_peer(&to) {
+            if !self.uses_reachability(&self.state.borrow()) || !self.reaches_peer(&to) {
                 return None;
             }
             // The owner may just be changing.
@@ -552,52 +557,52 @@
             let role = kept
                 .and_then(|k| k.value.partition())
                 .map_or(Role::Leader, Role::Partition);
-            let next = self.owner_now(&state, role);
+            let next = self.latest_owner(&state, role);
             to = next.filter(|m| m != &self.settings.member)?;
         }
     }
 
     /// How orders get to a worker of this zone.
-    pub fn way(&self, zone: &Name) -> Way {
+    pub fn command_route(&self, zone: &Name) -> CommandRoute {
         let now = self.now();
         let state = self.state.borrow();
         if state.view.own_link(&LinkId::Commands(zone.clone())) != LinkState::Down
-            || !self.has_links(&state)
+            || !self.uses_reachability(&state)
         {
-            return Way::Straight;
+            return CommandRoute::Direct;
         }
         let peer = state.view.relay_to_zone(zone, now).cloned();
         match peer.and_then(|m| self.address_of(&m)) {
-            Some(address) => Way::Through(address),
-            None => Way::None,
+            Some(address) => CommandRoute::Through(address),
+            None => CommandRoute::None,
         }
     }
 
     /// Sends a worker something on the way that there is. `of`: hosts there.
-    pub async fn reach_worker(
+    pub async fn call_worker(
         &self,
         (host, zone, of): (&HostId, &Name, usize),
         address: SocketAddr,
         request: Request,
         limit: Micros,
     ) -> Result<Response, ClientError> {
-        match self.way(zone) {
-            Way::Straight => {
+        match self.command_route(zone) {
+            CommandRoute::Direct => {
                 let answer = self.call(address, request, limit).await;
                 // What found no socket here says nothing of the worker.
                 if !matches!(answer, Err(ClientError::NoSocket)) {
-                    self.note_worker(zone, host, of, answer.is_ok());
+                    self.observe_worker(zone, host, of, answer.is_ok());
                 }
                 answer
             }
-            Way::Through(peer) => {
+            CommandRoute::Through(peer) => {
                 let body = match request.method {
                     Method::Get => None,
                     _ => Some(String::from_utf8_lossy(&request.body).into_owned()),
                 };
                 let host = host.clone();
                 match self
-                    .ask_fate(peer, MeshRequest::RelayCommands { host, body }, limit)
+                    .try_mesh_call(peer, MeshRequest::RelayCommands { host, body }, limit)
                     .await
                 {
                     Ok(MeshResponse::CommandsRelayed { status, body }) => {
@@ -608,20 +613,20 @@
                     Err(error) => Err(error),
                 }
             }
-            Way::None => Err(ClientError::NotSent),
+            CommandRoute::None => Err(ClientError::NotSent),
         }
     }
 
     /// Passes the orders of another controller on to a worker. They may be executed at any
     /// time from now on: unless it says otherwise, the sender counts them as in doubt.
-    pub async fn push(&self, host: HostId, body: Option<String>) -> MeshResponse {
+    pub async fn relay_commands(&self, host: HostId, body: Option<String>) -> MeshResponse {
         let (turn, found) = {
             let state = self.state.borrow();
             let found = state.mirror.hosts.get(&host).and_then(|k| {
                 let address = k.value.address.parse::<SocketAddr>().ok()?;
                 Some((address, k.value.zone.clone()))
             });
-            (Turn::take(&state.passing.pushes, PUSHES_MAX), found)
+            (RelaySlot::take(&state.passing.pushes, PUSHES_MAX), found)
         };
         let (Some(_turn), Some((address, zone))) = (turn, found) else {
             return MeshResponse::CommandsNotSent;
@@ -632,7 +637,7 @@
         };
         let answer = self.call(address, request, PUSH_LIMIT).await;
         if !matches!(answer, Err(ClientError::NoSocket)) {
-            self.note_worker(&zone, &host, PROBES, answer.is_ok());
+            self.observe_worker(&zone, &host, PROBES, answer.is_ok());
         }
         match answer {
             Ok(answer) => MeshResponse::CommandsRelayed {
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -1,6 +1,6 @@
 //! The mesh between controllers: CBOR over HTTP. One that can't be reached is no error.
 
-use crate::controller::Inner;
+use crate::controller::Shared;
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_wire::{
     Micros,
@@ -19,31 +19,31 @@
     }
 }
 
-impl Inner {
+impl Shared {
     /// The state service has answered this controller lately.
-    fn is_served(&self) -> bool {
+    fn is_store_reachable(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
-        now - state.authority.fresh() < FRESH && !state.pulse.is_unanswered(now)
+        now - state.authority.fresh() < FRESH && !state.pulse.is_store_silent(now)
     }
 
     /// Looks around while the state service is silent: if it answers the others, users are
     /// better served there; if nobody gets an answer, there is no better place to go. Twice in
     /// a row, since the others may notice an outage a little later.
-    pub async fn outage_loop(self: Rc<Self>) {
+    pub async fn legacy_isolation_loop(self: Rc<Self>) {
         let mut rounds = 0u32;
         loop {
             tokio::time::sleep(std::time::Duration::from_secs(1)).await;
-            if self.has_links(&self.state.borrow()) {
+            if self.uses_reachability(&self.state.borrow()) {
                 // Told by the links.
                 continue;
             }
-            let stale = !self.is_served();
+            let stale = !self.is_store_reachable();
             let mut alone = stale && !self.settings.peers.is_empty();
             if stale {
                 for peer in &self.settings.peers {
                     match self
-                        .ask(
+                        .mesh_call(
                             peer.address,
                             MeshRequest::IsStoreReachable,
                             Micros::from_secs(1),
@@ -64,17 +64,17 @@
         }
     }
 
-    pub async fn ask(
+    pub async fn mesh_call(
         &self,
         to: SocketAddr,
         ask: MeshRequest,
         limit: Micros,
     ) -> Option<MeshResponse> {
-        self.ask_fate(to, ask, limit).await.ok()
+        self.try_mesh_call(to, ask, limit).await.ok()
     }
 
     /// As `ask`; the error says whether the message can have been acted on.
-    pub async fn ask_fate(
+    pub async fn try_mesh_call(
         &self,
         to: SocketAddr,
         ask: MeshRequest,
@@ -89,7 +89,7 @@
         let answer = self.call(to, request, limit).await;
         // What found no socket here says nothing of the peer.
         if !matches!(answer, Err(ClientError::NoSocket)) {
-            self.note_reach(to, answer.is_ok(), short);
+            self.record_peer_contact(to, answer.is_ok(), short);
         }
         let answer = answer?;
         if answer.status != 200 {
@@ -105,17 +105,17 @@
         if request.method != Method::Post || request.path() != "/mesh" {
             return Response::new(404, Vec::new());
         }
-        if self.beat() {
+        if self.note_activity() {
             return Response::new(503, Vec::new());
         }
         let answer = match decode::<MeshRequest>(&request.body) {
             Ok(MeshRequest::Admit(job)) => self.admit(*job).await,
-            Ok(MeshRequest::TaskCounts(ids)) => self.counts(&ids),
+            Ok(MeshRequest::TaskCounts(ids)) => self.local_task_counts(&ids),
             Ok(MeshRequest::RelayHeartbeat(report)) => {
-                as_relayed(self.relayed(report.as_bytes()).await)
+                as_relayed(self.handle_relayed_heartbeat(report.as_bytes()).await)
             }
             Ok(MeshRequest::RelayHeartbeatOnward(report)) => {
-                as_relayed(self.relay_on(report.as_bytes()).await)
+                as_relayed(self.relay_onward(report.as_bytes()).await)
             }
             Ok(MeshRequest::SpareCapacity {
                 machines,
@@ -135,10 +135,12 @@
                 MeshResponse::Acknowledged
             }
             Ok(MeshRequest::Reachability(theirs)) => {
-                MeshResponse::Reachability(Box::new(self.hear_links(&theirs)))
+                MeshResponse::Reachability(Box::new(self.receive_reachability(&theirs)))
+            }
+            Ok(MeshRequest::RelayCommands { host, body }) => self.relay_commands(host, body).await,
+            Ok(MeshRequest::IsStoreReachable) => {
+                MeshResponse::StoreReachable(self.is_store_reachable())
             }
-            Ok(MeshRequest::RelayCommands { host, body }) => self.push(host, body).await,
-            Ok(MeshRequest::IsStoreReachable) => MeshResponse::StoreReachable(self.is_served()),
             Err(error) => {
                 tracing::warn!(%error, "a mesh message that is not understood");
                 return Response::new(400, Vec::new());
--- a/crates/jasperhill-controller/src/mirror.rs
+++ b/crates/jasperhill-controller/src/mirror.rs
@@ -24,7 +24,7 @@
 };
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept<T> {
+pub struct Versioned<T> {
     pub value: T,
     pub version: Revision,
 }
@@ -32,7 +32,7 @@
 /// A host's record. Its version is the revision at which it was last seen to change, which
 /// is not that of its block: a token goes up only when something is said about its host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeptHost {
+pub struct HostEntry {
     pub value: HostRecord,
     pub version: Revision,
     pub block: u32,
@@ -74,14 +74,14 @@
         last: Revision,
     },
     /// All changes after `after`, up to `revision`.
-    News {
+    WatchEvents {
         after: Revision,
         revision: Revision,
         events: Vec<WatchEvent>,
     },
     /// What this controller wrote itself, one transaction: seen before the watch tells. All of
     /// it at once, since a host may move from one block of it to another.
-    Own {
+    OwnWrite {
         changes: Vec<(String, Option<Value>)>,
         version: Revision,
     },
@@ -97,16 +97,16 @@
     Related(JobId),
     Host(HostId),
     Session(Member),
-    Format(Member),
+    FeatureLevel(Member),
     Role(Role),
-    Ask(Member),
-    Want(JobId),
-    Grant,
+    DelegationRequest(Member),
+    Proposal(JobId),
+    DelegationGrant,
     Types,
 }
 
 #[derive(Debug)]
-pub struct Mirror {
+pub struct WatchCache {
     pub phase: Phase,
     pub revision: Revision,
     jobs: HashMap<JobId, JobEntry>,
@@ -114,8 +114,8 @@
     /// What the jobs that were cancelled last may still take, by when they were.
     remains: BTreeMap<(Micros, JobId), ResidualUsage>,
     /// What follows from the jobs that need others.
-    pub chain: DependencyGraph,
-    pub hosts: BTreeMap<HostId, KeptHost>,
+    pub dependencies: DependencyGraph,
+    pub hosts: BTreeMap<HostId, HostEntry>,
     /// Hosts that their block no longer names and that may turn up in another one: a move is
     /// seen as two changes in either order, or by a listing on two pages. They are gone only
     /// if no block names them once the mirror is whole: a host that is gone runs nothing.
@@ -124,15 +124,15 @@
     pub blocks: BTreeMap<u32, Revision>,
     /// How large the blocks are in the store.
     pub block_bytes: BTreeMap<u32, usize>,
-    pub sessions: BTreeMap<Member, Kept<SessionRecord>>,
+    pub sessions: BTreeMap<Member, Versioned<SessionRecord>>,
     /// What the members' last processes understood.
-    pub formats: BTreeMap<Member, Kept<FeatureLevelRecord>>,
-    pub roles: BTreeMap<Role, Kept<RoleRecord>>,
+    pub feature_levels: BTreeMap<Member, Versioned<FeatureLevelRecord>>,
+    pub roles: BTreeMap<Role, Versioned<RoleRecord>>,
     /// The cloud's machine types, in parts.
-    types: BTreeMap<u32, Kept<MachineTypes>>,
-    pub asks: BTreeMap<Member, Kept<DelegationRequestRecord>>,
-    pub wants: BTreeMap<JobId, Kept<ProposalRecord>>,
-    pub grants: BTreeMap<(u32, Member), Kept<DelegationGrantRecord>>,
+    types: BTreeMap<u32, Versioned<MachineTypes>>,
+    pub delegation_requests: BTreeMap<Member, Versioned<DelegationRequestRecord>>,
+    pub proposals: BTreeMap<JobId, Versioned<ProposalRecord>>,
+    pub delegation_grants: BTreeMap<(u32, Member), Versioned<DelegationGrantRecord>>,
     /// Keys deleted by ourselves ahead of the watch, with the revisions of the deletions.
     buried: BTreeMap<String, Revision>,
 }
@@ -140,7 +140,7 @@
 /// Cancelled jobs whose remains are kept: more than are cancelled while a task of theirs can last.
 const REMAINS_MAX: usize = 4_096;
 
-impl Default for Mirror {
+impl Default for WatchCache {
     fn default() -> Self {
         Self {
             phase: Phase::Empty,
@@ -148,18 +148,18 @@
             jobs: HashMap::new(),
             active: BTreeSet::new(),
             remains: BTreeMap::new(),
-            chain: DependencyGraph::default(),
+            dependencies: DependencyGraph::default(),
             hosts: BTreeMap::new(),
             between: BTreeSet::new(),
             blocks: BTreeMap::new(),
             block_bytes: BTreeMap::new(),
             sessions: BTreeMap::new(),
-            formats: BTreeMap::new(),
+            feature_levels: BTreeMap::new(),
             roles: BTreeMap::new(),
             types: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            wants: BTreeMap::new(),
-            grants: BTreeMap::new(),
+            delegation_requests: BTreeMap::new(),
+            proposals: BTreeMap::new(),
+            delegation_grants: BTreeMap::new(),
             buried: BTreeMap::new(),
         }
     }
@@ -169,11 +169,11 @@
     serde_json::from_value(value).ok()
 }
 
-fn newer<T>(kept: Option<&Kept<T>>, version: Revision) -> bool {
+fn newer<T>(kept: Option<&Versioned<T>>, version: Revision) -> bool {
     kept.is_none_or(|k| version > k.version)
 }
 
-impl Mirror {
+impl WatchCache {
     pub fn is_synced(&self) -> bool {
         self.phase == Phase::Following
     }
@@ -183,7 +183,9 @@
     /// Unfinished jobs, without those that are cancelled because a job before them is.
     pub fn active(&self) -> impl Iterator<Item = &ActiveJob> {
         self.active.iter().filter_map(|id| match self.jobs.get(id) {
-            Some(JobEntry::Active(job)) if self.chain.standing(id) != DependencyState::Doomed => {
+            Some(JobEntry::Active(job))
+                if self.dependencies.standing(id) != DependencyState::Doomed =>
+            {
                 Some(&**job)
             }
             _ => None,
@@ -194,7 +196,7 @@
     pub fn final_phase(&self, id: &JobId) -> Option<(RecordPhase, u32)> {
         match self.jobs.get(id)? {
             JobEntry::Final { phase, done } => Some((*phase, *done)),
-            JobEntry::Active(job) => (self.chain.standing(id) == DependencyState::Doomed)
+            JobEntry::Active(job) => (self.dependencies.standing(id) == DependencyState::Doomed)
                 .then_some((RecordPhase::Cancelled, job.done_count)),
         }
     }
@@ -221,8 +223,8 @@
     }
 
     /// What the store says of every role.
-    pub fn seats(&self) -> BTreeMap<Role, RoleOwnership> {
-        let seat = |(role, kept): (&Role, &Kept<RoleRecord>)| {
+    pub fn ownerships(&self) -> BTreeMap<Role, RoleOwnership> {
+        let seat = |(role, kept): (&Role, &Versioned<RoleRecord>)| {
             let seat = RoleOwnership {
                 owner: kept.value.owner.clone(),
                 lease: kept.value.lease,
@@ -260,7 +262,7 @@
                     Phase::Following
                 };
             }
-            Input::News {
+            Input::WatchEvents {
                 after,
                 revision,
                 events,
@@ -298,7 +300,7 @@
                     self.phase = Phase::Following;
                 }
             }
-            Input::Own {
+            Input::OwnWrite {
                 changes: own,
                 version,
             } => {
@@ -336,15 +338,15 @@
             .map(|(m, k)| (session_key(m), k.version));
         let roles = self.roles.iter().map(|(r, k)| (role_key(*r), k.version));
         let asks = self
-            .asks
+            .delegation_requests
             .iter()
             .map(|(m, k)| (delegation_request_key(m), k.version));
         let wants = self
-            .wants
+            .proposals
             .iter()
             .map(|(id, k)| (proposal_key(id), k.version));
         let grants = self
-            .grants
+            .delegation_grants
             .iter()
             .map(|((p, m), k)| (delegation_grant_key(*p, m), k.version));
         hosts
@@ -376,44 +378,47 @@
             Key::Session(member) => read(value).map(|value| {
                 if newer(self.sessions.get(&member), version) {
                     self.sessions
-                        .insert(member.clone(), Kept { value, version });
+                        .insert(member.clone(), Versioned { value, version });
                     changes.push(Change::Session(member));
                 }
             }),
             Key::Role(role) => read(value).map(|value| {
                 if newer(self.roles.get(&role), version) {
-                    self.roles.insert(role, Kept { value, version });
+                    self.roles.insert(role, Versioned { value, version });
                     changes.push(Change::Role(role));
                 }
             }),
             Key::Proposal(id) => read(value).map(|value| {
-                if newer(self.wants.get(&id), version) {
-                    self.wants.insert(id.clone(), Kept { value, version });
-                    changes.push(Change::Want(id));
+                if newer(self.proposals.get(&id), version) {
+                    self.proposals
+                        .insert(id.clone(), Versioned { value, version });
+                    changes.push(Change::Proposal(id));
                 }
             }),
             Key::DelegationRequest(keeper) => read(value).map(|value| {
-                if newer(self.asks.get(&keeper), version) {
-                    self.asks.insert(keeper.clone(), Kept { value, version });
-                    changes.push(Change::Ask(keeper));
+                if newer(self.delegation_requests.get(&keeper), version) {
+                    self.delegation_requests
+                        .insert(keeper.clone(), Versioned { value, version });
+                    changes.push(Change::DelegationRequest(keeper));
                 }
             }),
             Key::FeatureLevel(member) => read(value).map(|value| {
-                if newer(self.formats.get(&member), version) {
-                    let kept = Kept { value, version };
-                    self.formats.insert(member.clone(), kept);
-                    changes.push(Change::Format(member));
+                if newer(self.feature_levels.get(&member), version) {
+                    let kept = Versioned { value, version };
+                    self.feature_levels.insert(member.clone(), kept);
+                    changes.push(Change::FeatureLevel(member));
                 }
             }),
             Key::DelegationGrant(p, keeper) => read(value).map(|value| {
-                if newer(self.grants.get(&(p, keeper.clone())), version) {
-                    self.grants.insert((p, keeper), Kept { value, version });
-                    changes.push(Change::Grant);
+                if newer(self.delegation_grants.get(&(p, keeper.clone())), version) {
+                    self.delegation_grants
+                        .insert((p, keeper), Versioned { value, version });
+                    changes.push(Change::DelegationGrant);
                 }
             }),
             Key::Types(part) => read(value).map(|value| {
                 if newer(self.types.get(&part), version) {
-                    self.types.insert(part, Kept { value, version });
+                    self.types.insert(part, Versioned { value, version });
                     changes.push(Change::Types);
                 }
             }),
@@ -439,9 +444,9 @@
         self.between.extend(gone);
         for (id, value) in block.hosts {
             self.between.remove(&id);
-            let same = |k: &KeptHost| k.block == n && k.value == value;
+            let same = |k: &HostEntry| k.block == n && k.value == value;
             if !self.hosts.get(&id).is_some_and(same) {
-                let kept = KeptHost {
+                let kept = HostEntry {
                     value,
                     version,
                     block: n,
@@ -454,7 +459,7 @@
 
     /// What a block holds.
     pub fn block(&self, n: u32) -> HostBlock {
-        let here = |(id, k): &(&HostId, &KeptHost)| k.block == n && !self.between.contains(*id);
+        let here = |(id, k): &(&HostId, &HostEntry)| k.block == n && !self.between.contains(*id);
         let hosts = self.hosts.iter().filter(here);
         HostBlock {
             hosts: hosts.map(|(id, k)| (id.clone(), k.value.clone())).collect(),
@@ -500,7 +505,7 @@
                         },
                         _ => RecordedOutcome::Open,
                     };
-                    related.extend(self.chain.apply(chain::Input::Accepted {
+                    related.extend(self.dependencies.apply(chain::Input::Accepted {
                         id: &id,
                         needs: &request.dependencies,
                         terms,
@@ -524,12 +529,15 @@
                 self.active.remove(&id);
                 // What was called cancelled stays so, whatever a controller wrote that did not
                 // know of the job before it.
-                let phase = match self.chain.standing(&id) {
+                let phase = match self.dependencies.standing(&id) {
                     DependencyState::Doomed => RecordPhase::Cancelled,
                     _ => phase,
                 };
                 let done = phase == RecordPhase::Done;
-                related.extend(self.chain.apply(chain::Input::Ended { id: &id, done }));
+                related.extend(
+                    self.dependencies
+                        .apply(chain::Input::Ended { id: &id, done }),
+                );
                 JobEntry::Final {
                     phase,
                     done: record.done_count,
@@ -570,19 +578,27 @@
                 }
             }
             Key::Proposal(id) => {
-                if self.wants.get(&id).is_some_and(|k| version > k.version) {
-                    self.wants.remove(&id);
+                if self.proposals.get(&id).is_some_and(|k| version > k.version) {
+                    self.proposals.remove(&id);
                 }
             }
             Key::DelegationRequest(keeper) => {
-                if self.asks.get(&keeper).is_some_and(|k| version > k.version) {
-                    self.asks.remove(&keeper);
+                if self
+                    .delegation_requests
+                    .get(&keeper)
+                    .is_some_and(|k| version > k.version)
+                {
+                    self.delegation_requests.remove(&keeper);
                 }
             }
             Key::DelegationGrant(p, keeper) => {
                 let key = (p, keeper);
-                if self.grants.get(&key).is_some_and(|k| version > k.version) {
-                    self.grants.remove(&key);
+                if self
+                    .delegation_grants
+                    .get(&key)
+                    .is_some_and(|k| version > k.version)
+                {
+                    self.delegation_grants.remove(&key);
                 }
             }
             // Jobs are never deleted, the types and formats neither.
--- a/crates/jasperhill-controller/src/net.rs
+++ b/crates/jasperhill-controller/src/net.rs
@@ -15,7 +15,7 @@
 }
 
 /// The account of a controller's sockets, before any machine is known.
-pub fn sockets(settings: &Settings) -> ConnectionTracker {
+pub fn connection_tracker(settings: &Settings) -> ConnectionTracker {
     let sizes = PlanInputs {
         most: settings.max_connections,
         peers: settings.peers.len(),
@@ -23,7 +23,8 @@
     };
     // A worker reports after a report's time and a quarter at the latest, and waits four seconds
     // for an answer before it goes elsewhere.
-    let overdue = crate::controller::std_time(settings.report.scale(1.25)) + Duration::from_secs(4);
+    let overdue = crate::controller::to_duration(settings.heartbeat_interval.scale(1.25))
+        + Duration::from_secs(4);
     ConnectionTracker::new(sizes, overdue)
 }
 
--- a/crates/jasperhill-controller/src/pulse.rs
+++ b/crates/jasperhill-controller/src/pulse.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Input {
     /// Something happens.
-    Beat,
+    Activity,
     /// The state service has answered a renewal of the session, or not; sent at that time.
     Answered,
     Unanswered {
@@ -23,13 +23,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Pulse {
+pub struct StallDetector {
     last: Micros,
     resumed: Option<Micros>,
     unanswered: Option<Micros>,
 }
 
-impl Pulse {
+impl StallDetector {
     pub fn new(now: Micros) -> Self {
         Self {
             last: now,
@@ -41,7 +41,7 @@
     /// The one function that changes it. After how long a standstill, if one has just ended.
     pub fn apply(&mut self, input: Input, now: Micros) -> Option<Micros> {
         match input {
-            Input::Beat => {
+            Input::Activity => {
                 let gap = now - std::mem::replace(&mut self.last, now);
                 if gap > GAP {
                     self.resumed = Some(now);
@@ -64,7 +64,7 @@
     }
 
     /// The state service does not answer this controller.
-    pub fn is_unanswered(&self, now: Micros) -> bool {
+    pub fn is_store_silent(&self, now: Micros) -> bool {
         self.unanswered.is_some_and(|t| now - t >= SILENT)
     }
 }
@@ -76,16 +76,16 @@
     #[test]
     fn a_standstill_is_noticed_once_and_what_queued_up_is_stale() {
         let at = Micros::from_millis;
-        let mut pulse = Pulse::new(at(0));
+        let mut pulse = StallDetector::new(at(0));
         for t in 1..5 {
-            assert_eq!(pulse.apply(Input::Beat, at(1_000 * t)), None);
+            assert_eq!(pulse.apply(Input::Activity, at(1_000 * t)), None);
         }
         pulse.apply(Input::Unanswered { sent: at(4_000) }, at(5_000));
-        assert!(!pulse.is_unanswered(at(5_900)) && pulse.is_unanswered(at(6_000)));
-        let gap = pulse.apply(Input::Beat, at(34_000));
+        assert!(!pulse.is_store_silent(at(5_900)) && pulse.is_store_silent(at(6_000)));
+        let gap = pulse.apply(Input::Activity, at(34_000));
         assert_eq!(gap, Some(at(30_000)));
         assert!(pulse.is_stale(at(34_010)) && !pulse.is_stale(at(34_020)));
-        assert!(!pulse.is_unanswered(at(34_010)));
-        assert_eq!(pulse.apply(Input::Beat, at(34_010)), None);
+        assert!(!pulse.is_store_silent(at(34_010)));
+        assert_eq!(pulse.apply(Input::Activity, at(34_010)), None);
     }
 }
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -2,8 +2,8 @@
 //! more than a fair share.
 
 use crate::{
-    controller::{Inner, State},
-    store::{Urgency, Written, guard, put},
+    controller::{Shared, State},
+    store::{WriteOutcome, WritePriority, guard, put},
 };
 use jasperhill_membership::{
     lives::{self, Phase, ProcessRun},
@@ -17,14 +17,14 @@
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-pub(crate) fn former_of(record: &SessionRecord) -> ProcessRun {
+pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
     ProcessRun {
         began: record.process_started,
         quick: record.quick_restarts,
     }
 }
 
-impl Inner {
+impl Shared {
     pub async fn roles_loop(self: Rc<Self>) {
         loop {
             let _ = timeout(Duration::from_millis(500), self.wake_roles.notified()).await;
@@ -45,11 +45,10 @@
     fn restless(&self, state: &State) -> BTreeSet<Member> {
         let (after, wall) = (state.lives.after(), self.clock.wall());
         let me = &self.settings.member;
-        let others = state
-            .mirror
-            .sessions
-            .iter()
-            .filter(|(m, k)| *m != me && former_of(&k.value).is_crash_looping(after, wall));
+        let others =
+            state.mirror.sessions.iter().filter(|(m, k)| {
+                *m != me && process_run_of(&k.value).is_crash_looping(after, wall)
+            });
         let mut restless: BTreeSet<Member> = others.map(|(m, _)| m.clone()).collect();
         if matches!(state.lives.phase(), Phase::CrashLooping { .. }) {
             restless.insert(me.clone());
@@ -59,7 +58,7 @@
 
     /// This controller has ended again and again while others live on: it leaves roles and users to
     /// them until it has lived for a while.
-    pub fn leaves_to_others(&self, state: &State) -> bool {
+    pub fn defers_to_other_members(&self, state: &State) -> bool {
         if !matches!(state.lives.phase(), Phase::CrashLooping { .. }) {
             return false;
         }
@@ -80,13 +79,13 @@
             return Vec::new();
         }
         let held = state.partitions.keys().map(|p| Role::Partition(*p));
-        let mut seats = state.mirror.seats();
+        let mut seats = state.mirror.ownerships();
         for (role, seat) in &mut seats {
             seat.let_go = state
                 .view
                 .has_relinquished(&seat.owner, *role, seat.version, now);
         }
-        let (fits, hosts) = self.fits(state, now);
+        let (fits, hosts) = self.role_eligibility(state, now);
         let facts = Snapshot {
             lease,
             ownerships: seats,
@@ -94,7 +93,7 @@
                 .chain(state.leader.iter().map(|_| Role::Leader))
                 .collect(),
             may_acquire: state.authority.holds(now),
-            reachability_enabled: self.has_links(state),
+            reachability_enabled: self.uses_reachability(state),
             crash_looping: self.restless(state),
             eligibility: fits,
             hosts,
@@ -133,8 +132,8 @@
             Role::Leader => {
                 if state.leader.as_ref().is_none_or(|l| l.since != version) {
                     tracing::info!(revision = version.0, "leads the fleet");
-                    state.leader = Some(crate::cloud::Leader::new(version, now));
-                    state.book.forget_places();
+                    state.leader = Some(crate::cloud::LeaderState::new(version, now));
+                    state.book.clear_assignments();
                 }
             }
             Role::Partition(p) => {
@@ -151,11 +150,11 @@
                         let submitted = self.clock.steady(job.submitted);
                         // Revision 0: old enough to be running anywhere.
                         let trust = (job.failing, now);
-                        let place = self.place_of(state, job);
+                        let place = self.dependency_status(state, job);
                         // A job that waits for others now was never started by a controller
                         // that knows of that.
                         let created = match place.gate {
-                            Readiness::Waiting if state.upgrade.understands(DEPENDENCIES) => {
+                            Readiness::Waiting if state.upgrade.supports(DEPENDENCIES) => {
                                 Revision(u64::MAX)
                             }
                             _ => Revision(0),
@@ -177,8 +176,8 @@
                     }
                 }
                 // Whoever keeps hosts by the former owner's leave may do so for the rest of it.
-                let until = now + self.settings.grant();
-                for ((q, _), grant) in &state.mirror.grants {
+                let until = now + self.settings.delegation_time();
+                for ((q, _), grant) in &state.mirror.delegation_grants {
                     if *q == p {
                         for id in grant.value.hosts.keys() {
                             part.apply(
@@ -223,7 +222,7 @@
                 match state.mirror.roles.get(&role) {
                     Some(kept) => {
                         guards.push(guard(role_key(role), kept.version));
-                        let by_word = self.has_links(&state)
+                        let by_word = self.uses_reachability(&state)
                             && state.view.has_relinquished(
                                 &kept.value.owner,
                                 role,
@@ -258,11 +257,16 @@
         };
         if let Some((guards, change)) = prepared {
             let done = self
-                .write(Urgency::Role, guards, vec![change], Micros::from_secs(1))
+                .write(
+                    WritePriority::Role,
+                    guards,
+                    vec![change],
+                    Micros::from_secs(1),
+                )
                 .await;
-            if !matches!(done, Written::Done(_)) {
+            if !matches!(done, WriteOutcome::Committed(_)) {
                 // Whatever became of it, the mirror will tell.
-                self.barrier().await;
+                self.read_index().await;
             }
         }
         self.settled(role);
@@ -304,10 +308,15 @@
         };
         if let Some((guards, change)) = prepared {
             let done = self
-                .write(Urgency::Role, guards, vec![change], Micros::from_secs(2))
+                .write(
+                    WritePriority::Role,
+                    guards,
+                    vec![change],
+                    Micros::from_secs(2),
+                )
                 .await;
-            if !matches!(done, Written::Done(_)) {
-                self.barrier().await;
+            if !matches!(done, WriteOutcome::Committed(_)) {
+                self.read_index().await;
             }
         }
         self.settled(role);
--- a/crates/jasperhill-controller/src/room.rs
+++ b/crates/jasperhill-controller/src/room.rs
@@ -1,7 +1,7 @@
 //! The room that this process has for connections: what goes out to workers through the window,
 //! and what the log and `/ready` say of classes that have come to their bound.
 
-use crate::controller::Inner;
+use crate::controller::Shared;
 use jasperhill_connections::{Class, window::Input};
 use jasperhill_wire::{HostId, Micros};
 use std::{rc::Rc, time::Duration};
@@ -12,9 +12,9 @@
 /// How often the log tells how many sockets there are.
 const TELL: Micros = Micros::from_secs(60);
 
-impl Inner {
+impl Shared {
     /// Sends hosts what is outstanding there, as far as there is room; the rest waits its turn.
-    pub fn send_direct(self: &Rc<Self>, hosts: Vec<(u32, HostId)>, tick: bool) {
+    pub fn queue_commands(self: &Rc<Self>, hosts: Vec<(u32, HostId)>, tick: bool) {
         let now = self.now();
         let mut turns = Vec::new();
         {
@@ -26,19 +26,19 @@
                 turns.extend(window.apply(Input::Tick, now));
             }
         }
-        self.send(turns);
+        self.send_commands(turns);
     }
 
     /// Those whose turn it is.
-    pub fn send(self: &Rc<Self>, turns: Vec<(u32, HostId)>) {
+    pub fn send_commands(self: &Rc<Self>, turns: Vec<(u32, HostId)>) {
         for (p, host) in turns {
             let inner = self.clone();
             self.clone().spawn(async move {
-                let answered = inner.direct(p, host.clone()).await;
+                let answered = inner.send_commands_to(p, host.clone()).await;
                 let over = Input::Completed((p, host), answered);
                 let now = inner.now();
                 let turns = inner.state.borrow_mut().window.apply(over, now);
-                inner.send(turns);
+                inner.send_commands(turns);
             });
         }
     }
@@ -50,7 +50,7 @@
     }
 
     /// Divides the sockets by the machines that are known, and tells how they stand.
-    pub async fn room_loop(self: Rc<Self>) {
+    pub async fn connection_budget_loop(self: Rc<Self>) {
         let (mut told, mut said) = (Vec::new(), self.now());
         loop {
             sleep(Duration::from_secs(1)).await;
@@ -64,7 +64,7 @@
                 .borrow_mut()
                 .window
                 .apply(Input::Resize(size), now);
-            self.send(turns);
+            self.send_commands(turns);
             let at_bound = self.at_bound();
             let (open, peak, most) = sockets.totals();
             if at_bound != told {
@@ -92,12 +92,12 @@
             }
             if now - said >= TELL {
                 said = now;
-                self.tell_room(open, peak, most);
+                self.log_connection_usage(open, peak, most);
             }
         }
     }
 
-    fn tell_room(&self, open: usize, peak: usize, most: usize) {
+    fn log_connection_usage(&self, open: usize, peak: usize, most: usize) {
         let sockets = self.net.sockets();
         let [reports, users, orders] =
             [Class::Heartbeats, Class::Users, Class::Commands].map(|c| sockets.report(c));
--- a/crates/jasperhill-controller/src/settings.rs
+++ b/crates/jasperhill-controller/src/settings.rs
@@ -33,7 +33,7 @@
 
 /// What the operators may set beyond the file handed over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OwnSettings {
+pub struct OperatorSettings {
     pub tuning: Tuning,
     /// How long a controller's session outlives its last renewal; derived when absent.
     pub session: Option<Micros>,
@@ -57,7 +57,7 @@
     pub zones: Vec<Name>,
     pub time_bound: Micros,
     pub teams: Vec<TeamLimits>,
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     pub lease: Micros,
     pub gang_wait: Micros,
     pub gang_peer: Micros,
@@ -74,7 +74,7 @@
     pub max_connections: usize,
     /// Classes whose starts are waited for, and how long, by the objectives.
     pub waited_for: BTreeMap<Name, Micros>,
-    pub own: OwnSettings,
+    pub operator: OperatorSettings,
 }
 
 #[derive(Deserialize)]
@@ -339,7 +339,7 @@
                 .collect::<Result<_, _>>()?,
             time_bound: Micros::from_secs_f64(p.time_bound_ms / 1e3),
             teams,
-            report: seconds("params.workers.report_s", w.report_s)?,
+            heartbeat_interval: seconds("params.workers.report_s", w.report_s)?,
             lease,
             gang_wait: seconds("params.workers.gang_wait_s", w.gang_wait_s)?,
             gang_peer: seconds("params.workers.gang_peer_s", w.gang_peer_s)?,
@@ -369,45 +369,45 @@
                     *kept = within.min(*kept);
                     all
                 }),
-            own: OwnSettings::default(),
+            operator: OperatorSettings::default(),
         })
     }
 
-    pub fn sched(&self) -> SchedulerConfig {
+    pub fn scheduler_config(&self) -> SchedulerConfig {
         SchedulerConfig {
             partitions: self.size,
             teams: self.teams.clone(),
-            report: self.report,
+            report: self.heartbeat_interval,
             lease: self.lease,
             gang_wait: self.gang_wait,
             gang_peer: self.gang_peer,
             start_within: self.waited_for.clone(),
-            tuning: self.own.tuning.clone(),
+            tuning: self.operator.tuning.clone(),
         }
     }
 
     /// How old the mirror may be while there is authority: a cancellation that is not seen
     /// must stop the renewal of leases soon enough for the tasks to be gone by `cancel_s`.
-    pub fn watch_age_max(&self) -> Micros {
+    pub fn cache_age_max(&self) -> Micros {
         self.bounds.owner()
     }
 
     /// Quick ends in a row after which a controller leaves its roles to others; 0: never.
     pub fn restless_after(&self) -> u32 {
-        self.own.restless_after.unwrap_or(RESTLESS_AFTER)
+        self.operator.restless_after.unwrap_or(RESTLESS_AFTER)
     }
     /// The session's time: long enough to ride out short outages, short enough for a takeover
     /// before the workers' leases lapse.
     pub fn session(&self) -> Micros {
-        let derived = self.lease.scale(0.5).min(self.watch_age_max());
-        let wanted = self.own.session.unwrap_or(derived);
+        let derived = self.lease.scale(0.5).min(self.cache_age_max());
+        let wanted = self.operator.session.unwrap_or(derived);
         wanted.clamp(Micros::from_secs(2), Micros::from_secs(600))
     }
 
     /// How long a keeper may answer for an owner, counted from its ask: long enough to bridge
     /// the time between asks several times, and no longer than lets cancelled tasks end in
     /// time even if their host is lost to the keeper as well.
-    pub fn grant(&self) -> Micros {
+    pub fn delegation_time(&self) -> Micros {
         let slack = (self.cancel - self.lease).scale(0.5) - Micros::from_secs(1);
         self.lease.scale(0.6).min(slack)
     }
--- a/crates/jasperhill-controller/src/store.rs
+++ b/crates/jasperhill-controller/src/store.rs
@@ -2,8 +2,8 @@
 //! that feed the mirror, the read barrier, leases.
 
 use crate::{
-    budget::Bucket,
-    controller::{Inner, State, std_time},
+    budget::TokenBucket,
+    controller::{Shared, State, to_duration},
     mirror::{self, Phase},
 };
 use jasperhill_http::{ClientError, Method, Request, Response};
@@ -32,21 +32,21 @@
 
 /// How pressing a write is; the smaller goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Urgency {
+pub(crate) enum WritePriority {
     Role,
     Cancel,
     Accept,
     /// A finished job that others wait for.
     Release,
     Finish,
-    Rest,
+    Background,
 }
 
-impl Urgency {
+impl WritePriority {
     /// How much of the limit writes of this urgency leave to those that can't wait.
     fn reserve(self, burst: f64) -> f64 {
         match self {
-            Self::Rest => burst * REST_RESERVE,
+            Self::Background => burst * REST_RESERVE,
             Self::Finish => burst * FINISH_RESERVE,
             _ => 0.0,
         }
@@ -54,27 +54,27 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Written {
-    Done(Revision),
+pub(crate) enum WriteOutcome {
+    Committed(Revision),
     Conflict,
     /// Surely not executed.
-    NotDone,
+    NotExecuted,
     /// May have been executed, or may be later.
     Unknown,
 }
 
-struct Op {
-    urgency: Urgency,
+struct PendingWrite {
+    urgency: WritePriority,
     guards: Vec<Guard>,
     changes: Vec<Change>,
     bytes: usize,
     since: Micros,
     by: Micros,
-    reply: oneshot::Sender<Written>,
+    reply: oneshot::Sender<WriteOutcome>,
     alone: bool,
 }
 
-impl Op {
+impl PendingWrite {
     /// How much of the limit it leaves untouched. Guards against writes that never get their turn
     /// under a steady flow of more urgent ones.
     fn reserve(&self, burst: f64, now: Micros) -> f64 {
@@ -87,9 +87,9 @@
 }
 
 /// Writes that wait for their turn.
-pub(crate) struct Writer {
-    queue: Vec<Op>,
-    bucket: Bucket,
+pub(crate) struct CommitQueue {
+    queue: Vec<PendingWrite>,
+    bucket: TokenBucket,
     /// Changes of one transaction, at most: falls when the state service takes no more.
     ops_max: usize,
     /// How long to pause after the next refusal for the rate; grows while they go on.
@@ -127,8 +127,8 @@
 const PAUSE: Micros = Micros::from_millis(150);
 const PAUSE_MAX: Micros = Micros::from_millis(1_200);
 
-impl Writer {
-    pub fn new(bucket: Bucket, ops_max: usize) -> Self {
+impl CommitQueue {
+    pub fn new(bucket: TokenBucket, ops_max: usize) -> Self {
         Self {
             queue: Vec::new(),
             bucket,
@@ -158,7 +158,7 @@
 }
 
 /// As `put`, gone with the lease.
-pub(crate) fn put_tied(
+pub(crate) fn put_with_lease(
     key: impl Into<String>,
     value: &impl serde::Serialize,
     lease: u64,
@@ -170,27 +170,27 @@
     }
 }
 
-impl Inner {
+impl Shared {
     /// Queues one atomic write and waits for its fate, at most until `limit` has passed
     /// before it is sent.
     pub async fn write(
         &self,
-        urgency: Urgency,
+        urgency: WritePriority,
         guards: Vec<Guard>,
         changes: Vec<Change>,
         limit: Micros,
-    ) -> Written {
+    ) -> WriteOutcome {
         let (reply, fate) = oneshot::channel();
         let bytes = serde_json::to_vec(&changes).map_or(TXN_BYTES, |b| b.len())
             + guards.iter().map(|g| g.key.len() + 40).sum::<usize>();
         {
             let mut state = self.state.borrow_mut();
             if state.writer.queue.len() >= QUEUE_MAX {
-                return Written::NotDone;
+                return WriteOutcome::NotExecuted;
             }
             let since = self.now();
             let by = since + limit;
-            let op = Op {
+            let op = PendingWrite {
                 urgency,
                 guards,
                 changes,
@@ -204,21 +204,23 @@
             state.writer.queue.insert(place, op);
         }
         self.wake_writer.notify_one();
-        fate.await.unwrap_or(Written::Unknown)
+        fate.await.unwrap_or(WriteOutcome::Unknown)
     }
 
     /// As many queued writes as fit one transaction and do not touch one another's keys.
-    fn next_batch(&self, state: &mut State, now: Micros) -> Vec<Op> {
-        let (late, queue): (Vec<Op>, Vec<Op>) = std::mem::take(&mut state.writer.queue)
-            .into_iter()
-            .partition(|o| now >= o.by);
+    fn next_batch(&self, state: &mut State, now: Micros) -> Vec<PendingWrite> {
+        let (late, queue): (Vec<PendingWrite>, Vec<PendingWrite>) =
+            std::mem::take(&mut state.writer.queue)
+                .into_iter()
+                .partition(|o| now >= o.by);
         for op in late {
-            let _ = op.reply.send(Written::NotDone);
+            let _ = op.reply.send(WriteOutcome::NotExecuted);
         }
         let level = state.writer.bucket.level(now);
         let afford = level.max(1.0) as usize;
         let burst = state.writer.bucket.burst();
-        let (mut batch, mut rest): (Vec<Op>, Vec<Op>) = (Vec::new(), Vec::new());
+        let (mut batch, mut rest): (Vec<PendingWrite>, Vec<PendingWrite>) =
+            (Vec::new(), Vec::new());
         let (mut puts, mut conds, mut bytes) = (0, 0, 0);
         let mut blocked = false;
         let mut keys: BTreeSet<String> = BTreeSet::new();
@@ -268,13 +270,13 @@
         batch
     }
 
-    fn requeue(&self, batch: Vec<Op>) {
+    fn requeue(&self, batch: Vec<PendingWrite>) {
         let mut state = self.state.borrow_mut();
         state.writer.queue.splice(0..0, batch);
         state.writer.queue.sort_by_key(|o| o.urgency);
     }
 
-    pub async fn writer_loop(self: Rc<Self>) {
+    pub async fn commit_loop(self: Rc<Self>) {
         loop {
             if self.state.borrow().writer.queue.is_empty() {
                 self.wake_writer.notified().await;
@@ -294,14 +296,14 @@
                         0.0 => 1.0,
                         reserve => (o.changes.len() as f64 + reserve).min(burst),
                     });
-                if let Some(wait) = writer.bucket.until(need, now) {
+                if let Some(wait) = writer.bucket.wait_for(need, now) {
                     Some(wait.min(REST_LOOK))
                 } else {
                     requests.take(1.0, now).err()
                 }
             };
             if let Some(wait) = wait {
-                sleep(std_time(wait)).await;
+                sleep(to_duration(wait)).await;
                 continue;
             }
             let batch = self.next_batch(&mut self.state.borrow_mut(), now);
@@ -311,7 +313,7 @@
         }
     }
 
-    async fn commit(&self, batch: Vec<Op>) {
+    async fn commit(&self, batch: Vec<PendingWrite>) {
         let mut guards: Vec<Guard> = Vec::new();
         for g in batch.iter().flat_map(|o| &o.guards) {
             if !guards.contains(g) {
@@ -324,7 +326,7 @@
             .borrow_mut()
             .writer
             .bucket
-            .force(count, self.now());
+            .take_into_debt(count, self.now());
         let body = serde_json::to_vec(&Transaction { guards, changes }).unwrap_or_default();
         let request = Request::new(Method::Post, "/txn", body);
         let answer = self
@@ -349,12 +351,12 @@
                     .map(|a| a.failed)
                     .unwrap_or_default();
                 // One failed guard does not sink the others.
-                let (lost, mut kept): (Vec<Op>, Vec<Op>) = batch
+                let (lost, mut kept): (Vec<PendingWrite>, Vec<PendingWrite>) = batch
                     .into_iter()
                     .partition(|o| o.guards.iter().any(|g| failed.contains(&g.key)));
                 let none = lost.is_empty();
                 for op in lost {
-                    let _ = op.reply.send(Written::Conflict);
+                    let _ = op.reply.send(WriteOutcome::Conflict);
                 }
                 if none {
                     kept.iter_mut().for_each(|o| o.alone = true);
@@ -375,11 +377,11 @@
                 let key = first.map_or("", Change::key);
                 tracing::debug!(status = r.status, key, "a write has to wait");
                 self.requeue(batch);
-                sleep(std_time(pause)).await;
+                sleep(to_duration(pause)).await;
             }
             Err(error) if error.is_unsent() => {
                 self.requeue(batch);
-                sleep(std_time(PAUSE)).await;
+                sleep(to_duration(PAUSE)).await;
             }
             _ => unknown(batch),
         }
@@ -388,7 +390,7 @@
     /// The state service takes no such transaction: a lease that is over, or more than it
     /// takes now. Nothing was executed. Guards against taking a write that is merely too large
     /// for a conflict, and against sending it again and again.
-    fn refused(&self, mut batch: Vec<Op>, why: &[u8]) {
+    fn refused(&self, mut batch: Vec<PendingWrite>, why: &[u8]) {
         let why = String::from_utf8_lossy(why);
         let writer = &mut self.state.borrow_mut().writer;
         let changes: usize = batch.iter().map(|o| o.changes.len()).sum();
@@ -406,24 +408,24 @@
             let key = op.changes.first().map_or("", Change::key);
             tracing::warn!(key, changes, bytes = op.bytes, %why, "a write was refused");
             let fate = if over {
-                Written::Conflict
+                WriteOutcome::Conflict
             } else {
-                Written::NotDone
+                WriteOutcome::NotExecuted
             };
             let _ = op.reply.send(fate);
         }
     }
 
-    fn applied(&self, op: Op, revision: Revision) {
+    fn applied(&self, op: PendingWrite, revision: Revision) {
         let changes = op.changes.into_iter().map(|change| match change {
             Change::Put { key, value, .. } => (key, Some(value)),
             Change::Delete { key } => (key, None),
         });
-        self.apply_mirror(mirror::Input::Own {
+        self.apply_to_cache(mirror::Input::OwnWrite {
             changes: changes.collect(),
             version: revision,
         });
-        let _ = op.reply.send(Written::Done(revision));
+        let _ = op.reply.send(WriteOutcome::Committed(revision));
     }
 
     /// A request to the state service, within the budget.
@@ -433,7 +435,7 @@
             let taken = self.state.borrow_mut().requests.take(1.0, now);
             match taken {
                 Ok(()) => break,
-                Err(wait) => sleep(std_time(wait)).await,
+                Err(wait) => sleep(to_duration(wait)).await,
             }
         }
         self.call(self.settings.state, request, limit).await
@@ -447,7 +449,7 @@
     }
 
     /// Lists once, then watches; lists again when the watch has fallen too far behind.
-    pub async fn mirror_loop(self: Rc<Self>) {
+    pub async fn watch_loop(self: Rc<Self>) {
         loop {
             let (phase, after) = {
                 let state = self.state.borrow();
@@ -474,7 +476,7 @@
                 // With many changes a watch answers at once, and each one counts: unpaced
                 // watches of three controllers alone would use up the service's limit.
                 let pause = self.pace(WATCH_SHARE) - (self.now() - began);
-                sleep(std_time(pause)).await;
+                sleep(to_duration(pause)).await;
             }
         }
     }
@@ -506,7 +508,7 @@
                     page = serde_json::from_slice::<Listing>(&answer.body).ok();
                     break;
                 }
-                sleep(std_time(pause)).await;
+                sleep(to_duration(pause)).await;
             }
             let Some(page) = page else {
                 return false;
@@ -522,7 +524,7 @@
         }
         let first = first.unwrap_or_default();
         tracing::debug!(items = items.len(), revision = first.0, "listed the store");
-        self.apply_mirror(mirror::Input::Listed { items, first, last });
+        self.apply_to_cache(mirror::Input::Listed { items, first, last });
         self.wake_roles.notify_one();
         true
     }
@@ -540,11 +542,11 @@
         if block == Micros::ZERO {
             let wait = self.state.borrow_mut().requests.take(1.0, now).err();
             if let Some(wait) = wait {
-                sleep(std_time(wait)).await;
+                sleep(to_duration(wait)).await;
             }
         } else {
             // The mirror feeds everything else: it does not wait behind it.
-            self.state.borrow_mut().requests.force(1.0, now);
+            self.state.borrow_mut().requests.take_into_debt(1.0, now);
         }
         let sent = self.now();
         let limit = block
@@ -566,13 +568,13 @@
                     tracing::warn!("a watch answer that is not understood");
                     return false;
                 };
-                self.apply_mirror(mirror::Input::News {
+                self.apply_to_cache(mirror::Input::WatchEvents {
                     after,
                     revision: news.revision,
                     events: news.events,
                 });
                 self.fresh(sent);
-                self.note_link(LinkId::Store, Observation::Success);
+                self.observe_link(LinkId::Store, Observation::Success);
                 true
             }
             410 => self.list_all().await,
@@ -581,7 +583,7 @@
     }
 
     /// Waits until the mirror shows at least what was true when this was called.
-    pub async fn barrier(&self) -> bool {
+    pub async fn read_index(&self) -> bool {
         let (reply, done) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
@@ -599,7 +601,7 @@
     }
 
     /// One barrier serves everyone who waits for it.
-    pub async fn barrier_loop(self: Rc<Self>) {
+    pub async fn read_index_loop(self: Rc<Self>) {
         loop {
             self.wake_barrier.notified().await;
             loop {
@@ -630,14 +632,17 @@
                 } else {
                     Micros::from_millis(100)
                 };
-                sleep(std_time(pause)).await;
+                sleep(to_duration(pause)).await;
             }
         }
     }
 
     /// `Some(false)`: the lease is gone.
     pub async fn lease_renew(&self, lease: u64) -> Option<bool> {
-        self.state.borrow_mut().requests.force(1.0, self.now());
+        self.state
+            .borrow_mut()
+            .requests
+            .take_into_debt(1.0, self.now());
         let request = Request::new(
             Method::Post,
             format!("/leases/{lease}/renew"),
@@ -657,7 +662,7 @@
     /// its own earlier session and what that owned in the same transaction: the earlier
     /// process is gone, and nobody needs to wait for its lease.
     pub async fn begin_session(&self) -> bool {
-        if !self.barrier().await {
+        if !self.read_index().await {
             return false;
         }
         let ttl = self.state.borrow().authority.ttl();
@@ -676,16 +681,16 @@
         let (old, told, roles, life) = {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            let told = state.mirror.formats.get(me).map(|k| k.value.format);
+            let told = state.mirror.feature_levels.get(me).map(|k| k.value.format);
             let old = state.mirror.sessions.get(me).cloned();
             let begins = lives::Input::SessionStarting {
-                former: old.as_ref().map(|k| crate::roles::former_of(&k.value)),
+                former: old.as_ref().map(|k| crate::roles::process_run_of(&k.value)),
                 wall: self.clock.wall(),
             };
             let phase = state.lives.apply(begins, self.now());
             // Guards against roles that a process takes back in each of its lives and serves in
             // none: what it leaves names a session that is gone.
-            let leaves = self.leaves_to_others(state);
+            let leaves = self.defers_to_other_members(state);
             if leaves {
                 tracing::warn!(
                     quick = state.lives.current().quick,
@@ -709,7 +714,7 @@
             process_started: life.began,
             quick_restarts: life.quick,
         };
-        let mut changes = vec![put_tied(&key, &session, lease)];
+        let mut changes = vec![put_with_lease(&key, &session, lease)];
         // Outlasts the session: an earlier version that comes back in its place writes a session
         // without a format, and counts by that.
         if told != Some(FEATURE_LEVEL) {
@@ -731,10 +736,10 @@
             ));
         }
         match self
-            .write(Urgency::Role, guards, changes, Micros::from_secs(1))
+            .write(WritePriority::Role, guards, changes, Micros::from_secs(1))
             .await
         {
-            Written::Done(version) => {
+            WriteOutcome::Committed(version) => {
                 self.state
                     .borrow_mut()
                     .authority
@@ -782,8 +787,8 @@
     }
 }
 
-fn unknown(batch: Vec<Op>) {
+fn unknown(batch: Vec<PendingWrite>) {
     for op in batch {
-        let _ = op.reply.send(Written::Unknown);
+        let _ = op.reply.send(WriteOutcome::Unknown);
     }
 }
--- a/crates/jasperhill-controller/src/upgrade.rs
+++ b/crates/jasperhill-controller/src/upgrade.rs
@@ -7,29 +7,29 @@
 };
 use std::collections::BTreeMap;
 
-use crate::mirror::Kept;
+use crate::mirror::Versioned;
 
 /// Where the deployment stands between two versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Upgrade {
+pub enum FeatureGate {
     /// The mirror is not whole: nothing can be said.
     #[default]
     Unknown,
     /// Every member's session, or its last one, understood this format; some no more than it.
-    Least(u32),
+    AtLeast(u32),
 }
 
 /// What the store says of the members.
-pub struct Seen<'a> {
+pub struct MemberVersions<'a> {
     pub synced: bool,
     pub members: &'a [Member],
-    pub sessions: &'a BTreeMap<Member, Kept<SessionRecord>>,
-    pub formats: &'a BTreeMap<Member, Kept<FeatureLevelRecord>>,
+    pub sessions: &'a BTreeMap<Member, Versioned<SessionRecord>>,
+    pub formats: &'a BTreeMap<Member, Versioned<FeatureLevelRecord>>,
 }
 
-impl Upgrade {
+impl FeatureGate {
     /// The one function that changes it. True if it has changed.
-    pub fn apply(&mut self, seen: &Seen<'_>) -> bool {
+    pub fn apply(&mut self, seen: &MemberVersions<'_>) -> bool {
         // A live session speaks for the process that runs; without one, the last that ran. An
         // earlier version that came back has a session that says nothing, which counts as old.
         let understands = |m: &Member| {
@@ -38,7 +38,7 @@
             session.or_else(last).unwrap_or(0)
         };
         let to = if seen.synced {
-            Self::Least(seen.members.iter().map(understands).min().unwrap_or(0))
+            Self::AtLeast(seen.members.iter().map(understands).min().unwrap_or(0))
         } else {
             Self::Unknown
         };
@@ -46,8 +46,8 @@
     }
 
     /// Every member is known to understand what came with this format.
-    pub fn understands(self, format: u32) -> bool {
-        matches!(self, Self::Least(least) if least >= format)
+    pub fn supports(self, format: u32) -> bool {
+        matches!(self, Self::AtLeast(least) if least >= format)
     }
 }
 
@@ -56,8 +56,8 @@
     use super::*;
     use jasperhill_wire::Revision;
 
-    fn kept<T>(value: T) -> Kept<T> {
-        Kept {
+    fn kept<T>(value: T) -> Versioned<T> {
+        Versioned {
             value,
             version: Revision(1),
         }
@@ -68,7 +68,7 @@
     fn it_is_complete_only_while_every_member_is_known_to_be_new() {
         let members: Vec<Member> = ["a", "b"].map(Member::new).to_vec();
         let (mut sessions, mut formats) = (BTreeMap::new(), BTreeMap::new());
-        let mut upgrade = Upgrade::default();
+        let mut upgrade = FeatureGate::default();
         let session = |format| {
             kept(SessionRecord {
                 lease: 1,
@@ -78,7 +78,7 @@
             })
         };
         let mut look = |sessions: &_, formats: &_, synced| {
-            upgrade.apply(&Seen {
+            upgrade.apply(&MemberVersions {
                 synced,
                 members: &members,
                 sessions,
@@ -86,19 +86,19 @@
             });
             upgrade
         };
-        assert_eq!(look(&sessions, &formats, false), Upgrade::Unknown);
+        assert_eq!(look(&sessions, &formats, false), FeatureGate::Unknown);
         sessions.insert("a".into(), session(1));
-        assert_eq!(look(&sessions, &formats, true), Upgrade::Least(0));
+        assert_eq!(look(&sessions, &formats, true), FeatureGate::AtLeast(0));
         sessions.insert("b".into(), session(0));
-        assert_eq!(look(&sessions, &formats, true), Upgrade::Least(0));
+        assert_eq!(look(&sessions, &formats, true), FeatureGate::AtLeast(0));
         sessions.insert("b".into(), session(1));
-        assert_eq!(look(&sessions, &formats, true), Upgrade::Least(1));
+        assert_eq!(look(&sessions, &formats, true), FeatureGate::AtLeast(1));
         // Its session ends: what it last was counts, if it said so.
         sessions.remove(&Member::new("b"));
-        assert_eq!(look(&sessions, &formats, true), Upgrade::Least(0));
+        assert_eq!(look(&sessions, &formats, true), FeatureGate::AtLeast(0));
         formats.insert("b".into(), kept(FeatureLevelRecord { format: 1 }));
-        assert_eq!(look(&sessions, &formats, true), Upgrade::Least(1));
+        assert_eq!(look(&sessions, &formats, true), FeatureGate::AtLeast(1));
         sessions.insert("b".into(), session(0));
-        assert_eq!(look(&sessions, &formats, true), Upgrade::Least(0));
+        assert_eq!(look(&sessions, &formats, true), FeatureGate::AtLeast(0));
     }
 }
--- a/crates/jasperhill-controller/src/users.rs
+++ b/crates/jasperhill-controller/src/users.rs
@@ -1,9 +1,9 @@
 //! What users ask: submissions, polls, cancellations, readiness.
 
 use crate::{
-    controller::{Inner, Refused, State},
+    controller::{RejectedJob, Shared, State},
     mirror::JobEntry,
-    store::{Urgency, Written, guard, put},
+    store::{WriteOutcome, WritePriority, guard, put},
 };
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_scheduler::{AdmissionDecision, chain::DependencyState, config::impossible};
@@ -62,16 +62,16 @@
     )
 }
 
-impl Inner {
+impl Shared {
     pub async fn serve(self: Rc<Self>, request: Request) -> Response {
         let path = request.path().to_owned();
-        if self.beat() && path != "/ready" {
+        if self.note_activity() && path != "/ready" {
             // Guards against working off what queued up while the process stood still: users
             // and workers have given up on it and ask elsewhere.
             return later("stood still");
         }
         match (request.method, path.as_str()) {
-            (Method::Post, "/hello") => self.hello(&request.body).await,
+            (Method::Post, "/hello") => self.handle_heartbeat(&request.body).await,
             (_, "/hello") => error(405, "only POST").allow("POST"),
             (Method::Get, "/ready") => self.ready(),
             (_, "/ready") => error(405, "only GET").allow("GET"),
@@ -96,7 +96,7 @@
         if state.mirror.is_synced()
             && state.specs.is_some()
             && !state.alone
-            && !self.leaves_to_others(&state)
+            && !self.defers_to_other_members(&state)
         {
             drop(state);
             // An operator who asks sees what is short; the balancer looks at the status alone.
@@ -145,7 +145,7 @@
                 };
                 // A repeated submission gets its 200 whatever it says now. Guards against a mirror
                 // that has not heard of the job yet.
-                return if self.known(&id).is_none() && !self.barrier().await {
+                return if self.known(&id).is_none() && !self.read_index().await {
                     later("state unknown")
                 } else if self.known(&id).is_some() {
                     self.known_answer(&id).await
@@ -176,7 +176,7 @@
             return later("state unknown");
         }
         if let Some(why) = impossible {
-            if !self.barrier().await {
+            if !self.read_index().await {
                 return later("state unknown");
             }
             return match self.known(&id) {
@@ -190,7 +190,7 @@
             return refusal;
         }
         if self.record_of(&request).is_none() {
-            if !self.barrier().await {
+            if !self.read_index().await {
                 return later("state unknown");
             }
             if self.known(&id).is_some() {
@@ -220,16 +220,19 @@
             .cloned();
         let verdict = match owner {
             Some(owner) if owner == self.settings.member => self.admit(request).await,
-            Some(owner) if self.asks_by_store(&owner) => self.want(request).await,
+            Some(owner) if self.proposes_through_store(&owner) => self.propose(request).await,
             Some(owner) => match self.address_of(&owner) {
                 Some(address) => {
                     let ask = MeshRequest::Admit(Box::new(request.clone()));
                     let limit = Micros::from_millis(1_800);
-                    match self.ask_fate(address, ask, limit).await {
+                    match self.try_mesh_call(address, ask, limit).await {
                         Ok(verdict) => verdict,
                         // Refused at once, as beyond a packet filter.
-                        Err(error) if error.is_unsent() && self.has_links(&self.state.borrow()) => {
-                            self.want(request).await
+                        Err(error)
+                            if error.is_unsent()
+                                && self.uses_reachability(&self.state.borrow()) =>
+                        {
+                            self.propose(request).await
                         }
                         Err(_) => MeshResponse::Unavailable,
                     }
@@ -263,13 +266,13 @@
     /// Whether the jobs that this one needs were ever accepted and are none that never end.
     /// `None`: they are; what is done already is dropped from the list.
     async fn check_needs(self: &Rc<Self>, request: &mut JobRequest) -> Option<Response> {
-        if !self.state.borrow().upgrade.understands(DEPENDENCIES) {
+        if !self.state.borrow().upgrade.supports(DEPENDENCIES) {
             // An earlier version would start the job at once.
             return Some(later("an earlier version still serves"));
         }
         if self.wrong_need(request).is_some() {
             // Said only after a barrier that began after the question.
-            if !self.barrier().await {
+            if !self.read_index().await {
                 return Some(later("state unknown"));
             }
             if self.known(&request.id).is_some() {
@@ -332,7 +335,7 @@
 
     /// What a repeated submission gets.
     async fn known_answer(self: &Rc<Self>, id: &JobId) -> Response {
-        if !self.barrier().await {
+        if !self.read_index().await {
             return later("state unknown");
         }
         match self.known(id) {
@@ -358,19 +361,19 @@
         let change = put(&key, &record);
         match self
             .write(
-                Urgency::Accept,
+                WritePriority::Accept,
                 guards,
                 vec![change],
                 Micros::from_millis(1_500),
             )
             .await
         {
-            Written::Done(_) => MeshResponse::Accepted,
-            Written::Conflict => MeshResponse::Known,
-            Written::NotDone => MeshResponse::Unavailable,
+            WriteOutcome::Committed(_) => MeshResponse::Accepted,
+            WriteOutcome::Conflict => MeshResponse::Known,
+            WriteOutcome::NotExecuted => MeshResponse::Unavailable,
             // Read again, never assume.
-            Written::Unknown => {
-                if self.barrier().await && self.known(&request.id).is_some() {
+            WriteOutcome::Unknown => {
+                if self.read_index().await && self.known(&request.id).is_some() {
                     MeshResponse::Known
                 } else {
                     MeshResponse::Unavailable
@@ -411,7 +414,7 @@
                     .retain(|_, r| now - r.last < Micros::from_secs(40));
             }
             let asked = state.first_asked.get(&request.id).map_or(now, |r| r.first);
-            let release = self.release_of(state, &request, now);
+            let release = self.time_until_ready(state, &request, now);
             let Some(partition) = state.partitions.get(&p) else {
                 return MeshResponse::Unavailable;
             };
@@ -420,7 +423,7 @@
                 state.first_asked.remove(&request.id);
             } else if state.first_asked.len() <= ASKED_MAX {
                 let hosts = jasperhill_scheduler::fleet::hosts_for(&request, specs);
-                let refused = Refused {
+                let refused = RejectedJob {
                     first: asked,
                     last: now,
                     partition: p,
@@ -433,7 +436,7 @@
         match verdict {
             (AdmissionDecision::Admit, p, since) => self.create(&request, Some((p, since))).await,
             (AdmissionDecision::Refuse, ..) => {
-                if !self.barrier().await {
+                if !self.read_index().await {
                     MeshResponse::Unavailable
                 } else if self.known(&request.id).is_some() {
                     MeshResponse::Known
@@ -449,7 +452,7 @@
 
     /// How long until the jobs that this one needs are expected to be done: their estimates along
     /// the longest path, less what has passed where they run already.
-    pub fn release_of(&self, state: &State, request: &JobRequest, now: Micros) -> Micros {
+    pub fn time_until_ready(&self, state: &State, request: &JobRequest, now: Micros) -> Micros {
         let rest = |id: &JobId| {
             let Some(JobEntry::Active(job)) = state.mirror.job(id) else {
                 return Micros::ZERO;
@@ -458,7 +461,7 @@
                 .partition_of(&job.request.team)
                 .and_then(|p| state.partitions.get(&p));
             let estimate = own.map_or(job.request.estimate, |p| p.estimate(&job.request));
-            if state.mirror.chain.standing(id) != DependencyState::Ready {
+            if state.mirror.dependencies.standing(id) != DependencyState::Ready {
                 return estimate;
             }
             let since = match state.released.get(id) {
@@ -471,7 +474,10 @@
                 _ => jasperhill_scheduler::forward::remaining(estimate, now - since),
             }
         };
-        state.mirror.chain.release(&request.dependencies, rest)
+        state
+            .mirror
+            .dependencies
+            .release(&request.dependencies, rest)
     }
 
     async fn poll(self: &Rc<Self>, id: &str) -> Response {
@@ -496,11 +502,11 @@
         let owner = self.other_owner(&id);
         let counts = async {
             match owner {
-                Some(owner) => self.counts_from(owner, &id).await,
+                Some(owner) => self.task_counts_from(owner, &id).await,
                 None => None,
             }
         };
-        let (fine, counts) = tokio::join!(self.barrier(), counts);
+        let (fine, counts) = tokio::join!(self.read_index(), counts);
         if !fine {
             return later("state unknown");
         }
@@ -550,7 +556,7 @@
                 }
             };
             let Some((version, record)) = found else {
-                if !self.barrier().await {
+                if !self.read_index().await {
                     return later("state unknown");
                 }
                 if self.known(&id).is_none() {
@@ -561,15 +567,18 @@
             let guards = vec![guard(job_key(&id), version)];
             let changes = vec![put(job_key(&id), &record)];
             let limit = Micros::from_millis(1_500);
-            match self.write(Urgency::Cancel, guards, changes, limit).await {
-                Written::Done(_) => {
+            match self
+                .write(WritePriority::Cancel, guards, changes, limit)
+                .await
+            {
+                WriteOutcome::Committed(_) => {
                     tracing::info!(job = %id, "cancelled");
                     return answer(200, &id, JobPhase::Cancelled);
                 }
-                Written::NotDone => break,
+                WriteOutcome::NotExecuted => break,
                 // Someone else was first, or nobody knows: read again.
-                Written::Conflict | Written::Unknown => {
-                    if !self.barrier().await {
+                WriteOutcome::Conflict | WriteOutcome::Unknown => {
+                    if !self.read_index().await {
                         break;
                     }
                 }
--- a/crates/jasperhill-controller/src/wants.rs
+++ b/crates/jasperhill-controller/src/wants.rs
@@ -8,8 +8,8 @@
 //! finds it there.
 
 use crate::{
-    controller::Inner,
-    store::{Urgency, Written, guard, put, put_tied},
+    controller::Shared,
+    store::{WriteOutcome, WritePriority, guard, put, put_with_lease},
 };
 use jasperhill_membership::{authority::Session, view::LinkId};
 use jasperhill_wire::{
@@ -28,16 +28,16 @@
 const WAIT: Duration = Duration::from_millis(1_500);
 const WRITE: Micros = Micros::from_millis(700);
 
-impl Inner {
+impl Shared {
     /// Whether the owner had better be asked through the store.
-    pub fn asks_by_store(&self, owner: &Member) -> bool {
+    pub fn proposes_through_store(&self, owner: &Member) -> bool {
         let state = self.state.borrow();
-        self.has_links(&state)
+        self.uses_reachability(&state)
             && state.view.own_link(&LinkId::Peer(owner.clone())) == LinkState::Down
     }
 
     /// Puts a job before its owner through the store, and waits for its word.
-    pub async fn want(self: &Rc<Self>, request: JobRequest) -> MeshResponse {
+    pub async fn propose(self: &Rc<Self>, request: JobRequest) -> MeshResponse {
         let id = request.id.clone();
         let record = ProposalRecord {
             proposer: self.settings.member.clone(),
@@ -53,32 +53,32 @@
             if bytes > self.settings.value_bytes
                 || state.alone
                 || state.wanting.len() >= WANTS_MAX
-                || state.mirror.wants.contains_key(&id)
+                || state.mirror.proposals.contains_key(&id)
                 || !state.wanting.insert(id.clone())
             {
                 return MeshResponse::Unavailable;
             }
             (lease, version)
         };
-        let change = put_tied(proposal_key(&id), &record, lease);
+        let change = put_with_lease(proposal_key(&id), &record, lease);
         let me = session_key(&self.settings.member);
         let guards = vec![guard(me, version), guard(proposal_key(&id), Revision(0))];
         let done = self
-            .write(Urgency::Accept, guards, vec![change], WRITE)
+            .write(WritePriority::Accept, guards, vec![change], WRITE)
             .await;
         let word = match done {
-            Written::Done(_) => timeout(WAIT, self.word_on(&id)).await.ok(),
+            WriteOutcome::Committed(_) => timeout(WAIT, self.proposal_outcome(&id)).await.ok(),
             _ => None,
         };
         self.state.borrow_mut().wanting.remove(&id);
-        if !matches!(done, Written::Conflict | Written::NotDone) {
-            self.clone().spawn(self.clone().forget_want(id));
+        if !matches!(done, WriteOutcome::Conflict | WriteOutcome::NotExecuted) {
+            self.clone().spawn(self.clone().delete_proposal(id));
         }
         word.unwrap_or(MeshResponse::Unavailable)
     }
 
     /// The owner's word: the job's record, or a refusal.
-    async fn word_on(&self, id: &JobId) -> MeshResponse {
+    async fn proposal_outcome(&self, id: &JobId) -> MeshResponse {
         loop {
             let news = self.wake_wants.notified();
             {
@@ -86,7 +86,7 @@
                 if state.mirror.job(id).is_some() {
                     return MeshResponse::Accepted;
                 }
-                let want = state.mirror.wants.get(id);
+                let want = state.mirror.proposals.get(id);
                 if let Some(retry_after_s) = want.and_then(|k| k.value.retry_after_s) {
                     return MeshResponse::Rejected { retry_after_s };
                 }
@@ -95,13 +95,13 @@
         }
     }
 
-    async fn forget_want(self: Rc<Self>, id: JobId) {
+    async fn delete_proposal(self: Rc<Self>, id: JobId) {
         let change = Change::Delete {
             key: proposal_key(&id),
         };
         // If it does not come through, the want goes with the session.
         self.write(
-            Urgency::Finish,
+            WritePriority::Finish,
             Vec::new(),
             vec![change],
             Micros::from_secs(10),
@@ -110,10 +110,10 @@
     }
 
     /// A want has changed: whoever owns the job's partition decides on it.
-    pub async fn consider_want(self: Rc<Self>, id: JobId) {
+    pub async fn decide_proposal(self: Rc<Self>, id: JobId) {
         let found = {
             let state = self.state.borrow();
-            let kept = state.mirror.wants.get(&id).cloned();
+            let kept = state.mirror.proposals.get(&id).cloned();
             kept.filter(|k| {
                 k.value.retry_after_s.is_none() && k.value.proposer != self.settings.member
             })
@@ -138,7 +138,7 @@
                 guard(jasperhill_wire::record::role_key(Role::Partition(p)), since),
             ];
             let change = put(proposal_key(&id), &refusal);
-            self.write(Urgency::Accept, guards, vec![change], WRITE)
+            self.write(WritePriority::Accept, guards, vec![change], WRITE)
                 .await;
         }
     }
--- a/crates/jasperhill-controller/src/workers.rs
+++ b/crates/jasperhill-controller/src/workers.rs
@@ -2,11 +2,11 @@
 //! raised.
 
 use crate::{
-    controller::{Inner, std_time},
-    hostbook::Edit,
-    links::{Course, Way},
+    controller::{Shared, to_duration},
+    hostbook::HostUpdate,
+    links::{CommandRoute, HeartbeatRoute},
     mirror::JobEntry,
-    store::{Urgency, Written, guard, put},
+    store::{WriteOutcome, WritePriority, guard, put},
 };
 use jasperhill_connections::window;
 use jasperhill_http::{ClientError, Method, Request, Response};
@@ -68,7 +68,7 @@
 }
 
 /// What came of a report that waited for a takeover.
-enum Held {
+enum DeferralOutcome {
     /// The role came here.
     Taken(Response),
     /// It went to somebody else.
@@ -78,17 +78,17 @@
 }
 
 /// What a worker is told, and whom it was sent to.
-struct Told {
+struct HeartbeatReply {
     response: Response,
     owner: Option<Member>,
 }
 
-impl Inner {
+impl Shared {
     /// A worker's report. Only the owner of its partition answers 200, and only with
     /// authority. A worker that was sent to its owner and comes back can't reach it: its
     /// reports are then passed on, and the owner's answers back; at once where the owner is
     /// known not to hear its zone.
-    pub async fn hello(self: &Rc<Self>, body: &[u8]) -> Response {
+    pub async fn handle_heartbeat(self: &Rc<Self>, body: &[u8]) -> Response {
         let began = self.now();
         let report = match parse(body) {
             Ok(report) => report,
@@ -97,9 +97,9 @@
         // Zones that nobody knows would be remembered without bound.
         if self.settings.zones.contains(&report.zone) {
             let zone = LinkId::Heartbeats(report.zone.clone());
-            self.note_link(zone, Observation::Success);
+            self.observe_link(zone, Observation::Success);
         }
-        self.take_on(&report, began).await;
+        self.register_host(&report, began).await;
         let mine = match self.report(&report) {
             Ok(found) => found,
             Err(refusal) => return refusal,
@@ -107,13 +107,13 @@
         let Some(owner) = mine.owner else {
             if mine.response.status != 200 {
                 // Nobody's at this moment.
-                return match self.hold(None, &report, began).await {
-                    Held::Taken(response) => response,
-                    Held::Moved(owner) => {
-                        let last = self.elsewhere(owner, &report, body, began, false);
+                return match self.defer_heartbeat(None, &report, began).await {
+                    DeferralOutcome::Taken(response) => response,
+                    DeferralOutcome::Moved(owner) => {
+                        let last = self.route_heartbeat(owner, &report, body, began, false);
                         last.await
                     }
-                    Held::Not => mine.response,
+                    DeferralOutcome::Not => mine.response,
                 };
             }
             let now = self.now();
@@ -125,11 +125,12 @@
             state.answered_here.insert(report.host, now);
             return mine.response;
         };
-        self.elsewhere(owner, &report, body, began, true).await
+        self.route_heartbeat(owner, &report, body, began, true)
+            .await
     }
 
     /// A report whose owner is elsewhere: passed on, held for a takeover, or sent there.
-    async fn elsewhere(
+    async fn route_heartbeat(
         self: &Rc<Self>,
         owner: Member,
         report: &Heartbeat,
@@ -141,19 +142,19 @@
         // A cut between two zones that outlasts the lease: sent to its owner, the worker would
         // only lose time that its tasks do not have.
         if self.is_cut_off(report.zone.as_str(), &owner) {
-            let kept = self.keep(report).await;
+            let kept = self.answer_as_delegate(report).await;
             return kept.unwrap_or_else(|| redirect(Some(&owner)));
         }
-        let course = self.course(&owner, report);
+        let course = self.heartbeat_route(&owner, report);
         match &course {
-            Some(Course::Go(third)) => {
+            Some(HeartbeatRoute::Redirect(third)) => {
                 let now = self.now();
                 let mut state = self.state.borrow_mut();
                 state.redirected.insert(host.clone(), now);
                 return redirect(Some(third));
             }
-            Some(Course::Through(third)) => {
-                let passed = self.pass_through(third, body).await;
+            Some(HeartbeatRoute::Through(third)) => {
+                let passed = self.relay_through(third, body).await;
                 return passed.unwrap_or_else(unavailable);
             }
             _ => {}
@@ -164,21 +165,24 @@
             }
             // Guards against a worker that is sent round while the cut is just being found.
             if self.is_cut_off(report.zone.as_str(), &owner) {
-                return self.keep(report).await.unwrap_or_else(unavailable);
+                return self
+                    .answer_as_delegate(report)
+                    .await
+                    .unwrap_or_else(unavailable);
             }
         }
         if may_wait {
-            match self.hold(Some(&owner), report, began).await {
-                Held::Taken(response) => return response,
+            match self.defer_heartbeat(Some(&owner), report, began).await {
+                DeferralOutcome::Taken(response) => return response,
                 // Guards against a worker that is sent to an owner who has just been replaced:
                 // its lease may not have the five seconds that this costs.
-                Held::Moved(to) => {
-                    return Box::pin(self.elsewhere(to, report, body, began, false)).await;
+                DeferralOutcome::Moved(to) => {
+                    return Box::pin(self.route_heartbeat(to, report, body, began, false)).await;
                 }
-                Held::Not => {}
+                DeferralOutcome::Not => {}
             }
         }
-        if matches!(course, Some(Course::Pass)) {
+        if matches!(course, Some(HeartbeatRoute::RelayOnly)) {
             return unavailable();
         }
         let now = self.now();
@@ -206,11 +210,11 @@
         body: &[u8],
         by: Micros,
     ) -> Option<Response> {
-        if let Some(passed) = self.pass_on(owner, &report.host, body, by).await {
+        if let Some(passed) = self.relay_to_owner(owner, &report.host, body, by).await {
             return Some(passed);
         }
         match self.report(report) {
-            Ok(Told {
+            Ok(HeartbeatReply {
                 owner: None,
                 response,
             }) if response.status == 200 => Some(response),
@@ -222,12 +226,12 @@
     /// partition will come here, or to another, in a moment. Guards against workers that are sent to
     /// a dead owner in the seconds before, or on to controllers that they don't reach, and with all
     /// others silent come back only after ten seconds, which their leases may not have.
-    async fn hold(
+    async fn defer_heartbeat(
         self: &Rc<Self>,
         owner: Option<&Member>,
         report: &Heartbeat,
         began: Micros,
-    ) -> Held {
+    ) -> DeferralOutcome {
         let _turn = {
             let now = self.now();
             let state = self.state.borrow();
@@ -244,27 +248,27 @@
             let here = state.view.own_link(&LinkId::Store) == mesh::LinkState::Up
                 && state.authority.holds(now);
             let moves = here || (owner.is_none() && state.view.is_store_reachable_elsewhere(now));
-            let lost = self.has_links(&state)
+            let lost = self.uses_reachability(&state)
                 && owner.is_none_or(ends)
                 && moves
                 && state.mirror.hosts.contains_key(&report.host);
-            match state.passing.hold() {
+            match state.passing.deferred_heartbeat() {
                 Some(turn) if lost => turn,
-                _ => return Held::Not,
+                _ => return DeferralOutcome::Not,
             }
         };
         let settled = async {
             loop {
                 let news = self.wake_owned.notified();
                 match self.report(report) {
-                    Ok(Told {
+                    Ok(HeartbeatReply {
                         owner: None,
                         response,
-                    }) if response.status == 200 => return Held::Taken(response),
-                    Ok(Told {
+                    }) if response.status == 200 => return DeferralOutcome::Taken(response),
+                    Ok(HeartbeatReply {
                         owner: Some(to), ..
                     }) if Some(&to) != owner => {
-                        return Held::Moved(to);
+                        return DeferralOutcome::Moved(to);
                     }
                     _ => news.await,
                 }
@@ -272,20 +276,20 @@
         };
         // What was tried before has taken its part of the time that the worker waits.
         let left = HOLD - (self.now() - began);
-        let held = tokio::time::timeout(std_time(left), settled).await;
-        held.unwrap_or(Held::Not)
+        let held = tokio::time::timeout(to_duration(left), settled).await;
+        held.unwrap_or(DeferralOutcome::Not)
     }
 
     /// A report that another controller passed on. Once the worker can be reached from here
     /// it is told to come itself.
-    pub async fn relayed(self: &Rc<Self>, body: &[u8]) -> Response {
+    pub async fn handle_relayed_heartbeat(self: &Rc<Self>, body: &[u8]) -> Response {
         let began = self.now();
         let report = match parse(body) {
             Ok(report) => report,
             Err(refusal) => return refusal,
         };
         // Whoever passed it on has had a part of the time.
-        self.take_on(&report, began - HOLD.scale(0.6)).await;
+        self.register_host(&report, began - HOLD.scale(0.6)).await;
         let mine = match self.report(&report) {
             Ok(found) => found,
             Err(refusal) => return refusal,
@@ -360,7 +364,7 @@
         }
     }
 
-    fn report(self: &Rc<Self>, report: &Heartbeat) -> Result<Told, Response> {
+    fn report(self: &Rc<Self>, report: &Heartbeat) -> Result<HeartbeatReply, Response> {
         let now = self.now();
         let host = report.host.clone();
         let mut guarded = self.state.borrow_mut();
@@ -370,20 +374,20 @@
                 // Not taken on yet.
                 return Err(unavailable());
             }
-            let leader = self.owner_now(state, Role::Leader);
+            let leader = self.latest_owner(state, Role::Leader);
             return Ok(self.redirect_to(leader));
         };
         let Some(p) = kept.value.partition() else {
             // What it became since a stale mirror last heard of it, the leader knows.
             let stale = state.view.own_link(&LinkId::Store) == mesh::LinkState::Down;
-            let leader = self.owner_now(state, Role::Leader).filter(|_| stale);
+            let leader = self.latest_owner(state, Role::Leader).filter(|_| stale);
             return match self.redirect_to(leader) {
-                told @ Told { owner: Some(_), .. } => Ok(told),
+                told @ HeartbeatReply { owner: Some(_), .. } => Ok(told),
                 _ => Err(redirect(None)),
             };
         };
         if !state.partitions.contains_key(&p) {
-            let owner = self.owner_now(state, Role::Partition(p));
+            let owner = self.latest_owner(state, Role::Partition(p));
             return Ok(self.redirect_to(owner));
         }
         let Some(partition) = state.partitions.get_mut(&p) else {
@@ -413,21 +417,21 @@
         state.answered_blind += u32::from(blind);
         let turns = state.window.apply(window::Input::Heard((p, host)), now);
         drop(guarded);
-        self.send(turns);
+        self.send_commands(turns);
         let response = Response::new(200, commands_body(token, None, &orders));
-        Ok(Told {
+        Ok(HeartbeatReply {
             response,
             owner: None,
         })
     }
 
-    fn redirect_to(&self, owner: Option<Member>) -> Told {
+    fn redirect_to(&self, owner: Option<Member>) -> HeartbeatReply {
         match owner {
-            Some(owner) if owner != self.settings.member => Told {
+            Some(owner) if owner != self.settings.member => HeartbeatReply {
                 response: redirect(Some(&owner)),
                 owner: Some(owner),
             },
-            _ => Told {
+            _ => HeartbeatReply {
                 response: unavailable(),
                 owner: None,
             },
@@ -437,7 +441,7 @@
     /// If this controller leads and has no record of a machine, takes it on and waits until that is
     /// written. Guards against a new machine that is told to come later, and beyond a cut finds
     /// nobody for as long as its first lease lasts.
-    async fn take_on(self: &Rc<Self>, report: &Heartbeat, began: Micros) {
+    async fn register_host(self: &Rc<Self>, report: &Heartbeat, began: Micros) {
         let is_new = {
             let now = self.now();
             let state = self.state.borrow();
@@ -474,7 +478,7 @@
         // silent: it comes back after ten seconds, and gets tasks meanwhile that its first lease
         // does not last for.
         let left = HOLD - (self.now() - began);
-        let _ = tokio::time::timeout(std_time(left), known).await;
+        let _ = tokio::time::timeout(to_duration(left), known).await;
     }
 
     /// Takes on a machine that nobody expects if it answers. Guards against a report that comes late,
@@ -487,7 +491,7 @@
         let request = Request::new(Method::Get, "/inspect", Vec::new());
         let there = (&report.host, &report.zone, PROBES_MAX);
         let limit = Micros::from_secs(2);
-        let answer = self.reach_worker(there, address, request, limit).await;
+        let answer = self.call_worker(there, address, request, limit).await;
         let now = answer.ok().and_then(|a| Heartbeat::parse(&a.body).ok());
         if now.is_some_and(|r| r.host == report.host) {
             self.adopt(report).await;
@@ -516,14 +520,14 @@
         let (newcomers, edits) = {
             let mut guarded = self.state.borrow_mut();
             let newcomers = std::mem::take(&mut guarded.newcomers);
-            let mut needs = self.needs(&guarded);
+            let mut needs = self.capacity_needs(&guarded);
             let state = &mut *guarded;
             let mut edits = Vec::new();
             if let Some(leader) = state.leader.as_mut() {
                 for report in &newcomers {
                     leader.came_up(&report.host, self.now());
-                    let partition = needs.neediest(&report.zone, report.spot);
-                    needs.given(partition, &report.zone, report.spot);
+                    let partition = needs.partition_most_in_need(&report.zone, report.spot);
+                    needs.record_assignment(partition, &report.zone, report.spot);
                     let record = HostRecord {
                         assignment: HostAssignment::Partition(partition),
                         address: report.address.clone(),
@@ -532,20 +536,20 @@
                         spot: report.spot,
                         rewrites: 0,
                     };
-                    let block = state.book.place(
+                    let block = state.book.assign_block(
                         &state.mirror,
                         &report.host,
                         &record,
                         (partition, self.settings.size),
                         self.settings.value_bytes,
                     );
-                    let edit = Edit {
-                        urgency: Urgency::Finish,
+                    let edit = HostUpdate {
+                        urgency: WritePriority::Finish,
                         role: (Role::Leader, leader.since),
                         host: report.host.clone(),
-                        was: None,
-                        becomes: Some(record),
-                        by: self.now() + Micros::from_secs(3),
+                        expected_version: None,
+                        new_record: Some(record),
+                        deadline: self.now() + Micros::from_secs(3),
                     };
                     edits.push((block, edit));
                 }
@@ -562,8 +566,8 @@
             let inner = self.clone();
             self.clone().spawn(async move {
                 let host = edit.host.clone();
-                let usage = edit.becomes.as_ref().map(|r| r.assignment);
-                if let Written::Done(_) = inner.edit_host(block, edit).await {
+                let usage = edit.new_record.as_ref().map(|r| r.assignment);
+                if let WriteOutcome::Committed(_) = inner.update_host(block, edit).await {
                     tracing::info!(%host, ?usage, "host taken on");
                 }
                 inner.state.borrow_mut().bumping.remove(&host);
@@ -573,7 +577,7 @@
 
     /// Sends what is outstanding straight to the worker, one request at a time per host. Whether it
     /// answered; `None` if nothing was sent.
-    pub async fn direct(self: &Rc<Self>, p: u32, id: HostId) -> Option<bool> {
+    pub async fn send_commands_to(self: &Rc<Self>, p: u32, id: HostId) -> Option<bool> {
         let (address, since, tenure, zone, of) = {
             let state = self.state.borrow();
             state.partitions.get(&p).and_then(|part| {
@@ -592,22 +596,24 @@
         }?;
         // Guards against orders in doubt for every host beyond a cut: each would have to have its
         // token raised by a write before it could be used again.
-        if matches!(self.way(&zone), Way::None) {
+        if matches!(self.command_route(&zone), CommandRoute::None) {
             return None;
         }
         let limit = Micros::from_secs(3);
         let there = (&id, &zone, of);
         if tenure.is_none() {
             let request = Request::new(Method::Get, "/inspect", Vec::new());
-            match self.reach_worker(there, address, request, limit).await {
-                Ok(answer) if answer.status == 200 => self.feed(p, since, &id, &answer.body),
+            match self.call_worker(there, address, request, limit).await {
+                Ok(answer) if answer.status == 200 => {
+                    self.apply_direct_response(p, since, &id, &answer.body)
+                }
                 Err(ClientError::NoSocket) => return None,
                 _ => return Some(false),
             }
         }
-        let (body, starts) = self.prepare_direct(p, since, &id)?;
+        let (body, starts) = self.prepare_commands(p, since, &id)?;
         let request = Request::new(Method::Post, "/do", body);
-        let answer = self.reach_worker(there, address, request, limit).await;
+        let answer = self.call_worker(there, address, request, limit).await;
         let now = self.now();
         if let Some(partition) = self.state.borrow_mut().partitions.get_mut(&p)
             && partition.since == since
@@ -629,13 +635,13 @@
         if let Ok(answer) = answer
             && matches!(answer.status, 200 | 409)
         {
-            self.feed(p, since, &id, &answer.body);
+            self.apply_direct_response(p, since, &id, &answer.body);
         }
         self.wake_pass.notify_one();
         answered
     }
 
-    fn prepare_direct(&self, p: u32, since: Revision, id: &HostId) -> Option<(Vec<u8>, usize)> {
+    fn prepare_commands(&self, p: u32, since: Revision, id: &HostId) -> Option<(Vec<u8>, usize)> {
         let now = self.now();
         let mut guarded = self.state.borrow_mut();
         let state = &mut *guarded;
@@ -667,7 +673,7 @@
         Some((body, count))
     }
 
-    fn feed(&self, p: u32, since: Revision, id: &HostId, body: &[u8]) {
+    fn apply_direct_response(&self, p: u32, since: Revision, id: &HostId, body: &[u8]) {
         let now = self.now();
         match Heartbeat::parse(body) {
             Ok(report) if &report.host == id => {
@@ -705,7 +711,7 @@
                         continue;
                     }
                     // What others wait for goes ahead.
-                    let needed = whole && state.mirror.chain.is_needed(&id);
+                    let needed = whole && state.mirror.dependencies.is_needed(&id);
                     if state.saving.contains(&id) || (state.saving.len() > SAVING_MAX && !needed) {
                         partition.unsaved.insert(id);
                         continue;
@@ -737,7 +743,7 @@
     }
 
     async fn save(self: Rc<Self>, p: u32, id: JobId) {
-        let needed = self.state.borrow().mirror.chain.is_needed(&id);
+        let needed = self.state.borrow().mirror.dependencies.is_needed(&id);
         let prepared = {
             let state = self.state.borrow();
             match (state.partitions.get(&p), state.mirror.job(&id)) {
@@ -762,14 +768,14 @@
         let mut saved = true;
         if let Some((guards, change, tasks, (phase, failing), since)) = prepared {
             let urgency = match phase {
-                RecordPhase::Done if needed => Urgency::Release,
-                RecordPhase::Done => Urgency::Finish,
-                _ => Urgency::Rest,
+                RecordPhase::Done if needed => WritePriority::Release,
+                RecordPhase::Done => WritePriority::Finish,
+                _ => WritePriority::Background,
             };
             let done = self
                 .write(urgency, guards, vec![change], Micros::from_secs(20))
                 .await;
-            saved = matches!(done, Written::Done(_));
+            saved = matches!(done, WriteOutcome::Committed(_));
             if saved {
                 if let Some(partition) = self.state.borrow_mut().partitions.get_mut(&p)
                     && partition.since == since
@@ -778,7 +784,7 @@
                 }
             } else {
                 // The next try goes by what the mirror then shows.
-                self.barrier().await;
+                self.read_index().await;
             }
         }
         let mut state = self.state.borrow_mut();
@@ -855,7 +861,7 @@
         {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            for id in state.mirror.chain.doomed() {
+            for id in state.mirror.dependencies.doomed() {
                 if state.cancelling.len() >= CANCELLING_MAX {
                     break;
                 }
@@ -879,16 +885,18 @@
                 ];
                 let changes = vec![put(job_key(&id), &record)];
                 let limit = Micros::from_secs(10);
-                let done = inner.write(Urgency::Rest, guards, changes, limit).await;
+                let done = inner
+                    .write(WritePriority::Background, guards, changes, limit)
+                    .await;
                 inner.state.borrow_mut().cancelling.remove(&id);
                 match done {
-                    Written::Done(_) => {
+                    WriteOutcome::Committed(_) => {
                         tracing::info!(job = %id, "cancelled with a job before it");
                         inner.wake_pass.notify_one();
                     }
                     // Tried again with the next tick, by what the mirror then shows.
                     _ => {
-                        inner.barrier().await;
+                        inner.read_index().await;
                     }
                 }
             });
@@ -897,7 +905,7 @@
 
     /// Rewrites the records of hosts with orders in doubt, which raises their tokens: late
     /// direct orders then die at the worker.
-    pub fn bump_tokens(self: &Rc<Self>) {
+    pub fn raise_tokens(self: &Rc<Self>) {
         let now = self.now();
         let mut due = Vec::new();
         {
@@ -906,7 +914,7 @@
             for (p, partition) in &state.partitions {
                 for host in partition.hosts.values().filter(|h| h.needs_token()) {
                     if let Some(kept) = state.mirror.hosts.get(&host.id)
-                        && !state.book.is_refused(kept.block, now)
+                        && !state.book.is_backing_off(kept.block, now)
                         && state.bumping.insert(host.id.clone())
                     {
                         due.push((*p, partition.since, host.id.clone(), kept.clone()));
@@ -919,16 +927,16 @@
             self.clone().spawn(async move {
                 let mut record = kept.value;
                 record.rewrites += 1;
-                let edit = Edit {
-                    urgency: Urgency::Accept,
+                let edit = HostUpdate {
+                    urgency: WritePriority::Accept,
                     role: (Role::Partition(p), since),
                     host: id.clone(),
-                    was: Some(kept.version),
-                    becomes: Some(record),
-                    by: inner.now() + Micros::from_secs(5),
+                    expected_version: Some(kept.version),
+                    new_record: Some(record),
+                    deadline: inner.now() + Micros::from_secs(5),
                 };
                 // Done: the mirror hands the new revision to the partition.
-                inner.edit_host(kept.block, edit).await;
+                inner.update_host(kept.block, edit).await;
                 inner.state.borrow_mut().bumping.remove(&id);
             });
         }
--- a/crates/jasperhill-controller/tests/mirror.rs
+++ b/crates/jasperhill-controller/tests/mirror.rs
@@ -1,6 +1,6 @@
 //! The mirror of the host records: blocks change as wholes, hosts one by one.
 
-use jasperhill_controller::mirror::{Change, Input, Mirror};
+use jasperhill_controller::mirror::{Change, Input, WatchCache};
 use jasperhill_wire::{
     HostId, JobId, Revision,
     record::{HostAssignment, HostBlock, HostRecord, RecordPhase, block_key},
@@ -36,7 +36,7 @@
     /// a listing gives the same records and never a lower version.
     #[test]
     fn a_host_is_as_young_as_its_own_last_change(edits in edits()) {
-        let mut mirror = Mirror::default();
+        let mut mirror = WatchCache::default();
         mirror.apply(Input::Listed { items: vec![], first: Revision(0), last: Revision(0) });
         let mut model: BTreeMap<HostId, (u32, u64, HostRecord)> = BTreeMap::new();
         let mut blocks: BTreeMap<u32, u64> = BTreeMap::new();
@@ -54,7 +54,7 @@
                 model.remove(&id);
             }
             blocks.insert(block, revision);
-            mirror.apply(Input::News {
+            mirror.apply(Input::WatchEvents {
                 after: Revision(revision - 1),
                 revision: Revision(revision),
                 events: vec![WatchEvent::Put {
@@ -67,7 +67,7 @@
         let seen: Vec<_> = mirror.hosts.iter().map(|(id, k)| (id.clone(), k.block, k.version.0)).collect();
         let meant: Vec<_> = model.iter().map(|(id, (b, v, _))| (id.clone(), *b, *v)).collect();
         prop_assert_eq!(seen, meant);
-        let mut listed = Mirror::default();
+        let mut listed = WatchCache::default();
         let last = Revision(edits.len() as u64);
         let items = blocks.iter().map(|(n, v)| KeyValue {
             key: block_key(*n), value: value(&model, *n), version: Revision(*v), lease: None,
@@ -107,8 +107,8 @@
 }
 
 /// A mirror of one block with three hosts, at revision 5.
-fn three_in_one() -> Mirror {
-    let mut mirror = Mirror::default();
+fn three_in_one() -> WatchCache {
+    let mut mirror = WatchCache::default();
     mirror.apply(Input::Listed {
         items: vec![item(block_key(0), block(&[1, 2, 3]), 5)],
         first: Revision(5),
@@ -117,13 +117,13 @@
     mirror
 }
 
-fn blocks(mirror: &Mirror) -> Vec<(&str, u32)> {
+fn blocks(mirror: &WatchCache) -> Vec<(&str, u32)> {
     let hosts = mirror.hosts.iter();
     hosts.map(|(id, k)| (id.as_str(), k.block)).collect()
 }
 
 /// Whether a host was ever taken for gone: its owner would start its tasks elsewhere.
-fn gone(mirror: &Mirror, changes: &[Change]) -> bool {
+fn gone(mirror: &WatchCache, changes: &[Change]) -> bool {
     changes
         .iter()
         .any(|c| matches!(c, Change::Host(id) if !mirror.hosts.contains_key(id)))
@@ -191,7 +191,7 @@
             h
         };
         let mut mirror = three_in_one();
-        let changes = mirror.apply(Input::News {
+        let changes = mirror.apply(Input::WatchEvents {
             after: Revision(5),
             revision: Revision(6),
             events: order(halves()).map(|(k, v)| put(k, v, 6)).to_vec(),
@@ -199,7 +199,7 @@
         assert!(!gone(&mirror, &changes));
         assert_eq!(blocks(&mirror), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
         let mut own = three_in_one();
-        let changes = own.apply(Input::Own {
+        let changes = own.apply(Input::OwnWrite {
             changes: order(halves()).map(|(k, v)| (k, Some(v))).to_vec(),
             version: Revision(6),
         });
@@ -232,7 +232,7 @@
         assert!(!gone(&mirror, &changes) && mirror.hosts.len() == 3);
         // What is between two blocks is written into neither.
         assert!(mirror.block(0).hosts.len() + mirror.block(3).hosts.len() <= 3);
-        let changes = mirror.apply(Input::News {
+        let changes = mirror.apply(Input::WatchEvents {
             after: Revision(5),
             revision: Revision(6),
             events: vec![
@@ -251,7 +251,7 @@
         last: Revision(6),
     });
     assert_eq!(mirror.hosts.len(), 3);
-    let changes = mirror.apply(Input::News {
+    let changes = mirror.apply(Input::WatchEvents {
         after: Revision(5),
         revision: Revision(6),
         events: vec![put(block_key(0), block(&[1, 2]), 6)],
@@ -270,7 +270,7 @@
 /// stays so whatever is written afterwards.
 #[test]
 fn jobs_after_a_cancelled_one_are_cancelled_by_the_records_alone() {
-    let mut mirror = Mirror::default();
+    let mut mirror = WatchCache::default();
     mirror.apply(Input::Listed {
         items: vec![],
         first: Revision(0),
@@ -278,7 +278,7 @@
     });
     let over = |p: &str| json!({"p":p,"n":1});
     let mut apply = |revision: u64, event: WatchEvent| {
-        mirror.apply(Input::News {
+        mirror.apply(Input::WatchEvents {
             after: Revision(revision - 1),
             revision: Revision(revision),
             events: vec![event],
--- a/crates/jasperhill-controller/tests/settings.rs
+++ b/crates/jasperhill-controller/tests/settings.rs
@@ -61,7 +61,7 @@
     // The sooner of two, whichever comes last.
     assert_eq!(settings.waited_for[&"quick".into()], Micros::from_secs(2));
     // A cancellation that is not seen must end what runs in time.
-    assert!(settings.watch_age_max() + settings.lease < settings.cancel);
+    assert!(settings.cache_age_max() + settings.lease < settings.cancel);
     assert!(settings.session() < settings.lease);
 }
 
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -387,15 +387,15 @@
     text += "[[params.teams]]\nname='guest'\n";
     let mut settings = Settings::parse(&text).unwrap();
     if plan.no_floors {
-        settings.own.tuning.least_share = 0.0;
+        settings.operator.tuning.least_share = 0.0;
     }
-    settings.own.session = plan.session.map(Micros::from_secs);
+    settings.operator.session = plan.session.map(Micros::from_secs);
     if plan.blind {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
         settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
     }
     if plan.never_restless {
-        settings.own.restless_after = Some(0);
+        settings.operator.restless_after = Some(0);
     }
     settings
 }
@@ -965,7 +965,7 @@
             };
             ConnectionTracker::new(sizes, Duration::from_secs(3_600))
         } else {
-            net::sockets(&settings)
+            net::connection_tracker(&settings)
         };
         let net = Rc::new(SimTransport {
             world: self.clone(),
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -54,7 +54,7 @@
         };
         let mut settings = Settings::parse(&open(&self.config)?)?;
         if let Some(path) = &self.operator {
-            settings.own = own::parse(&open(path)?)?;
+            settings.operator = own::parse(&open(path)?)?;
         }
         Ok(settings)
     }
@@ -131,16 +131,16 @@
     }
     println!(
         "workers report every {} s, lease {} s, cancellations within {} s",
-        secs(s.report),
+        secs(s.heartbeat_interval),
         secs(s.lease),
         secs(s.cancel)
     );
     println!(
         "session {} s, mirror at most {} s old",
         secs(s.session()),
-        secs(s.watch_age_max())
+        secs(s.cache_age_max())
     );
-    let t = &s.own.tuning;
+    let t = &s.operator.tuning;
     println!(
         "uncertainty factor {}, headroom {}, idle machines kept {} s",
         t.uncertainty,
@@ -191,11 +191,11 @@
         let users = listen(settings.bind, backlog).await?;
         let peers = listen(settings.mesh, backlog / 4).await?;
         tracing::info!(member = %settings.member, bind = %settings.bind, "jasperhill serves");
-        let sockets = net::sockets(&settings);
+        let sockets = net::connection_tracker(&settings);
         // A worker reports after a report's time and a quarter at the latest; then it has gone
         // elsewhere, and its end of the connection may be beyond a cut.
         let limits = ServerLimits {
-            idle_worker: Duration::from_micros(settings.report.scale(2.5).0),
+            idle_worker: Duration::from_micros(settings.heartbeat_interval.scale(2.5).0),
             ..ServerLimits::default()
         };
         let door = Door {
--- a/crates/jasperhill/src/own.rs
+++ b/crates/jasperhill/src/own.rs
@@ -1,6 +1,6 @@
 //! The operators' own settings: protobuf text format, checked against a schema.
 
-use jasperhill_controller::{OwnSettings, SettingsError};
+use jasperhill_controller::{OperatorSettings, SettingsError};
 use jasperhill_wire::Micros;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
@@ -36,7 +36,7 @@
 }
 
 /// Reads the operators' settings.
-pub fn parse(text: &str) -> Result<OwnSettings, SettingsError> {
+pub fn parse(text: &str) -> Result<OperatorSettings, SettingsError> {
     let message = DynamicMessage::parse_text_format(descriptor()?, text)
         .map_err(|e| bad("operator settings", e))?;
     let number = |field: &str, least: f64, most: f64| -> Result<Option<f64>, SettingsError> {
@@ -51,7 +51,7 @@
             _ => Err(bad(field, format!("must be from {least} to {most}"))),
         }
     };
-    let mut own = OwnSettings::default();
+    let mut own = OperatorSettings::default();
     if let Some(x) = number("uncertainty_factor", 0.0, 100.0)? {
         own.tuning.uncertainty = x;
     }
@@ -87,7 +87,7 @@
         assert_eq!(own.tuning.headroom, 0.5);
         assert_eq!(own.session, Some(Micros::from_secs(8)));
         assert_eq!(own.tuning.uncertainty, 1.0);
-        assert_eq!(parse("").unwrap(), OwnSettings::default());
+        assert_eq!(parse("").unwrap(), OperatorSettings::default());
     }
 
     /// A file with everything that commit 6144652 understood: names and meanings stay.
