--- a/crates/jasperhill-controller/src/room.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -1,7 +1,7 @@
 //! The room that this process has for connections: what goes out to workers through the window,
 //! and what the log and `/ready` say of classes that have come to their bound.
 
-use crate::controller::Shared;
+use crate::shared::Shared;
 use jasperhill_connections::{Class, window::Input};
 use jasperhill_wire::{HostId, Micros};
 use std::{rc::Rc, time::Duration};
@@ -18,7 +18,7 @@
         let now = self.now();
         let mut turns = Vec::new();
         {
-            let window = &mut self.state.borrow_mut().window;
+            let window = &mut self.state.borrow_mut().commands.limiter;
             for key in hosts {
                 turns.extend(window.apply(Input::Enqueue(key), now));
             }
@@ -37,7 +37,7 @@
                 let answered = inner.send_commands_to(p, host.clone()).await;
                 let over = Input::Completed((p, host), answered);
                 let now = inner.now();
-                let turns = inner.state.borrow_mut().window.apply(over, now);
+                let turns = inner.state.borrow_mut().commands.limiter.apply(over, now);
                 inner.send_commands(turns);
             });
         }
@@ -45,7 +45,7 @@
 
     /// The classes of connections in which somebody was just refused.
     pub fn at_bound(&self) -> Vec<&'static str> {
-        let at_bound = self.net.sockets().at_bound(LATELY);
+        let at_bound = self.transport.connection_tracker().at_bound(LATELY);
         at_bound.into_iter().map(Class::as_str).collect()
     }
 
@@ -54,15 +54,16 @@
         let (mut told, mut said) = (Vec::new(), self.now());
         loop {
             sleep(Duration::from_secs(1)).await;
-            let sockets = self.net.sockets();
-            let machines = self.state.borrow().mirror.hosts.len();
+            let sockets = self.transport.connection_tracker();
+            let machines = self.state.borrow().cache.hosts.len();
             sockets.resize(machines);
             let size = sockets.report(Class::Commands).guaranteed;
             let now = self.now();
             let turns = self
                 .state
                 .borrow_mut()
-                .window
+                .commands
+                .limiter
                 .apply(Input::Resize(size), now);
             self.send_commands(turns);
             let at_bound = self.at_bound();
@@ -98,7 +99,7 @@
     }
 
     fn log_connection_usage(&self, open: usize, peak: usize, most: usize) {
-        let sockets = self.net.sockets();
+        let sockets = self.transport.connection_tracker();
         let [reports, users, orders] =
             [Class::Heartbeats, Class::Users, Class::Commands].map(|c| sockets.report(c));
         let mut state = self.state.borrow_mut();
@@ -110,13 +111,17 @@
             users = users.open,
             orders = orders.open,
             users_made_way = users.evicted,
-            orders_waiting = state.window.waiting(),
-            order_waited_ms = state.window.waited(0.99).0 / 1_000,
+            orders_waiting = state.commands.limiter.waiting(),
+            order_waited_ms = state.commands.limiter.waited(0.99).0 / 1_000,
             "sockets"
         );
-        state.window.forget_waits();
+        state.commands.limiter.forget_waits();
         // The class or team of whose jobs the smallest part has begun, here.
-        let standings = state.partitions.values().flat_map(|p| p.floors.standing());
+        let standings = state
+            .scheduling
+            .partitions
+            .values()
+            .flat_map(|p| p.floors.standing());
         let least = standings.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
         match least {
             Some((group, s)) => tracing::info!(
--- a/crates/jasperhill-controller/src/keep.rs
+++ b/crates/jasperhill-controller/src/delegation/mod.rs
@@ -10,8 +10,11 @@
 //! whatever is delivered late. A takeover counts from its own beginning, since every grant in
 //! the store then belongs to an ask sent before.
 
+pub mod state;
+
 use crate::{
-    controller::{Shared, State, observation_of, to_duration},
+    shared::{Shared, observation_of, to_duration},
+    state::State,
     store::{WriteOutcome, WritePriority, guard, put, put_with_lease},
 };
 use jasperhill_http::Response;
@@ -139,7 +142,7 @@
         }
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let unreached = &mut state.keeping.unreached;
+        let unreached = &mut state.delegation.requests.unreached;
         if answered {
             unreached.remove(&peer.member);
         } else {
@@ -155,9 +158,13 @@
     fn is_unreached(&self, state: &State, member: &Member, now: Micros) -> bool {
         if self.uses_reachability(state) {
             // Guards against one lost message that is taken for a cut.
-            return state.view.own_link(&LinkId::Peer(member.clone())) == LinkState::Down;
+            return state
+                .membership
+                .reachability
+                .own_link(&LinkId::Peer(member.clone()))
+                == LinkState::Down;
         }
-        let at = state.keeping.unreached.get(member);
+        let at = state.delegation.requests.unreached.get(member);
         at.is_some_and(|t| now - *t < UNREACHED_FOR)
     }
 
@@ -194,14 +201,14 @@
             if report.host.as_str().len() > HOST_BYTES / 2 {
                 return None;
             }
-            state.keeping.join(&report.host, most, now)?
+            state.delegation.requests.join(&report.host, most, now)?
         };
         if begin {
-            self.wake_keep.notify_one();
+            self.wake.delegation_requests.notify_one();
         }
         let granted = timeout(GRANT_WAIT, async {
             loop {
-                let news = self.wake_kept.notified();
+                let news = self.wake.grants_changed.notified();
                 if let Some(answer) = self.delegate_response(report) {
                     return answer;
                 }
@@ -227,21 +234,21 @@
         // Guards against a bare renewal for a task of a job that is not known here: it may be
         // cancelled as well as just accepted.
         let unknown = |t: &TaskStatus| {
-            !matches!(t.phase, TaskPhase::Exited(_)) && state.mirror.job(&t.task.job).is_none()
+            !matches!(t.phase, TaskPhase::Exited(_)) && state.cache.job(&t.task.job).is_none()
         };
         if report.tasks.iter().any(unknown) {
             return None;
         }
-        let kept = state.mirror.hosts.get(&report.host)?;
+        let kept = state.cache.hosts.get(&report.host)?;
         let p = kept.value.partition()?;
-        let (_, part) = *state.keeping.hosts.get(&report.host)?;
+        let (_, part) = *state.delegation.requests.hosts.get(&report.host)?;
         let me = delegation_part(&self.settings.member, part);
-        let grant = state.mirror.delegation_grants.get(&(p, me))?;
+        let grant = state.cache.delegation_grants.get(&(p, me))?;
         let token = *grant.value.hosts.get(&report.host)?;
         if grant.value.lease != lease {
             return None;
         }
-        let sent = *state.keeping.sent.get(&grant.value.number)?;
+        let sent = *state.delegation.requests.sent.get(&grant.value.number)?;
         let margin = Micros::from_millis(200) + self.settings.delegation_time().scale(0.002);
         if now + margin >= sent + self.settings.delegation_time() {
             return None;
@@ -249,7 +256,7 @@
         let orders: Vec<Command> = report
             .tasks
             .iter()
-            .filter(|t| state.mirror.final_phase(&t.task.job).is_some())
+            .filter(|t| state.cache.final_phase(&t.task.job).is_some())
             .map(|t| Command::Stop(t.task.clone(), t.attempt, Micros::ZERO))
             .collect();
         Some(Response::new(200, commands_body(token, None, &orders)))
@@ -258,17 +265,21 @@
     /// Writes the asks when they change, and again and again while there is something to keep.
     pub async fn delegation_request_loop(self: Rc<Self>) {
         loop {
-            let _ = timeout(Duration::from_millis(500), self.wake_keep.notified()).await;
+            let _ = timeout(
+                Duration::from_millis(500),
+                self.wake.delegation_requests.notified(),
+            )
+            .await;
             let now = self.now();
             let prepared = {
                 let mut guarded = self.state.borrow_mut();
                 let state = &mut *guarded;
                 let gone = self.settings.heartbeat_interval.scale(2.5) + Micros::from_secs(5);
-                state.keeping.leave(gone, now);
+                state.delegation.requests.leave(gone, now);
                 match state.authority.session() {
                     Session::Held { lease, version } => {
                         let again = self.settings.delegation_time().scale(0.25);
-                        Some((lease, version, state.keeping.due(again, now)))
+                        Some((lease, version, state.delegation.requests.due(again, now)))
                     }
                     Session::None => None,
                 }
@@ -317,7 +328,14 @@
         let done = self
             .write(WritePriority::Accept, guards, vec![change], limit)
             .await;
-        if let Some(part) = self.state.borrow_mut().keeping.parts.get_mut(&part) {
+        if let Some(part) = self
+            .state
+            .borrow_mut()
+            .delegation
+            .requests
+            .parts
+            .get_mut(&part)
+        {
             part.written = !empty || !matches!(done, WriteOutcome::Committed(_));
         }
     }
@@ -326,7 +344,13 @@
     fn ping_unreached(self: &Rc<Self>) {
         let unreached: Vec<Member> = {
             let state = self.state.borrow();
-            state.keeping.unreached.keys().cloned().collect()
+            state
+                .delegation
+                .requests
+                .unreached
+                .keys()
+                .cloned()
+                .collect()
         };
         for member in unreached {
             let Some(address) = self.address_of(&member) else {
@@ -343,12 +367,16 @@
     /// Answers asks, and removes grants that are over.
     pub async fn delegation_grant_loop(self: Rc<Self>) {
         loop {
-            let _ = timeout(Duration::from_secs(1), self.wake_grant.notified()).await;
+            let _ = timeout(
+                Duration::from_secs(1),
+                self.wake.delegation_grants.notified(),
+            )
+            .await;
             let (asked, wanted) = {
                 let mut state = self.state.borrow_mut();
                 (
-                    std::mem::take(&mut state.asked),
-                    std::mem::take(&mut state.wanted),
+                    std::mem::take(&mut state.delegation.changed_requests),
+                    std::mem::take(&mut state.proposals.received),
                 )
             };
             for id in wanted {
@@ -368,7 +396,7 @@
         let mut guarded = self.state.borrow_mut();
         let state = &mut *guarded;
         let Some(ask) = state
-            .mirror
+            .cache
             .delegation_requests
             .get(keeper)
             .map(|k| k.value.clone())
@@ -386,7 +414,7 @@
         let bounds = self.settings.bounds;
         let quiet = self.settings.heartbeat_interval.scale(1.25) + Micros::from_millis(500);
         let mut grants = Vec::new();
-        for (p, partition) in &mut state.partitions {
+        for (p, partition) in &mut state.scheduling.partitions {
             let silent: BTreeMap<HostId, FencingToken> = ask
                 .hosts
                 .iter()
@@ -410,7 +438,8 @@
                 partition.apply(id, HostInput::LeaseDelegated(until), now);
             }
             state
-                .granted
+                .delegation
+                .grants
                 .insert((*p, keeper.clone()), (ask.number, now));
             grants.push((*p, partition.since, silent));
         }
@@ -448,14 +477,18 @@
             if !state.authority.holds(now) {
                 return;
             }
-            for (p, partition) in &state.partitions {
-                for (q, keeper) in state.mirror.delegation_grants.keys() {
+            for (p, partition) in &state.scheduling.partitions {
+                for (q, keeper) in state.cache.delegation_grants.keys() {
                     if q != p {
                         continue;
                     }
                     let key = (*p, keeper.clone());
                     // One from before this ownership counts as given now.
-                    let (_, at) = *state.granted.entry(key.clone()).or_insert((0, now));
+                    let (_, at) = *state
+                        .delegation
+                        .grants
+                        .entry(key.clone())
+                        .or_insert((0, now));
                     if now - at > self.settings.delegation_time().scale(1.5) + Micros::from_secs(2)
                     {
                         over.push((key, partition.since));
@@ -463,7 +496,7 @@
                 }
             }
             for (key, _) in &over {
-                state.granted.remove(key);
+                state.delegation.grants.remove(key);
             }
         }
         for ((p, keeper), since) in over {
--- a/crates/jasperhill-controller/src/upgrade.rs
+++ b/crates/jasperhill-controller/src/feature_gate.rs
@@ -7,7 +7,7 @@
 };
 use std::collections::BTreeMap;
 
-use crate::mirror::Versioned;
+use crate::watch_cache::Versioned;
 
 /// Where the deployment stands between two versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/jasperhill-controller/src/workers.rs
+++ b/crates/jasperhill-controller/src/heartbeats/mod.rs
@@ -1,12 +1,14 @@
 //! Dealings with workers: their reports, direct orders, results to be written, tokens to be
 //! raised.
 
+pub mod state;
+
 use crate::{
-    controller::{Shared, to_duration},
-    hostbook::HostUpdate,
-    links::{CommandRoute, HeartbeatRoute},
-    mirror::JobEntry,
+    host_registry::HostUpdate,
+    relay::{CommandRoute, HeartbeatRoute},
+    shared::{Shared, to_duration},
     store::{WriteOutcome, WritePriority, guard, put},
+    watch_cache::JobEntry,
 };
 use jasperhill_connections::window;
 use jasperhill_http::{ClientError, Method, Request, Response};
@@ -119,10 +121,10 @@
             let now = self.now();
             let mut state = self.state.borrow_mut();
             let lease = self.settings.lease;
-            if state.answered_here.len() > ANSWERED_MAX {
-                state.answered_here.retain(|_, t| now - *t < lease);
+            if state.heartbeats.answered.len() > ANSWERED_MAX {
+                state.heartbeats.answered.retain(|_, t| now - *t < lease);
             }
-            state.answered_here.insert(report.host, now);
+            state.heartbeats.answered.insert(report.host, now);
             return mine.response;
         };
         self.route_heartbeat(owner, &report, body, began, true)
@@ -150,7 +152,7 @@
             Some(HeartbeatRoute::Redirect(third)) => {
                 let now = self.now();
                 let mut state = self.state.borrow_mut();
-                state.redirected.insert(host.clone(), now);
+                state.relay.redirected.insert(host.clone(), now);
                 return redirect(Some(third));
             }
             Some(HeartbeatRoute::Through(third)) => {
@@ -188,10 +190,13 @@
         let now = self.now();
         let came_back = {
             let mut state = self.state.borrow_mut();
-            if state.redirected.len() > 1_000 {
-                state.redirected.retain(|_, t| now - *t < RELAY_MEMORY);
+            if state.relay.redirected.len() > 1_000 {
+                state
+                    .relay
+                    .redirected
+                    .retain(|_, t| now - *t < RELAY_MEMORY);
             }
-            let last = state.redirected.insert(host.clone(), now);
+            let last = state.relay.redirected.insert(host.clone(), now);
             last.is_some_and(|t| now - t < RELAY_MEMORY)
         };
         if !came_back {
@@ -239,27 +244,33 @@
             // not heard here: its session must be about to end. One that should have ended goes on.
             let ttl = state.authority.ttl();
             let ends = |m: &Member| {
-                let unheard = state.unheard.get(m);
+                let unheard = state.membership.silent_since.get(m);
                 unheard.is_some_and(|t| {
                     let silent = now - *t;
                     silent + HOLD + NOTICED >= ttl && silent < ttl + NOTICED
                 })
             };
-            let here = state.view.own_link(&LinkId::Store) == mesh::LinkState::Up
+            let here = state.membership.reachability.own_link(&LinkId::Store)
+                == mesh::LinkState::Up
                 && state.authority.holds(now);
-            let moves = here || (owner.is_none() && state.view.is_store_reachable_elsewhere(now));
+            let moves = here
+                || (owner.is_none()
+                    && state
+                        .membership
+                        .reachability
+                        .is_store_reachable_elsewhere(now));
             let lost = self.uses_reachability(&state)
                 && owner.is_none_or(ends)
                 && moves
-                && state.mirror.hosts.contains_key(&report.host);
-            match state.passing.deferred_heartbeat() {
+                && state.cache.hosts.contains_key(&report.host);
+            match state.relay.slots.deferred_heartbeat() {
                 Some(turn) if lost => turn,
                 _ => return DeferralOutcome::Not,
             }
         };
         let settled = async {
             loop {
-                let news = self.wake_owned.notified();
+                let news = self.wake.ownership_changed.notified();
                 match self.report(report) {
                     Ok(HeartbeatReply {
                         owner: None,
@@ -305,7 +316,10 @@
         let now = self.now();
         let (probe, stays, probing) = {
             let state = self.state.borrow();
-            let orders = state.view.own_link(&LinkId::Commands(report.zone.clone()));
+            let orders = state
+                .membership
+                .reachability
+                .own_link(&LinkId::Commands(report.zone.clone()));
             let lease = self.settings.lease;
             let lately = |t: Option<&Micros>| t.is_some_and(|t| now - *t < lease);
             // Asking each of them would take as many requests as there are workers: the link is
@@ -313,12 +327,12 @@
             // orders but no reports, or reports but no answers to them: a worker that comes back
             // all the same, or that was answered here lately, is not sent home.
             let stays = orders == mesh::LinkState::Down
-                || lately(state.sent_home.get(&host))
-                || lately(state.answered_here.get(&host));
+                || lately(state.relay.sent_to_owner.get(&host))
+                || lately(state.heartbeats.answered.get(&host));
             let young = |at: Micros| now - at < Micros::from_secs(1);
-            let asked = state.probes.values();
+            let asked = state.relay.probes.values();
             let probing = asked.filter(|(at, ok)| !ok && young(*at)).count();
-            (state.probes.get(&host).copied(), stays, probing)
+            (state.relay.probes.get(&host).copied(), stays, probing)
         };
         if stays {
             return mine.response;
@@ -327,10 +341,10 @@
             Some((at, true)) if now - at < Micros::from_secs(5) => {
                 let mut state = self.state.borrow_mut();
                 let lease = self.settings.lease;
-                if state.sent_home.len() > 1_000 {
-                    state.sent_home.retain(|_, t| now - *t < lease);
+                if state.relay.sent_to_owner.len() > 1_000 {
+                    state.relay.sent_to_owner.retain(|_, t| now - *t < lease);
                 }
-                state.sent_home.insert(host, now);
+                state.relay.sent_to_owner.insert(host, now);
                 return redirect(None);
             }
             Some((at, _)) if now - at < Micros::from_secs(4) => {}
@@ -346,11 +360,12 @@
             let mut state = self.state.borrow_mut();
             let now = self.now();
             state
+                .relay
                 .probes
                 .retain(|_, (at, _)| now - *at < Micros::from_secs(30));
-            state.probes.insert(host.clone(), (now, false));
+            state.relay.probes.insert(host.clone(), (now, false));
             state
-                .mirror
+                .cache
                 .hosts
                 .get(&host)
                 .and_then(|k| k.value.address.parse::<SocketAddr>().ok())
@@ -360,7 +375,11 @@
         let answer = self.call(address, request, Micros::from_secs(1)).await;
         if answer.is_ok_and(|a| a.status == 200) {
             let now = self.now();
-            self.state.borrow_mut().probes.insert(host, (now, true));
+            self.state
+                .borrow_mut()
+                .relay
+                .probes
+                .insert(host, (now, true));
         }
     }
 
@@ -369,8 +388,8 @@
         let host = report.host.clone();
         let mut guarded = self.state.borrow_mut();
         let state = &mut *guarded;
-        let Some(kept) = state.mirror.hosts.get(&host) else {
-            if state.leader.is_some() && state.authority.holds(now) {
+        let Some(kept) = state.cache.hosts.get(&host) else {
+            if state.provisioning.leader.is_some() && state.authority.holds(now) {
                 // Not taken on yet.
                 return Err(unavailable());
             }
@@ -379,18 +398,19 @@
         };
         let Some(p) = kept.value.partition() else {
             // What it became since a stale mirror last heard of it, the leader knows.
-            let stale = state.view.own_link(&LinkId::Store) == mesh::LinkState::Down;
+            let stale =
+                state.membership.reachability.own_link(&LinkId::Store) == mesh::LinkState::Down;
             let leader = self.latest_owner(state, Role::Leader).filter(|_| stale);
             return match self.redirect_to(leader) {
                 told @ HeartbeatReply { owner: Some(_), .. } => Ok(told),
                 _ => Err(redirect(None)),
             };
         };
-        if !state.partitions.contains_key(&p) {
+        if !state.scheduling.partitions.contains_key(&p) {
             let owner = self.latest_owner(state, Role::Partition(p));
             return Ok(self.redirect_to(owner));
         }
-        let Some(partition) = state.partitions.get_mut(&p) else {
+        let Some(partition) = state.scheduling.partitions.get_mut(&p) else {
             return Err(unavailable());
         };
         if !state.authority.holds(now) {
@@ -411,11 +431,14 @@
         }
         partition.apply(&host, HostInput::Answered(&orders), now);
         if partition.changed {
-            self.wake_pass.notify_one();
-        }
-        let blind = state.view.own_link(&LinkId::Store) == mesh::LinkState::Down;
-        state.answered_blind += u32::from(blind);
-        let turns = state.window.apply(window::Input::Heard((p, host)), now);
+            self.wake.scheduler.notify_one();
+        }
+        let blind = state.membership.reachability.own_link(&LinkId::Store) == mesh::LinkState::Down;
+        state.heartbeats.answered_without_store += u32::from(blind);
+        let turns = state
+            .commands
+            .limiter
+            .apply(window::Input::Heard((p, host)), now);
         drop(guarded);
         self.send_commands(turns);
         let response = Response::new(200, commands_body(token, None, &orders));
@@ -445,8 +468,8 @@
         let is_new = {
             let now = self.now();
             let state = self.state.borrow();
-            !state.mirror.hosts.contains_key(&report.host)
-                && state.leader.is_some()
+            !state.cache.hosts.contains_key(&report.host)
+                && state.provisioning.leader.is_some()
                 && state.authority.holds(now)
         };
         if !is_new {
@@ -455,6 +478,7 @@
         let expected = {
             let state = self.state.borrow();
             state
+                .provisioning
                 .leader
                 .as_ref()
                 .is_some_and(|l| l.expects(&report.host))
@@ -467,8 +491,8 @@
         }
         let known = async {
             loop {
-                let news = self.wake_hosts.notified();
-                if self.state.borrow().mirror.hosts.contains_key(&report.host) {
+                let news = self.wake.hosts_changed.notified();
+                if self.state.borrow().cache.hosts.contains_key(&report.host) {
                     return;
                 }
                 news.await;
@@ -503,27 +527,29 @@
     async fn adopt(self: Rc<Self>, report: Heartbeat) {
         {
             let mut state = self.state.borrow_mut();
-            let Some(specs) = &state.specs else { return };
+            let Some(specs) = &state.scheduling.specs else {
+                return;
+            };
             if !specs.contains_key(&report.machine_type)
                 || report.address.parse::<SocketAddr>().is_err()
-                || state.newcomers.len() >= NEWCOMERS_MAX
-                || !state.bumping.insert(report.host.clone())
+                || state.heartbeats.unregistered.len() >= NEWCOMERS_MAX
+                || !state.commands.token_updates.insert(report.host.clone())
             {
                 return;
             }
-            state.newcomers.push(report);
-            if state.newcomers.len() > 1 {
+            state.heartbeats.unregistered.push(report);
+            if state.heartbeats.unregistered.len() > 1 {
                 return;
             }
         }
         tokio::time::sleep(NEWCOMERS_WAIT).await;
         let (newcomers, edits) = {
             let mut guarded = self.state.borrow_mut();
-            let newcomers = std::mem::take(&mut guarded.newcomers);
+            let newcomers = std::mem::take(&mut guarded.heartbeats.unregistered);
             let mut needs = self.capacity_needs(&guarded);
             let state = &mut *guarded;
             let mut edits = Vec::new();
-            if let Some(leader) = state.leader.as_mut() {
+            if let Some(leader) = state.provisioning.leader.as_mut() {
                 for report in &newcomers {
                     leader.came_up(&report.host, self.now());
                     let partition = needs.partition_most_in_need(&report.zone, report.spot);
@@ -536,8 +562,8 @@
                         spot: report.spot,
                         rewrites: 0,
                     };
-                    let block = state.book.assign_block(
-                        &state.mirror,
+                    let block = state.host_registry.assign_block(
+                        &state.cache,
                         &report.host,
                         &record,
                         (partition, self.settings.size),
@@ -559,7 +585,7 @@
         if edits.is_empty() {
             let mut state = self.state.borrow_mut();
             for report in newcomers {
-                state.bumping.remove(&report.host);
+                state.commands.token_updates.remove(&report.host);
             }
         }
         for (block, edit) in edits {
@@ -570,7 +596,12 @@
                 if let WriteOutcome::Committed(_) = inner.update_host(block, edit).await {
                     tracing::info!(%host, ?usage, "host taken on");
                 }
-                inner.state.borrow_mut().bumping.remove(&host);
+                inner
+                    .state
+                    .borrow_mut()
+                    .commands
+                    .token_updates
+                    .remove(&host);
             });
         }
     }
@@ -580,7 +611,7 @@
     pub async fn send_commands_to(self: &Rc<Self>, p: u32, id: HostId) -> Option<bool> {
         let (address, since, tenure, zone, of) = {
             let state = self.state.borrow();
-            state.partitions.get(&p).and_then(|part| {
+            state.scheduling.partitions.get(&p).and_then(|part| {
                 let host = part.hosts.get(&id)?;
                 if host.in_flight() || host.in_doubt() {
                     return None;
@@ -615,7 +646,7 @@
         let request = Request::new(Method::Post, "/do", body);
         let answer = self.call_worker(there, address, request, limit).await;
         let now = self.now();
-        if let Some(partition) = self.state.borrow_mut().partitions.get_mut(&p)
+        if let Some(partition) = self.state.borrow_mut().scheduling.partitions.get_mut(&p)
             && partition.since == since
         {
             let input = match &answer {
@@ -637,7 +668,7 @@
         {
             self.apply_direct_response(p, since, &id, &answer.body);
         }
-        self.wake_pass.notify_one();
+        self.wake.scheduler.notify_one();
         answered
     }
 
@@ -650,6 +681,7 @@
             return None;
         }
         let partition = state
+            .scheduling
             .partitions
             .get_mut(&p)
             .filter(|part| part.since == since)?;
@@ -677,7 +709,7 @@
         let now = self.now();
         match Heartbeat::parse(body) {
             Ok(report) if &report.host == id => {
-                if let Some(partition) = self.state.borrow_mut().partitions.get_mut(&p)
+                if let Some(partition) = self.state.borrow_mut().scheduling.partitions.get_mut(&p)
                     && partition.since == since
                 {
                     partition.on_report(&report, Source::Direct, now);
@@ -695,11 +727,11 @@
         {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            if state.partial_due.len() > PARTIAL_MAX {
+            if state.results.partial_due.len() > PARTIAL_MAX {
                 // Jobs of partitions that went elsewhere.
-                state.partial_due.retain(|_, at| now < *at);
+                state.results.partial_due.retain(|_, at| now < *at);
             }
-            for partition in state.partitions.values_mut() {
+            for partition in state.scheduling.partitions.values_mut() {
                 for id in std::mem::take(&mut partition.unsaved) {
                     let Some(job) = partition.jobs.get(&id) else {
                         continue;
@@ -711,28 +743,35 @@
                         continue;
                     }
                     // What others wait for goes ahead.
-                    let needed = whole && state.mirror.dependencies.is_needed(&id);
-                    if state.saving.contains(&id) || (state.saving.len() > SAVING_MAX && !needed) {
+                    let needed = whole && state.cache.dependencies.is_needed(&id);
+                    if state.results.saving.contains(&id)
+                        || (state.results.saving.len() > SAVING_MAX && !needed)
+                    {
                         partition.unsaved.insert(id);
                         continue;
                     }
                     if whole {
-                        state.partial_due.remove(&id);
+                        state.results.partial_due.remove(&id);
                     } else {
                         // The more jobs have partial results, the seldomer each is written:
                         // together they use no more than a part of the limit. What is not
                         // written is safe with the workers, who forget nothing before it is.
-                        let rate = (state.writer.rate() * PARTIAL_SHARE).max(0.1);
-                        let wait = Micros::from_secs_f64(state.partial_due.len() as f64 / rate)
-                            .clamp(PARTIAL_SOONEST, PARTIAL_LATEST);
-                        let at = *state.partial_due.entry(id.clone()).or_insert(now + wait);
+                        let rate = (state.store.commit_queue.rate() * PARTIAL_SHARE).max(0.1);
+                        let wait =
+                            Micros::from_secs_f64(state.results.partial_due.len() as f64 / rate)
+                                .clamp(PARTIAL_SOONEST, PARTIAL_LATEST);
+                        let at = *state
+                            .results
+                            .partial_due
+                            .entry(id.clone())
+                            .or_insert(now + wait);
                         if now < at {
                             partition.unsaved.insert(id);
                             continue;
                         }
-                        state.partial_due.remove(&id);
+                        state.results.partial_due.remove(&id);
                     }
-                    state.saving.insert(id.clone());
+                    state.results.saving.insert(id.clone());
                     due.push((partition.id, id));
                 }
             }
@@ -743,10 +782,10 @@
     }
 
     async fn save(self: Rc<Self>, p: u32, id: JobId) {
-        let needed = self.state.borrow().mirror.dependencies.is_needed(&id);
+        let needed = self.state.borrow().cache.dependencies.is_needed(&id);
         let prepared = {
             let state = self.state.borrow();
-            match (state.partitions.get(&p), state.mirror.job(&id)) {
+            match (state.scheduling.partitions.get(&p), state.cache.job(&id)) {
                 (Some(partition), Some(JobEntry::Active(active))) => self
                     .result_record(partition, &id, active)
                     .map(|(record, tasks)| {
@@ -777,7 +816,7 @@
                 .await;
             saved = matches!(done, WriteOutcome::Committed(_));
             if saved {
-                if let Some(partition) = self.state.borrow_mut().partitions.get_mut(&p)
+                if let Some(partition) = self.state.borrow_mut().scheduling.partitions.get_mut(&p)
                     && partition.since == since
                 {
                     partition.saved(&id, &tasks, failing);
@@ -788,8 +827,8 @@
             }
         }
         let mut state = self.state.borrow_mut();
-        state.saving.remove(&id);
-        if let Some(partition) = state.partitions.get_mut(&p)
+        state.results.saving.remove(&id);
+        if let Some(partition) = state.scheduling.partitions.get_mut(&p)
             && partition.jobs.get(&id).is_some_and(|j| {
                 j.ending.is_none()
                     && (!j.unsaved.is_empty() || j.trust.failing() != j.failing_saved)
@@ -797,7 +836,7 @@
         {
             partition.unsaved.insert(id);
             if saved {
-                self.wake_pass.notify_one();
+                self.wake.scheduler.notify_one();
             }
         }
     }
@@ -806,7 +845,7 @@
         &self,
         partition: &Partition,
         id: &JobId,
-        active: &crate::mirror::ActiveJob,
+        active: &crate::watch_cache::ActiveJob,
     ) -> Option<(JobRecord, BTreeSet<u32>)> {
         let job = partition.jobs.get(id)?;
         if job.done.is_full() {
@@ -861,14 +900,14 @@
         {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            for id in state.mirror.dependencies.doomed() {
-                if state.cancelling.len() >= CANCELLING_MAX {
+            for id in state.cache.dependencies.doomed() {
+                if state.results.cancelling.len() >= CANCELLING_MAX {
                     break;
                 }
-                if let Some(JobEntry::Active(job)) = state.mirror.job(id)
+                if let Some(JobEntry::Active(job)) = state.cache.job(id)
                     && let Some(p) = self.partition_of(&job.request.team)
-                    && let Some(partition) = state.partitions.get(&p)
-                    && state.cancelling.insert(id.clone())
+                    && let Some(partition) = state.scheduling.partitions.get(&p)
+                    && state.results.cancelling.insert(id.clone())
                 {
                     let since = partition.since;
                     due.push((p, since, id.clone(), job.version, job.done_count));
@@ -888,11 +927,11 @@
                 let done = inner
                     .write(WritePriority::Background, guards, changes, limit)
                     .await;
-                inner.state.borrow_mut().cancelling.remove(&id);
+                inner.state.borrow_mut().results.cancelling.remove(&id);
                 match done {
                     WriteOutcome::Committed(_) => {
                         tracing::info!(job = %id, "cancelled with a job before it");
-                        inner.wake_pass.notify_one();
+                        inner.wake.scheduler.notify_one();
                     }
                     // Tried again with the next tick, by what the mirror then shows.
                     _ => {
@@ -911,11 +950,11 @@
         {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            for (p, partition) in &state.partitions {
+            for (p, partition) in &state.scheduling.partitions {
                 for host in partition.hosts.values().filter(|h| h.needs_token()) {
-                    if let Some(kept) = state.mirror.hosts.get(&host.id)
-                        && !state.book.is_backing_off(kept.block, now)
-                        && state.bumping.insert(host.id.clone())
+                    if let Some(kept) = state.cache.hosts.get(&host.id)
+                        && !state.host_registry.is_backing_off(kept.block, now)
+                        && state.commands.token_updates.insert(host.id.clone())
                     {
                         due.push((*p, partition.since, host.id.clone(), kept.clone()));
                     }
@@ -937,7 +976,7 @@
                 };
                 // Done: the mirror hands the new revision to the partition.
                 inner.update_host(kept.block, edit).await;
-                inner.state.borrow_mut().bumping.remove(&id);
+                inner.state.borrow_mut().commands.token_updates.remove(&id);
             });
         }
     }
--- a/crates/jasperhill-controller/src/hostbook.rs
+++ b/crates/jasperhill-controller/src/host_registry.rs
@@ -8,9 +8,10 @@
 //! so that no host is ever in two blocks or in none.
 
 use crate::{
-    controller::{Shared, State},
-    mirror::WatchCache,
+    shared::Shared,
+    state::State,
     store::{WriteOutcome, WritePriority, guard, put},
+    watch_cache::WatchCache,
 };
 use jasperhill_wire::{
     HostId, Micros, Revision,
@@ -174,7 +175,7 @@
         let (reply, fate) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
-            let waiting = state.book.waiting.entry(block).or_default();
+            let waiting = state.host_registry.waiting.entry(block).or_default();
             if waiting.len() >= WAITING_MAX {
                 return WriteOutcome::NotExecuted;
             }
@@ -186,11 +187,16 @@
 
     /// Begins to write a block's edits, unless that is under way.
     fn write_block(self: &Rc<Self>, block: u32) {
-        if self.state.borrow_mut().book.writing.insert(block) {
+        if self.state.borrow_mut().host_registry.writing.insert(block) {
             let inner = self.clone();
             self.clone().spawn(async move {
                 while inner.write_block_once(block).await {}
-                inner.state.borrow_mut().book.writing.remove(&block);
+                inner
+                    .state
+                    .borrow_mut()
+                    .host_registry
+                    .writing
+                    .remove(&block);
             });
         }
     }
@@ -221,24 +227,28 @@
             if done == WriteOutcome::NotExecuted && now - sent < limit {
                 // Refused, not merely late. Guards against one block that is written again and
                 // again although the state service does not take it.
-                state.book.refused.retain(|_, until| now < *until);
-                state.book.refused.insert(block, now + REFUSED_FOR);
+                state.host_registry.refused.retain(|_, until| now < *until);
+                state.host_registry.refused.insert(block, now + REFUSED_FOR);
             }
             if let WriteOutcome::Committed(_) = done
                 && !fresh.is_empty()
             {
                 tracing::info!(block, into = fresh.len(), "host block split");
-                let State { book, mirror, .. } = &mut *state;
-                for (id, place) in &mut book.placed {
+                let State {
+                    host_registry,
+                    cache,
+                    ..
+                } = &mut *state;
+                for (id, place) in &mut host_registry.placed {
                     if *place == block
-                        && let Some(kept) = mirror.hosts.get(id)
+                        && let Some(kept) = cache.hosts.get(id)
                     {
                         *place = kept.block;
                     }
                 }
             }
             for n in &fresh {
-                state.book.reserved.remove(n);
+                state.host_registry.reserved.remove(n);
             }
             done
         };
@@ -248,7 +258,7 @@
                 let fine = self.read_index().await;
                 let mut state = self.state.borrow_mut();
                 if fine {
-                    let waiting = state.book.waiting.entry(block).or_default();
+                    let waiting = state.host_registry.waiting.entry(block).or_default();
                     waiting.splice(0..0, edits);
                 } else {
                     answer(edits, WriteOutcome::Conflict);
@@ -265,20 +275,22 @@
         let mut due = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            if !state.upgrade.supports(DEPENDENCIES) || state.leader.is_none() {
+            if !state.membership.features.supports(DEPENDENCIES)
+                || state.provisioning.leader.is_none()
+            {
                 return;
             }
             let now = self.now();
-            for (block, bytes) in &state.mirror.block_bytes {
+            for (block, bytes) in &state.cache.block_bytes {
                 if *bytes > self.settings.value_bytes
                     && due.len() < SPLITS_MAX
-                    && !state.book.is_backing_off(*block, now)
-                    && !state.book.writing.contains(block)
+                    && !state.host_registry.is_backing_off(*block, now)
+                    && !state.host_registry.writing.contains(block)
                 {
                     due.push(*block);
                 }
             }
-            state.book.splitting.extend(due.iter().copied());
+            state.host_registry.splitting.extend(due.iter().copied());
         }
         for block in due {
             self.write_block(block);
@@ -287,21 +299,29 @@
 
     /// The edits of one role that can be written together now, and the write.
     fn next_block(&self, state: &mut State, block: u32, now: Micros) -> Option<PreparedWrite> {
-        let split = state.book.splitting.remove(&block);
-        let waiting = state.book.waiting.remove(&block).unwrap_or_default();
-        let leader = state.leader.as_ref().map(|l| (Role::Leader, l.since));
+        let split = state.host_registry.splitting.remove(&block);
+        let waiting = state
+            .host_registry
+            .waiting
+            .remove(&block)
+            .unwrap_or_default();
+        let leader = state
+            .provisioning
+            .leader
+            .as_ref()
+            .map(|l| (Role::Leader, l.since));
         let role = match waiting.first() {
             Some(w) => w.edit.role,
             None if split => leader?,
             None => return None,
         };
-        let mut hosts = state.mirror.block(block);
-        let version = state.mirror.blocks.get(&block).copied();
+        let mut hosts = state.cache.block(block);
+        let version = state.cache.blocks.get(&block).copied();
         let (mut edits, mut rest): (Vec<PendingUpdate>, Vec<PendingUpdate>) =
             (Vec::new(), Vec::new());
         let mut touched: BTreeSet<HostId> = BTreeSet::new();
         // The role may have changed hands since.
-        let owned = state.mirror.roles.get(&role.0).map(|k| k.version);
+        let owned = state.cache.roles.get(&role.0).map(|k| k.version);
         for w in waiting {
             let HostUpdate {
                 host,
@@ -309,8 +329,8 @@
                 new_record: becomes,
                 ..
             } = &w.edit;
-            let kept = state.mirror.hosts.get(host);
-            if now >= w.edit.deadline || state.book.is_backing_off(block, now) {
+            let kept = state.cache.hosts.get(host);
+            if now >= w.edit.deadline || state.host_registry.is_backing_off(block, now) {
                 let _ = w.reply.send(WriteOutcome::NotExecuted);
             } else if kept.map(|k| k.version) != *was
                 || kept.is_some_and(|k| k.block != block)
@@ -329,11 +349,11 @@
             }
         }
         if !rest.is_empty() {
-            state.book.waiting.insert(block, rest);
+            state.host_registry.waiting.insert(block, rest);
         }
         if edits.is_empty() && !(split && version.is_some()) {
             return state
-                .book
+                .host_registry
                 .waiting
                 .contains_key(&block)
                 .then(|| PreparedWrite {
@@ -362,7 +382,7 @@
             edits = edits.len(),
             "host block"
         );
-        if bytes <= self.settings.value_bytes || !state.upgrade.supports(DEPENDENCIES) {
+        if bytes <= self.settings.value_bytes || !state.membership.features.supports(DEPENDENCIES) {
             return Some(PreparedWrite {
                 edits,
                 urgency,
@@ -377,13 +397,13 @@
         let (mut fresh, mut next) = (Vec::new(), block);
         for part in parts {
             next += self.settings.size;
-            while state.mirror.blocks.contains_key(&next)
-                || state.book.reserved.contains(&next)
-                || state.book.waiting.contains_key(&next)
+            while state.cache.blocks.contains_key(&next)
+                || state.host_registry.reserved.contains(&next)
+                || state.host_registry.waiting.contains_key(&next)
             {
                 next += self.settings.size;
             }
-            state.book.reserved.insert(next);
+            state.host_registry.reserved.insert(next);
             fresh.push(next);
             guards.push(guard(block_key(next), Revision(0)));
             changes.push(put(block_key(next), &part));
--- a/crates/jasperhill-controller/src/lib.rs
+++ b/crates/jasperhill-controller/src/lib.rs
@@ -2,28 +2,34 @@
 //! the mesh, the user API, dealings with workers and the cloud. Thin I/O around the state
 //! machines here and in `jasperhill-scheduler`.
 
-pub mod budget;
 pub mod clock;
-mod cloud;
+mod commands;
+mod connections;
 pub mod controller;
-mod counts;
-mod hostbook;
-mod keep;
-mod links;
+mod delegation;
+mod feature_gate;
+mod heartbeats;
+mod host_registry;
+mod membership;
 mod mesh;
-pub mod mirror;
-pub mod net;
-pub mod pulse;
+mod proposals;
+mod provisioner;
+mod relay;
+mod results;
 mod roles;
-mod room;
+mod scheduling;
 pub mod settings;
+mod shared;
+pub mod stall_detector;
+mod state;
 mod store;
-mod upgrade;
+mod task_counts;
+pub mod token_bucket;
+pub mod transport;
 mod users;
-mod wants;
-mod workers;
+pub mod watch_cache;
 
 pub use clock::Clock;
 pub use controller::Controller;
-pub use net::{HttpTransport, Transport};
 pub use settings::{OperatorSettings, Settings, SettingsError};
+pub use transport::{HttpTransport, Transport};
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -1,6 +1,6 @@
 //! The mesh between controllers: CBOR over HTTP. One that can't be reached is no error.
 
-use crate::controller::Shared;
+use crate::shared::Shared;
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_wire::{
     Micros,
@@ -24,7 +24,7 @@
     fn is_store_reachable(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
-        now - state.authority.fresh() < FRESH && !state.pulse.is_store_silent(now)
+        now - state.authority.fresh() < FRESH && !state.stalls.is_store_silent(now)
     }
 
     /// Looks around while the state service is silent: if it answers the others, users are
@@ -60,7 +60,7 @@
                 }
             }
             rounds = if alone { rounds + 1 } else { 0 };
-            self.state.borrow_mut().alone = rounds >= 2;
+            self.state.borrow_mut().isolation.isolated = rounds >= 2;
         }
     }
 
@@ -121,7 +121,8 @@
                 machines,
                 boot_time: ready,
             }) => {
-                self.state.borrow_mut().elastic = Some((machines, ready, self.now()));
+                self.state.borrow_mut().provisioning.spare_capacity =
+                    Some((machines, ready, self.now()));
                 MeshResponse::Acknowledged
             }
             Ok(MeshRequest::UnmetDemand {
@@ -130,7 +131,11 @@
             }) => {
                 if partition < self.settings.size {
                     let unmet = (f64::from(thousandths) / 1e3, self.now());
-                    self.state.borrow_mut().unmet.insert(partition, unmet);
+                    self.state
+                        .borrow_mut()
+                        .provisioning
+                        .unmet_demand
+                        .insert(partition, unmet);
                 }
                 MeshResponse::Acknowledged
             }
--- a/crates/jasperhill-controller/src/wants.rs
+++ b/crates/jasperhill-controller/src/proposals/mod.rs
@@ -7,8 +7,10 @@
 //! job's record is written once, guarded by its absence, and a user who was told to come back
 //! finds it there.
 
+pub mod state;
+
 use crate::{
-    controller::Shared,
+    shared::Shared,
     store::{WriteOutcome, WritePriority, guard, put, put_with_lease},
 };
 use jasperhill_membership::{authority::Session, view::LinkId};
@@ -33,7 +35,11 @@
     pub fn proposes_through_store(&self, owner: &Member) -> bool {
         let state = self.state.borrow();
         self.uses_reachability(&state)
-            && state.view.own_link(&LinkId::Peer(owner.clone())) == LinkState::Down
+            && state
+                .membership
+                .reachability
+                .own_link(&LinkId::Peer(owner.clone()))
+                == LinkState::Down
     }
 
     /// Puts a job before its owner through the store, and waits for its word.
@@ -51,10 +57,10 @@
                 return MeshResponse::Unavailable;
             };
             if bytes > self.settings.value_bytes
-                || state.alone
-                || state.wanting.len() >= WANTS_MAX
-                || state.mirror.proposals.contains_key(&id)
-                || !state.wanting.insert(id.clone())
+                || state.isolation.isolated
+                || state.proposals.open.len() >= WANTS_MAX
+                || state.cache.proposals.contains_key(&id)
+                || !state.proposals.open.insert(id.clone())
             {
                 return MeshResponse::Unavailable;
             }
@@ -70,7 +76,7 @@
             WriteOutcome::Committed(_) => timeout(WAIT, self.proposal_outcome(&id)).await.ok(),
             _ => None,
         };
-        self.state.borrow_mut().wanting.remove(&id);
+        self.state.borrow_mut().proposals.open.remove(&id);
         if !matches!(done, WriteOutcome::Conflict | WriteOutcome::NotExecuted) {
             self.clone().spawn(self.clone().delete_proposal(id));
         }
@@ -80,13 +86,13 @@
     /// The owner's word: the job's record, or a refusal.
     async fn proposal_outcome(&self, id: &JobId) -> MeshResponse {
         loop {
-            let news = self.wake_wants.notified();
+            let news = self.wake.proposals.notified();
             {
                 let state = self.state.borrow();
-                if state.mirror.job(id).is_some() {
+                if state.cache.job(id).is_some() {
                     return MeshResponse::Accepted;
                 }
-                let want = state.mirror.proposals.get(id);
+                let want = state.cache.proposals.get(id);
                 if let Some(retry_after_s) = want.and_then(|k| k.value.retry_after_s) {
                     return MeshResponse::Rejected { retry_after_s };
                 }
@@ -113,14 +119,14 @@
     pub async fn decide_proposal(self: Rc<Self>, id: JobId) {
         let found = {
             let state = self.state.borrow();
-            let kept = state.mirror.proposals.get(&id).cloned();
+            let kept = state.cache.proposals.get(&id).cloned();
             kept.filter(|k| {
                 k.value.retry_after_s.is_none() && k.value.proposer != self.settings.member
             })
             .and_then(|k| {
                 let request = k.value.request.clone()?;
                 let p = self.partition_of(&request.team)?;
-                let since = state.partitions.get(&p)?.since;
+                let since = state.scheduling.partitions.get(&p)?.since;
                 Some((k.version, k.value.proposer, request, p, since))
             })
         };
--- a/crates/jasperhill-controller/src/cloud/assigning.rs
+++ b/crates/jasperhill-controller/src/provisioner/assignment.rs
@@ -2,8 +2,8 @@
 
 use super::moved;
 use crate::{
-    controller::Shared,
-    hostbook::HostUpdate,
+    host_registry::HostUpdate,
+    shared::Shared,
     store::{WriteOutcome, WritePriority},
 };
 use jasperhill_wire::{
@@ -21,11 +21,11 @@
             let mut guarded = self.state.borrow_mut();
             let mut stocks = self.inventory(&guarded);
             let state = &mut *guarded;
-            let Some(leader) = state.leader.as_mut() else {
+            let Some(leader) = state.provisioning.leader.as_mut() else {
                 return;
             };
             let free: Vec<_> = state
-                .mirror
+                .cache
                 .hosts
                 .iter()
                 .filter(|(_, k)| k.value.assignment == HostAssignment::Free)
@@ -48,7 +48,7 @@
                     _ if now - since > Micros::from_secs(5) => HostAssignment::Decommissioned(None),
                     _ => continue,
                 };
-                if state.bumping.insert(id.clone()) {
+                if state.commands.token_updates.insert(id.clone()) {
                     moves.push((id, kept, usage, leader.since));
                 }
             }
@@ -67,7 +67,7 @@
                 if let WriteOutcome::Committed(_) = inner.update_host(kept.block, edit).await {
                     tracing::info!(host = %id, ?usage, "host moved");
                 }
-                inner.state.borrow_mut().bumping.remove(&id);
+                inner.state.borrow_mut().commands.token_updates.remove(&id);
             });
         }
     }
--- a/crates/jasperhill-controller/src/cloud/stock.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -1,9 +1,6 @@
 //! What every partition should have and has, by the records alone.
 
-use crate::{
-    controller::{Shared, State},
-    mirror::ActiveJob,
-};
+use crate::{shared::Shared, state::State, watch_cache::ActiveJob};
 use jasperhill_scheduler::{
     chain::DependencyState,
     fleet::{CapacityDemand, JobDemand, plan},
@@ -75,7 +72,7 @@
 impl Shared {
     /// What every partition should have and has, by the mirror alone.
     pub(super) fn inventory(&self, state: &State) -> Vec<Inventory> {
-        let Some(specs) = &state.specs else {
+        let Some(specs) = &state.scheduling.specs else {
             return Vec::new();
         };
         let wall = self.clock.wall();
@@ -83,7 +80,7 @@
         let now = self.now();
         // What waits for others counts from when a machine rented now would be there for it: not
         // while these wait themselves. Guards against walking long chains once for each of their jobs.
-        let ready = |id: &JobId| state.mirror.dependencies.standing(id) == DependencyState::Ready;
+        let ready = |id: &JobId| state.cache.dependencies.standing(id) == DependencyState::Ready;
         let near = |job: &ActiveJob| {
             let request = &job.request;
             ready(&request.id)
@@ -91,7 +88,7 @@
                     && self.time_until_ready(state, request, now) <= boot)
         };
         let demands: Vec<JobDemand<'_>> = state
-            .mirror
+            .cache
             .active()
             // No machine is rented for what fails wherever it runs.
             .filter(|job| job.failing == 0 && near(job))
@@ -106,12 +103,12 @@
             .collect();
         let tuning = &self.settings.operator.tuning;
         let mut stocks: Vec<Inventory> = (0..)
-            .zip(plan(&demands, &self.sched, specs))
+            .zip(plan(&demands, &self.scheduler_config, specs))
             .map(|(p, need): (u32, CapacityDemand)| {
-                let within = &self.sched.start_within;
-                let expected = state.arrivals.expected(p, boot, within, now);
+                let within = &self.scheduler_config.start_within;
+                let expected = state.provisioning.forecast.expected(p, boot, within, now);
                 let coming = expected
-                    + match state.unmet.get(&p) {
+                    + match state.provisioning.unmet_demand.get(&p) {
                         Some((hosts, at)) if now - *at < Micros::from_secs(8) => *hosts,
                         _ => 0.0,
                     };
@@ -124,7 +121,7 @@
                 }
             })
             .collect();
-        for kept in state.mirror.hosts.values() {
+        for kept in state.cache.hosts.values() {
             if let HostAssignment::Partition(p) = kept.value.assignment
                 && let Some(stock) = stocks.get_mut(p as usize)
             {
@@ -138,7 +135,7 @@
     /// What the partitions lack, for giving machines to them.
     pub fn capacity_needs(&self, state: &State) -> CapacityNeeds {
         let mut here: BTreeMap<(u32, Name), i64> = BTreeMap::new();
-        for kept in state.mirror.hosts.values() {
+        for kept in state.cache.hosts.values() {
             if let Some(p) = kept.value.partition() {
                 *here.entry((p, kept.value.zone.clone())).or_default() += 1;
             }
--- a/crates/jasperhill-controller/src/cloud/mod.rs
+++ b/crates/jasperhill-controller/src/provisioner/mod.rs
@@ -1,16 +1,17 @@
 //! The cloud: machine types, and the leader's rounds. What the machine list says, what is rented,
 //! who gets which machine and what is returned each have a module of their own.
 
-mod assigning;
-mod listing;
-mod renting;
-mod returning;
-mod stock;
+mod assignment;
+mod inventory;
+mod reconciliation;
+mod scale_in;
+mod scale_out;
+pub mod state;
 
 use crate::{
-    controller::{Shared, observation_of},
-    mirror::HostEntry,
+    shared::{Shared, observation_of},
     store::{WritePriority, guard, put},
+    watch_cache::HostEntry,
 };
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_membership::view::LinkId;
@@ -121,7 +122,10 @@
             let now = self.now();
             let (known, leads) = {
                 let state = self.state.borrow();
-                (state.specs.is_some(), state.leader.is_some())
+                (
+                    state.scheduling.specs.is_some(),
+                    state.provisioning.leader.is_some(),
+                )
             };
             let stale = types_at.is_none_or(|t| now - t > Micros::from_secs(120));
             if (!known || (leads && stale)) && self.fetch_types().await {
@@ -143,10 +147,15 @@
         body: Vec<u8>,
     ) -> Option<Response> {
         loop {
-            let taken = self.state.borrow_mut().cloud.take(1.0, self.clock.now());
+            let taken = self
+                .state
+                .borrow_mut()
+                .provisioning
+                .requests
+                .take(1.0, self.clock.now());
             match taken {
                 Ok(()) => break,
-                Err(wait) => sleep(crate::controller::to_duration(wait)).await,
+                Err(wait) => sleep(crate::shared::to_duration(wait)).await,
             }
         }
         let request = Request::new(method, target, body);
@@ -176,14 +185,14 @@
         };
         let write = {
             let mut state = self.state.borrow_mut();
-            state.specs = Some(Rc::new(specs(&types.types)));
-            let old = state.mirror.types();
-            match (&state.leader, old) {
-                (Some(leader), None) if state.mirror.is_synced() => Some(leader.since),
+            state.scheduling.specs = Some(Rc::new(specs(&types.types)));
+            let old = state.cache.types();
+            match (&state.provisioning.leader, old) {
+                (Some(leader), None) if state.cache.is_synced() => Some(leader.since),
                 _ => None,
             }
         };
-        self.wake_roles.notify_one();
+        self.wake.roles.notify_one();
         if let Some(since) = write {
             let guards = vec![
                 guard(role_key(Role::Leader), since),
@@ -215,6 +224,7 @@
         let due = {
             let state = self.state.borrow();
             state
+                .provisioning
                 .leader
                 .as_ref()
                 .is_some_and(|l| now - l.last_list >= pause)
--- a/crates/jasperhill-controller/src/cloud/listing.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -2,11 +2,13 @@
 //! gone.
 
 use super::Booting;
+use super::state::ProvisioningState;
 use crate::{
-    controller::{Shared, State},
-    hostbook::HostUpdate,
-    mirror::HostEntry,
+    host_registry::HostUpdate,
+    shared::Shared,
+    state::State,
     store::{WriteOutcome, WritePriority},
+    watch_cache::HostEntry,
 };
 use jasperhill_http::Method;
 use jasperhill_scheduler::boots::BootTimes;
@@ -54,12 +56,17 @@
         {
             let mut guarded = self.state.borrow_mut();
             let State {
-                leader,
-                mirror,
-                specs,
-                releasing,
+                cache: mirror,
+                scheduling,
+                provisioning,
                 ..
             } = &mut *guarded;
+            let specs = &scheduling.specs;
+            let ProvisioningState {
+                leader,
+                returning: releasing,
+                ..
+            } = provisioning;
             let (Some(leader), Some(specs)) = (leader.as_mut(), specs) else {
                 return;
             };
@@ -139,7 +146,14 @@
     }
 
     pub(super) async fn delete_host(self: Rc<Self>, id: HostId, kept: HostEntry) {
-        let Some(since) = self.state.borrow().leader.as_ref().map(|l| l.since) else {
+        let Some(since) = self
+            .state
+            .borrow()
+            .provisioning
+            .leader
+            .as_ref()
+            .map(|l| l.since)
+        else {
             return;
         };
         let edit = HostUpdate {
@@ -151,7 +165,7 @@
             deadline: self.now() + Micros::from_secs(5),
         };
         if let WriteOutcome::Committed(_) = self.update_host(kept.block, edit).await {
-            self.state.borrow_mut().book.unassign_block(&id);
+            self.state.borrow_mut().host_registry.unassign_block(&id);
         }
     }
 }
--- a/crates/jasperhill-controller/src/cloud/returning.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_in.rs
@@ -2,8 +2,8 @@
 
 use super::moved;
 use crate::{
-    controller::Shared,
-    hostbook::HostUpdate,
+    host_registry::HostUpdate,
+    shared::Shared,
     store::{WriteOutcome, WritePriority},
 };
 use jasperhill_http::Method;
@@ -26,16 +26,17 @@
         let names: Vec<HostId> = {
             let state = self.state.borrow();
             let condemned = state
-                .mirror
+                .cache
                 .hosts
                 .iter()
                 .filter(|(_, k)| matches!(k.value.assignment, HostAssignment::Decommissioned(_)))
                 .map(|(id, _)| id.clone());
             state
-                .releasing
+                .provisioning
+                .returning
                 .iter()
                 .filter(|id| {
-                    state.mirror.hosts.get(*id).is_none_or(|k| {
+                    state.cache.hosts.get(*id).is_none_or(|k| {
                         matches!(k.value.assignment, HostAssignment::Decommissioned(_))
                             || k.value.partition().is_some()
                     })
@@ -69,11 +70,11 @@
             let mut state = self.state.borrow_mut();
             for id in names {
                 tracing::info!(host = %id, "returned to the cloud");
-                state.releasing.remove(&id);
-                if let Some(leader) = state.leader.as_mut() {
+                state.provisioning.returning.remove(&id);
+                if let Some(leader) = state.provisioning.leader.as_mut() {
                     leader.returned.insert(id.clone(), now);
                 }
-                if let Some(kept) = state.mirror.hosts.get(&id) {
+                if let Some(kept) = state.cache.hosts.get(&id) {
                     deletes.push((id, kept.clone()));
                 }
             }
@@ -96,7 +97,7 @@
             let mut stocks = self.inventory(&guarded);
             let state = &mut *guarded;
             let short = stocks.iter().any(|s| s.want > s.have);
-            for (p, partition) in &mut state.partitions {
+            for (p, partition) in &mut state.scheduling.partitions {
                 let Some(stock) = stocks.get_mut(*p as usize) else {
                     continue;
                 };
@@ -123,12 +124,13 @@
                         continue;
                     };
                     if !matches!(host.usage, HostAssignment::Partition(_))
-                        || state.bumping.contains(&id)
+                        || state.commands.token_updates.contains(&id)
                     {
                         continue;
                     }
                     let lost = host.reach == FencingState::Lapsed
-                        && now - host.last_answer > self.sched.lapse() + Micros::from_secs(30);
+                        && now - host.last_answer
+                            > self.scheduler_config.lapse() + Micros::from_secs(30);
                     let bad = host.is_empty() && (host.is_faulty(now) || host.slowness > 2.2);
                     let spare = stock.have > stock.want
                         && (host.spot || stock.have_ordinary > stock.want_ordinary)
@@ -143,12 +145,12 @@
                     } else {
                         continue;
                     };
-                    let Some(kept) = state.mirror.hosts.get(&id) else {
+                    let Some(kept) = state.cache.hosts.get(&id) else {
                         continue;
                     };
                     stock.have -= 1;
                     stock.have_ordinary -= i64::from(!kept.value.spot);
-                    state.bumping.insert(id.clone());
+                    state.commands.token_updates.insert(id.clone());
                     gifts.push((*p, partition.since, id.clone(), kept.clone(), usage));
                     if let Some(host) = partition.hosts.get_mut(&id) {
                         host.usage = usage;
@@ -174,7 +176,7 @@
                 } else {
                     inner.reclaim_host(p, since, &id, old).await;
                 }
-                inner.state.borrow_mut().bumping.remove(&id);
+                inner.state.borrow_mut().commands.token_updates.remove(&id);
             });
         }
     }
@@ -193,13 +195,14 @@
             let kept = {
                 let state = self.state.borrow();
                 if state
+                    .scheduling
                     .partitions
                     .get(&p)
                     .is_none_or(|part| part.since != since)
                 {
                     return;
                 }
-                state.mirror.hosts.get(id).cloned()
+                state.cache.hosts.get(id).cloned()
             };
             let Some(kept) = kept.filter(|k| k.value.assignment == usage) else {
                 return;
--- a/crates/jasperhill-controller/src/cloud/renting.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_out.rs
@@ -1,7 +1,7 @@
 //! Renting: how many machines of which kind, where, and what others may count on.
 
 use super::Booting;
-use crate::controller::Shared;
+use crate::shared::Shared;
 use jasperhill_http::Method;
 use jasperhill_wire::{
     Micros, Name,
@@ -11,7 +11,7 @@
 };
 use std::rc::Rc;
 
-use super::stock::Inventory;
+use super::inventory::Inventory;
 
 /// Machines asked for in one request, at most; the cloud's own bound.
 const RENT_MAX: u32 = 50;
@@ -24,14 +24,19 @@
         {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            for p in state.partitions.keys() {
+            for p in state.scheduling.partitions.keys() {
                 let hosts: f64 = state
-                    .first_asked
+                    .scheduling
+                    .rejected
                     .values()
                     .filter(|r| r.partition == *p && now - r.last < Micros::from_secs(6))
                     .map(|r| r.hosts / 1.5)
                     .sum();
-                let old = state.unmet.insert(*p, (hosts, now)).map_or(0.0, |(h, _)| h);
+                let old = state
+                    .provisioning
+                    .unmet_demand
+                    .insert(*p, (hosts, now))
+                    .map_or(0.0, |(h, _)| h);
                 if hosts > 0.0 || old > 0.0 {
                     tell.push((*p, (hosts * 1e3) as u32));
                 }
@@ -57,7 +62,8 @@
         let (machines, ready) = {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            let (Some(leader), Some(specs)) = (&state.leader, &state.specs) else {
+            let (Some(leader), Some(specs)) = (&state.provisioning.leader, &state.scheduling.specs)
+            else {
                 return;
             };
             let open = specs
@@ -70,9 +76,9 @@
                 })
                 .count();
             // How many a place still has is not known: some in proportion to the fleet.
-            let each = (state.mirror.hosts.len() / 20).max(3);
+            let each = (state.cache.hosts.len() / 20).max(3);
             // The admission test counts only what will truly be there.
-            let (spot, ordinary) = leader.coming(specs, state.mirror.hosts.len(), now);
+            let (spot, ordinary) = leader.coming(specs, state.cache.hosts.len(), now);
             let machines = (spot + ordinary) as u32 + (each * open) as u32;
             let ready = specs
                 .values()
@@ -80,7 +86,7 @@
                 .map(|(s, z)| leader.boots.usual(&s.machine_type, z, s.boot, now))
                 .max()
                 .unwrap_or_default();
-            state.elastic = Some((machines, ready, now));
+            state.provisioning.spare_capacity = Some((machines, ready, now));
             (machines, ready)
         };
         for peer in &self.settings.peers {
@@ -106,8 +112,8 @@
         let mut guarded = self.state.borrow_mut();
         let stocks = self.inventory(&guarded);
         let state = &mut *guarded;
-        let specs = state.specs.clone()?;
-        let leader = state.leader.as_mut()?;
+        let specs = state.scheduling.specs.clone()?;
+        let leader = state.provisioning.leader.as_mut()?;
         if let Some(rental) = &leader.rental {
             return Some(rental.clone());
         }
@@ -115,12 +121,12 @@
             return None;
         }
         let free = state
-            .mirror
+            .cache
             .hosts
             .values()
             .filter(|k| k.value.assignment == HostAssignment::Free)
             .count();
-        let (booting_spot, booting_ordinary) = leader.coming(&specs, state.mirror.hosts.len(), now);
+        let (booting_spot, booting_ordinary) = leader.coming(&specs, state.cache.hosts.len(), now);
         let booting = booting_spot + booting_ordinary + free as i64;
         let sum = |f: &dyn Fn(&Inventory) -> i64| stocks.iter().map(|s| f(s).max(0)).sum::<i64>();
         let short = sum(&|s| s.want - s.have) - booting;
@@ -151,7 +157,7 @@
                 })
                 .map(|(s, z)| {
                     let here = state
-                        .mirror
+                        .cache
                         .hosts
                         .values()
                         .filter(|k| &k.value.zone == z)
@@ -197,7 +203,7 @@
             let answer = self.cloud_call(Method::Post, "/rentals", body).await;
             let now = self.now();
             let mut state = self.state.borrow_mut();
-            let Some(leader) = state.leader.as_mut() else {
+            let Some(leader) = state.provisioning.leader.as_mut() else {
                 return;
             };
             match answer {
--- a/crates/jasperhill-controller/src/links.rs
+++ b/crates/jasperhill-controller/src/relay/mod.rs
@@ -6,10 +6,9 @@
 //! answer is the owner's, with its token and authority; an order passed on is in doubt for its
 //! owner exactly as one that it sent itself.
 
-use crate::{
-    controller::{Shared, State},
-    workers::RELAY_MEMORY,
-};
+pub mod state;
+
+use crate::{heartbeats::RELAY_MEMORY, shared::Shared, state::State};
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_membership::{
     link::Observation,
@@ -124,7 +123,7 @@
 /// How many hosts of a partition, or of all, are in each zone.
 fn hosts_by_role_and_zone(state: &State) -> BTreeMap<Role, BTreeMap<Name, u32>> {
     let mut counts: BTreeMap<Role, BTreeMap<Name, u32>> = BTreeMap::new();
-    for kept in state.mirror.hosts.values() {
+    for kept in state.cache.hosts.values() {
         if let Some(p) = kept.value.partition() {
             let zones = counts.entry(Role::Partition(p)).or_default();
             *zones.entry(kept.value.zone.clone()).or_default() += 1;
@@ -136,7 +135,7 @@
 impl Shared {
     /// Roles follow reach, and links are spoken of, only when every member understands that.
     pub fn uses_reachability(&self, state: &State) -> bool {
-        state.upgrade.supports(REACHABILITY)
+        state.membership.features.supports(REACHABILITY)
     }
 
     /// Something got through a link, or did not.
@@ -157,7 +156,12 @@
 
     fn update_reachability(&self, input: view::Input<'_>) -> Vec<Name> {
         let now = self.now();
-        let outputs = self.state.borrow_mut().view.apply(input, now);
+        let outputs = self
+            .state
+            .borrow_mut()
+            .membership
+            .reachability
+            .apply(input, now);
         let mut probes = Vec::new();
         for output in outputs {
             match output {
@@ -166,17 +170,21 @@
                     if let LinkId::Peer(member) = &link {
                         let mut state = self.state.borrow_mut();
                         if reach == LinkState::Down {
-                            state.unheard.entry(member.clone()).or_insert(now);
+                            state
+                                .membership
+                                .silent_since
+                                .entry(member.clone())
+                                .or_insert(now);
                         } else if reach == LinkState::Up {
-                            state.unheard.remove(member);
+                            state.membership.silent_since.remove(member);
                         }
                     }
                     if was != LinkState::Down && reach != LinkState::Down {
                         tracing::debug!(?link, ?reach, "link");
                     } else {
                         tracing::info!(?link, ?reach, "link");
-                        self.wake_links.notify_one();
-                        self.wake_roles.notify_one();
+                        self.wake.reachability.notify_one();
+                        self.wake.roles.notify_one();
                     }
                 }
             }
@@ -188,12 +196,17 @@
     pub async fn reachability_loop(self: Rc<Self>) {
         let mut told = Micros::ZERO;
         loop {
-            let woken = timeout(LOOK, self.wake_links.notified()).await.is_ok();
+            let woken = timeout(LOOK, self.wake.reachability.notified())
+                .await
+                .is_ok();
             self.expect_reports();
             let now = self.now();
             let (speaks, calm) = {
                 let state = self.state.borrow();
-                (self.uses_reachability(&state), state.view.all_links_up())
+                (
+                    self.uses_reachability(&state),
+                    state.membership.reachability.all_links_up(),
+                )
             };
             let pause = if calm { TELL_CALM } else { TELL };
             if speaks && (woken || now - told >= pause) {
@@ -209,9 +222,9 @@
     fn log_answers_without_store(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let down = state.view.own_link(&LinkId::Store) == LinkState::Down;
-        if state.answered_blind > 0 && !(down && state.authority.holds(now)) {
-            let reports = std::mem::take(&mut state.answered_blind);
+        let down = state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
+        if state.heartbeats.answered_without_store > 0 && !(down && state.authority.holds(now)) {
+            let reports = std::mem::take(&mut state.heartbeats.answered_without_store);
             tracing::info!(reports, "answered without knowing more");
         }
     }
@@ -222,7 +235,12 @@
             let state = self.state.borrow();
             let zones = self.settings.zones.iter().cloned();
             let mut due: BTreeMap<Name, u32> = zones.map(|z| (z, 0)).collect();
-            for host in state.partitions.values().flat_map(|p| p.hosts.values()) {
+            for host in state
+                .scheduling
+                .partitions
+                .values()
+                .flat_map(|p| p.hosts.values())
+            {
                 if host.reach != jasperhill_scheduler::FencingState::Lapsed {
                     *due.entry(host.zone.clone()).or_default() += 1;
                 }
@@ -247,7 +265,7 @@
         let (asked, of) = {
             let state = self.state.borrow();
             let here: Vec<_> = state
-                .mirror
+                .cache
                 .hosts
                 .iter()
                 .filter(|(_, k)| &k.value.zone == zone)
@@ -276,8 +294,8 @@
 
     fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
         // What a mirror shows that is no longer brought up to date is not told as news.
-        let owners = if state.view.own_link(&LinkId::Store) == LinkState::Up {
-            let seats = state.mirror.ownerships();
+        let owners = if state.membership.reachability.own_link(&LinkId::Store) == LinkState::Up {
+            let seats = state.cache.ownerships();
             let live = seats.into_iter().filter(|(_, s)| s.live);
             live.map(|(role, s)| (role, s.owner, s.version)).collect()
         } else {
@@ -285,14 +303,15 @@
         };
         let me = &self.settings.member;
         let let_go: Vec<(Role, Revision)> = state
+            .membership
             .roles
             .relinquished()
             .filter(|(role, version)| {
-                let kept = state.mirror.roles.get(role);
+                let kept = state.cache.roles.get(role);
                 kept.is_some_and(|k| k.version == *version && &k.value.owner == me)
             })
             .collect();
-        state.view.report(owners, let_go, now)
+        state.membership.reachability.report(owners, let_go, now)
     }
 
     /// Tells every other controller how the links stand; their answers say the same of theirs.
@@ -332,19 +351,22 @@
         let let_go = {
             let now = self.now();
             let state = self.state.borrow();
-            let mut seats = state.mirror.roles.iter();
+            let mut seats = state.cache.roles.iter();
             seats.any(|(role, k)| {
-                state
-                    .view
-                    .has_relinquished(&k.value.owner, *role, k.version, now)
+                state.membership.reachability.has_relinquished(
+                    &k.value.owner,
+                    *role,
+                    k.version,
+                    now,
+                )
             })
         };
         if let_go {
-            self.wake_roles.notify_one();
+            self.wake.roles.notify_one();
         }
         // A role that reports wait for may have found an owner.
-        if self.state.borrow().passing.is_holding() {
-            self.wake_owned.notify_waiters();
+        if self.state.borrow().relay.slots.is_holding() {
+            self.wake.ownership_changed.notify_waiters();
         }
         self.update_isolation();
     }
@@ -355,17 +377,20 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if self.uses_reachability(&state) {
-            let down = state.view.own_link(&LinkId::Store) == LinkState::Down;
-            let alone = state.view.is_isolated(now);
-            let long = state.alone_since.is_some_and(|t| now - t >= STAYS_ALONE);
+            let down = state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
+            let alone = state.membership.reachability.is_isolated(now);
+            let long = state
+                .isolation
+                .since
+                .is_some_and(|t| now - t >= STAYS_ALONE);
             if alone {
-                state.alone_since.get_or_insert(now);
+                state.isolation.since.get_or_insert(now);
             } else if !(down && long) {
-                state.alone_since = None;
+                state.isolation.since = None;
             }
             // Guards against users who are sent back to a refused controller when all others lose
             // the state service as well: after that it answers last.
-            state.alone = down && (alone || long);
+            state.isolation.isolated = down && (alone || long);
         }
     }
 
@@ -384,12 +409,15 @@
             hosts.insert(role, here.values().sum());
             for member in &self.members {
                 let mut fit = Eligibility {
-                    state: state.view.store_link(member, now),
+                    state: state.membership.reachability.store_link(member, now),
                     ..Eligibility::default()
                 };
                 for (zone, n) in here {
-                    let proved = state.view.has_recent_contact(member, zone, now);
-                    match state.view.reaches(member, zone, now) {
+                    let proved = state
+                        .membership
+                        .reachability
+                        .has_recent_contact(member, zone, now);
+                    match state.membership.reachability.reaches(member, zone, now) {
                         LinkState::Up if member == &self.settings.member || proved => {
                             fit.reachable_hosts += n
                         }
@@ -399,14 +427,14 @@
                 }
                 if role == Role::Leader {
                     fit.other_link = if member == &self.settings.member {
-                        state.view.own_link(&LinkId::Cloud)
+                        state.membership.reachability.own_link(&LinkId::Cloud)
                     } else {
-                        let said = state.view.peer_report(member, now);
+                        let said = state.membership.reachability.peer_report(member, now);
                         said.map_or(LinkState::Unknown, |r| r.cloud)
                     };
                 }
                 let owns = state
-                    .mirror
+                    .cache
                     .roles
                     .values()
                     .filter(|k| &k.value.owner == member);
@@ -421,14 +449,14 @@
     /// told while this controller can't hear of it itself.
     pub fn latest_owner(&self, state: &State, role: Role) -> Option<Member> {
         let now = self.now();
-        let mine = state.mirror.roles.get(&role).map(|k| k.version);
-        match state.view.owner(role, now) {
+        let mine = state.cache.roles.get(&role).map(|k| k.version);
+        match state.membership.reachability.owner(role, now) {
             Some((owner, version))
                 if self.uses_reachability(state) && mine.is_none_or(|v| v < version) =>
             {
                 Some(owner.clone())
             }
-            _ => state.mirror.owner(role).cloned(),
+            _ => state.cache.owner(role).cloned(),
         }
     }
 
@@ -440,10 +468,10 @@
         if !self.uses_reachability(&state) {
             return None;
         }
-        let view = &state.view;
+        let view = &state.membership.reachability;
         if !view.hears_peer(owner, now) {
             let third = view.relay_to_owner(owner, zone, now)?.clone();
-            let last = state.redirected.get(&report.host);
+            let last = state.relay.redirected.get(&report.host);
             let came_back = last.is_some_and(|t| now - *t < RELAY_MEMORY);
             return Some(if came_back {
                 HeartbeatRoute::Through(third)
@@ -456,7 +484,7 @@
         if matches!(reports, LinkState::Down | LinkState::Suspect) {
             return Some(HeartbeatRoute::RelayOnly);
         }
-        let known = state.mirror.hosts.contains_key(&report.host);
+        let known = state.cache.hosts.contains_key(&report.host);
         known.then_some(HeartbeatRoute::RelayFirst)
     }
 
@@ -468,13 +496,13 @@
         body: &[u8],
         by: Micros,
     ) -> Option<Response> {
-        let _turn = RelaySlot::take(&self.state.borrow().passing.relays, RELAYS_MAX)?;
+        let _turn = RelaySlot::take(&self.state.borrow().relay.slots.relays, RELAYS_MAX)?;
         self.relay_until_answered(owner, host, body, by).await
     }
 
     /// Passes a report on by way of one who hears its owner.
     pub async fn relay_through(&self, third: &Member, body: &[u8]) -> Option<Response> {
-        let _turn = RelaySlot::take(&self.state.borrow().passing.relays, RELAYS_MAX)?;
+        let _turn = RelaySlot::take(&self.state.borrow().relay.slots.relays, RELAYS_MAX)?;
         let address = self.address_of(third)?;
         let ask = MeshRequest::RelayHeartbeatOnward(String::from_utf8_lossy(body).into_owned());
         match self.mesh_call(address, ask, RELAY_LIMIT).await? {
@@ -534,8 +562,12 @@
                         // It reaches the worker by now.
                         None => {
                             let now = self.now();
-                            self.state.borrow_mut().redirected.insert(host.clone(), now);
-                            return Some(crate::workers::redirect(Some(&to)));
+                            self.state
+                                .borrow_mut()
+                                .relay
+                                .redirected
+                                .insert(host.clone(), now);
+                            return Some(crate::heartbeats::redirect(Some(&to)));
                         }
                     }
                 }
@@ -553,7 +585,7 @@
             // The owner may just be changing.
             sleep(RELAY_PAUSE).await;
             let state = self.state.borrow();
-            let kept = state.mirror.hosts.get(host);
+            let kept = state.cache.hosts.get(host);
             let role = kept
                 .and_then(|k| k.value.partition())
                 .map_or(Role::Leader, Role::Partition);
@@ -566,12 +598,20 @@
     pub fn command_route(&self, zone: &Name) -> CommandRoute {
         let now = self.now();
         let state = self.state.borrow();
-        if state.view.own_link(&LinkId::Commands(zone.clone())) != LinkState::Down
+        if state
+            .membership
+            .reachability
+            .own_link(&LinkId::Commands(zone.clone()))
+            != LinkState::Down
             || !self.uses_reachability(&state)
         {
             return CommandRoute::Direct;
         }
-        let peer = state.view.relay_to_zone(zone, now).cloned();
+        let peer = state
+            .membership
+            .reachability
+            .relay_to_zone(zone, now)
+            .cloned();
         match peer.and_then(|m| self.address_of(&m)) {
             Some(address) => CommandRoute::Through(address),
             None => CommandRoute::None,
@@ -622,11 +662,14 @@
     pub async fn relay_commands(&self, host: HostId, body: Option<String>) -> MeshResponse {
         let (turn, found) = {
             let state = self.state.borrow();
-            let found = state.mirror.hosts.get(&host).and_then(|k| {
+            let found = state.cache.hosts.get(&host).and_then(|k| {
                 let address = k.value.address.parse::<SocketAddr>().ok()?;
                 Some((address, k.value.zone.clone()))
             });
-            (RelaySlot::take(&state.passing.pushes, PUSHES_MAX), found)
+            (
+                RelaySlot::take(&state.relay.slots.pushes, PUSHES_MAX),
+                found,
+            )
         };
         let (Some(_turn), Some((address, zone))) = (turn, found) else {
             return MeshResponse::CommandsNotSent;
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -2,7 +2,8 @@
 //! more than a fair share.
 
 use crate::{
-    controller::{Shared, State},
+    shared::Shared,
+    state::State,
     store::{WriteOutcome, WritePriority, guard, put},
 };
 use jasperhill_membership::{
@@ -27,7 +28,7 @@
 impl Shared {
     pub async fn roles_loop(self: Rc<Self>) {
         loop {
-            let _ = timeout(Duration::from_millis(500), self.wake_roles.notified()).await;
+            let _ = timeout(Duration::from_millis(500), self.wake.roles.notified()).await;
             for step in self.look_at_roles() {
                 match step {
                     Transition::Acquire(role) => self.clone().spawn(self.clone().take(role)),
@@ -43,14 +44,17 @@
 
     /// The members that have ended again and again and have not lived for long since.
     fn restless(&self, state: &State) -> BTreeSet<Member> {
-        let (after, wall) = (state.lives.after(), self.clock.wall());
+        let (after, wall) = (state.membership.restarts.after(), self.clock.wall());
         let me = &self.settings.member;
         let others =
-            state.mirror.sessions.iter().filter(|(m, k)| {
+            state.cache.sessions.iter().filter(|(m, k)| {
                 *m != me && process_run_of(&k.value).is_crash_looping(after, wall)
             });
         let mut restless: BTreeSet<Member> = others.map(|(m, _)| m.clone()).collect();
-        if matches!(state.lives.phase(), Phase::CrashLooping { .. }) {
+        if matches!(
+            state.membership.restarts.phase(),
+            Phase::CrashLooping { .. }
+        ) {
             restless.insert(me.clone());
         }
         restless
@@ -59,11 +63,14 @@
     /// This controller has ended again and again while others live on: it leaves roles and users to
     /// them until it has lived for a while.
     pub fn defers_to_other_members(&self, state: &State) -> bool {
-        if !matches!(state.lives.phase(), Phase::CrashLooping { .. }) {
+        if !matches!(
+            state.membership.restarts.phase(),
+            Phase::CrashLooping { .. }
+        ) {
             return false;
         }
         let restless = self.restless(state);
-        let mut others = state.mirror.sessions.keys();
+        let mut others = state.cache.sessions.keys();
         others.any(|m| m != &self.settings.member && !restless.contains(m))
     }
 
@@ -75,22 +82,29 @@
         let Some((lease, _)) = self.session_guard(state) else {
             return Vec::new();
         };
-        if !state.mirror.is_synced() || state.specs.is_none() {
+        if !state.cache.is_synced() || state.scheduling.specs.is_none() {
             return Vec::new();
         }
-        let held = state.partitions.keys().map(|p| Role::Partition(*p));
-        let mut seats = state.mirror.ownerships();
+        let held = state
+            .scheduling
+            .partitions
+            .keys()
+            .map(|p| Role::Partition(*p));
+        let mut seats = state.cache.ownerships();
         for (role, seat) in &mut seats {
-            seat.let_go = state
-                .view
-                .has_relinquished(&seat.owner, *role, seat.version, now);
+            seat.let_go = state.membership.reachability.has_relinquished(
+                &seat.owner,
+                *role,
+                seat.version,
+                now,
+            );
         }
         let (fits, hosts) = self.role_eligibility(state, now);
         let facts = Snapshot {
             lease,
             ownerships: seats,
             held: held
-                .chain(state.leader.iter().map(|_| Role::Leader))
+                .chain(state.provisioning.leader.iter().map(|_| Role::Leader))
                 .collect(),
             may_acquire: state.authority.holds(now),
             reachability_enabled: self.uses_reachability(state),
@@ -99,23 +113,26 @@
             hosts,
             damping: self.settings.lease,
         };
-        state.lives.apply(lives::Input::Tick, now);
-        let steps = state.roles.apply(roles::Input::Evaluate(&facts), now);
+        state.membership.restarts.apply(lives::Input::Tick, now);
+        let steps = state
+            .membership
+            .roles
+            .apply(roles::Input::Evaluate(&facts), now);
         for step in &steps {
             match step {
                 // Built only once the mirror holds everything up to the takeover.
-                Transition::Hold(role, version) if state.mirror.revision >= *version => {
+                Transition::Hold(role, version) if state.cache.revision >= *version => {
                     self.load(state, *role, *version, now);
                 }
                 Transition::Release(role) => self.unload(state, *role),
                 // Stops first: the word that goes out next must be true.
                 Transition::Relinquish(role) => {
-                    if let Some(kept) = state.mirror.roles.get(role) {
+                    if let Some(kept) = state.cache.roles.get(role) {
                         tracing::info!(?role, "let go: the state service answers others");
                         let given_up = roles::Input::Relinquished(*role, kept.version);
-                        state.roles.apply(given_up, now);
+                        state.membership.roles.apply(given_up, now);
                         self.unload(state, *role);
-                        self.wake_links.notify_one();
+                        self.wake.reachability.notify_one();
                     }
                 }
                 _ => {}
@@ -125,27 +142,34 @@
     }
 
     fn load(&self, state: &mut State, role: Role, version: Revision, now: Micros) {
-        let Some(specs) = state.specs.clone() else {
+        let Some(specs) = state.scheduling.specs.clone() else {
             return;
         };
         match role {
             Role::Leader => {
-                if state.leader.as_ref().is_none_or(|l| l.since != version) {
+                if state
+                    .provisioning
+                    .leader
+                    .as_ref()
+                    .is_none_or(|l| l.since != version)
+                {
                     tracing::info!(revision = version.0, "leads the fleet");
-                    state.leader = Some(crate::cloud::LeaderState::new(version, now));
-                    state.book.clear_assignments();
+                    state.provisioning.leader =
+                        Some(crate::provisioner::LeaderState::new(version, now));
+                    state.host_registry.clear_assignments();
                 }
             }
             Role::Partition(p) => {
                 if state
+                    .scheduling
                     .partitions
                     .get(&p)
                     .is_some_and(|part| part.since == version)
                 {
                     return;
                 }
-                let mut part = Partition::new(p, version, self.sched.clone(), specs);
-                for job in state.mirror.active() {
+                let mut part = Partition::new(p, version, self.scheduler_config.clone(), specs);
+                for job in state.cache.active() {
                     if self.partition_of(&job.request.team) == Some(p) {
                         let submitted = self.clock.steady(job.submitted);
                         // Revision 0: old enough to be running anywhere.
@@ -154,7 +178,9 @@
                         // A job that waits for others now was never started by a controller
                         // that knows of that.
                         let created = match place.gate {
-                            Readiness::Waiting if state.upgrade.supports(DEPENDENCIES) => {
+                            Readiness::Waiting
+                                if state.membership.features.supports(DEPENDENCIES) =>
+                            {
                                 Revision(u64::MAX)
                             }
                             _ => Revision(0),
@@ -165,19 +191,19 @@
                 }
                 // Late writes and clocks that differ included, longer than a cancelled task can last.
                 let lasts = self.settings.cancel.scale(3.0);
-                for (id, remains) in state.mirror.remains(self.clock.wall() - lasts) {
+                for (id, remains) in state.cache.remains(self.clock.wall() - lasts) {
                     if self.partition_of(&remains.team) == Some(p) {
                         part.recall_cancelled(id, remains, now);
                     }
                 }
-                for (id, kept) in &state.mirror.hosts {
+                for (id, kept) in &state.cache.hosts {
                     if kept.value.partition() == Some(p) {
                         part.upsert_host(id, &kept.value, kept.version, true, now);
                     }
                 }
                 // Whoever keeps hosts by the former owner's leave may do so for the rest of it.
                 let until = now + self.settings.delegation_time();
-                for ((q, _), grant) in &state.mirror.delegation_grants {
+                for ((q, _), grant) in &state.cache.delegation_grants {
                     if *q == p {
                         for id in grant.value.hosts.keys() {
                             part.apply(
@@ -195,18 +221,18 @@
                     hosts = part.hosts.len(),
                     "took over"
                 );
-                state.partitions.insert(p, part);
-                self.wake_owned.notify_waiters();
-                self.wake_pass.notify_one();
+                state.scheduling.partitions.insert(p, part);
+                self.wake.ownership_changed.notify_waiters();
+                self.wake.scheduler.notify_one();
             }
         }
     }
 
     fn unload(&self, state: &mut State, role: Role) {
         match role {
-            Role::Leader => state.leader = None,
+            Role::Leader => state.provisioning.leader = None,
             Role::Partition(p) => {
-                if state.partitions.remove(&p).is_some() {
+                if state.scheduling.partitions.remove(&p).is_some() {
                     tracing::info!(partition = p, "gave up");
                 }
             }
@@ -219,11 +245,11 @@
             let state = self.state.borrow();
             self.session_guard(&state).map(|(lease, session)| {
                 let mut guards = vec![session];
-                match state.mirror.roles.get(&role) {
+                match state.cache.roles.get(&role) {
                     Some(kept) => {
                         guards.push(guard(role_key(role), kept.version));
                         let by_word = self.uses_reachability(&state)
-                            && state.view.has_relinquished(
+                            && state.membership.reachability.has_relinquished(
                                 &kept.value.owner,
                                 role,
                                 kept.version,
@@ -233,7 +259,7 @@
                         // guard on that is enough.
                         if kept.value.owner != me && !by_word {
                             // Its holder has stopped: the key goes no earlier than the lease.
-                            let old = state.mirror.sessions.get(&kept.value.owner);
+                            let old = state.cache.sessions.get(&kept.value.owner);
                             // A newer session of the old owner does not own this any more.
                             let version = old
                                 .filter(|s| s.value.lease != kept.value.lease)
@@ -270,7 +296,7 @@
             }
         }
         self.settled(role);
-        self.wake_roles.notify_one();
+        self.wake.roles.notify_one();
     }
 
     /// Stops acting first, then writes the new owner. If that fails or its fate is unknown,
@@ -279,19 +305,19 @@
         let prepared = {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            let version = state.mirror.roles.get(&role).map(|k| k.version);
-            let session = state.mirror.sessions.get(&to).cloned();
+            let version = state.cache.roles.get(&role).map(|k| k.version);
+            let session = state.cache.sessions.get(&to).cloned();
             let settled = match role {
-                Role::Partition(p) => state.partitions.get(&p).is_some_and(|part| {
+                Role::Partition(p) => state.scheduling.partitions.get(&p).is_some_and(|part| {
                     let quiet = |h: &Host| !h.in_flight() && !h.in_doubt();
                     urgent || part.hosts.values().all(quiet)
                 }),
-                Role::Leader => state.leader.is_some(),
+                Role::Leader => state.provisioning.leader.is_some(),
             };
             match (version, session) {
                 (Some(version), Some(session)) if settled => {
                     let given_up = roles::Input::Relinquished(role, version);
-                    state.roles.apply(given_up, self.now());
+                    state.membership.roles.apply(given_up, self.now());
                     tracing::info!(?role, %to, "handing over");
                     self.unload(state, role);
                     let lease = session.value.lease;
@@ -326,6 +352,6 @@
     fn settled(&self, role: Role) {
         let now = self.now();
         let over = roles::Input::TransitionOver(role);
-        self.state.borrow_mut().roles.apply(over, now);
+        self.state.borrow_mut().membership.roles.apply(over, now);
     }
 }
--- /dev/null
+++ b/crates/jasperhill-controller/src/scheduling/state.rs
@@ -0,0 +1,32 @@
+//! What the scheduler of this controller works on.
+
+use jasperhill_scheduler::{Partition, config::Specs};
+use jasperhill_wire::{JobId, Micros};
+use std::{
+    collections::{BTreeMap, HashMap},
+    rc::Rc,
+};
+
+/// What the scheduler works on.
+#[derive(Default)]
+pub(crate) struct SchedulingState {
+    /// The partitions that this controller owns and has loaded.
+    pub partitions: BTreeMap<u32, Partition>,
+    /// The machine types, once they are known.
+    pub specs: Option<Rc<Specs>>,
+    /// When unfinished jobs that waited for others were seen to become ready.
+    pub released: HashMap<JobId, Micros>,
+    /// Jobs that the admission test rejected, so that a retry does not get more time.
+    pub rejected: BTreeMap<JobId, RejectedJob>,
+}
+
+/// A job that the admission test rejected and that may come again.
+pub(crate) struct RejectedJob {
+    /// When it was first submitted.
+    pub first: Micros,
+    /// When it was last submitted.
+    pub last: Micros,
+    pub partition: u32,
+    /// The hosts it would need.
+    pub hosts: f64,
+}
--- a/crates/jasperhill-controller/src/settings.rs
+++ b/crates/jasperhill-controller/src/settings.rs
@@ -38,7 +38,7 @@
     /// How long a controller's session outlives its last renewal; derived when absent.
     pub session: Option<Micros>,
     /// Quick ends in a row after which a controller leaves its roles to others; 0: never.
-    pub restless_after: Option<u32>,
+    pub crash_loop_threshold: Option<u32>,
 }
 
 /// Quick ends in a row that are no habit yet.
@@ -393,8 +393,8 @@
     }
 
     /// Quick ends in a row after which a controller leaves its roles to others; 0: never.
-    pub fn restless_after(&self) -> u32 {
-        self.operator.restless_after.unwrap_or(RESTLESS_AFTER)
+    pub fn crash_loop_threshold(&self) -> u32 {
+        self.operator.crash_loop_threshold.unwrap_or(RESTLESS_AFTER)
     }
     /// The session's time: long enough to ride out short outages, short enough for a takeover
     /// before the workers' leases lapse.
--- a/crates/jasperhill-controller/src/store.rs
+++ b/crates/jasperhill-controller/src/store/mod.rs
@@ -1,10 +1,15 @@
 //! The client of the state service: group commit under a budget, the listing and the watch
 //! that feed the mirror, the read barrier, leases.
 
+mod session;
+pub mod state;
+
+use self::state::StoreState;
 use crate::{
-    budget::TokenBucket,
-    controller::{Shared, State, to_duration},
-    mirror::{self, Phase},
+    shared::{Shared, to_duration},
+    state::State,
+    token_bucket::TokenBucket,
+    watch_cache::{self, Phase},
 };
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_membership::{
@@ -14,7 +19,7 @@
     view::LinkId,
 };
 use jasperhill_wire::{
-    Member, Micros, Revision,
+    Micros, Revision,
     mesh::LinkState,
     record::{
         FEATURE_LEVEL, FeatureLevelRecord, ROOT, RoleRecord, SessionRecord, feature_level_key,
@@ -185,7 +190,7 @@
             + guards.iter().map(|g| g.key.len() + 40).sum::<usize>();
         {
             let mut state = self.state.borrow_mut();
-            if state.writer.queue.len() >= QUEUE_MAX {
+            if state.store.commit_queue.queue.len() >= QUEUE_MAX {
                 return WriteOutcome::NotExecuted;
             }
             let since = self.now();
@@ -200,25 +205,29 @@
                 reply,
                 alone: false,
             };
-            let place = state.writer.queue.partition_point(|o| o.urgency <= urgency);
-            state.writer.queue.insert(place, op);
+            let place = state
+                .store
+                .commit_queue
+                .queue
+                .partition_point(|o| o.urgency <= urgency);
+            state.store.commit_queue.queue.insert(place, op);
         }
-        self.wake_writer.notify_one();
+        self.wake.commit_queue.notify_one();
         fate.await.unwrap_or(WriteOutcome::Unknown)
     }
 
     /// As many queued writes as fit one transaction and do not touch one another's keys.
     fn next_batch(&self, state: &mut State, now: Micros) -> Vec<PendingWrite> {
         let (late, queue): (Vec<PendingWrite>, Vec<PendingWrite>) =
-            std::mem::take(&mut state.writer.queue)
+            std::mem::take(&mut state.store.commit_queue.queue)
                 .into_iter()
                 .partition(|o| now >= o.by);
         for op in late {
             let _ = op.reply.send(WriteOutcome::NotExecuted);
         }
-        let level = state.writer.bucket.level(now);
+        let level = state.store.commit_queue.bucket.level(now);
         let afford = level.max(1.0) as usize;
-        let burst = state.writer.bucket.burst();
+        let burst = state.store.commit_queue.bucket.burst();
         let (mut batch, mut rest): (Vec<PendingWrite>, Vec<PendingWrite>) =
             (Vec::new(), Vec::new());
         let (mut puts, mut conds, mut bytes) = (0, 0, 0);
@@ -247,8 +256,8 @@
                 || (!batch[0].alone
                     && !op.alone
                     && affords
-                    && puts + more <= state.writer.ops_max
-                    && conds + op.guards.len() <= state.writer.ops_max * 4
+                    && puts + more <= state.store.commit_queue.ops_max
+                    && conds + op.guards.len() <= state.store.commit_queue.ops_max * 4
                     && bytes + op.bytes <= TXN_BYTES
                     && op
                         .changes
@@ -266,27 +275,29 @@
             guarded.extend(op.guards.iter().map(|g| g.key.clone()));
             batch.push(op);
         }
-        state.writer.queue = rest;
+        state.store.commit_queue.queue = rest;
         batch
     }
 
     fn requeue(&self, batch: Vec<PendingWrite>) {
         let mut state = self.state.borrow_mut();
-        state.writer.queue.splice(0..0, batch);
-        state.writer.queue.sort_by_key(|o| o.urgency);
+        state.store.commit_queue.queue.splice(0..0, batch);
+        state.store.commit_queue.queue.sort_by_key(|o| o.urgency);
     }
 
     pub async fn commit_loop(self: Rc<Self>) {
         loop {
-            if self.state.borrow().writer.queue.is_empty() {
-                self.wake_writer.notified().await;
+            if self.state.borrow().store.commit_queue.queue.is_empty() {
+                self.wake.commit_queue.notified().await;
             }
             let now = self.now();
             let wait = {
                 let mut state = self.state.borrow_mut();
-                let State {
-                    requests, writer, ..
-                } = &mut *state;
+                let StoreState {
+                    requests,
+                    commit_queue: writer,
+                    ..
+                } = &mut state.store;
                 // What can wait leaves some of the limit to what comes next and can't.
                 let burst = writer.bucket.burst();
                 let need = writer
@@ -324,7 +335,8 @@
         let count = changes.len() as f64;
         self.state
             .borrow_mut()
-            .writer
+            .store
+            .commit_queue
             .bucket
             .take_into_debt(count, self.now());
         let body = serde_json::to_vec(&Transaction { guards, changes }).unwrap_or_default();
@@ -333,7 +345,7 @@
             .call(self.settings.state, request, Micros::from_millis(2_500))
             .await;
         if answer.as_ref().is_ok_and(|r| r.status == 200) {
-            self.state.borrow_mut().writer.pause = PAUSE;
+            self.state.borrow_mut().store.commit_queue.pause = PAUSE;
         }
         match answer {
             Ok(r) if r.status == 200 => {
@@ -366,7 +378,7 @@
             Ok(r) if r.status == 400 => self.refused(batch, &r.body),
             Ok(r) if r.status == 429 || r.status == 503 => {
                 let pause = {
-                    let writer = &mut self.state.borrow_mut().writer;
+                    let writer = &mut self.state.borrow_mut().store.commit_queue;
                     let pause = writer.pause;
                     if r.status == 429 {
                         writer.pause = pause.scale(2.0).min(PAUSE_MAX);
@@ -392,7 +404,7 @@
     /// for a conflict, and against sending it again and again.
     fn refused(&self, mut batch: Vec<PendingWrite>, why: &[u8]) {
         let why = String::from_utf8_lossy(why);
-        let writer = &mut self.state.borrow_mut().writer;
+        let writer = &mut self.state.borrow_mut().store.commit_queue;
         let changes: usize = batch.iter().map(|o| o.changes.len()).sum();
         if batch.len() > 1 {
             // It may be one of them, or all together: each alone, and smaller ones from now on.
@@ -421,7 +433,7 @@
             Change::Put { key, value, .. } => (key, Some(value)),
             Change::Delete { key } => (key, None),
         });
-        self.apply_to_cache(mirror::Input::OwnWrite {
+        self.apply_to_cache(watch_cache::Input::OwnWrite {
             changes: changes.collect(),
             version: revision,
         });
@@ -432,7 +444,7 @@
     async fn state_call(&self, request: Request, limit: Micros) -> Result<Response, ClientError> {
         loop {
             let now = self.now();
-            let taken = self.state.borrow_mut().requests.take(1.0, now);
+            let taken = self.state.borrow_mut().store.requests.take(1.0, now);
             match taken {
                 Ok(()) => break,
                 Err(wait) => sleep(to_duration(wait)).await,
@@ -453,7 +465,7 @@
         loop {
             let (phase, after) = {
                 let state = self.state.borrow();
-                (state.mirror.phase, state.mirror.revision)
+                (state.cache.phase, state.cache.revision)
             };
             let began = self.now();
             let fine = if phase == Phase::Empty {
@@ -461,7 +473,13 @@
             } else {
                 // Asks for an answer at once while none comes: a watch that waits would show only
                 // late that the link is back.
-                let down = self.state.borrow().view.own_link(&LinkId::Store) == LinkState::Down;
+                let down = self
+                    .state
+                    .borrow()
+                    .membership
+                    .reachability
+                    .own_link(&LinkId::Store)
+                    == LinkState::Down;
                 let block = if down {
                     Micros::ZERO
                 } else {
@@ -524,8 +542,8 @@
         }
         let first = first.unwrap_or_default();
         tracing::debug!(items = items.len(), revision = first.0, "listed the store");
-        self.apply_to_cache(mirror::Input::Listed { items, first, last });
-        self.wake_roles.notify_one();
+        self.apply_to_cache(watch_cache::Input::Listed { items, first, last });
+        self.wake.roles.notify_one();
         true
     }
 
@@ -540,13 +558,17 @@
         let request = Request::new(Method::Get, target, Vec::new());
         let now = self.now();
         if block == Micros::ZERO {
-            let wait = self.state.borrow_mut().requests.take(1.0, now).err();
+            let wait = self.state.borrow_mut().store.requests.take(1.0, now).err();
             if let Some(wait) = wait {
                 sleep(to_duration(wait)).await;
             }
         } else {
             // The mirror feeds everything else: it does not wait behind it.
-            self.state.borrow_mut().requests.take_into_debt(1.0, now);
+            self.state
+                .borrow_mut()
+                .store
+                .requests
+                .take_into_debt(1.0, now);
         }
         let sent = self.now();
         let limit = block
@@ -568,7 +590,7 @@
                     tracing::warn!("a watch answer that is not understood");
                     return false;
                 };
-                self.apply_to_cache(mirror::Input::WatchEvents {
+                self.apply_to_cache(watch_cache::Input::WatchEvents {
                     after,
                     revision: news.revision,
                     events: news.events,
@@ -588,12 +610,15 @@
         {
             let mut state = self.state.borrow_mut();
             // Where others are answered and this controller is not, nobody is kept waiting.
-            if !state.mirror.is_synced() || state.barrier.len() > 5_000 || state.alone {
+            if !state.cache.is_synced()
+                || state.store.read_waiters.len() > 5_000
+                || state.isolation.isolated
+            {
                 return false;
             }
-            state.barrier.push(reply);
+            state.store.read_waiters.push(reply);
         }
-        self.wake_barrier.notify_one();
+        self.wake.read_index.notify_one();
         matches!(
             timeout(Duration::from_millis(1_500), done).await,
             Ok(Ok(true))
@@ -603,11 +628,14 @@
     /// One barrier serves everyone who waits for it.
     pub async fn read_index_loop(self: Rc<Self>) {
         loop {
-            self.wake_barrier.notified().await;
+            self.wake.read_index.notified().await;
             loop {
                 let (mut waiters, after) = {
                     let mut state = self.state.borrow_mut();
-                    (std::mem::take(&mut state.barrier), state.mirror.revision)
+                    (
+                        std::mem::take(&mut state.store.read_waiters),
+                        state.cache.revision,
+                    )
                 };
                 // Those who have given up need no answer.
                 waiters.retain(|w| !w.is_closed());
@@ -616,7 +644,7 @@
                 }
                 let began = self.now();
                 let fine =
-                    self.watch(after, Micros::ZERO).await && self.state.borrow().mirror.is_synced();
+                    self.watch(after, Micros::ZERO).await && self.state.borrow().cache.is_synced();
                 if fine {
                     for waiter in waiters {
                         let _ = waiter.send(true);
@@ -624,7 +652,7 @@
                 } else {
                     // Refused or unanswered: they wait for the next one while they can. A
                     // later barrier shows no less.
-                    self.state.borrow_mut().barrier.extend(waiters);
+                    self.state.borrow_mut().store.read_waiters.extend(waiters);
                 }
                 // Those who come meanwhile share the next one.
                 let pause = if fine {
@@ -641,6 +669,7 @@
     pub async fn lease_renew(&self, lease: u64) -> Option<bool> {
         self.state
             .borrow_mut()
+            .store
             .requests
             .take_into_debt(1.0, self.now());
         let request = Request::new(
@@ -681,31 +710,31 @@
         let (old, told, roles, life) = {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            let told = state.mirror.feature_levels.get(me).map(|k| k.value.format);
-            let old = state.mirror.sessions.get(me).cloned();
+            let told = state.cache.feature_levels.get(me).map(|k| k.value.format);
+            let old = state.cache.sessions.get(me).cloned();
             let begins = lives::Input::SessionStarting {
                 former: old.as_ref().map(|k| crate::roles::process_run_of(&k.value)),
                 wall: self.clock.wall(),
             };
-            let phase = state.lives.apply(begins, self.now());
+            let phase = state.membership.restarts.apply(begins, self.now());
             // Guards against roles that a process takes back in each of its lives and serves in
             // none: what it leaves names a session that is gone.
             let leaves = self.defers_to_other_members(state);
             if leaves {
                 tracing::warn!(
-                    quick = state.lives.current().quick,
+                    quick = state.membership.restarts.current().quick,
                     ?phase,
                     "leaves its roles: it has ended again and again"
                 );
             }
             let roles: Vec<_> = state
-                .mirror
+                .cache
                 .roles
                 .iter()
                 .filter(|(_, k)| &k.value.owner == me && !leaves)
                 .map(|(role, k)| (*role, k.version))
                 .collect();
-            (old, told, roles, state.lives.current())
+            (old, told, roles, state.membership.restarts.current())
         };
         let mut guards = vec![guard(&key, old.as_ref().map_or(Revision(0), |k| k.version))];
         let session = SessionRecord {
@@ -752,7 +781,7 @@
                 if let Some(old) = old {
                     self.end_lease(old.value.lease).await;
                 }
-                self.wake_roles.notify_one();
+                self.wake.roles.notify_one();
                 true
             }
             _ => {
@@ -777,14 +806,6 @@
             Session::None => None,
         }
     }
-
-    pub fn address_of(&self, member: &Member) -> Option<std::net::SocketAddr> {
-        self.settings
-            .peers
-            .iter()
-            .find(|p| &p.member == member)
-            .map(|p| p.address)
-    }
 }
 
 fn unknown(batch: Vec<PendingWrite>) {
--- a/crates/jasperhill-controller/src/counts.rs
+++ b/crates/jasperhill-controller/src/task_counts.rs
@@ -2,7 +2,7 @@
 //! poll a job within a while, and one message asks for many jobs: what polls cost hardly
 //! grows with their number.
 
-use crate::controller::Shared;
+use crate::shared::Shared;
 use jasperhill_wire::{
     JobId, Member, Micros,
     mesh::{MeshRequest, MeshResponse, TaskCounts},
@@ -59,7 +59,7 @@
         let begin = {
             let now = self.now();
             let mut state = self.state.borrow_mut();
-            let learned = &mut state.learned;
+            let learned = &mut state.task_counts;
             if let Some(counts) = learned.get(id, now) {
                 return Some(counts);
             }
@@ -74,8 +74,8 @@
         }
         let answered = timeout(WAIT, async {
             loop {
-                let news = self.wake_counts.notified();
-                if let Some(counts) = self.state.borrow().learned.get(id, self.now()) {
+                let news = self.wake.task_counts.notified();
+                if let Some(counts) = self.state.borrow().task_counts.get(id, self.now()) {
                     return counts;
                 }
                 news.await;
@@ -90,7 +90,7 @@
             sleep(GATHER).await;
             let wanted: Vec<JobId> = {
                 let mut state = self.state.borrow_mut();
-                let learned = &mut state.learned;
+                let learned = &mut state.task_counts;
                 let wanted = learned.wanted.remove(&owner).unwrap_or_default();
                 if wanted.is_empty() {
                     learned.asking.remove(&owner);
@@ -108,11 +108,11 @@
                 let mut state = self.state.borrow_mut();
                 for (id, counts) in wanted.into_iter().zip(found) {
                     if let Some(counts) = counts {
-                        state.learned.keep(id, counts, now);
+                        state.task_counts.keep(id, counts, now);
                     }
                 }
                 drop(state);
-                self.wake_counts.notify_waiters();
+                self.wake.task_counts.notify_waiters();
             }
         }
     }
@@ -121,7 +121,11 @@
     pub fn local_task_counts(&self, ids: &[JobId]) -> MeshResponse {
         let state = self.state.borrow();
         let of = |id: &JobId| {
-            let job = state.partitions.values().find_map(|p| p.jobs.get(id))?;
+            let job = state
+                .scheduling
+                .partitions
+                .values()
+                .find_map(|p| p.jobs.get(id))?;
             Some(TaskCounts {
                 running: job.running.len() as u32,
                 done: job.done.count(),
--- a/crates/jasperhill-controller/src/net.rs
+++ b/crates/jasperhill-controller/src/transport.rs
@@ -11,11 +11,11 @@
     /// Sends one request; the error says whether it can have been executed.
     fn call(&self, to: SocketAddr, request: Request, limit: Duration) -> Call<'_>;
     /// The account of this process's sockets.
-    fn sockets(&self) -> &ConnectionTracker;
+    fn connection_tracker(&self) -> &ConnectionTracker;
 }
 
 /// The account of a controller's sockets, before any machine is known.
-pub fn connection_tracker(settings: &Settings) -> ConnectionTracker {
+pub fn new_connection_tracker(settings: &Settings) -> ConnectionTracker {
     let sizes = PlanInputs {
         most: settings.max_connections,
         peers: settings.peers.len(),
@@ -23,7 +23,7 @@
     };
     // A worker reports after a report's time and a quarter at the latest, and waits four seconds
     // for an answer before it goes elsewhere.
-    let overdue = crate::controller::to_duration(settings.heartbeat_interval.scale(1.25))
+    let overdue = crate::shared::to_duration(settings.heartbeat_interval.scale(1.25))
         + Duration::from_secs(4);
     ConnectionTracker::new(sizes, overdue)
 }
@@ -67,7 +67,7 @@
     fn call(&self, to: SocketAddr, request: Request, limit: Duration) -> Call<'_> {
         Box::pin(async move { self.client.call(to, &request, limit).await })
     }
-    fn sockets(&self) -> &ConnectionTracker {
+    fn connection_tracker(&self) -> &ConnectionTracker {
         &self.sockets
     }
 }
--- a/crates/jasperhill-controller/src/users.rs
+++ b/crates/jasperhill-controller/src/users.rs
@@ -1,9 +1,11 @@
 //! What users ask: submissions, polls, cancellations, readiness.
 
 use crate::{
-    controller::{RejectedJob, Shared, State},
-    mirror::JobEntry,
+    scheduling::state::RejectedJob,
+    shared::Shared,
+    state::State,
     store::{WriteOutcome, WritePriority, guard, put},
+    watch_cache::JobEntry,
 };
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_scheduler::{AdmissionDecision, chain::DependencyState, config::impossible};
@@ -93,9 +95,9 @@
     fn ready(&self) -> Response {
         let state = self.state.borrow();
         // In an outage that everybody sees, leaving the balancer would only delay the return.
-        if state.mirror.is_synced()
-            && state.specs.is_some()
-            && !state.alone
+        if state.cache.is_synced()
+            && state.scheduling.specs.is_some()
+            && !state.isolation.isolated
             && !self.defers_to_other_members(&state)
         {
             drop(state);
@@ -114,15 +116,15 @@
     /// The user's view of a known job; `None` if the mirror does not know it.
     fn known(&self, id: &JobId) -> Option<(JobPhase, u32, u32, bool)> {
         let state = self.state.borrow();
-        if let Some((phase, done)) = state.mirror.final_phase(id) {
+        if let Some((phase, done)) = state.cache.final_phase(id) {
             return Some((phase_of(phase), done, 0, true));
         }
-        match state.mirror.job(id)? {
+        match state.cache.job(id)? {
             JobEntry::Final { phase, done } => Some((phase_of(*phase), *done, 0, true)),
             JobEntry::Active(active) => {
                 let counts = self
                     .partition_of(&active.request.team)
-                    .and_then(|p| state.partitions.get(&p))
+                    .and_then(|p| state.scheduling.partitions.get(&p))
                     .and_then(|part| part.jobs.get(id))
                     .map(|job| (job.running.len() as u32, job.done.count()));
                 let (running, done) = counts.unwrap_or((0, active.done_count));
@@ -164,12 +166,12 @@
         }
         let (synced, impossible) = {
             let state = self.state.borrow();
-            let Some(specs) = &state.specs else {
+            let Some(specs) = &state.scheduling.specs else {
                 return later("machine types unknown");
             };
             (
-                state.mirror.is_synced(),
-                impossible(&request, &self.sched, specs),
+                state.cache.is_synced(),
+                impossible(&request, &self.scheduler_config, specs),
             )
         };
         if !synced {
@@ -212,12 +214,7 @@
         let Some(p) = self.partition_of(&request.team) else {
             return later("owner unknown");
         };
-        let owner = self
-            .state
-            .borrow()
-            .mirror
-            .owner(Role::Partition(p))
-            .cloned();
+        let owner = self.state.borrow().cache.owner(Role::Partition(p)).cloned();
         let verdict = match owner {
             Some(owner) if owner == self.settings.member => self.admit(request).await,
             Some(owner) if self.proposes_through_store(&owner) => self.propose(request).await,
@@ -266,7 +263,13 @@
     /// Whether the jobs that this one needs were ever accepted and are none that never end.
     /// `None`: they are; what is done already is dropped from the list.
     async fn check_needs(self: &Rc<Self>, request: &mut JobRequest) -> Option<Response> {
-        if !self.state.borrow().upgrade.supports(DEPENDENCIES) {
+        if !self
+            .state
+            .borrow()
+            .membership
+            .features
+            .supports(DEPENDENCIES)
+        {
             // An earlier version would start the job at once.
             return Some(later("an earlier version still serves"));
         }
@@ -284,7 +287,7 @@
         }
         let state = self.state.borrow();
         let done = |id: &JobId| {
-            let phase = state.mirror.final_phase(id).map(|(phase, _)| phase);
+            let phase = state.cache.final_phase(id).map(|(phase, _)| phase);
             phase == Some(RecordPhase::Done)
         };
         request.dependencies.retain(|id| !done(id));
@@ -296,7 +299,7 @@
         request
             .dependencies
             .iter()
-            .find_map(|id| match state.mirror.job(id) {
+            .find_map(|id| match state.cache.job(id) {
                 None => Some(format!("{id} was never accepted")),
                 Some(JobEntry::Active(job)) if job.request.shape == Shape::Service => {
                     Some(format!("{id} is a service"))
@@ -309,7 +312,7 @@
     fn is_doomed(&self, request: &JobRequest) -> bool {
         let state = self.state.borrow();
         request.dependencies.iter().any(|id| {
-            let phase = state.mirror.final_phase(id).map(|(phase, _)| phase);
+            let phase = state.cache.final_phase(id).map(|(phase, _)| phase);
             phase == Some(RecordPhase::Cancelled)
         })
     }
@@ -397,31 +400,36 @@
             let Some(p) = self.partition_of(&request.team) else {
                 return MeshResponse::Unavailable;
             };
-            let Some(specs) = &state.specs else {
+            let Some(specs) = &state.scheduling.specs else {
                 return MeshResponse::Unavailable;
             };
             // Shared by the partitions; a guess where the leader has not spoken lately.
             let boot = specs.values().map(|s| s.boot).max().unwrap_or_default();
-            let elastic = match state.elastic {
+            let elastic = match state.provisioning.spare_capacity {
                 Some((n, ready, at)) if now - at < Micros::from_secs(10) => {
                     (n.div_ceil(self.settings.size), ready)
                 }
                 _ => (1, boot.scale(1.3)),
             };
-            if state.first_asked.len() > ASKED_MAX {
+            if state.scheduling.rejected.len() > ASKED_MAX {
                 state
-                    .first_asked
+                    .scheduling
+                    .rejected
                     .retain(|_, r| now - r.last < Micros::from_secs(40));
             }
-            let asked = state.first_asked.get(&request.id).map_or(now, |r| r.first);
+            let asked = state
+                .scheduling
+                .rejected
+                .get(&request.id)
+                .map_or(now, |r| r.first);
             let release = self.time_until_ready(state, &request, now);
-            let Some(partition) = state.partitions.get(&p) else {
+            let Some(partition) = state.scheduling.partitions.get(&p) else {
                 return MeshResponse::Unavailable;
             };
             let verdict = partition.admit(&request, asked, now, release, elastic);
             if verdict == AdmissionDecision::Admit {
-                state.first_asked.remove(&request.id);
-            } else if state.first_asked.len() <= ASKED_MAX {
+                state.scheduling.rejected.remove(&request.id);
+            } else if state.scheduling.rejected.len() <= ASKED_MAX {
                 let hosts = jasperhill_scheduler::fleet::hosts_for(&request, specs);
                 let refused = RejectedJob {
                     first: asked,
@@ -429,7 +437,10 @@
                     partition: p,
                     hosts,
                 };
-                state.first_asked.insert(request.id.clone(), refused);
+                state
+                    .scheduling
+                    .rejected
+                    .insert(request.id.clone(), refused);
             }
             (verdict, p, partition.since)
         };
@@ -454,17 +465,17 @@
     /// the longest path, less what has passed where they run already.
     pub fn time_until_ready(&self, state: &State, request: &JobRequest, now: Micros) -> Micros {
         let rest = |id: &JobId| {
-            let Some(JobEntry::Active(job)) = state.mirror.job(id) else {
+            let Some(JobEntry::Active(job)) = state.cache.job(id) else {
                 return Micros::ZERO;
             };
             let own = self
                 .partition_of(&job.request.team)
-                .and_then(|p| state.partitions.get(&p));
+                .and_then(|p| state.scheduling.partitions.get(&p));
             let estimate = own.map_or(job.request.estimate, |p| p.estimate(&job.request));
-            if state.mirror.dependencies.standing(id) != DependencyState::Ready {
+            if state.cache.dependencies.standing(id) != DependencyState::Ready {
                 return estimate;
             }
-            let since = match state.released.get(id) {
+            let since = match state.scheduling.released.get(id) {
                 Some(at) => *at,
                 None => self.clock.steady(job.submitted),
             };
@@ -475,7 +486,7 @@
             }
         };
         state
-            .mirror
+            .cache
             .dependencies
             .release(&request.dependencies, rest)
     }
@@ -528,11 +539,11 @@
     /// Who runs an unfinished job, if somebody else does.
     fn other_owner(&self, id: &JobId) -> Option<Member> {
         let state = self.state.borrow();
-        let Some(JobEntry::Active(active)) = state.mirror.job(id) else {
+        let Some(JobEntry::Active(active)) = state.cache.job(id) else {
             return None;
         };
         let p = self.partition_of(&active.request.team)?;
-        let owner = state.mirror.owner(Role::Partition(p))?;
+        let owner = state.cache.owner(Role::Partition(p))?;
         (owner != &self.settings.member).then(|| owner.clone())
     }
 
@@ -543,10 +554,10 @@
         for _ in 0..4 {
             let found = {
                 let state = self.state.borrow();
-                if let Some((phase, _)) = state.mirror.final_phase(&id) {
+                if let Some((phase, _)) = state.cache.final_phase(&id) {
                     return answer(200, &id, phase_of(phase));
                 }
-                match state.mirror.job(&id) {
+                match state.cache.job(&id) {
                     Some(JobEntry::Active(a)) => {
                         let at = self.clock.wall();
                         let record = JobRecord::cancelled(&a.request, a.done_count, at);
--- a/crates/jasperhill-controller/tests/mirror.rs
+++ b/crates/jasperhill-controller/tests/mirror.rs
@@ -1,6 +1,6 @@
 //! The mirror of the host records: blocks change as wholes, hosts one by one.
 
-use jasperhill_controller::mirror::{Change, Input, WatchCache};
+use jasperhill_controller::watch_cache::{Change, Input, WatchCache};
 use jasperhill_wire::{
     HostId, JobId, Revision,
     record::{HostAssignment, HostBlock, HostRecord, RecordPhase, block_key},
--- a/crates/jasperhill-testkit/src/lines.rs
+++ b/crates/jasperhill-testkit/src/lines.rs
@@ -3,7 +3,7 @@
 //! is asked as its server and client ask it.
 
 use jasperhill_connections::Class;
-use jasperhill_controller::net::class_of;
+use jasperhill_controller::transport::class_of;
 use jasperhill_http::{ConnectionPermit, ConnectionTracker, Request};
 use std::{
     cell::{Cell, RefCell},
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -12,7 +12,7 @@
     workers::{Times, Worker},
 };
 use jasperhill_connections::{Class, PlanInputs};
-use jasperhill_controller::{Clock, Controller, Settings, Transport, net, net::Call};
+use jasperhill_controller::{Clock, Controller, Settings, Transport, transport::{self, Call}};
 use jasperhill_http::{
     ClientError, ConnectionTracker, Method, Request, Response, client::ANSWER_MAX,
 };
@@ -395,7 +395,7 @@
         settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
     }
     if plan.never_restless {
-        settings.operator.restless_after = Some(0);
+        settings.operator.crash_loop_threshold = Some(0);
     }
     settings
 }
@@ -440,7 +440,7 @@
             }
         })
     }
-    fn sockets(&self) -> &ConnectionTracker {
+    fn connection_tracker(&self) -> &ConnectionTracker {
         &self.lines.own
     }
 }
@@ -965,7 +965,7 @@
             };
             ConnectionTracker::new(sizes, Duration::from_secs(3_600))
         } else {
-            net::connection_tracker(&settings)
+            transport::new_connection_tracker(&settings)
         };
         let net = Rc::new(SimTransport {
             world: self.clone(),
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use jasperhill_connections::Class;
-use jasperhill_controller::{Clock, Controller, HttpTransport, Settings, SettingsError, net};
+use jasperhill_controller::{Clock, Controller, HttpTransport, Settings, SettingsError, transport};
 use jasperhill_http::{Door, ServerLimits, serve};
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, rc::Rc, time::Duration};
 use tokio::{
@@ -191,7 +191,7 @@
         let users = listen(settings.bind, backlog).await?;
         let peers = listen(settings.mesh, backlog / 4).await?;
         tracing::info!(member = %settings.member, bind = %settings.bind, "jasperhill serves");
-        let sockets = net::connection_tracker(&settings);
+        let sockets = transport::new_connection_tracker(&settings);
         // A worker reports after a report's time and a quarter at the latest; then it has gone
         // elsewhere, and its end of the connection may be beyond a cut.
         let limits = ServerLimits {
@@ -200,7 +200,7 @@
         };
         let door = Door {
             sockets: sockets.clone(),
-            class_of: net::class_of,
+            class_of: transport::class_of,
             entry: Class::Accepted,
         };
         let mesh_door = Door {
--- a/crates/jasperhill/src/own.rs
+++ b/crates/jasperhill/src/own.rs
@@ -65,7 +65,7 @@
         own.tuning.floor = x as u32;
     }
     if let Some(x) = number("restless_after", 0.0, 100.0)? {
-        own.restless_after = Some(x as u32);
+        own.crash_loop_threshold = Some(x as u32);
     }
     if let Some(x) = number("least_share", 0.0, 1.0)? {
         own.tuning.least_share = x;
@@ -82,7 +82,7 @@
     #[test]
     fn values_are_read_and_the_rest_stays_default() {
         let own = parse("headroom: 0.5\nsession_s: 8 floor_machines: 6 restless_after: 0").unwrap();
-        assert_eq!(own.restless_after, Some(0));
+        assert_eq!(own.crash_loop_threshold, Some(0));
         assert_eq!(own.tuning.floor, 6);
         assert_eq!(own.tuning.headroom, 0.5);
         assert_eq!(own.session, Some(Micros::from_secs(8)));
@@ -103,7 +103,7 @@
         assert_eq!(tuning.idle_keep, Micros::from_millis(12_500));
         assert_eq!((tuning.floor, tuning.least_share), (6, 0.5));
         assert_eq!(own.session, Some(Micros::from_secs(9)));
-        assert_eq!(own.restless_after, Some(4));
+        assert_eq!(own.crash_loop_threshold, Some(4));
     }
 
     #[test]
