--- a/crates/jasperhill-connections/src/account.rs
+++ b/crates/jasperhill-connections/src/budget.rs
@@ -1,5 +1,5 @@
 //! The account of a process's sockets. Owns every connection that the process has, by class and
-//! phase; every change goes through [`Account::apply`].
+//! phase; every change goes through [`ConnectionBudget::apply`].
 //!
 //! A class always gets what it is guaranteed. Beyond, it gets what nobody else is guaranteed or
 //! holds. What is idle and can be had again holds nothing: when all sockets are in use it makes
--- a/crates/jasperhill-connections/src/lib.rs
+++ b/crates/jasperhill-connections/src/lib.rs
@@ -1,15 +1,15 @@
 //! What bounds a process's sockets. Pure: no clock, no I/O.
 //!
-//! - [`Plan`]: how many sockets there are, and what each [`Class`] of them is guaranteed.
-//! - [`Account`]: every connection of the process, by class and phase: who may come, who stays, who
+//! - [`BudgetPlan`]: how many sockets there are, and what each [`Class`] of them is guaranteed.
+//! - [`ConnectionBudget`]: every connection of the process, by class and phase: who may come, who stays, who
 //!   makes way.
-//! - [`Window`]: how many hosts are sent something at a time, and when one that does not answer is
+//! - [`ConcurrencyLimiter`]: how many hosts are sent something at a time, and when one that does not answer is
 //!   tried again.
 
-pub mod account;
+pub mod budget;
+pub mod limiter;
 pub mod plan;
-pub mod window;
 
-pub use account::{ClassUsage, ConnectionBudget, ConnectionId, Input, Output};
+pub use budget::{ClassUsage, ConnectionBudget, ConnectionId, Input, Output};
+pub use limiter::ConcurrencyLimiter;
 pub use plan::{BudgetPlan, Class, PlanInputs};
-pub use window::ConcurrencyLimiter;
--- a/crates/jasperhill-connections/src/window.rs
+++ b/crates/jasperhill-connections/src/limiter.rs
@@ -1,6 +1,6 @@
-//! The window through which orders go out to workers: so many at a time, each host once, those
+//! The window through which commands go out to workers: so many at a time, each host once, those
 //! that have answered before those that have not, and one that does not answer after a pause that
-//! grows. Every change goes through [`Window::apply`].
+//! grows. Every change goes through [`ConcurrencyLimiter::apply`].
 //!
 //! Guards against a fleet's worth of connections in the moment of a takeover, and against dead
 //! hosts that hold a place each, again every second, while living ones wait.
--- a/crates/jasperhill-connections/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -3,7 +3,7 @@
 
 use jasperhill_connections::{
     BudgetPlan, Class, ConcurrencyLimiter, ConnectionBudget, ConnectionId, Input, Output,
-    PlanInputs, window,
+    PlanInputs, limiter,
 };
 use jasperhill_wire::Micros;
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -160,7 +160,7 @@
             let turns = match what {
                 0 | 1 => {
                     wanted.insert(host);
-                    window.apply(window::Input::Enqueue(host), now)
+                    window.apply(limiter::Input::Enqueue(host), now)
                 }
                 2 if !under_way.is_empty() => {
                     let host = under_way.remove(host as usize % under_way.len());
@@ -168,13 +168,13 @@
                     if !answered {
                         failed_at.insert(host, now);
                     }
-                    window.apply(window::Input::Completed(host, Some(answered)), now)
+                    window.apply(limiter::Input::Completed(host, Some(answered)), now)
                 }
                 3 => {
                     failed_at.remove(&host);
-                    window.apply(window::Input::Heard(host), now)
+                    window.apply(limiter::Input::Heard(host), now)
                 }
-                _ => window.apply(window::Input::Tick, now),
+                _ => window.apply(limiter::Input::Tick, now),
             };
             for host in turns {
                 prop_assert!(!under_way.contains(&host), "one request at a time");
@@ -193,9 +193,9 @@
             now += Micros::from_millis(500);
             for host in std::mem::take(&mut under_way) {
                 let answered = !dead.contains(&host);
-                under_way.extend(window.apply(window::Input::Completed(host, Some(answered)), now));
+                under_way.extend(window.apply(limiter::Input::Completed(host, Some(answered)), now));
             }
-            under_way.extend(window.apply(window::Input::Tick, now));
+            under_way.extend(window.apply(limiter::Input::Tick, now));
             sent.extend(&under_way);
         }
         prop_assert!(wanted.is_subset(&sent), "{wanted:?} {sent:?}");
@@ -221,10 +221,10 @@
         let mut turns = Vec::new();
         for host in 0..900 {
             if ms == 0 {
-                turns.extend(window.apply(window::Input::Enqueue(host), now));
+                turns.extend(window.apply(limiter::Input::Enqueue(host), now));
             }
             if !is_dead(host) && ms % REPORT == u64::from(host) * 7 % REPORT {
-                turns.extend(window.apply(window::Input::Heard(host), now));
+                turns.extend(window.apply(limiter::Input::Heard(host), now));
             }
         }
         for (_, host) in over {
@@ -232,13 +232,13 @@
             if fine {
                 answered.insert(host);
             }
-            turns.extend(window.apply(window::Input::Completed(host, Some(fine)), now));
+            turns.extend(window.apply(limiter::Input::Completed(host, Some(fine)), now));
         }
         if answered.len() == 600 {
             whole.get_or_insert(ms);
         }
         if ms % 100 == 0 && answered.contains(&1) {
-            let now_or_later = window.apply(window::Input::Enqueue(1), now);
+            let now_or_later = window.apply(limiter::Input::Enqueue(1), now);
             orders += 1;
             waited += usize::from(!now_or_later.contains(&1));
             turns.extend(now_or_later);
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -2,7 +2,7 @@
 //! and what the log and `/ready` say of classes that have come to their bound.
 
 use crate::shared::Shared;
-use jasperhill_connections::{Class, window::Input};
+use jasperhill_connections::{Class, limiter::Input};
 use jasperhill_wire::{HostId, Micros};
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -121,7 +121,7 @@
             .scheduling
             .partitions
             .values()
-            .flat_map(|p| p.floors.standing());
+            .flat_map(|p| p.starvation.standing());
         let least = standings.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
         match least {
             Some((group, s)) => tracing::info!(
--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -8,7 +8,7 @@
     transport::Transport,
 };
 use jasperhill_http::{Request, Response};
-use jasperhill_scheduler::split::split;
+use jasperhill_scheduler::sharding::split;
 use std::{cell::RefCell, future::Future, rc::Rc};
 
 /// One controller. Dropping it ends all that it does.
--- a/crates/jasperhill-controller/src/delegation/mod.rs
+++ b/crates/jasperhill-controller/src/delegation/mod.rs
@@ -2,10 +2,10 @@
 //! controller reaches both: a controller beside them answers their reports, with the owner's
 //! leave. Owns what this controller asks for, and what it has granted.
 //!
-//! The keeper writes the hosts that come to it into its *ask*. The owner, if it has not heard
+//! The delegate writes the hosts that come to it into its *ask*. The owner, if it has not heard
 //! them itself, first counts their leases as renewed until the end of the grant, and then
-//! writes the *grant*, which names the ask. The keeper may answer, with the owner's token and
-//! no new work, until [`Settings::grant`] after it *sent* that ask; the owner counts from when
+//! writes the *grant*, which names the ask. The delegate may answer, with the owner's token and
+//! no new work, until [`Settings::delegation_time`] after it *sent* that ask; the owner counts from when
 //! it *saw* the ask, which is later. So no host is taken for lapsed that could still be kept,
 //! whatever is delivered late. A takeover counts from its own beginning, since every grant in
 //! the store then belongs to an ask sent before.
@@ -18,7 +18,7 @@
     store::{WriteOutcome, WritePriority, guard, put, put_with_lease},
 };
 use jasperhill_http::Response;
-use jasperhill_membership::{authority::Session, view::LinkId};
+use jasperhill_membership::{authority::Session, reachability::LinkId};
 use jasperhill_scheduler::HostInput;
 use jasperhill_wire::{
     FencingToken, HostId, Member, Micros, Revision,
@@ -27,7 +27,7 @@
         DelegationGrantRecord, DelegationRequestRecord, Role, delegation_grant_key,
         delegation_part, delegation_request_key, role_key, session_key,
     },
-    state::Change,
+    store::Change,
     worker::{Command, Heartbeat, TaskPhase, TaskStatus, commands_body},
 };
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -114,7 +114,7 @@
     }
 }
 
-/// What this controller has granted, by partition and keeper: the ask answered, and when.
+/// What this controller has granted, by partition and delegate: the ask answered, and when.
 pub(crate) type DelegationGrants = BTreeMap<(u32, Member), (u64, Micros)>;
 
 /// Asks remembered: several of each part.
@@ -389,7 +389,7 @@
         }
     }
 
-    /// Grants what a keeper asks for, as far as the hosts are this controller's and have not
+    /// Grants what a delegate asks for, as far as the hosts are this controller's and have not
     /// been heard here.
     fn consider_delegation_request(self: &Rc<Self>, keeper: &Member) {
         let now = self.now();
@@ -420,12 +420,12 @@
                 .iter()
                 .filter_map(|id| partition.hosts.get(id))
                 .filter(|h| {
-                    h.reach != jasperhill_scheduler::FencingState::Lapsed
+                    h.fencing != jasperhill_scheduler::FencingState::Lapsed
                         && now - h.last_heard > quiet
                 })
-                // The keeper renews under this token until then, whatever is on its way.
+                // The delegate renews under this token until then, whatever is on its way.
                 .filter(|h| {
-                    h.rests_on()
+                    h.in_flight_known_as_of()
                         .is_none_or(|known| until <= bounds.until(known))
                 })
                 .map(|h| (h.id.clone(), h.token))
--- a/crates/jasperhill-controller/src/feature_gate.rs
+++ b/crates/jasperhill-controller/src/feature_gate.rs
@@ -1,5 +1,5 @@
 //! Whether every member is known to understand what this version writes. Until then nothing is
-//! written that an earlier version could not take. Every change goes through [`Upgrade::apply`].
+//! written that an earlier version could not take. Every change goes through [`FeatureGate::apply`].
 
 use jasperhill_wire::{
     Member,
@@ -12,7 +12,7 @@
 /// Where the deployment stands between two versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeatureGate {
-    /// The mirror is not whole: nothing can be said.
+    /// The watch cache is not whole: nothing can be said.
     #[default]
     Unknown,
     /// Every member's session, or its last one, understood this format; some no more than it.
--- a/crates/jasperhill-controller/src/heartbeats/mod.rs
+++ b/crates/jasperhill-controller/src/heartbeats/mod.rs
@@ -1,4 +1,4 @@
-//! Dealings with workers: their reports, direct orders, results to be written, tokens to be
+//! Dealings with workers: their reports, direct commands, results to be written, tokens to be
 //! raised.
 
 pub mod state;
@@ -10,9 +10,9 @@
     store::{WriteOutcome, WritePriority, guard, put},
     watch_cache::JobEntry,
 };
-use jasperhill_connections::window;
+use jasperhill_connections::limiter;
 use jasperhill_http::{ClientError, Method, Request, Response};
-use jasperhill_membership::{link::Observation, view::LinkId};
+use jasperhill_membership::{link::Observation, reachability::LinkId};
 use jasperhill_scheduler::{FencingState, HostInput, Partition, Source};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Revision, mesh,
@@ -324,7 +324,7 @@
             let lately = |t: Option<&Micros>| t.is_some_and(|t| now - *t < lease);
             // Asking each of them would take as many requests as there are workers: the link is
             // asked about as a whole until it is up. And guards against a link that carries
-            // orders but no reports, or reports but no answers to them: a worker that comes back
+            // commands but no reports, or reports but no answers to them: a worker that comes back
             // all the same, or that was answered here lately, is not sent home.
             let stays = orders == mesh::LinkState::Down
                 || lately(state.relay.sent_to_owner.get(&host))
@@ -397,7 +397,7 @@
             return Ok(self.redirect_to(leader));
         };
         let Some(p) = kept.value.partition() else {
-            // What it became since a stale mirror last heard of it, the leader knows.
+            // What it became since a stale watch cache last heard of it, the leader knows.
             let stale =
                 state.membership.reachability.own_link(&LinkId::Store) == mesh::LinkState::Down;
             let leader = self.latest_owner(state, Role::Leader).filter(|_| stale);
@@ -416,13 +416,16 @@
         if !state.authority.holds(now) {
             return Err(unavailable());
         }
-        partition.on_report(report, Source::Heartbeat, now);
-        let orders = partition.orders(&host);
-        let Some((token, rests_on)) = partition.hosts.get(&host).map(|h| (h.token, h.rests_on()))
+        partition.on_heartbeat(report, Source::Heartbeat, now);
+        let orders = partition.commands(&host);
+        let Some((token, rests_on)) = partition
+            .hosts
+            .get(&host)
+            .map(|h| (h.token, h.in_flight_known_as_of()))
         else {
             return Err(unavailable());
         };
-        // Asked again: this answer renews a lease and carries orders.
+        // Asked again: this answer renews a lease and carries commands.
         let now = self.now();
         if !state.authority.holds(now)
             || rests_on.is_some_and(|known| now >= self.settings.bounds.until(known))
@@ -438,7 +441,7 @@
         let turns = state
             .commands
             .limiter
-            .apply(window::Input::Heard((p, host)), now);
+            .apply(limiter::Input::Heard((p, host)), now);
         drop(guarded);
         self.send_commands(turns);
         let response = Response::new(200, commands_body(token, None, &orders));
@@ -625,7 +628,7 @@
                 ))
             })
         }?;
-        // Guards against orders in doubt for every host beyond a cut: each would have to have its
+        // Guards against commands in doubt for every host beyond a cut: each would have to have its
         // token raised by a write before it could be used again.
         if matches!(self.command_route(&zone), CommandRoute::None) {
             return None;
@@ -685,17 +688,17 @@
             .partitions
             .get_mut(&p)
             .filter(|part| part.since == since)?;
-        let orders = partition.orders(id);
+        let orders = partition.commands(id);
         let host = partition.hosts.get(id)?;
         let known = state.authority.fresh();
-        // Guards against a start that is carried out late under a lease that a keeper renews, after
-        // its job was cancelled: see `Host::rests_on`.
+        // Guards against a start that is carried out late under a lease that a delegate renews, after
+        // its job was cancelled: see `Host::in_flight_known_as_of`.
         if host.last_answer > self.settings.bounds.until(known) {
             return None;
         }
         let (tenure, token) = (host.tenure?, host.token);
         let pressing = orders.iter().any(|o| !matches!(o, Command::Clear(..)));
-        let unfenced = matches!(host.reach, FencingState::Unfenced { .. });
+        let unfenced = matches!(host.fencing, FencingState::Unfenced { .. });
         if host.in_flight() || host.in_doubt() || !(pressing || unfenced) {
             return None;
         }
@@ -712,7 +715,7 @@
                 if let Some(partition) = self.state.borrow_mut().scheduling.partitions.get_mut(&p)
                     && partition.since == since
                 {
-                    partition.on_report(&report, Source::Direct, now);
+                    partition.on_heartbeat(&report, Source::Direct, now);
                 }
             }
             Ok(report) => tracing::warn!(host = %id, other = %report.host, "another host answers"),
@@ -737,9 +740,9 @@
                         continue;
                     };
                     let whole = job.done.is_full();
-                    let suspected = job.trust.failing() != job.failing_saved;
+                    let suspected = job.failures.failing() != job.failed_attempts_saved;
                     let partial = !job.unsaved.is_empty() && (!job.is_gang() || whole);
-                    if job.ending.is_some() || !(partial || suspected) {
+                    if job.termination.is_some() || !(partial || suspected) {
                         continue;
                     }
                     // What others wait for goes ahead.
@@ -822,7 +825,7 @@
                     partition.saved(&id, &tasks, failing);
                 }
             } else {
-                // The next try goes by what the mirror then shows.
+                // The next try goes by what the watch cache then shows.
                 self.read_index().await;
             }
         }
@@ -830,8 +833,8 @@
         state.results.saving.remove(&id);
         if let Some(partition) = state.scheduling.partitions.get_mut(&p)
             && partition.jobs.get(&id).is_some_and(|j| {
-                j.ending.is_none()
-                    && (!j.unsaved.is_empty() || j.trust.failing() != j.failing_saved)
+                j.termination.is_none()
+                    && (!j.unsaved.is_empty() || j.failures.failing() != j.failed_attempts_saved)
             })
         {
             partition.unsaved.insert(id);
@@ -852,8 +855,8 @@
             let record = JobRecord::terminal(RecordPhase::Done, job.done.count());
             return Some((record, job.unsaved.clone()));
         }
-        let failing = job.trust.failing();
-        if job.is_gang() && failing == job.failing_saved {
+        let failing = job.failures.failing();
+        if job.is_gang() && failing == job.failed_attempts_saved {
             return None;
         }
         // Its tasks have run: all that it needed is done.
@@ -900,7 +903,7 @@
         {
             let mut guarded = self.state.borrow_mut();
             let state = &mut *guarded;
-            for id in state.cache.dependencies.doomed() {
+            for id in state.cache.dependencies.cancelled_upstream() {
                 if state.results.cancelling.len() >= CANCELLING_MAX {
                     break;
                 }
@@ -933,7 +936,7 @@
                         tracing::info!(job = %id, "cancelled with a job before it");
                         inner.wake.scheduler.notify_one();
                     }
-                    // Tried again with the next tick, by what the mirror then shows.
+                    // Tried again with the next tick, by what the watch cache then shows.
                     _ => {
                         inner.read_index().await;
                     }
@@ -942,8 +945,8 @@
         }
     }
 
-    /// Rewrites the records of hosts with orders in doubt, which raises their tokens: late
-    /// direct orders then die at the worker.
+    /// Rewrites the records of hosts with commands in doubt, which raises their tokens: late
+    /// direct commands then die at the worker.
     pub fn raise_tokens(self: &Rc<Self>) {
         let now = self.now();
         let mut due = Vec::new();
@@ -974,7 +977,7 @@
                     new_record: Some(record),
                     deadline: inner.now() + Micros::from_secs(5),
                 };
-                // Done: the mirror hands the new revision to the partition.
+                // Done: the watch cache hands the new revision to the partition.
                 inner.update_host(kept.block, edit).await;
                 inner.state.borrow_mut().commands.token_updates.remove(&id);
             });
--- a/crates/jasperhill-controller/src/host_registry.rs
+++ b/crates/jasperhill-controller/src/host_registry.rs
@@ -16,7 +16,7 @@
 use jasperhill_wire::{
     HostId, Micros, Revision,
     record::{DEPENDENCIES, HostBlock, HostRecord, Role, block_key, role_key},
-    state::{Change, Guard},
+    store::{Change, Guard},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/jasperhill-controller/src/lib.rs
+++ b/crates/jasperhill-controller/src/lib.rs
@@ -1,4 +1,4 @@
-//! A controller: sessions and authority, the store client, the mirror and its read barrier,
+//! A controller: sessions and authority, the store client, the watch cache and its linearizable read,
 //! the mesh, the user API, dealings with workers and the cloud. Thin I/O around the state
 //! machines here and in `jasperhill-scheduler`.
 
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -8,7 +8,7 @@
 };
 use std::{net::SocketAddr, rc::Rc};
 
-/// A mirror heard from within this time is as good as the state service gives.
+/// A watch cache heard from within this time is as good as the state service gives.
 pub(crate) const FRESH: Micros = Micros::from_secs(6);
 
 /// What a worker is to be told, on its way back through another controller.
--- a/crates/jasperhill-controller/src/proposals/mod.rs
+++ b/crates/jasperhill-controller/src/proposals/mod.rs
@@ -13,12 +13,12 @@
     shared::Shared,
     store::{WriteOutcome, WritePriority, guard, put, put_with_lease},
 };
-use jasperhill_membership::{authority::Session, view::LinkId};
+use jasperhill_membership::{authority::Session, reachability::LinkId};
 use jasperhill_wire::{
     JobId, Member, Micros, Revision,
     mesh::{LinkState, MeshResponse},
     record::{ProposalRecord, Role, proposal_key, session_key},
-    state::Change,
+    store::Change,
     user::JobRequest,
 };
 use std::{rc::Rc, time::Duration};
--- a/crates/jasperhill-controller/src/provisioner/inventory.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -2,8 +2,8 @@
 
 use crate::{shared::Shared, state::State, watch_cache::ActiveJob};
 use jasperhill_scheduler::{
-    chain::DependencyState,
-    fleet::{CapacityDemand, JobDemand, plan},
+    autoscaler::{CapacityDemand, JobDemand, plan},
+    dependencies::DependencyState,
 };
 use jasperhill_wire::{JobId, Micros, Name, record::HostAssignment};
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
 }
 
 impl Shared {
-    /// What every partition should have and has, by the mirror alone.
+    /// What every partition should have and has, by the watch cache alone.
     pub(super) fn inventory(&self, state: &State) -> Vec<Inventory> {
         let Some(specs) = &state.scheduling.specs else {
             return Vec::new();
@@ -80,7 +80,7 @@
         let now = self.now();
         // What waits for others counts from when a machine rented now would be there for it: not
         // while these wait themselves. Guards against walking long chains once for each of their jobs.
-        let ready = |id: &JobId| state.cache.dependencies.standing(id) == DependencyState::Ready;
+        let ready = |id: &JobId| state.cache.dependencies.state_of(id) == DependencyState::Ready;
         let near = |job: &ActiveJob| {
             let request = &job.request;
             ready(&request.id)
@@ -89,9 +89,9 @@
         };
         let demands: Vec<JobDemand<'_>> = state
             .cache
-            .active()
+            .active_jobs()
             // No machine is rented for what fails wherever it runs.
-            .filter(|job| job.failing == 0 && near(job))
+            .filter(|job| job.failed_attempts == 0 && near(job))
             .filter_map(|job| {
                 Some(JobDemand {
                     request: &job.request,
--- a/crates/jasperhill-controller/src/provisioner/mod.rs
+++ b/crates/jasperhill-controller/src/provisioner/mod.rs
@@ -14,9 +14,9 @@
     watch_cache::HostEntry,
 };
 use jasperhill_http::{Method, Request, Response};
-use jasperhill_membership::view::LinkId;
+use jasperhill_membership::reachability::LinkId;
 use jasperhill_scheduler::{
-    boots::{BootTimes, replaceable},
+    boot_times::{BootTimes, replaceable},
     config::{Specs, specs},
 };
 use jasperhill_wire::{
--- a/crates/jasperhill-controller/src/provisioner/reconciliation.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -11,7 +11,7 @@
     watch_cache::HostEntry,
 };
 use jasperhill_http::Method;
-use jasperhill_scheduler::boots::BootTimes;
+use jasperhill_scheduler::boot_times::BootTimes;
 use jasperhill_wire::{
     HostId, Micros,
     cloud::{Machine, MachineList, MachinePhase},
--- a/crates/jasperhill-controller/src/provisioner/scale_in.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_in.rs
@@ -128,14 +128,14 @@
                     {
                         continue;
                     }
-                    let lost = host.reach == FencingState::Lapsed
+                    let lost = host.fencing == FencingState::Lapsed
                         && now - host.last_answer
                             > self.scheduler_config.lapse() + Micros::from_secs(30);
                     let bad = host.is_empty() && (host.is_faulty(now) || host.slowness > 2.2);
                     let spare = stock.have > stock.want
                         && (host.spot || stock.have_ordinary > stock.want_ordinary)
                         && partition.is_spare(&id, now, keep);
-                    let usage = if lost || (bad && host.reach == FencingState::Fenced) {
+                    let usage = if lost || (bad && host.fencing == FencingState::Fenced) {
                         HostAssignment::Decommissioned(None)
                     } else if spare && short {
                         HostAssignment::Free
--- a/crates/jasperhill-controller/src/provisioner/state.rs
+++ b/crates/jasperhill-controller/src/provisioner/state.rs
@@ -1,7 +1,7 @@
 //! What is kept of dealings with the cloud, by the leader and by owners.
 
 use crate::{provisioner::LeaderState, settings::Settings, token_bucket::TokenBucket};
-use jasperhill_scheduler::fleet::DemandForecast;
+use jasperhill_scheduler::autoscaler::DemandForecast;
 use jasperhill_wire::{HostId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/jasperhill-controller/src/relay/mod.rs
+++ b/crates/jasperhill-controller/src/relay/mod.rs
@@ -1,6 +1,6 @@
 //! What this controller learns of its links, and the ways round a cut: it feeds
-//! [`jasperhill_membership::View`], tells the others how it stands, passes reports on to owners that
-//! their workers don't reach, and orders to workers that their owners don't reach.
+//! [`jasperhill_membership::Reachability`], tells the others how it stands, passes reports on to owners that
+//! their workers don't reach, and commands to workers that their owners don't reach.
 //!
 //! Nothing here decides what may run: whoever passes something on adds nothing to it. A report's
 //! answer is the owner's, with its token and authority; an order passed on is in doubt for its
@@ -12,8 +12,8 @@
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_membership::{
     link::Observation,
+    reachability::{self, LinkId, Output},
     roles::Eligibility,
-    view::{self, LinkId, Output},
 };
 use jasperhill_wire::{
     HostId, Member, Micros, Name, Revision,
@@ -39,7 +39,7 @@
 /// Workers asked at a time when a zone's link is in question.
 const PROBES: usize = 3;
 const PROBE_LIMIT: Micros = Micros::from_secs(1);
-/// Orders of others passed on at a time, and reports; beyond, the sender is told so at once.
+/// Commands of others passed on at a time, and reports; beyond, the sender is told so at once.
 const PUSHES_MAX: usize = 64;
 const RELAYS_MAX: usize = 400;
 /// Reports that wait for a takeover.
@@ -93,7 +93,7 @@
     }
 }
 
-/// How orders get to a worker.
+/// How commands get to a worker.
 pub(crate) enum CommandRoute {
     Direct,
     Through(SocketAddr),
@@ -140,7 +140,7 @@
 
     /// Something got through a link, or did not.
     pub fn observe_link(&self, link: LinkId, evidence: Observation) {
-        self.update_reachability(view::Input::Evidence(link, evidence));
+        self.update_reachability(reachability::Input::Evidence(link, evidence));
     }
 
     /// A worker of a zone answered, or not, out of so many there.
@@ -154,7 +154,7 @@
         self.observe_link(LinkId::Commands(zone.clone()), evidence);
     }
 
-    fn update_reachability(&self, input: view::Input<'_>) -> Vec<Name> {
+    fn update_reachability(&self, input: reachability::Input<'_>) -> Vec<Name> {
         let now = self.now();
         let outputs = self
             .state
@@ -241,7 +241,7 @@
                 .values()
                 .flat_map(|p| p.hosts.values())
             {
-                if host.reach != jasperhill_scheduler::FencingState::Lapsed {
+                if host.fencing != jasperhill_scheduler::FencingState::Lapsed {
                     *due.entry(host.zone.clone()).or_default() += 1;
                 }
             }
@@ -249,7 +249,7 @@
         };
         for (zone, hosts) in &due {
             let report = self.settings.heartbeat_interval;
-            let probes = self.update_reachability(view::Input::ExpectHeartbeats {
+            let probes = self.update_reachability(reachability::Input::ExpectHeartbeats {
                 zone,
                 hosts: *hosts,
                 report,
@@ -293,7 +293,7 @@
     }
 
     fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
-        // What a mirror shows that is no longer brought up to date is not told as news.
+        // What a watch cache shows that is no longer brought up to date is not told as news.
         let owners = if state.membership.reachability.own_link(&LinkId::Store) == LinkState::Up {
             let seats = state.cache.ownerships();
             let live = seats.into_iter().filter(|(_, s)| s.live);
@@ -327,7 +327,7 @@
                 let ask = MeshRequest::Reachability(Box::new(report));
                 let answer = inner.mesh_call(to, ask, Micros::from_secs(1)).await;
                 if let Some(MeshResponse::Reachability(theirs)) = answer {
-                    inner.update_reachability(view::Input::PeerReport(&theirs));
+                    inner.update_reachability(reachability::Input::PeerReport(&theirs));
                     inner.after_peer_report();
                 }
             });
@@ -339,7 +339,7 @@
         self: &Rc<Self>,
         theirs: &ReachabilityReport,
     ) -> ReachabilityReport {
-        self.update_reachability(view::Input::PeerReport(theirs));
+        self.update_reachability(reachability::Input::PeerReport(theirs));
         self.after_peer_report();
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -445,7 +445,7 @@
         (fits, hosts)
     }
 
-    /// The owner of a role by the youngest that is known: the own mirror, or what others have
+    /// The owner of a role by the youngest that is known: the own watch cache, or what others have
     /// told while this controller can't hear of it itself.
     pub fn latest_owner(&self, state: &State, role: Role) -> Option<Member> {
         let now = self.now();
@@ -594,7 +594,7 @@
         }
     }
 
-    /// How orders get to a worker of this zone.
+    /// How commands get to a worker of this zone.
     pub fn command_route(&self, zone: &Name) -> CommandRoute {
         let now = self.now();
         let state = self.state.borrow();
@@ -657,7 +657,7 @@
         }
     }
 
-    /// Passes the orders of another controller on to a worker. They may be executed at any
+    /// Passes the commands of another controller on to a worker. They may be executed at any
     /// time from now on: unless it says otherwise, the sender counts them as in doubt.
     pub async fn relay_commands(&self, host: HostId, body: Option<String>) -> MeshResponse {
         let (turn, found) = {
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -7,7 +7,7 @@
     store::{WriteOutcome, WritePriority, guard, put},
 };
 use jasperhill_membership::{
-    lives::{self, Phase, ProcessRun},
+    restart_history::{self, Phase, ProcessRun},
     roles::{self, Snapshot, Transition},
 };
 use jasperhill_scheduler::{Host, Partition, job::Readiness};
@@ -20,8 +20,8 @@
 
 pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
     ProcessRun {
-        began: record.process_started,
-        quick: record.quick_restarts,
+        started: record.process_started,
+        quick_restarts: record.quick_restarts,
     }
 }
 
@@ -44,7 +44,7 @@
 
     /// The members that have ended again and again and have not lived for long since.
     fn restless(&self, state: &State) -> BTreeSet<Member> {
-        let (after, wall) = (state.membership.restarts.after(), self.clock.wall());
+        let (after, wall) = (state.membership.restarts.threshold(), self.clock.wall());
         let me = &self.settings.member;
         let others =
             state.cache.sessions.iter().filter(|(m, k)| {
@@ -92,7 +92,7 @@
             .map(|p| Role::Partition(*p));
         let mut seats = state.cache.ownerships();
         for (role, seat) in &mut seats {
-            seat.let_go = state.membership.reachability.has_relinquished(
+            seat.relinquished = state.membership.reachability.has_relinquished(
                 &seat.owner,
                 *role,
                 seat.version,
@@ -113,14 +113,17 @@
             hosts,
             damping: self.settings.lease,
         };
-        state.membership.restarts.apply(lives::Input::Tick, now);
+        state
+            .membership
+            .restarts
+            .apply(restart_history::Input::Tick, now);
         let steps = state
             .membership
             .roles
             .apply(roles::Input::Evaluate(&facts), now);
         for step in &steps {
             match step {
-                // Built only once the mirror holds everything up to the takeover.
+                // Built only once the watch cache holds everything up to the takeover.
                 Transition::Hold(role, version) if state.cache.revision >= *version => {
                     self.load(state, *role, *version, now);
                 }
@@ -169,11 +172,11 @@
                     return;
                 }
                 let mut part = Partition::new(p, version, self.scheduler_config.clone(), specs);
-                for job in state.cache.active() {
+                for job in state.cache.active_jobs() {
                     if self.partition_of(&job.request.team) == Some(p) {
                         let submitted = self.clock.steady(job.submitted);
                         // Revision 0: old enough to be running anywhere.
-                        let trust = (job.failing, now);
+                        let trust = (job.failed_attempts, now);
                         let place = self.dependency_status(state, job);
                         // A job that waits for others now was never started by a controller
                         // that knows of that.
@@ -186,14 +189,14 @@
                             _ => Revision(0),
                         };
                         part.upsert_job(&job.request, created, submitted, &job.finished, trust);
-                        part.place_job(&job.request.id, place);
+                        part.set_dependency_status(&job.request.id, place);
                     }
                 }
                 // Late writes and clocks that differ included, longer than a cancelled task can last.
                 let lasts = self.settings.cancel.scale(3.0);
-                for (id, remains) in state.cache.remains(self.clock.wall() - lasts) {
+                for (id, remains) in state.cache.residual_usage(self.clock.wall() - lasts) {
                     if self.partition_of(&remains.team) == Some(p) {
-                        part.recall_cancelled(id, remains, now);
+                        part.restore_cancelled(id, remains, now);
                     }
                 }
                 for (id, kept) in &state.cache.hosts {
@@ -291,7 +294,7 @@
                 )
                 .await;
             if !matches!(done, WriteOutcome::Committed(_)) {
-                // Whatever became of it, the mirror will tell.
+                // Whatever became of it, the watch cache will tell.
                 self.read_index().await;
             }
         }
--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -7,7 +7,9 @@
     watch_cache::{self, Change, JobEntry},
 };
 use jasperhill_membership::roles;
-use jasperhill_scheduler::{chain::DependencyState, config::specs, fleet::DemandForecast};
+use jasperhill_scheduler::{
+    autoscaler::DemandForecast, config::specs, dependencies::DependencyState,
+};
 use jasperhill_wire::{JobId, Micros, user::JobRequest};
 use std::rc::Rc;
 
@@ -35,7 +37,7 @@
                     if state.proposals.open.contains(&id) {
                         self.wake.proposals.notify_waiters();
                     }
-                    if following && state.cache.dependencies.standing(&id) == DependencyState::Ready
+                    if following && state.cache.dependencies.state_of(&id) == DependencyState::Ready
                     {
                         self.record_arrival(&mut state, &id, now);
                     }
@@ -129,9 +131,9 @@
         };
         let mut recent: Vec<(Micros, Rc<JobRequest>)> = state
             .cache
-            .active()
+            .active_jobs()
             .filter(|job| {
-                state.cache.dependencies.standing(&job.request.id) == DependencyState::Ready
+                state.cache.dependencies.state_of(&job.request.id) == DependencyState::Ready
             })
             .map(|job| (self.clock.steady(job.submitted), job.request.clone()))
             .collect();
@@ -148,7 +150,7 @@
                 state
                     .provisioning
                     .forecast
-                    .note(p, &request, &specs, at.min(now));
+                    .record(p, &request, &specs, at.min(now));
             }
         }
     }
@@ -161,11 +163,11 @@
         if let Some(JobEntry::Active(job)) = state.cache.job(id)
             && self.settings.waited_for.contains_key(&job.request.class)
             && job.finished.is_empty()
-            && job.failing == 0
+            && job.failed_attempts == 0
             && forecast.counts(now)
             && let Some(p) = self.partition_of(&job.request.team)
         {
-            forecast.note(p, &job.request, specs, now);
+            forecast.record(p, &job.request, specs, now);
         }
     }
 }
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -10,7 +10,7 @@
     watch_cache::{ActiveJob, JobEntry},
 };
 use jasperhill_scheduler::{
-    chain::DependencyState,
+    dependencies::DependencyState,
     job::{DependencyStatus, Readiness, Termination},
     partition::Event,
 };
@@ -27,9 +27,9 @@
     /// How a job stands in its pipeline, by the steady clock.
     pub fn dependency_status(&self, state: &State, job: &ActiveJob) -> DependencyStatus {
         let id = &job.request.id;
-        let claim = state.cache.dependencies.claim(id);
+        let claim = state.cache.dependencies.inherited_urgency(id);
         DependencyStatus {
-            gate: match state.cache.dependencies.standing(id) {
+            gate: match state.cache.dependencies.state_of(id) {
                 DependencyState::Ready => Readiness::Open,
                 _ => Readiness::Waiting,
             },
@@ -66,10 +66,10 @@
         let Some(partition) = state.scheduling.partitions.get_mut(&p) else {
             return false;
         };
-        let trust = (job.failing, now);
+        let trust = (job.failed_attempts, now);
         let (request, version) = (&job.request, job.version);
         partition.upsert_job(request, version, submitted, &job.finished, trust);
-        partition.place_job(id, place);
+        partition.set_dependency_status(id, place);
         true
     }
 
@@ -143,7 +143,10 @@
                     .hosts
                     .values()
                     .filter(|h| {
-                        matches!(h.reach, jasperhill_scheduler::FencingState::Unfenced { .. })
+                        matches!(
+                            h.fencing,
+                            jasperhill_scheduler::FencingState::Unfenced { .. }
+                        )
                     })
                     .map(|h| h.id.clone())
                     .collect();
@@ -164,9 +167,9 @@
                 }
             }
             if tick || partition.changed {
-                partition.pass(now);
+                partition.run_cycle(now);
             }
-            for note in partition.notes.drain(..) {
+            for note in partition.events.drain(..) {
                 log_note(&note);
             }
             for host in std::mem::take(&mut partition.dirty) {
--- a/crates/jasperhill-controller/src/settings.rs
+++ b/crates/jasperhill-controller/src/settings.rs
@@ -386,7 +386,7 @@
         }
     }
 
-    /// How old the mirror may be while there is authority: a cancellation that is not seen
+    /// How old the watch cache may be while there is authority: a cancellation that is not seen
     /// must stop the renewal of leases soon enough for the tasks to be gone by `cancel_s`.
     pub fn cache_age_max(&self) -> Micros {
         self.bounds.owner()
@@ -404,9 +404,9 @@
         wanted.clamp(Micros::from_secs(2), Micros::from_secs(600))
     }
 
-    /// How long a keeper may answer for an owner, counted from its ask: long enough to bridge
+    /// How long a delegate may answer for an owner, counted from its ask: long enough to bridge
     /// the time between asks several times, and no longer than lets cancelled tasks end in
-    /// time even if their host is lost to the keeper as well.
+    /// time even if their host is lost to the delegate as well.
     pub fn delegation_time(&self) -> Micros {
         let slack = (self.cancel - self.lease).scale(0.5) - Micros::from_secs(1);
         self.lease.scale(0.6).min(slack)
--- a/crates/jasperhill-controller/src/stall_detector.rs
+++ b/crates/jasperhill-controller/src/stall_detector.rs
@@ -1,5 +1,5 @@
 //! Whether this process has stood still, and whether the state service answers it. Both are
-//! told from what goes on here alone; every change goes through [`Pulse::apply`].
+//! told from what goes on here alone; every change goes through [`StallDetector::apply`].
 
 use jasperhill_wire::Micros;
 
--- a/crates/jasperhill-controller/src/store/mod.rs
+++ b/crates/jasperhill-controller/src/store/mod.rs
@@ -1,5 +1,5 @@
 //! The client of the state service: group commit under a budget, the listing and the watch
-//! that feed the mirror, the read barrier, leases.
+//! that feed the watch cache, the linearizable read, leases.
 
 mod session;
 pub mod state;
@@ -15,8 +15,8 @@
 use jasperhill_membership::{
     authority::{self, Session},
     link::Observation,
-    lives,
-    view::LinkId,
+    reachability::LinkId,
+    restart_history,
 };
 use jasperhill_wire::{
     Micros, Revision,
@@ -25,7 +25,7 @@
         FEATURE_LEVEL, FeatureLevelRecord, ROOT, RoleRecord, SessionRecord, feature_level_key,
         role_key, session_key,
     },
-    state::{
+    store::{
         Change, Guard, LeaseResponse, Listing, Transaction, TransactionResponse, WatchResponse,
     },
 };
@@ -547,8 +547,8 @@
         true
     }
 
-    /// One watch. With `block` zero it is the read barrier: the answer shows a revision not
-    /// older than the request, and brings the mirror up to it.
+    /// One watch. With `block` zero it is the linearizable read: the answer shows a revision not
+    /// older than the request, and brings the watch cache up to it.
     async fn watch(&self, after: Revision, block: Micros) -> bool {
         let target = format!(
             "/watch?prefix={ROOT}&after={}&block_ms={}",
@@ -563,7 +563,7 @@
                 sleep(to_duration(wait)).await;
             }
         } else {
-            // The mirror feeds everything else: it does not wait behind it.
+            // The watch cache feeds everything else: it does not wait behind it.
             self.state
                 .borrow_mut()
                 .store
@@ -604,7 +604,7 @@
         }
     }
 
-    /// Waits until the mirror shows at least what was true when this was called.
+    /// Waits until the watch cache shows at least what was true when this was called.
     pub async fn read_index(&self) -> bool {
         let (reply, done) = oneshot::channel();
         {
@@ -712,7 +712,7 @@
             let state = &mut *guarded;
             let told = state.cache.feature_levels.get(me).map(|k| k.value.format);
             let old = state.cache.sessions.get(me).cloned();
-            let begins = lives::Input::SessionStarting {
+            let begins = restart_history::Input::SessionStarting {
                 former: old.as_ref().map(|k| crate::roles::process_run_of(&k.value)),
                 wall: self.clock.wall(),
             };
@@ -722,7 +722,7 @@
             let leaves = self.defers_to_other_members(state);
             if leaves {
                 tracing::warn!(
-                    quick = state.membership.restarts.current().quick,
+                    quick = state.membership.restarts.current().quick_restarts,
                     ?phase,
                     "leaves its roles: it has ended again and again"
                 );
@@ -740,8 +740,8 @@
         let session = SessionRecord {
             lease,
             format: FEATURE_LEVEL,
-            process_started: life.began,
-            quick_restarts: life.quick,
+            process_started: life.started,
+            quick_restarts: life.quick_restarts,
         };
         let mut changes = vec![put_with_lease(&key, &session, lease)];
         // Outlasts the session: an earlier version that comes back in its place writes a session
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -6,7 +6,7 @@
 };
 use jasperhill_membership::{
     authority::{self, Session},
-    view::LinkId,
+    reachability::LinkId,
 };
 use jasperhill_wire::Micros;
 use std::rc::Rc;
--- a/crates/jasperhill-controller/src/users.rs
+++ b/crates/jasperhill-controller/src/users.rs
@@ -8,7 +8,7 @@
     watch_cache::JobEntry,
 };
 use jasperhill_http::{Method, Request, Response};
-use jasperhill_scheduler::{AdmissionDecision, chain::DependencyState, config::impossible};
+use jasperhill_scheduler::{AdmissionDecision, config::impossible, dependencies::DependencyState};
 use jasperhill_wire::{
     JobId, Member, Micros, Revision,
     mesh::{MeshRequest, MeshResponse, TaskCounts},
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The user's view of a known job; `None` if the mirror does not know it.
+    /// The user's view of a known job; `None` if the watch cache does not know it.
     fn known(&self, id: &JobId) -> Option<(JobPhase, u32, u32, bool)> {
         let state = self.state.borrow();
         if let Some((phase, done)) = state.cache.final_phase(id) {
@@ -145,7 +145,7 @@
                 let Some(id) = JobRequest::parse_id(body) else {
                     return error(400, malformed.to_string());
                 };
-                // A repeated submission gets its 200 whatever it says now. Guards against a mirror
+                // A repeated submission gets its 200 whatever it says now. Guards against a watch cache
                 // that has not heard of the job yet.
                 return if self.known(&id).is_none() && !self.read_index().await {
                     later("state unknown")
@@ -430,7 +430,7 @@
             if verdict == AdmissionDecision::Admit {
                 state.scheduling.rejected.remove(&request.id);
             } else if state.scheduling.rejected.len() <= ASKED_MAX {
-                let hosts = jasperhill_scheduler::fleet::hosts_for(&request, specs);
+                let hosts = jasperhill_scheduler::autoscaler::hosts_for(&request, specs);
                 let refused = RejectedJob {
                     first: asked,
                     last: now,
@@ -472,7 +472,7 @@
                 .partition_of(&job.request.team)
                 .and_then(|p| state.scheduling.partitions.get(&p));
             let estimate = own.map_or(job.request.estimate, |p| p.estimate(&job.request));
-            if state.cache.dependencies.standing(id) != DependencyState::Ready {
+            if state.cache.dependencies.state_of(id) != DependencyState::Ready {
                 return estimate;
             }
             let since = match state.scheduling.released.get(id) {
@@ -482,7 +482,7 @@
             // Where it really stands is known to its owner alone.
             match own.and_then(|p| p.jobs.get(id)) {
                 Some(job) if job.running.is_empty() => estimate,
-                _ => jasperhill_scheduler::forward::remaining(estimate, now - since),
+                _ => jasperhill_scheduler::schedule_simulation::remaining(estimate, now - since),
             }
         };
         state
@@ -506,7 +506,7 @@
                 },
             )
         };
-        // Final phases are final: any mirror may say them.
+        // Final phases are final: any watch cache may say them.
         if let Some(view @ (.., true)) = self.known(&id) {
             return status(view);
         }
--- a/crates/jasperhill-controller/src/watch_cache.rs
+++ b/crates/jasperhill-controller/src/watch_cache.rs
@@ -1,8 +1,8 @@
-//! The mirror: a copy of the store, kept by a listing and a watch. Every change goes through
-//! [`Mirror::apply`].
+//! The watch cache: a copy of the store, kept by a listing and a watch. Every change goes through
+//! [`WatchCache::apply`].
 
 use jasperhill_membership::RoleOwnership;
-use jasperhill_scheduler::chain::{
+use jasperhill_scheduler::dependencies::{
     self, DependencyGraph, DependencyState, JobUrgency, Output, RecordedOutcome,
 };
 use jasperhill_wire::{
@@ -13,7 +13,7 @@
         JobRecord, Key, ProposalRecord, RecordPhase, ResidualUsage, Role, RoleRecord,
         SessionRecord,
     },
-    state::{KeyValue, WatchEvent},
+    store::{KeyValue, WatchEvent},
     user::JobRequest,
 };
 use serde::de::DeserializeOwned;
@@ -52,7 +52,7 @@
     pub finished: Vec<u32>,
     pub done_count: u32,
     /// Tries that failed wherever it ran; 0 if nothing speaks against it.
-    pub failing: u32,
+    pub failed_attempts: u32,
     pub version: Revision,
 }
 
@@ -118,7 +118,7 @@
     pub hosts: BTreeMap<HostId, HostEntry>,
     /// Hosts that their block no longer names and that may turn up in another one: a move is
     /// seen as two changes in either order, or by a listing on two pages. They are gone only
-    /// if no block names them once the mirror is whole: a host that is gone runs nothing.
+    /// if no block names them once the watch cache is whole: a host that is gone runs nothing.
     between: BTreeSet<HostId>,
     /// The blocks that the hosts are kept in, with their revisions.
     pub blocks: BTreeMap<u32, Revision>,
@@ -181,10 +181,10 @@
         self.jobs.get(id)
     }
     /// Unfinished jobs, without those that are cancelled because a job before them is.
-    pub fn active(&self) -> impl Iterator<Item = &ActiveJob> {
+    pub fn active_jobs(&self) -> impl Iterator<Item = &ActiveJob> {
         self.active.iter().filter_map(|id| match self.jobs.get(id) {
             Some(JobEntry::Active(job))
-                if self.dependencies.standing(id) != DependencyState::Doomed =>
+                if self.dependencies.state_of(id) != DependencyState::Doomed =>
             {
                 Some(&**job)
             }
@@ -196,7 +196,7 @@
     pub fn final_phase(&self, id: &JobId) -> Option<(RecordPhase, u32)> {
         match self.jobs.get(id)? {
             JobEntry::Final { phase, done } => Some((*phase, *done)),
-            JobEntry::Active(job) => (self.dependencies.standing(id) == DependencyState::Doomed)
+            JobEntry::Active(job) => (self.dependencies.state_of(id) == DependencyState::Doomed)
                 .then_some((RecordPhase::Cancelled, job.done_count)),
         }
     }
@@ -211,7 +211,7 @@
     }
     /// The owner of a role, if its session lives.
     /// What jobs that were cancelled after this time of day may still take.
-    pub fn remains(&self, after: Micros) -> impl Iterator<Item = (&JobId, &ResidualUsage)> {
+    pub fn residual_usage(&self, after: Micros) -> impl Iterator<Item = (&JobId, &ResidualUsage)> {
         let first = (after, JobId::new(""));
         self.remains.range(first..).map(|((_, id), r)| (id, r))
     }
@@ -230,14 +230,14 @@
                 lease: kept.value.lease,
                 version: kept.version,
                 live: self.owner(*role).is_some(),
-                let_go: false,
+                relinquished: false,
             };
             (*role, seat)
         };
         self.roles.iter().map(seat).collect()
     }
 
-    /// The one function that changes the mirror.
+    /// The one function that changes the watch cache.
     pub fn apply(&mut self, input: Input) -> Vec<Change> {
         let mut changes = Vec::new();
         match input {
@@ -505,7 +505,7 @@
                         },
                         _ => RecordedOutcome::Open,
                     };
-                    related.extend(self.dependencies.apply(chain::Input::Accepted {
+                    related.extend(self.dependencies.apply(dependencies::Input::Accepted {
                         id: &id,
                         needs: &request.dependencies,
                         terms,
@@ -520,7 +520,7 @@
                     submitted: record.submitted.unwrap_or_default(),
                     finished: record.finished,
                     done_count: record.done_count,
-                    failing: record.failed_attempts,
+                    failed_attempts: record.failed_attempts,
                     version,
                 }))
             }
@@ -529,14 +529,14 @@
                 self.active.remove(&id);
                 // What was called cancelled stays so, whatever a controller wrote that did not
                 // know of the job before it.
-                let phase = match self.dependencies.standing(&id) {
+                let phase = match self.dependencies.state_of(&id) {
                     DependencyState::Doomed => RecordPhase::Cancelled,
                     _ => phase,
                 };
                 let done = phase == RecordPhase::Done;
                 related.extend(
                     self.dependencies
-                        .apply(chain::Input::Ended { id: &id, done }),
+                        .apply(dependencies::Input::Ended { id: &id, done }),
                 );
                 JobEntry::Final {
                     phase,
--- a/crates/jasperhill-controller/tests/mirror.rs
+++ b/crates/jasperhill-controller/tests/mirror.rs
@@ -4,7 +4,7 @@
 use jasperhill_wire::{
     HostId, JobId, Revision,
     record::{HostAssignment, HostBlock, HostRecord, RecordPhase, block_key},
-    state::{KeyValue, WatchEvent},
+    store::{KeyValue, WatchEvent},
 };
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -296,5 +296,5 @@
     // A controller that knew nothing of it.
     let event = put("jh/job/job-2".to_owned(), over("d"), 5);
     assert_eq!(apply(5, event), [cancelled; 3]);
-    assert_eq!(mirror.active().count(), 0);
+    assert_eq!(mirror.active_jobs().count(), 0);
 }
--- a/crates/jasperhill-http/src/client.rs
+++ b/crates/jasperhill-http/src/client.rs
@@ -2,9 +2,9 @@
 //! can have been executed.
 
 use crate::{
+    connections::{ConnectionPermit, ConnectionTracker},
     head::{Framing, HeadError, Request, Response, parse_response},
     server::read_chunked,
-    sockets::{ConnectionPermit, ConnectionTracker},
 };
 use jasperhill_connections::{Class, ConnectionId};
 use std::{
--- a/crates/jasperhill-http/src/server.rs
+++ b/crates/jasperhill-http/src/server.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     BODY_MAX,
+    connections::{ConnectionPermit, ConnectionTracker},
     head::{Framing, HEAD_MAX, HeadError, Method, Request, RequestHead, Response, parse_request},
-    sockets::{ConnectionPermit, ConnectionTracker},
 };
 use jasperhill_connections::Class;
 use std::{future::Future, rc::Rc, time::Duration};
--- a/crates/jasperhill-membership/src/authority.rs
+++ b/crates/jasperhill-membership/src/authority.rs
@@ -1,5 +1,5 @@
 //! Sessions and authority. A controller may act only while its session surely lives and its
-//! mirror is surely recent; both are judged from the *sending* of the requests that showed it.
+//! watch cache is surely recent; both are judged from the *sending* of the requests that showed it.
 //! Every change goes through [`Authority::apply`].
 
 use jasperhill_wire::{Micros, Revision};
@@ -24,7 +24,7 @@
     Renewed { lease: u64, sent: Micros },
     /// The state service says that the lease or its key is gone.
     Lost { lease: u64 },
-    /// The mirror holds everything up to `sent`.
+    /// The watch cache holds everything up to `sent`.
     Fresh { sent: Micros },
 }
 
@@ -129,7 +129,7 @@
             ..ProptestConfig::default()
         })]
         /// Whatever happens, authority never outlasts the lease counted from the last renewal
-        /// that was sent, nor the bound on the mirror's age.
+        /// that was sent, nor the bound on the watch cache's age.
         #[test]
         fn authority_ends_in_time(inputs in proptest::collection::vec(input(), 1..40)) {
             let (ttl, age) = (Micros::from_secs(10), Micros::from_secs(15));
--- a/crates/jasperhill-membership/src/bounds.rs
+++ b/crates/jasperhill-membership/src/freshness.rs
@@ -1,5 +1,5 @@
 //! How old the knowledge may be on which a renewal of a worker's lease rests. Pure, and the one
-//! place where it is computed: owners, keepers and those who send orders straight all ask here.
+//! place where it is computed: owners, delegates and those who send commands straight all ask here.
 //!
 //! A cancellation may be confirmed to its user by any controller at any moment. Whoever has not
 //! heard of it must have renewed the last lease early enough for that lease to have run out by
@@ -14,7 +14,7 @@
 const TIMERS: Micros = Micros::from_millis(1_500);
 /// Drift is counted this many times over: of both clocks, over lease and knowledge, and more.
 const DRIFTS: f64 = 10.0;
-/// A keeper answers by leave of an owner whom it can't hear: it needs to know more.
+/// A delegate answers by leave of an owner whom it can't hear: it needs to know more.
 const KEEPER: Micros = Micros::from_secs(3);
 /// The least that an owner can go on with: below it each late answer of the state service would
 /// cost the authority.
@@ -76,7 +76,7 @@
         known + self.owner
     }
 
-    /// The same for a keeper.
+    /// The same for a delegate.
     pub fn delegate_until(&self, known: Micros) -> Micros {
         known + self.keeper
     }
@@ -137,16 +137,16 @@
             let keeper = by(bounds.delegate_until(Micros::ZERO));
             // The owner's own answer, one passed on, one held for a takeover: given by an owner.
             prop_assert!(gone(owner, lease, worker_late) < cancel);
-            // A keeper's, whose own knowledge counts.
+            // A delegate's, whose own knowledge counts.
             prop_assert!(gone(keeper, lease, worker_late) < cancel);
             // A start sent straight, resting on that knowledge, carried out whenever the lease
             // lives and the token is the same: renewals end as the owner's do, by `until` of the
-            // knowledge of the start, also where a keeper gives them under a grant.
+            // knowledge of the start, also where a delegate gives them under a grant.
             let grant = by(bounds.until(Micros::ZERO));
             prop_assert!(gone(grant, lease, worker_late) < cancel);
         }
 
-        /// A longer cancellation or a shorter lease never lets less go on; a keeper never more
+        /// A longer cancellation or a shorter lease never lets less go on; a delegate never more
         /// than an owner.
         #[test]
         fn bounds_are_monotone(terms in settings(), more in 0u64..60_000) {
--- a/crates/jasperhill-membership/src/lib.rs
+++ b/crates/jasperhill-membership/src/lib.rs
@@ -2,14 +2,14 @@
 //! links, and who should hold which role. The time is passed in; what follows from a decision is done by the controller.
 
 pub mod authority;
-pub mod bounds;
+pub mod freshness;
 pub mod link;
-pub mod lives;
+pub mod reachability;
+pub mod restart_history;
 pub mod roles;
-pub mod view;
 
 pub use authority::{Authority, Session};
-pub use bounds::{FreshnessBounds, LeaseTerms};
-pub use lives::RestartHistory;
+pub use freshness::{FreshnessBounds, LeaseTerms};
+pub use reachability::{LinkId, Reachability};
+pub use restart_history::RestartHistory;
 pub use roles::{RoleOwnership, Roles, Transition};
-pub use view::{LinkId, Reachability};
--- a/crates/jasperhill-membership/src/link.rs
+++ b/crates/jasperhill-membership/src/link.rs
@@ -1,5 +1,5 @@
 //! One link, in one direction, as this controller sees it: up, doubtful or down, by what gets
-//! through and what does not. Every change goes through [`Link::apply`].
+//! through and what does not. Every change goes through [`LinkHealth::apply`].
 //!
 //! A single machine that hangs must not look like a cut, and a link that loses a part must not
 //! look whole for the part that it carries: a link goes down when several counterparts in a row
--- a/crates/jasperhill-membership/src/view.rs
+++ b/crates/jasperhill-membership/src/reachability.rs
@@ -1,5 +1,5 @@
 //! What this controller knows of the links: its own, and those that others have told it of.
-//! Advice only: no rule hangs on it. Every change goes through [`View::apply`].
+//! Advice only: no rule hangs on it. Every change goes through [`Reachability::apply`].
 
 use crate::link::{LinkHealth, Observation, Thresholds};
 use jasperhill_wire::{
@@ -23,7 +23,7 @@
 const PROBE_AGAIN: Micros = Micros::from_secs(1);
 /// A worker finds out within so long that a controller does not answer it, and tries the next.
 const FIND_US: Micros = Micros::from_secs(5);
-/// A zone whose reports do not come, while orders go out, is given another chance after this:
+/// A zone whose reports do not come, while commands go out, is given another chance after this:
 /// nothing can show that they would come but hosts that are told to.
 const FORGOTTEN: Micros = Micros::from_secs(60);
 const PROBE_SELDOM: Micros = Micros::from_secs(4);
@@ -36,7 +36,7 @@
     Peer(Member),
     /// Reports of a zone's workers that come in here.
     Heartbeats(Name),
-    /// Orders that go out to a zone's workers.
+    /// Commands that go out to a zone's workers.
     Commands(Name),
 }
 
@@ -297,7 +297,7 @@
             && (nobody || self.is_store_reachable_elsewhere(now))
     }
 
-    /// Reports that come in, and orders that go out, between a member and a zone's workers.
+    /// Reports that come in, and commands that go out, between a member and a zone's workers.
     pub fn zone_links(&self, member: &Member, zone: &Name, now: Micros) -> (LinkState, LinkState) {
         if *member == self.me {
             return (
@@ -329,7 +329,7 @@
             && self.peer_report(member, now).is_some()
     }
 
-    /// A peer through which orders get to a zone's workers.
+    /// A peer through which commands get to a zone's workers.
     pub fn relay_to_zone(&self, zone: &Name, now: Micros) -> Option<&Member> {
         self.peers.iter().find(|m| {
             self.hears_peer(m, now)
@@ -346,7 +346,7 @@
             *m != peer
                 && self.hears_peer(m, now)
                 && self.peer_report(m, now).is_some_and(|r| r.reachable_peers.contains(peer))
-                // Guards against one that only orders get out of: it has to hear the worker.
+                // Guards against one that only commands get out of: it has to hear the worker.
                 && self.zone_links(m, zone, now).0 == LinkState::Up
                 && self.reaches(m, zone, now) == LinkState::Up
         })
--- a/crates/jasperhill-membership/src/lives.rs
+++ b/crates/jasperhill-membership/src/restart_history.rs
@@ -1,7 +1,7 @@
 //! Lives of a process that follow one another quickly. A controller that ends again and again would
 //! take its roles back each time and serve them never, while others could; so after a few quick
 //! ends it leaves its roles to them, until it has lived for a while. Pure; every change goes
-//! through [`Lives::apply`].
+//! through [`RestartHistory::apply`].
 //!
 //! Nothing here is a matter of safety: a role that is left names a session that is gone, and
 //! whoever takes it does so by a guarded write at a new revision, as any orphan is taken.
@@ -21,25 +21,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessRun {
     /// The time of day at which it began.
-    pub began: Micros,
+    pub started: Micros,
     /// The quick lives just before it.
-    pub quick: u32,
+    pub quick_restarts: u32,
 }
 
 impl ProcessRun {
     /// How long its process has to live to be steady.
     pub fn backoff(&self, after: u32) -> Micros {
-        if after == 0 || self.quick < after {
+        if after == 0 || self.quick_restarts < after {
             return Micros::ZERO;
         }
-        let more = u64::from(self.quick - after);
+        let more = u64::from(self.quick_restarts - after);
         (REST + Micros(REST_MORE.0.saturating_mul(more))).min(REST_MAX)
     }
 
     /// Whether it has ended quickly that often and has not lived for long since. The time of day
     /// may be off by a second or so, which is all that can go wrong here.
     pub fn is_crash_looping(&self, after: u32, wall: Micros) -> bool {
-        wall - self.began < self.backoff(after)
+        wall - self.started < self.backoff(after)
     }
 }
 
@@ -96,7 +96,7 @@
         self.mine
     }
 
-    pub fn after(&self) -> u32 {
+    pub fn threshold(&self) -> u32 {
         self.after
     }
 
@@ -104,11 +104,11 @@
     pub fn apply(&mut self, input: Input, now: Micros) -> Phase {
         match (self.phase, input) {
             (Phase::NotStarted, Input::SessionStarting { former, wall }) => {
-                let soon = |f: &ProcessRun| wall - f.began < SOON + f.backoff(self.after);
-                let quick = former.filter(soon).map_or(0, |f| f.quick + 1);
+                let soon = |f: &ProcessRun| wall - f.started < SOON + f.backoff(self.after);
+                let quick = former.filter(soon).map_or(0, |f| f.quick_restarts + 1);
                 self.mine = ProcessRun {
-                    began: wall,
-                    quick: quick.min(QUICK_MAX),
+                    started: wall,
+                    quick_restarts: quick.min(QUICK_MAX),
                 };
                 let until = self.since + self.mine.backoff(self.after);
                 self.phase = if now < until {
@@ -168,8 +168,8 @@
     fn it_is_steady_once_it_has_lived_for_a_while() {
         let now = Micros::from_secs(3_600);
         let former = Some(ProcessRun {
-            began: DAY,
-            quick: 5,
+            started: DAY,
+            quick_restarts: 5,
         });
         let mut lives = RestartHistory::new(3, now);
         let wall = DAY + Micros::from_secs(1);
--- a/crates/jasperhill-membership/src/roles.rs
+++ b/crates/jasperhill-membership/src/roles.rs
@@ -33,7 +33,7 @@
     /// That session is there.
     pub live: bool,
     /// Its owner says that it has stopped acting at this version.
-    pub let_go: bool,
+    pub relinquished: bool,
 }
 
 /// How well a member could act on a role, as far as is known here.
@@ -240,7 +240,7 @@
             }
             self.wished.remove(&role);
             steps.push(Transition::Release(role));
-            if !mine && seat.is_some_and(|s| s.live && !s.let_go) {
+            if !mine && seat.is_some_and(|s| s.live && !s.relinquished) {
                 self.orphaned.remove(&role);
                 continue;
             }
--- a/crates/jasperhill-membership/src/roles/tests.rs
+++ b/crates/jasperhill-membership/src/roles/tests.rs
@@ -42,7 +42,7 @@
         lease: 7 + owner as u64,
         version: Revision(version),
         live: true,
-        let_go: false,
+        relinquished: false,
     }
 }
 
@@ -207,7 +207,7 @@
     facts.ownerships.insert(
         P,
         RoleOwnership {
-            let_go: true,
+            relinquished: true,
             ..seat(1, 5)
         },
     );
@@ -222,7 +222,7 @@
     facts.ownerships.insert(
         P,
         RoleOwnership {
-            let_go: true,
+            relinquished: true,
             ..seat(1, 5)
         },
     );
--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -93,7 +93,7 @@
             termination_notice: None,
             tasks: tasks.collect(),
         };
-        part.on_report(&report, Source::Heartbeat, NOW);
+        part.on_heartbeat(&report, Source::Heartbeat, NOW);
         part.apply(&id, HostInput::Answered(&[]), NOW);
     }
 }
@@ -156,12 +156,12 @@
     submit(&mut part, Kind::Gang, 0, 100 * scale);
     submit(&mut part, Kind::Array, 0, 60 * scale);
     for counter in 2..6 {
-        part.pass(NOW);
+        part.run_cycle(NOW);
         report_all(&mut part, counter);
     }
     submit(&mut part, Kind::Gang, 10_000, 60 * scale);
     submit(&mut part, Kind::Array, 10_000, 30 * scale);
-    part.pass(NOW);
+    part.run_cycle(NOW);
     report_all(&mut part, 6);
     part
 }
@@ -174,7 +174,7 @@
         // Nothing can start: what every change costs while work waits behind a full fleet.
         let mut waiting = full(scale);
         group.bench_function(BenchmarkId::new("work waits", HOSTS * scale), |b| {
-            b.iter(|| waiting.pass(black_box(NOW)));
+            b.iter(|| waiting.run_cycle(black_box(NOW)));
         });
         // A third of the machines fail in one moment: the pass that follows.
         group.bench_function(BenchmarkId::new("a third is lost", HOSTS * scale), |b| {
@@ -186,7 +186,7 @@
                 part
             };
             let pass = |mut part: Partition| {
-                part.pass(black_box(NOW));
+                part.run_cycle(black_box(NOW));
                 part
             };
             b.iter_batched(lost, pass, BatchSize::PerIteration);
@@ -239,9 +239,9 @@
             };
             let take = |mut part: Partition| {
                 for report in &reports {
-                    part.on_report(report, Source::Direct, NOW);
+                    part.on_heartbeat(report, Source::Direct, NOW);
                 }
-                part.pass(black_box(NOW));
+                part.run_cycle(black_box(NOW));
                 part
             };
             b.iter_batched(begin, take, BatchSize::PerIteration);
--- a/crates/jasperhill-scheduler/src/book.rs
+++ b/crates/jasperhill-scheduler/src/admission.rs
@@ -3,12 +3,12 @@
 
 use crate::{
     config::fetch_time,
-    forward::{Booking, Occupied, density, insert, misses, place, remaining},
+    cycle::{Begin, Pass},
     host::{Host, TaskState},
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
-    pass::{Begin, Pass},
-    suit::start_delay,
+    placement::start_delay,
+    schedule_simulation::{Booking, Occupied, density, insert, misses, place, remaining},
 };
 use jasperhill_wire::{HostId, JobId, Micros, TaskId, user::JobRequest};
 use std::{
--- a/crates/jasperhill-scheduler/src/fleet.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler.rs
@@ -165,7 +165,7 @@
         submitted >= self.since
     }
 
-    pub fn note(&mut self, partition: u32, request: &JobRequest, specs: &Specs, now: Micros) {
+    pub fn record(&mut self, partition: u32, request: &JobRequest, specs: &Specs, now: Micros) {
         let share = hosts_for(request, specs);
         let flow = self
             .flows
@@ -261,7 +261,7 @@
         for n in 0..4 {
             let at = first + Micros::from_secs(15 + 5 * n);
             assert!(arrivals.counts(at));
-            arrivals.note(0, &request, &specs, at);
+            arrivals.record(0, &request, &specs, at);
         }
         let now = first + Micros::from_secs(35);
         let boot = Micros::from_secs(25);
--- a/crates/jasperhill-scheduler/src/pass.rs
+++ b/crates/jasperhill-scheduler/src/cycle.rs
@@ -3,12 +3,12 @@
 //! are in `suit`, `book`, `gang`, `room` and `drain`.
 
 use crate::{
-    floors::{self, Waiting},
-    forward::Occupied,
     host::{Host, HostInput, LISTED_MAX},
     job::{Job, Readiness, TaskStep},
     partition::{Event, Partition, UnconfirmedTasks},
-    room::Victim,
+    preemption::Victim,
+    schedule_simulation::Occupied,
+    starvation::{self, Waiting},
 };
 use jasperhill_wire::{
     Attempt, HostId, JobId, Micros, Name, Resources, TaskId,
@@ -226,7 +226,7 @@
     }
 
     /// Starts what can be started. Call when something has changed, and now and then.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn run_cycle(&mut self, now: Micros) {
         self.changed = false;
         self.lapse(now);
         self.note_known(now);
@@ -242,19 +242,19 @@
             .jobs
             .values()
             .filter(|j| {
-                j.ending.is_none()
+                j.termination.is_none()
                     && j.gate == Readiness::Open
                     && (j.pending() > 0 || !j.booked.is_empty())
                     && !self.is_haunted(j, &pass.ghosts)
                     && now >= j.not_before
-                    && j.trust.may_try(now)
+                    && j.failures.may_try(now)
             })
             .map(|j| (j.rank(), j.request.id.clone()))
             .collect();
         self.give_turns(&pass, &order);
         for (rank, id) in &mut order {
             // Guards against a class or team that never gets its turn behind others' work.
-            if self.floors.has_turn(id) && rank.0 > 0 {
+            if self.starvation.has_turn(id) && rank.0 > 0 {
                 (rank.0, rank.1) = (1, 0);
             }
         }
@@ -274,7 +274,7 @@
             match job.request.shape {
                 Shape::Gang => self.start_gang(&mut pass, id),
                 // A suspect job is booked nowhere: it would hold up others' forward runs.
-                Shape::Service | Shape::Array if job.due.is_none() || job.trust.is_suspect() => {
+                Shape::Service | Shape::Array if job.due.is_none() || job.failures.is_suspect() => {
                     self.start_loose(&mut pass, id);
                 }
                 _ => {
@@ -283,12 +283,12 @@
                 }
             }
         }
-        self.notes.truncate(256);
+        self.events.truncate(256);
     }
 
     /// Looks who of those that could start has fallen behind.
     fn give_turns(&mut self, pass: &Pass, order: &[(Rank, JobId)]) {
-        if !self.floors.is_due(pass.now) {
+        if !self.starvation.is_due(pass.now) {
             return;
         }
         let jobs = order.iter().filter_map(|(_, id)| self.jobs.get(id));
@@ -296,7 +296,7 @@
         let could = |j: &&Job| {
             let tasks = if j.is_gang() { j.request.tasks } else { 1 };
             j.live.is_empty()
-                && !j.trust.is_suspect()
+                && !j.failures.is_suspect()
                 && self.may_start(pass, &j.request, u64::from(tasks))
         };
         let idle = jobs.filter(could);
@@ -310,17 +310,18 @@
             })
             .collect();
         let least = self.config.tuning.least_share;
-        let was = self.floors.behind(least);
-        self.floors
-            .apply(floors::Input::Look(&waiting), least, pass.now);
-        let is = self.floors.behind(least);
+        let was = self.starvation.behind(least);
+        self.starvation
+            .apply(starvation::Input::Look(&waiting), least, pass.now);
+        let is = self.starvation.behind(least);
         for group in is.difference(&was) {
-            let standing = self.floors.standing().get(group).copied();
+            let standing = self.starvation.standing().get(group).copied();
             let note = Event::Behind(group.clone(), standing);
-            self.notes.push(note);
+            self.events.push(note);
         }
         let caught_up = was.difference(&is).cloned();
-        self.notes.extend(caught_up.map(|g| Event::Behind(g, None)));
+        self.events
+            .extend(caught_up.map(|g| Event::Behind(g, None)));
     }
 
     /// A gang that has lost a task stops the rest; a new attempt waits for the last of them.
@@ -331,7 +332,7 @@
             .values()
             .filter(|j| {
                 j.is_gang()
-                    && j.ending.is_none()
+                    && j.termination.is_none()
                     && !j.live.is_empty()
                     && j.unsaved.is_empty()
                     && j.pending() > 0
@@ -417,8 +418,8 @@
         if job.live.is_empty() {
             let (class, team) = (&request.class, &request.team);
             let least = self.config.tuning.least_share;
-            let begun = floors::Input::Begun { id, class, team };
-            self.floors.apply(begun, least, pass.now);
+            let begun = starvation::Input::Begun { id, class, team };
+            self.starvation.apply(begun, least, pass.now);
         }
         job.last_ran = pass.now;
         let each = request.each;
--- a/crates/jasperhill-scheduler/src/chain.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -1,7 +1,7 @@
 //! Pipelines: which unfinished jobs may start, which wait for others, and which are cancelled
 //! because a job before them is. Owns what follows from the job records alone, so that every
 //! controller comes to the same answer whether or not anybody has written it yet. Every change
-//! goes through [`Chain::apply`].
+//! goes through [`DependencyGraph::apply`].
 
 use jasperhill_wire::{JobId, Micros, user::Priority};
 use std::collections::{BTreeSet, HashMap};
@@ -106,7 +106,7 @@
 
 impl DependencyGraph {
     /// Of an unfinished job.
-    pub fn standing(&self, id: &JobId) -> DependencyState {
+    pub fn state_of(&self, id: &JobId) -> DependencyState {
         match self.nodes.get(id) {
             Some(node) if node.doomed => DependencyState::Doomed,
             Some(node) if !node.left.is_empty() => DependencyState::Waiting,
@@ -114,7 +114,7 @@
         }
     }
 
-    pub fn claim(&self, id: &JobId) -> InheritedUrgency {
+    pub fn inherited_urgency(&self, id: &JobId) -> InheritedUrgency {
         self.nodes.get(id).map(|n| n.claim).unwrap_or_default()
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Unfinished jobs whose own records do not say yet that they are cancelled.
-    pub fn doomed(&self) -> impl Iterator<Item = &JobId> {
+    pub fn cancelled_upstream(&self) -> impl Iterator<Item = &JobId> {
         self.doomed.iter()
     }
 
@@ -497,7 +497,7 @@
                 }
                 in_order.see(event);
                 for n in plain.needs.keys().filter(|n| !plain.ended.contains_key(n)) {
-                    prop_assert_eq!(in_order.chain.standing(&id(*n)), plain.standing(*n), "{}", n);
+                    prop_assert_eq!(in_order.chain.state_of(&id(*n)), plain.standing(*n), "{}", n);
                 }
             }
             // A release or a doom is told once, and only of what waited.
@@ -515,9 +515,9 @@
             }
             for seen in [&in_order, &other] {
                 for n in plain.needs.keys().filter(|n| !plain.ended.contains_key(n)) {
-                    prop_assert_eq!(seen.chain.standing(&id(*n)), plain.standing(*n), "{}", n);
+                    prop_assert_eq!(seen.chain.state_of(&id(*n)), plain.standing(*n), "{}", n);
                 }
-                let doomed: Vec<JobId> = seen.chain.doomed().cloned().collect();
+                let doomed: Vec<JobId> = seen.chain.cancelled_upstream().cloned().collect();
                 let meant: BTreeSet<JobId> = plain.needs.keys()
                     .filter(|n| !plain.ended.contains_key(n) && plain.cancelled(**n))
                     .map(|n| id(*n)).collect();
@@ -528,7 +528,7 @@
             // Without cancellations, what passes backwards is what the graph says.
             if plain.ended.values().all(|done| *done) {
                 for n in plain.needs.keys().filter(|n| !plain.ended.contains_key(n)) {
-                    prop_assert_eq!(in_order.chain.claim(&id(*n)), plain.claim(*n), "{}", n);
+                    prop_assert_eq!(in_order.chain.inherited_urgency(&id(*n)), plain.claim(*n), "{}", n);
                 }
             }
         }
@@ -562,7 +562,7 @@
             done: false,
         });
         assert_eq!(outputs.len(), 20_801);
-        assert_eq!(chain.doomed().count(), 20_801);
+        assert_eq!(chain.cancelled_upstream().count(), 20_801);
     }
 
     #[test]
--- a/crates/jasperhill-scheduler/src/drain.rs
+++ b/crates/jasperhill-scheduler/src/drain.rs
@@ -5,7 +5,7 @@
     host::Host,
     job::Job,
     partition::{Event, Partition},
-    suit::ZoneRooms,
+    placement::ZoneRooms,
 };
 use jasperhill_wire::{HostId, Micros, TaskId};
 
@@ -53,7 +53,7 @@
     /// shrinks slower than its load because hosts that wait for a long task hold up others.
     pub fn drain_some(&mut self, now: Micros, surplus: (usize, usize)) {
         let (mut most, mut ordinary) = surplus;
-        if self.has_ghosts() {
+        if self.has_unconfirmed_tasks() {
             return;
         }
         let mut under_way: Vec<(usize, HostId, bool)> = self
@@ -173,7 +173,7 @@
             if !self.moves.take(replicas, now) {
                 return;
             }
-            self.notes.push(Event::Stopped(
+            self.events.push(Event::Stopped(
                 task.clone(),
                 host.clone(),
                 "moved to empty the host",
--- a/crates/jasperhill-scheduler/src/trust.rs
+++ b/crates/jasperhill-scheduler/src/failures.rs
@@ -2,7 +2,7 @@
 //! for failures on hosts that serve others. A job that fails wherever it runs was submitted with
 //! a mistake: it is *suspect*, tries one task at a time after growing pauses until its user
 //! cancels it, and its failures are not held against hosts. Every change goes through
-//! [`Trust::apply`].
+//! [`FailureHistory::apply`].
 
 use jasperhill_wire::{HostId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/jasperhill-scheduler/src/gang.rs
+++ b/crates/jasperhill-scheduler/src/gang.rs
@@ -1,11 +1,11 @@
 //! Gangs: started whole or not at all, and hosts kept free for those that wait.
 
 use crate::{
+    cycle::Pass,
     host::{Host, LISTED_MAX},
     job::{HostReservation, Job},
     partition::Partition,
-    pass::Pass,
-    suit::{ZoneRooms, cost, unproved},
+    placement::{ZoneRooms, cost, unproved},
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, user::JobRequest};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +43,7 @@
         // Where it is listed itself does not count for others.
         if best.is_none()
             && looked
-            && !job.trust.avoids_any()
+            && !job.failures.avoids_any()
             && !self.hosts.values().any(|h| h.lists(id))
         {
             pass.note_seatless(priority, &request);
@@ -61,7 +61,7 @@
                 }
             }
             // Nobody makes way for what fails wherever it runs.
-            None if job.trust.is_suspect() => {}
+            None if job.failures.is_suspect() => {}
             None => {
                 self.reserve(pass, id, &request);
                 self.make_gang_room(pass, id);
--- a/crates/jasperhill-scheduler/src/host.rs
+++ b/crates/jasperhill-scheduler/src/host.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     config::{MachineSpec, SchedulerConfig},
-    progress::Pace,
+    stragglers::Pace,
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, TaskId,
@@ -29,14 +29,14 @@
 /// more could outgrow the 64 KiB that a request body may have, and a host whose reports are
 /// refused is lost with all that runs there.
 pub const LISTED_MAX: usize = 440;
-/// Orders in one message, which may not outgrow 64 KiB either; the rest follows.
+/// Commands in one message, which may not outgrow 64 KiB either; the rest follows.
 const ORDERS_MAX: usize = 600;
 
 /// How well a host is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingState {
     /// Has not shown our token yet. `ghosts`: a predecessor may have started anything there.
-    Unfenced { ghosts: bool },
+    Unfenced { unconfirmed: bool },
     /// Has shown our token: its reports say all that runs there.
     Fenced,
     /// Its lease has surely lapsed: nothing runs there.
@@ -100,7 +100,7 @@
     known: Micros,
 }
 
-/// Orders sent directly whose fate is unknown.
+/// Commands sent directly whose fate is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Doubt {
     None,
@@ -113,13 +113,13 @@
 #[derive(Debug)]
 pub enum HostInput<'a> {
     Report(&'a Heartbeat, Source),
-    /// A report was answered 200 with these orders.
+    /// A report was answered 200 with these commands.
     Answered(&'a [Command]),
     /// Another controller may answer its reports until then.
     LeaseDelegated(Micros),
-    /// Orders go out directly; what is known of the store, and so of cancellations, is as of then.
+    /// Commands go out directly; what is known of the store, and so of cancellations, is as of then.
     DirectSent(Vec<Command>, Micros),
-    /// The direct orders were executed, or surely were not (their report comes separately).
+    /// The direct commands were executed, or surely were not (their report comes separately).
     DirectSettled,
     /// No answer: they may be executed at any time.
     DirectUnanswered,
@@ -155,7 +155,7 @@
     pub spot: bool,
     pub usage: HostAssignment,
     pub token: FencingToken,
-    pub reach: FencingState,
+    pub fencing: FencingState,
     pub tenure: Option<u64>,
     counter: u64,
     pub tasks: BTreeMap<TaskId, HostTask>,
@@ -183,7 +183,7 @@
     /// Images seen there, the most recent last.
     pub images: Vec<(Name, f64)>,
     /// Admitted tasks booked here, in order of adjusted deadline.
-    pub queue: Vec<crate::forward::Booking>,
+    pub queue: Vec<crate::schedule_simulation::Booking>,
     /// When it last became empty.
     pub idle_since: Option<Micros>,
     /// Being emptied so that it can be given up, since when.
@@ -208,7 +208,7 @@
         record: &HostRecord,
         spec: Rc<MachineSpec>,
         token: FencingToken,
-        ghosts: bool,
+        unconfirmed: bool,
         now: Micros,
     ) -> Self {
         Self {
@@ -219,7 +219,7 @@
             spot: record.spot,
             usage: record.assignment,
             token,
-            reach: FencingState::Unfenced { ghosts },
+            fencing: FencingState::Unfenced { unconfirmed },
             tenure: None,
             counter: 0,
             tasks: BTreeMap::new(),
@@ -232,7 +232,7 @@
             doubt_under: None,
             flight: None,
             last_heard: now,
-            spoke: ghosts.then_some(now),
+            spoke: unconfirmed.then_some(now),
             last_answer: now,
             answered: None,
             notice: None,
@@ -251,7 +251,7 @@
     }
 
     pub fn has_ghosts(&self) -> bool {
-        self.reach == FencingState::Unfenced { ghosts: true }
+        self.fencing == FencingState::Unfenced { unconfirmed: true }
     }
     pub fn needs_token(&self) -> bool {
         self.doubt == Doubt::NeedsToken
@@ -305,7 +305,7 @@
 
     /// May get new tasks.
     pub fn is_usable(&self, now: Micros, config: &SchedulerConfig) -> bool {
-        self.reach == FencingState::Fenced
+        self.fencing == FencingState::Fenced
             && matches!(self.usage, HostAssignment::Partition(_))
             && self.notice.is_none()
             && self.doubt == Doubt::None
@@ -389,7 +389,7 @@
     /// under the present token. Guards against leases that are renewed for as long as such a start
     /// is on its way: its job may be cancelled meanwhile, and it would begin however much later.
     /// `None`: nothing is under way, or an answer raises the token above it.
-    pub fn rests_on(&self) -> Option<Micros> {
+    pub fn in_flight_known_as_of(&self) -> Option<Micros> {
         let flight = self.flight.as_ref().filter(|f| !f.starts.is_empty());
         let under = [flight.map(|f| f.under), self.doubt_under];
         let present = under
@@ -399,7 +399,7 @@
         present.map(|u| u.known).min()
     }
 
-    /// All outstanding orders. Level-triggered: repeated until the reports show the effect.
+    /// All outstanding commands. Level-triggered: repeated until the reports show the effect.
     /// `durable` says whether a finished task's result is safe.
     pub fn orders(&self, durable: impl Fn(&TaskId, ExitCause) -> bool) -> Vec<Command> {
         let mut out = Vec::new();
@@ -460,7 +460,7 @@
             HostInput::DirectUnanswered => {
                 if let Some(flight) = self.flight.take()
                     && !flight.starts.is_empty()
-                    && self.reach != FencingState::Lapsed
+                    && self.fencing != FencingState::Lapsed
                 {
                     self.doubted.extend(flight.starts);
                     self.doubt_under = Some(flight.under);
@@ -481,7 +481,7 @@
             HostInput::Deaf => {}
             HostInput::Gone => {
                 self.drop_all(&mut out);
-                self.reach = FencingState::Lapsed;
+                self.fencing = FencingState::Lapsed;
             }
             HostInput::Start(task, attempt, each, image) => {
                 self.idle_since = None;
@@ -536,7 +536,7 @@
             }
         }
         self.stale.clear();
-        // Late direct orders carry the old tenure and die at the worker.
+        // Late direct commands carry the old incarnation and die at the worker.
         self.doubt = Doubt::None;
         self.doubted.clear();
         self.doubt_under = None;
@@ -555,7 +555,7 @@
             return;
         }
         if self.tenure.is_some_and(|t| report.incarnation > t) {
-            // A larger tenure proves that all earlier tasks are gone.
+            // A larger incarnation proves that all earlier tasks are gone.
             self.drop_all(out);
         }
         let begun = self.tenure.is_some_and(|t| t < report.incarnation);
@@ -583,12 +583,12 @@
             self.doubt_under = None;
         }
         if report.token > self.token && self.doubt == Doubt::None {
-            // Orders with our token are dropped there, and our answers renew no lease: the
+            // Commands with our token are dropped there, and our answers renew no lease: the
             // record is rewritten, which raises the token above any that was ever shown.
             self.doubt = Doubt::NeedsToken;
         }
-        if report.token >= self.token && self.reach != FencingState::Fenced {
-            self.reach = FencingState::Fenced;
+        if report.token >= self.token && self.fencing != FencingState::Fenced {
+            self.fencing = FencingState::Fenced;
             out.push(HostOutput::Fenced);
         }
         let mut listed = BTreeSet::new();
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -1,7 +1,7 @@
 //! The job machine: which tasks of a job are finished, live, booked or pending. Every change
 //! of a task's state goes through [`Job::set`].
 
-use crate::{done::TaskSet, progress::Siblings, trust::FailureHistory};
+use crate::{failures::FailureHistory, stragglers::Siblings, task_set::TaskSet};
 use jasperhill_wire::{
     Attempt, HostId, Micros, Resources, Revision,
     user::{JobRequest, Priority, Shape},
@@ -84,11 +84,11 @@
     cursor: u32,
     returned: BTreeSet<u32>,
     /// Set when the record has become final: nothing starts any more.
-    pub ending: Option<Termination>,
+    pub termination: Option<Termination>,
     /// Whether its failures are its own.
-    pub trust: FailureHistory,
+    pub failures: FailureHistory,
     /// What its record says of them.
-    pub failing_saved: u32,
+    pub failed_attempts_saved: u32,
     /// A start was refused: not again before then.
     pub not_before: Micros,
     /// Some task of it has failed: its run times tell nothing.
@@ -130,9 +130,9 @@
             siblings: Siblings::default(),
             cursor: 0,
             returned: BTreeSet::new(),
-            ending: None,
-            trust: FailureHistory::Sound,
-            failing_saved: 0,
+            termination: None,
+            failures: FailureHistory::Sound,
+            failed_attempts_saved: 0,
             not_before: Micros::ZERO,
             failed: false,
             making_room: Vec::new(),
@@ -237,7 +237,7 @@
 
     /// How many more tasks may start: a suspect job tries one at a time.
     pub fn startable(&self) -> u32 {
-        if !self.trust.is_suspect() || self.is_gang() {
+        if !self.failures.is_suspect() || self.is_gang() {
             self.pending()
         } else {
             self.pending()
@@ -264,7 +264,7 @@
         let p = self.priority();
         let band = match p {
             // Behind everything else.
-            _ if self.trust.is_suspect() => 3,
+            _ if self.failures.is_suspect() => 3,
             Priority::Production => 0,
             Priority::High => 1,
             Priority::Normal | Priority::Low => 2,
--- a/crates/jasperhill-scheduler/src/lib.rs
+++ b/crates/jasperhill-scheduler/src/lib.rs
@@ -2,30 +2,30 @@
 //! preemption and the fleet plan. Pure: time is passed in, nothing here reads a clock or
 //! does I/O.
 
-pub mod book;
-pub mod boots;
-pub mod chain;
+pub mod admission;
+pub mod autoscaler;
+pub mod boot_times;
 pub mod config;
-pub mod done;
+pub mod cycle;
+pub mod dependencies;
 pub mod drain;
-pub mod fleet;
-pub mod floors;
-pub mod forward;
+pub mod failures;
 pub mod gang;
 pub mod host;
 pub mod job;
 pub mod partition;
-pub mod pass;
+pub mod placement;
+pub mod preemption;
+pub mod recovery;
 #[cfg(test)]
-mod plain;
-pub mod progress;
-pub mod recover;
-pub mod room;
-pub mod split;
-pub mod suit;
-pub mod trust;
+mod reference_model;
+pub mod schedule_simulation;
+pub mod sharding;
+pub mod starvation;
+pub mod stragglers;
+pub mod task_set;
 
 pub use config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning};
-pub use done::TaskSet;
 pub use host::{FencingState, Host, HostInput, Source};
 pub use partition::{AdmissionDecision, Partition};
+pub use task_set::TaskSet;
--- a/crates/jasperhill-scheduler/src/partition.rs
+++ b/crates/jasperhill-scheduler/src/partition.rs
@@ -4,12 +4,12 @@
 use crate::{
     config::{SchedulerConfig, Specs},
     drain::Moves,
-    floors::{Group, ServedShare, StarvationGuard},
+    failures::{self, FailureHistory},
     host::{Host, HostInput, HostOutput, Source, TaskState},
     job::{DependencyStatus, Job, Readiness, TaskStep, Termination},
-    progress::Watched,
-    recover::{self, Recovered, Recovery, Returning},
-    trust::{self, FailureHistory},
+    recovery::{self, Recovered, Recovery, Returning},
+    starvation::{Group, ServedShare, StarvationGuard},
+    stragglers::Watched,
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
@@ -74,11 +74,11 @@
     /// Run time over estimate by class, smoothed.
     pub(crate) ratios: BTreeMap<Name, f64>,
     attempts: u64,
-    /// Hosts with new orders to be sent directly.
+    /// Hosts with new commands to be sent directly.
     pub dirty: BTreeSet<HostId>,
     /// Jobs with results to be written.
     pub unsaved: BTreeSet<JobId>,
-    pub notes: Vec<Event>,
+    pub events: Vec<Event>,
     /// Something changed that a pass could make use of.
     pub changed: bool,
     /// Jobs that the last pass went through.
@@ -91,7 +91,7 @@
     pub(crate) watched: Watched,
     pub(crate) moves: Moves,
     /// Who falls behind.
-    pub floors: StarvationGuard,
+    pub starvation: StarvationGuard,
 }
 
 /// Attempts are unique by construction: the ownership's revision, then a counter.
@@ -111,7 +111,7 @@
             attempts: 0,
             dirty: BTreeSet::new(),
             unsaved: BTreeSet::new(),
-            notes: Vec::new(),
+            events: Vec::new(),
             changed: true,
             backlog: 0,
             haunted_since: None,
@@ -119,23 +119,23 @@
             returning: Returning::default(),
             watched: Watched::default(),
             moves: Moves::default(),
-            floors: StarvationGuard::default(),
+            starvation: StarvationGuard::default(),
         }
     }
 
     /// Notes when the last host has become known.
     pub(crate) fn note_known(&mut self, now: Micros) {
         self.sweep_ended();
-        match (self.has_ghosts(), self.haunted_since) {
+        match (self.has_unconfirmed_tasks(), self.haunted_since) {
             (true, None) => {
                 self.haunted_since = Some(now);
-                self.recovery.apply(recover::Input::TakenOver, now);
+                self.recovery.apply(recovery::Input::TakenOver, now);
             }
             (false, Some(since)) => {
                 self.haunted_since = None;
-                let lapsed = |h: &&Host| h.reach == crate::host::FencingState::Lapsed;
+                let lapsed = |h: &&Host| h.fencing == crate::host::FencingState::Lapsed;
                 let lapsed = self.hosts.values().filter(lapsed).count();
-                self.notes.push(Event::AllKnown(now - since, lapsed));
+                self.events.push(Event::AllKnown(now - since, lapsed));
             }
             _ => {}
         }
@@ -157,7 +157,7 @@
             if h.is_usable(now, &self.config) {
                 continue;
             }
-            let reason = match h.reach {
+            let reason = match h.fencing {
                 FencingState::Unfenced { .. } => 0,
                 FencingState::Lapsed => 1,
                 FencingState::Fenced if h.in_doubt() => 2,
@@ -172,7 +172,7 @@
     }
 
     /// Some host may run what a predecessor started.
-    pub fn has_ghosts(&self) -> bool {
+    pub fn has_unconfirmed_tasks(&self) -> bool {
         self.hosts.values().any(Host::has_ghosts)
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// How a job stands in its pipeline.
-    pub fn place_job(&mut self, id: &JobId, place: DependencyStatus) {
+    pub fn set_dependency_status(&mut self, id: &JobId, place: DependencyStatus) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.changed |= job.stand(place);
         }
@@ -220,8 +220,8 @@
     ) {
         if !self.jobs.contains_key(&request.id) {
             let mut job = Job::new(request.clone(), created, submitted, finished);
-            job.trust = FailureHistory::from_record(failing, now);
-            job.failing_saved = failing;
+            job.failures = FailureHistory::from_record(failing, now);
+            job.failed_attempts_saved = failing;
             self.jobs.insert(request.id.clone(), job);
             self.changed = true;
         }
@@ -232,8 +232,8 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.ending.is_none() {
-            job.ending = Some(ending);
+        if job.termination.is_none() {
+            job.termination = Some(ending);
             let booked: Vec<u32> = job.booked.keys().copied().collect();
             for i in booked {
                 self.unbook(id, i);
@@ -247,7 +247,7 @@
 
     /// A job that was cancelled under an earlier owner, of which tasks may run on hosts that are not
     /// known yet. Guards against a limit that is given out again while they do.
-    pub fn recall_cancelled(&mut self, id: &JobId, remains: &ResidualUsage, now: Micros) {
+    pub fn restore_cancelled(&mut self, id: &JobId, remains: &ResidualUsage, now: Micros) {
         let request = JobRequest {
             id: id.clone(),
             class: "".into(),
@@ -271,13 +271,13 @@
             dependencies: Vec::new(),
         };
         let mut job = Job::new(Rc::new(request), Revision(0), now, &[]);
-        job.ending = Some(Termination::Cancelled);
+        job.termination = Some(Termination::Cancelled);
         self.jobs.entry(id.clone()).or_insert(job);
     }
 
     /// Forgets an ended job once nothing of it is left, nor can be unseen.
     fn sweep(&mut self, id: &JobId) {
-        if self.jobs.get(id).is_some_and(|j| j.ending.is_some()) {
+        if self.jobs.get(id).is_some_and(|j| j.termination.is_some()) {
             let ghosts = self.ghosts();
             if self.jobs.get(id).is_some_and(|j| self.is_gone(j, &ghosts)) {
                 self.jobs.remove(id);
@@ -286,7 +286,7 @@
     }
 
     fn is_gone(&self, job: &Job, ghosts: &UnconfirmedTasks) -> bool {
-        let unseen = match job.ending {
+        let unseen = match job.termination {
             None => return false,
             Some(Termination::Done) => false,
             Some(Termination::Cancelled) => self.is_haunted(job, ghosts),
@@ -342,7 +342,7 @@
         self.changed = true;
     }
 
-    pub fn on_report(&mut self, report: &Heartbeat, source: Source, now: Micros) {
+    pub fn on_heartbeat(&mut self, report: &Heartbeat, source: Source, now: Micros) {
         let before = self.hosts.get(&report.host).map(|h| (h.tenure, h.answered));
         self.apply(&report.host, HostInput::Report(report, source), now);
         // Whoever ends a session has heard nothing for a whole lease.
@@ -390,7 +390,7 @@
         let known = self
             .jobs
             .get(&task.job)
-            .map(|j| (j.step(task.index), j.ending, j.attempt));
+            .map(|j| (j.step(task.index), j.termination, j.attempt));
         match known {
             Some((TaskStep::Pending | TaskStep::Booked(_), None, gang))
                 if gang.is_none_or(|a| a == attempt)
@@ -437,7 +437,7 @@
             }
             _ => {
                 // Finished, cancelled, unknown, or of an attempt that is not the gang's.
-                self.notes.push(Event::Strange(
+                self.events.push(Event::Strange(
                     task.clone(),
                     id.clone(),
                     "not expected there",
@@ -491,7 +491,7 @@
                 let began = host.tasks.get(task).map(|t| t.ordered);
                 host.proved = host.proved.max(began);
             }
-            self.judge_again(&task.job, trust::Input::Succeeded, now);
+            self.judge_again(&task.job, failures::Input::Succeeded, now);
             self.sweep(&task.job);
             return;
         }
@@ -543,27 +543,27 @@
             .get(task)
             .and_then(|t| t.running)
             .map_or(Micros::ZERO, |began| now - began);
-        self.notes
+        self.events
             .push(Event::Failed(task.clone(), id.clone(), ran));
-        let (was, level) = (job.trust.is_suspect(), job.trust.failing());
-        let failed = trust::Input::Failed {
+        let (was, level) = (job.failures.is_suspect(), job.failures.failing());
+        let failed = failures::Input::Failed {
             host: id,
             serves: host.serves(&task.job, now),
             ran,
         };
-        job.trust.apply(failed, now);
-        if job.trust.failing() != level {
+        job.failures.apply(failed, now);
+        if job.failures.failing() != level {
             self.unsaved.insert(task.job.clone());
         }
-        if !job.trust.is_suspect() {
+        if !job.failures.is_suspect() {
             if host.blame(&task.job, now) {
-                self.notes.push(Event::HostAside(id.clone()));
+                self.events.push(Event::HostAside(id.clone()));
             }
         } else if !was {
             let booked: Vec<u32> = job.booked.keys().copied().collect();
             job.making_room.clear();
             job.kept = None;
-            self.notes.push(Event::JobSuspect(task.job.clone()));
+            self.events.push(Event::JobSuspect(task.job.clone()));
             for i in booked {
                 self.unbook(&task.job, i);
             }
@@ -575,17 +575,17 @@
 
     /// Something speaks for a job: it completes a task, or one runs. If that clears it, the
     /// hosts on which it failed are blamed after all.
-    fn judge_again(&mut self, id: &JobId, input: trust::Input<'_>, now: Micros) {
+    fn judge_again(&mut self, id: &JobId, input: failures::Input<'_>, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let hosts = match &job.trust {
+        let hosts = match &job.failures {
             FailureHistory::Suspect { hosts, .. } => hosts.clone(),
             _ => BTreeSet::new(),
         };
-        let was = job.trust.is_suspect();
-        job.trust.apply(input, now);
-        if !was || job.trust.is_suspect() {
+        let was = job.failures.is_suspect();
+        job.failures.apply(input, now);
+        if !was || job.failures.is_suspect() {
             return;
         }
         self.unsaved.insert(id.clone());
@@ -597,7 +597,7 @@
                 // Failures that nothing excuses, as many as set a host aside.
                 let news = h.blame(id, now) | h.blame(id, now);
                 if news {
-                    self.notes.push(Event::HostAside(host));
+                    self.events.push(Event::HostAside(host));
                 }
             }
         }
@@ -606,7 +606,7 @@
     /// A try that outlives those that failed clears a suspect job.
     pub(crate) fn clear_suspects(&mut self, now: Micros) {
         let mut outlived = Vec::new();
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.trust.is_suspect()) {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.failures.is_suspect()) {
             let runs = job
                 .running
                 .iter()
@@ -619,7 +619,7 @@
             outlived.extend(runs.map(|time| (id.clone(), time)));
         }
         for (id, time) in outlived {
-            self.judge_again(&id, trust::Input::Runs(time), now);
+            self.judge_again(&id, failures::Input::Runs(time), now);
         }
     }
 
@@ -725,7 +725,7 @@
     /// The results of these tasks are in the record.
     pub fn saved(&mut self, id: &JobId, tasks: &BTreeSet<u32>, failing: u32) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.failing_saved = failing;
+            job.failed_attempts_saved = failing;
             for i in tasks {
                 if job.done.contains(*i) {
                     job.unsaved.remove(i);
@@ -734,8 +734,8 @@
         }
     }
 
-    /// Outstanding orders for a host.
-    pub fn orders(&self, id: &HostId) -> Vec<Command> {
+    /// Outstanding commands for a host.
+    pub fn commands(&self, id: &HostId) -> Vec<Command> {
         let Some(host) = self.hosts.get(id) else {
             return Vec::new();
         };
@@ -755,13 +755,13 @@
             .hosts
             .values()
             .filter(|h| {
-                h.reach != crate::host::FencingState::Lapsed && now >= h.last_answer + lapse
+                h.fencing != crate::host::FencingState::Lapsed && now >= h.last_answer + lapse
             })
             .map(|h| h.id.clone())
             .collect();
         for id in gone {
             self.apply(&id, HostInput::Gone, now);
-            self.notes.push(Event::HostLost(id));
+            self.events.push(Event::HostLost(id));
         }
     }
 
@@ -800,7 +800,7 @@
             Micros::ZERO
         };
         let gang = job.is_gang();
-        self.notes
+        self.events
             .push(Event::Stopped(task.clone(), host.clone(), why));
         if gang {
             self.stop_all(&task.job, grace, now);
@@ -815,7 +815,7 @@
             matches!(h.usage, HostAssignment::Partition(_))
                 && h.is_empty()
                 && h.queue.is_empty()
-                && h.reach == crate::host::FencingState::Fenced
+                && h.fencing == crate::host::FencingState::Fenced
                 && h.idle_since.is_some_and(|t| now - t >= keep)
         })
     }
--- a/crates/jasperhill-scheduler/src/suit.rs
+++ b/crates/jasperhill-scheduler/src/placement.rs
@@ -1,10 +1,10 @@
 //! Which hosts suit a task that starts now, and which suits best.
 
 use crate::{
+    cycle::{Pass, is_urgent},
     host::Host,
     job::Job,
     partition::Partition,
-    pass::{Pass, is_urgent},
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, TaskId, user::JobRequest};
 use std::{cmp::Reverse, collections::BinaryHeap};
@@ -53,7 +53,7 @@
 
 /// A suspect job is tried where others succeed, so that the try tells something.
 pub(crate) fn unproved(job: &Job, host: &Host, now: Micros) -> u64 {
-    if job.trust.is_suspect() && !host.serves(&job.request.id, now) {
+    if job.failures.is_suspect() && !host.serves(&job.request.id, now) {
         60_000
     } else {
         0
@@ -146,7 +146,7 @@
     pub(crate) fn suits(job: &Job, host: &Host) -> bool {
         job.request
             .allows_host(&host.spec.machine_type, &host.zone, host.spot)
-            && !job.trust.avoids(&host.id)
+            && !job.failures.avoids(&host.id)
     }
 
     /// `behind_none`: only hosts where no admitted work waits.
@@ -229,7 +229,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
         let production = job.is_production();
-        let suspect = job.trust.is_suspect();
+        let suspect = job.failures.is_suspect();
         if pass.is_hopeless(&request.each) && !production {
             return;
         }
--- a/crates/jasperhill-scheduler/src/room.rs
+++ b/crates/jasperhill-scheduler/src/preemption.rs
@@ -1,10 +1,10 @@
 //! Making room: lesser work is stopped for production tasks and gangs.
 
 use crate::{
+    cycle::Pass,
     host::Host,
     partition::Partition,
-    pass::Pass,
-    suit::{ZoneRooms, start_delay},
+    placement::{ZoneRooms, start_delay},
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, TaskId, user::Priority};
 use std::collections::{BTreeMap, BTreeSet};
@@ -265,7 +265,7 @@
         }
         let Some((_, chosen)) = best else {
             // Where it is itself does not count for others.
-            if !listed && !job.trust.avoids_any() {
+            if !listed && !job.failures.avoids_any() {
                 pass.note_roomless(priority, &request);
             }
             return;
@@ -294,7 +294,7 @@
             if job.making_room.is_empty() {
                 continue;
             }
-            if job.pending() == 0 || job.ending.is_some() {
+            if job.pending() == 0 || job.termination.is_some() {
                 job.making_room.clear();
             }
             job.making_room.retain(|(_, until)| now <= *until);
--- a/crates/jasperhill-scheduler/src/recover.rs
+++ b/crates/jasperhill-scheduler/src/recovery.rs
@@ -4,10 +4,10 @@
 //! meanwhile would stand in their way.
 
 use crate::{
+    cycle::Pass,
     host::{FencingState, Host},
     job::{Job, Readiness},
     partition::{Event, Partition, UnconfirmedTasks},
-    pass::Pass,
 };
 use jasperhill_wire::{HostId, JobId, Micros, Resources, TaskId, user::Priority};
 use std::collections::BTreeSet;
@@ -118,10 +118,10 @@
 
 impl Partition {
     /// A report is overdue, and it may be lost: what it runs can't start elsewhere yet. Keeping
-    /// some room costs little, so this is sooner than [`crate::SchedConfig::silence`].
+    /// some room costs little, so this is sooner than [`crate::SchedulerConfig::silence`].
     pub(crate) fn is_silent(&self, host: &Host, now: Micros) -> bool {
         let heard = now - host.last_heard;
-        match host.reach {
+        match host.fencing {
             FencingState::Lapsed => false,
             // Asked directly since the takeover, and asked again.
             FencingState::Unfenced { .. } => heard >= UNANSWERED.min(self.config.silence()),
@@ -147,9 +147,9 @@
     fn is_returning_kind(job: &Job) -> bool {
         job.is_service()
             && job.priority() == Priority::Production
-            && job.ending.is_none()
+            && job.termination.is_none()
             && job.gate == Readiness::Open
-            && !job.trust.is_suspect()
+            && !job.failures.is_suspect()
     }
 
     /// Looks after the losses: every pass while there are any, and costs nothing otherwise.
@@ -165,7 +165,7 @@
         }
         if let Some(recovered) = self.recovery.apply(Input::Missing(missing), now) {
             self.returning.overtaken.clear();
-            self.notes.push(Event::Whole(recovered));
+            self.events.push(Event::Whole(recovered));
         }
     }
 
@@ -255,7 +255,7 @@
                 let host = self.hosts.get(*id);
                 host.is_some_and(|h| !self.is_silent(h, pass.now))
             });
-            let mut zones = crate::suit::ZoneRooms::among(&r, safe, |h| self.zone_of(h));
+            let mut zones = crate::placement::ZoneRooms::among(&r, safe, |h| self.zone_of(h));
             let mut candidates = self.candidates(pass, job, false);
             // Any task of it: a replica that is there already does not come twice.
             let none = r.tasks;
--- a/crates/jasperhill-scheduler/src/plain.rs
+++ b/crates/jasperhill-scheduler/src/reference_model.rs
@@ -2,14 +2,14 @@
 //! indexed ones come to. Tests only.
 
 use crate::{
-    book::FOR_EVER,
+    admission::FOR_EVER,
     config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, fetch_time},
-    forward::{Booking, Occupied, density, insert, misses},
+    cycle::Pass,
     host::Source,
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
-    pass::Pass,
-    suit::cost,
+    placement::cost,
+    schedule_simulation::{Booking, Occupied, density, insert, misses},
 };
 use jasperhill_wire::{
     FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
@@ -150,7 +150,7 @@
             termination_notice: None,
             tasks: listed,
         };
-        part.on_report(&report, Source::Heartbeat, NOW);
+        part.on_heartbeat(&report, Source::Heartbeat, NOW);
         if let Some(host) = part.hosts.get_mut(&id) {
             host.touch_image(&Name::from(format!("i{image}").as_str()), 2.0);
             host.slowness = f64::from(*slow) / 10.0;
--- a/crates/jasperhill-scheduler/src/floors.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -1,6 +1,6 @@
 //! Floors: no class of jobs and no team falls behind for as long as others bring more important
 //! work, or more of it. Owns what has begun lately, by class and team; every change goes through
-//! [`Floors::apply`].
+//! [`StarvationGuard::apply`].
 //!
 //! Whoever of two classes comes first is the priorities' and deadlines' affair as long as both get
 //! on. A class or team of which less than the floor has begun is *behind*: of its jobs that have
--- a/crates/jasperhill-scheduler/src/progress.rs
+++ b/crates/jasperhill-scheduler/src/stragglers.rs
@@ -127,7 +127,7 @@
     /// How long a task of this job should run on a machine of the usual pace, and whether that
     /// is known from its others.
     fn expected_run(&self, job: &Job, here: &HostId) -> Option<(Micros, bool)> {
-        if job.is_service() || job.trust.is_suspect() {
+        if job.is_service() || job.failures.is_suspect() {
             return None;
         }
         if let Some(took) = job.siblings.took(here) {
@@ -259,7 +259,7 @@
         }
         host.convicted = Some(now);
         host.slowness = host.slowness.max(times.min(SLOWEST));
-        self.notes.push(Event::HostSlow(id.clone(), times));
+        self.events.push(Event::HostSlow(id.clone(), times));
         self.move_savers(id, now);
     }
 
--- a/crates/jasperhill-scheduler/tests/machines.rs
+++ b/crates/jasperhill-scheduler/tests/machines.rs
@@ -188,7 +188,7 @@
     part.apply(&id, HostInput::Answered(&[]), NOW);
     let lease = part.config.lapse();
     let just_before = NOW + lease - Micros::from_millis(100);
-    part.on_report(&report("n-1", 2, 9, 5, vec![]), Source::Direct, just_before);
+    part.on_heartbeat(&report("n-1", 2, 9, 5, vec![]), Source::Direct, just_before);
     part.upsert_job(
         &request("job-1", "array", 1, 1.0, None),
         Revision(6),
@@ -196,22 +196,22 @@
         &[],
         (0, NOW),
     );
-    part.pass(just_before);
+    part.run_cycle(just_before);
     // Nobody may renew that session: it may reach nobody.
     assert_eq!(live(&part, "job-1"), 0);
-    part.on_report(
+    part.on_heartbeat(
         &report("n-1", 2, 10, 5, vec![]),
         Source::Heartbeat,
         just_before,
     );
-    part.pass(just_before);
+    part.run_cycle(just_before);
     assert_eq!(live(&part, "job-1"), 1);
-    part.pass(NOW + lease + Micros::from_secs(1));
-    assert_eq!(part.hosts[&id].reach, FencingState::Fenced);
+    part.run_cycle(NOW + lease + Micros::from_secs(1));
+    assert_eq!(part.hosts[&id].fencing, FencingState::Fenced);
     assert_eq!(live(&part, "job-1"), 1);
     // The new session lapses in its own time.
-    part.pass(just_before + lease + Micros::from_secs(1));
-    assert_eq!(part.hosts[&id].reach, FencingState::Lapsed);
+    part.run_cycle(just_before + lease + Micros::from_secs(1));
+    assert_eq!(part.hosts[&id].fencing, FencingState::Lapsed);
 }
 
 /// After a takeover one host is known and one is not. Guards against a team's limit that is given out
@@ -234,13 +234,13 @@
         let mut part = partition(2, true);
         if recalled {
             let record = JobRecord::cancelled(&cancelled, 0, NOW);
-            part.recall_cancelled(&cancelled.id, &record.residual_usage.unwrap(), NOW);
+            part.restore_cancelled(&cancelled.id, &record.residual_usage.unwrap(), NOW);
         } else {
             part.upsert_job(&cancelled, Revision(3), NOW, &[], (0, NOW));
         }
         let new = request("job-new", "array", 4, 1.0, None);
         part.upsert_job(&new, Revision(6), NOW, &[], (0, NOW));
-        part.on_report(
+        part.on_heartbeat(
             &report("n-1", 1, 1, 5, vec![running(0)]),
             Source::Direct,
             NOW,
@@ -248,29 +248,29 @@
         if !recalled {
             part.end_job(&cancelled.id, Termination::Cancelled, NOW);
         }
-        part.pass(NOW);
+        part.run_cycle(NOW);
         // Three of four may be there: one more may start.
         assert_eq!((gpus(&part), live(&part, "job-new")), (4, 1));
         let stops = part
-            .orders(&one)
+            .commands(&one)
             .iter()
             .any(|o| matches!(o, Command::Stop(t, ..) if t.index == 0));
         assert!(stops);
         // The other host shows one, which is stopped as well; the third is nowhere.
-        part.on_report(
+        part.on_heartbeat(
             &report("n-2", 1, 1, 5, vec![running(2)]),
             Source::Direct,
             NOW,
         );
-        part.pass(NOW);
+        part.run_cycle(NOW);
         assert_eq!((gpus(&part), live(&part, "job-new")), (4, 2));
         // Gone, both.
         for (host, n) in [("n-1", 0), ("n-2", 2)] {
             let mut gone = running(n);
             gone.phase = TaskPhase::Exited(ExitCause::Stopped { saved: false });
-            part.on_report(&report(host, 1, 2, 5, vec![gone]), Source::Heartbeat, NOW);
+            part.on_heartbeat(&report(host, 1, 2, 5, vec![gone]), Source::Heartbeat, NOW);
         }
-        part.pass(NOW);
+        part.run_cycle(NOW);
         assert_eq!(gpus(&part), 4);
         assert_eq!(live(&part, "job-new"), 4);
         assert!(!part.jobs.contains_key(&cancelled.id));
@@ -286,23 +286,26 @@
         let mut part = partition(2, true);
         if recalled {
             let remains = record.residual_usage.as_ref().unwrap();
-            part.recall_cancelled(&cancelled.id, remains, NOW);
+            part.restore_cancelled(&cancelled.id, remains, NOW);
         } else {
             part.upsert_job(&cancelled, Revision(3), NOW, &[], (0, NOW));
             part.end_job(&cancelled.id, Termination::Cancelled, NOW);
         }
         let new = request("job-new", "array", 4, 1.0, None);
         part.upsert_job(&new, Revision(6), NOW, &[], (0, NOW));
-        part.on_report(&report("n-1", 1, 1, 5, vec![]), Source::Direct, NOW);
-        part.pass(NOW);
+        part.on_heartbeat(&report("n-1", 1, 1, 5, vec![]), Source::Direct, NOW);
+        part.run_cycle(NOW);
         assert_eq!(live(&part, "job-new"), 1);
         // The other host's lease has surely lapsed: nothing of it is left.
         let later = NOW + part.config.lapse() + Micros::from_secs(1);
-        part.on_report(&report("n-1", 1, 2, 5, vec![]), Source::Heartbeat, later);
+        part.on_heartbeat(&report("n-1", 1, 2, 5, vec![]), Source::Heartbeat, later);
         part.apply(&HostId::new("n-1"), HostInput::Answered(&[]), later);
-        part.pass(later);
+        part.run_cycle(later);
         assert!(!part.jobs.contains_key(&cancelled.id));
-        assert_eq!(part.hosts[&HostId::new("n-2")].reach, FencingState::Lapsed);
+        assert_eq!(
+            part.hosts[&HostId::new("n-2")].fencing,
+            FencingState::Lapsed
+        );
         assert!(live(&part, "job-new") > 1);
     }
 }
@@ -386,7 +389,7 @@
         let id = HostId::new(&format!("n-{n}"));
         part.upsert_host(&id, &record("a"), Revision(4), at_takeover, NOW);
         if !at_takeover {
-            part.on_report(
+            part.on_heartbeat(
                 &report(id.as_str(), 1, 1, 5, vec![]),
                 Source::Heartbeat,
                 NOW,
@@ -417,15 +420,18 @@
         &[],
         (0, NOW),
     );
-    part.on_report(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
-    part.pass(NOW);
+    part.on_heartbeat(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
+    part.run_cycle(NOW);
     assert_eq!((live(&part, "job-old"), live(&part, "job-new")), (0, 1));
     // The other host's lease has surely lapsed.
     let later = NOW + part.config.lapse();
-    part.on_report(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, later);
+    part.on_heartbeat(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, later);
     part.apply(&"n-1".into(), HostInput::Answered(&[]), later);
-    part.pass(later);
-    assert_eq!(part.hosts[&HostId::new("n-2")].reach, FencingState::Lapsed);
+    part.run_cycle(later);
+    assert_eq!(
+        part.hosts[&HostId::new("n-2")].fencing,
+        FencingState::Lapsed
+    );
     assert_eq!(live(&part, "job-old"), 1);
 }
 
@@ -443,8 +449,8 @@
     for job in [steady, Rc::new(flexible)] {
         part.upsert_job(&job, Revision(3), NOW, &[], (0, NOW));
     }
-    part.on_report(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
-    part.pass(NOW);
+    part.on_heartbeat(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
+    part.run_cycle(NOW);
     assert_eq!(live(&part, "job-steady"), 1);
     assert_eq!(live(&part, "job-flexible"), 0);
 }
@@ -466,8 +472,8 @@
         &[],
         (0, NOW),
     );
-    part.on_report(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
-    part.pass(NOW);
+    part.on_heartbeat(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
+    part.run_cycle(NOW);
     assert_eq!(live(&part, "job-new"), 1);
 }
 
@@ -518,17 +524,17 @@
         &[],
         (0, NOW),
     );
-    part.pass(NOW);
+    part.run_cycle(NOW);
     assert_eq!(live(&part, "job-1"), 2);
     let attempt = part.jobs[&JobId::new("job-1")].attempt.unwrap();
     part.apply(&"n-1".into(), HostInput::Gone, NOW);
-    part.pass(NOW);
-    let orders = part.orders(&"n-2".into());
+    part.run_cycle(NOW);
+    let orders = part.commands(&"n-2".into());
     // Never sent, so taken back at once; nothing of the attempt is left.
     assert_eq!(orders, vec![]);
     assert_eq!(live(&part, "job-1"), 0);
-    part.on_report(&report("n-1", 2, 20, 5, vec![]), Source::Heartbeat, NOW);
-    part.pass(NOW);
+    part.on_heartbeat(&report("n-1", 2, 20, 5, vec![]), Source::Heartbeat, NOW);
+    part.run_cycle(NOW);
     let next = part.jobs[&JobId::new("job-1")].attempt;
     assert!(next.is_none() || next > Some(attempt));
 }
@@ -543,12 +549,12 @@
         &[],
         (0, NOW),
     );
-    part.pass(NOW);
-    let orders = part.orders(&"n-1".into());
+    part.run_cycle(NOW);
+    let orders = part.commands(&"n-1".into());
     part.apply(&"n-1".into(), HostInput::Answered(&orders), NOW);
     part.end_job(&JobId::new("job-1"), Termination::Cancelled, NOW);
-    part.pass(NOW);
-    let orders = part.orders(&"n-1".into());
+    part.run_cycle(NOW);
+    let orders = part.commands(&"n-1".into());
     assert!(matches!(orders[..], [Command::Stop(..)]), "{orders:?}");
 }
 
@@ -568,7 +574,7 @@
     let host = HostId::new("n-1");
     let mut counter = 10;
     for round in 0..2u64 {
-        part.pass(NOW);
+        part.run_cycle(NOW);
         let now = NOW + Micros::from_millis(round);
         let on: Vec<(TaskId, Attempt)> = part.hosts[&host]
             .tasks
@@ -585,7 +591,7 @@
             })
             .collect();
         counter += 1;
-        part.on_report(&report("n-1", 1, counter, 5, tasks), Source::Heartbeat, now);
+        part.on_heartbeat(&report("n-1", 1, counter, 5, tasks), Source::Heartbeat, now);
         let later = request(&format!("job-9{round}"), "array", 1, 2.0, None);
         part.upsert_job(&later, Revision(6), now, &[], (0, NOW));
     }
@@ -609,7 +615,7 @@
     let on = part.hosts[&HostId::new(host)].tasks.iter();
     let tasks: Vec<TaskStatus> = on.filter(|(_, t)| t.is_on()).map(exited).collect();
     let n = tasks.len();
-    part.on_report(&report(host, 1, counter, 5, tasks), Source::Heartbeat, now);
+    part.on_heartbeat(&report(host, 1, counter, 5, tasks), Source::Heartbeat, now);
     n
 }
 
@@ -625,26 +631,26 @@
         &[],
         (0, NOW),
     );
-    part.pass(NOW);
+    part.run_cycle(NOW);
     assert_eq!(live(&part, "job-1"), 40, "all tasks run, on several hosts");
     let mut failed = 0;
     for n in 1..=6 {
         failed += all_exit(&mut part, &format!("n-{n}"), 5, ExitCause::Error, NOW);
     }
     assert_eq!(failed, 40);
-    assert!(part.jobs[&id].trust.is_suspect());
+    assert!(part.jobs[&id].failures.is_suspect());
     assert!(part.hosts.values().all(|h| h.is_usable(NOW, &part.config)));
     assert!(part.unsaved.contains(&id), "the suspicion is to be written");
     // Nothing during the pause, one task after it, and the pause grows.
-    part.pass(NOW + Micros::from_secs(1));
+    part.run_cycle(NOW + Micros::from_secs(1));
     assert_eq!(live(&part, "job-1"), 0);
     let later = NOW + Micros::from_secs(5);
-    part.pass(later);
+    part.run_cycle(later);
     assert_eq!(live(&part, "job-1"), 1);
     // The try completes: it was not the job, and the others are blamed after all.
     let host = part.jobs[&id].live.values().next().unwrap().clone();
     all_exit(&mut part, host.as_str(), 6, ExitCause::Done, later);
-    assert!(!part.jobs[&id].trust.is_suspect());
+    assert!(!part.jobs[&id].failures.is_suspect());
     for h in part.hosts.values() {
         assert_eq!(h.is_usable(later, &part.config), h.id == host);
     }
@@ -661,9 +667,9 @@
         &[],
         (1, NOW),
     );
-    part.pass(NOW);
+    part.run_cycle(NOW);
     assert_eq!(live(&part, "job-1"), 0);
-    part.pass(NOW + Micros::from_secs(5));
+    part.run_cycle(NOW + Micros::from_secs(5));
     assert_eq!(live(&part, "job-1"), 1);
 }
 
@@ -741,7 +747,7 @@
                 }
                 Step::Settle => { unsettled.clear(); host.apply(HostInput::DirectSettled, NOW); }
                 Step::Lose => {
-                    if host.in_flight() && host.reach != FencingState::Lapsed { doubted.append(&mut unsettled); }
+                    if host.in_flight() && host.fencing != FencingState::Lapsed { doubted.append(&mut unsettled); }
                     unsettled.clear();
                     host.apply(HostInput::DirectUnanswered, NOW);
                 }
@@ -791,22 +797,22 @@
     let mut tiny = (*request("job-1", "array", 50_000, 0.0, None)).clone();
     tiny.each = Resources::from_units(0.001, 0.0, 0.001);
     part.upsert_job(&Rc::new(tiny), Revision(6), NOW, &[], (0, NOW));
-    part.pass(NOW);
+    part.run_cycle(NOW);
     let id = HostId::new("n-1");
     let on = live(&part, "job-1");
     assert!((100..1_000).contains(&on), "{on}");
-    let orders = part.orders(&id);
+    let orders = part.commands(&id);
     let text = jasperhill_wire::worker::commands_body(part.hosts[&id].token, Some(1), &orders);
     assert!(text.len() < 60_000, "{}", text.len());
     // Exited tasks that can't be cleared yet count as well.
     all_exit(&mut part, "n-1", 9, ExitCause::Done, NOW);
-    part.pass(NOW);
+    part.run_cycle(NOW);
     assert!(part.hosts[&id].listed() <= on + 1);
     // Once the results are in the record, others follow.
     let done: std::collections::BTreeSet<u32> = (0..50_000).collect();
     part.saved(&JobId::new("job-1"), &done, 0);
-    part.on_report(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, NOW);
-    part.pass(NOW);
+    part.on_heartbeat(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, NOW);
+    part.run_cycle(NOW);
     assert!(live(&part, "job-1") > 100);
 }
 
@@ -822,13 +828,13 @@
         gang.each = Resources::from_units(cpus, gpus, 100.0);
         part.upsert_job(&Rc::new(gang), Revision(6), NOW, &[], (0, NOW));
     }
-    part.pass(NOW);
+    part.run_cycle(NOW);
     let full = part.jobs[&JobId::new("job-1")].live[&0].clone();
     assert_ne!(full, part.jobs[&JobId::new("job-2")].live[&0]);
     let mut small = (*request("job-9", "array", 2, 0.0, None)).clone();
     small.each = Resources::from_units(1.0, 0.0, 1.0);
     part.upsert_job(&Rc::new(small), Revision(7), NOW, &[], (0, NOW));
-    part.pass(NOW);
+    part.run_cycle(NOW);
     let live = &part.jobs[&JobId::new("job-9")].live;
     assert!(
         live.len() == 2 && live.values().all(|h| h == &full),
@@ -851,17 +857,17 @@
     for (shape, due) in [("array", Some(100.0)), ("array", None), ("ensemble", None)] {
         let job = request("job-2", shape, 2, 1.0, due);
         part.upsert_job(&job, Revision(0), NOW, &[], (0, NOW));
-        part.place_job(&id, place(Readiness::Waiting, None));
-        part.pass(NOW);
+        part.set_dependency_status(&id, place(Readiness::Waiting, None));
+        part.run_cycle(NOW);
         assert_eq!(live(&part, "job-2"), 0);
         assert!(part.jobs[&id].booked.is_empty());
         let other = request("job-3", "array", 1, 1.0, None);
         part.upsert_job(&other, Revision(7), NOW, &[], (0, NOW));
         let soon = NOW + Micros::from_secs(5);
-        part.place_job(&id, place(Readiness::Open, Some(soon)));
+        part.set_dependency_status(&id, place(Readiness::Open, Some(soon)));
         let rank = |id: &str| part.jobs[&JobId::new(id)].rank();
         assert!(rank("job-2") < rank("job-3"));
-        part.pass(NOW);
+        part.run_cycle(NOW);
         assert_eq!(live(&part, "job-2"), 2);
         part = partition(2, false);
     }
@@ -889,7 +895,7 @@
         r.estimate = Micros::from_secs(estimate);
         part.upsert_job(&Rc::new(r), Revision(6), NOW, &[], (0, NOW));
     }
-    part.pass(NOW);
+    part.run_cycle(NOW);
     let host_of = |part: &Partition, job: &str| part.jobs[&JobId::new(job)].live[&0].clone();
     let (long, short) = (host_of(&part, "job-1"), host_of(&part, "job-2"));
     let drained = |part: &Partition| -> Vec<HostId> {
@@ -919,7 +925,7 @@
         phase: TaskPhase::Running,
     });
     let report = report(host, 1, counter, 5, tasks.collect());
-    part.on_report(&report, Source::Heartbeat, now);
+    part.on_heartbeat(&report, Source::Heartbeat, now);
     part.apply(&id, HostInput::Answered(&[]), now);
 }
 
@@ -937,34 +943,34 @@
     let mut part = partition(2, false);
     let service = whole_host("job-live", "daemon", 1, Priority::Production);
     part.upsert_job(&service, Revision(6), NOW, &[], (0, NOW));
-    part.pass(NOW);
+    part.run_cycle(NOW);
     let home = part.jobs[&JobId::new("job-live")].live[&0].clone();
     let other = if home.as_str() == "n-1" { "n-2" } else { "n-1" };
     all_runs(&mut part, home.as_str(), 5, NOW);
     let silent = NOW + Micros::from_secs(7);
-    part.on_report(&report(other, 1, 5, 5, vec![]), Source::Heartbeat, silent);
+    part.on_heartbeat(&report(other, 1, 5, 5, vec![]), Source::Heartbeat, silent);
     let lesser = whole_host("job-batch", "array", 1, Priority::Normal);
     part.upsert_job(&lesser, Revision(7), silent, &[], (0, silent));
-    part.pass(silent);
+    part.run_cycle(silent);
     assert_eq!(live(&part, "job-batch"), 0);
     // It is heard again: the room is free for all.
     let back = silent + Micros::from_secs(1);
     all_runs(&mut part, home.as_str(), 6, back);
-    part.pass(back);
+    part.run_cycle(back);
     assert_eq!(live(&part, "job-batch"), 1);
     // And without it in the way, the replica is whole again as soon as its host is lost.
     part.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
-    part.on_report(&report(other, 1, 6, 5, vec![]), Source::Heartbeat, back);
-    part.pass(back);
+    part.on_heartbeat(&report(other, 1, 6, 5, vec![]), Source::Heartbeat, back);
+    part.run_cycle(back);
     let lost = back + part.config.lapse();
-    part.on_report(&report(other, 1, 7, 5, vec![]), Source::Heartbeat, lost);
+    part.on_heartbeat(&report(other, 1, 7, 5, vec![]), Source::Heartbeat, lost);
     part.apply(&other.into(), HostInput::Answered(&[]), lost);
-    part.pass(lost);
+    part.run_cycle(lost);
     assert!(part.recovery.is_short());
     let now = part.jobs[&JobId::new("job-live")].live[&0].clone();
     assert_eq!(now.as_str(), other);
     all_runs(&mut part, other, 8, lost);
-    part.pass(lost + Micros::from_secs(1));
+    part.run_cycle(lost + Micros::from_secs(1));
     assert!(!part.recovery.is_short());
 }
 
@@ -974,16 +980,16 @@
     let mut part = partition(2, false);
     let gang = whole_host("job-gang", "ensemble", 2, Priority::High);
     part.upsert_job(&gang, Revision(6), NOW, &[], (0, NOW));
-    part.pass(NOW);
+    part.run_cycle(NOW);
     assert_eq!(live(&part, "job-gang"), 2);
     for (counter, host) in [(5, "n-1"), (6, "n-2")] {
         all_runs(&mut part, host, counter, NOW);
     }
     let service = whole_host("job-live", "daemon", 1, Priority::Production);
     part.upsert_job(&service, Revision(7), NOW, &[], (0, NOW));
-    part.pass(NOW);
+    part.run_cycle(NOW);
     let stops = |host: &str| {
-        let orders = part.orders(&host.into());
+        let orders = part.commands(&host.into());
         orders.iter().any(|o| matches!(o, Command::Stop(..)))
     };
     assert!(stops("n-1") && stops("n-2"));
@@ -1008,14 +1014,14 @@
             let job = timed(&format!("job-{n}"), *estimate);
             part.upsert_job(&job, Revision(6), NOW, &[], (0, NOW));
         }
-        part.pass(NOW);
+        part.run_cycle(NOW);
         assert_eq!(part.hosts[&host].tasks.len(), estimates.len());
         all_runs(&mut part, "n-1", 5, NOW);
         if ended {
             // Another task there ends in time, just before.
             let at = NOW + Micros::from_secs(18);
             part.upsert_job(&timed("job-x", 10), Revision(6), NOW, &[], (0, NOW));
-            part.pass(NOW);
+            part.run_cycle(NOW);
             all_runs(&mut part, "n-1", 6, NOW + Micros::from_secs(9));
             let tasks = part.hosts[&host].tasks.iter();
             let tasks = tasks.map(|(task, t)| TaskStatus {
@@ -1027,11 +1033,11 @@
                 },
             });
             let report = report("n-1", 1, 7, 5, tasks.collect());
-            part.on_report(&report, Source::Heartbeat, at);
+            part.on_heartbeat(&report, Source::Heartbeat, at);
         }
         let over = NOW + Micros::from_secs(21);
         all_runs(&mut part, "n-1", 9, over);
-        part.pass(over);
+        part.run_cycle(over);
         (
             part.hosts[&host].pace.is_slow(),
             part.hosts[&host].slowness > 1.5,
@@ -1051,7 +1057,7 @@
     let usable = |part: &Partition, at: Micros| part.hosts[&id].is_usable(at, &config());
     let secs = Micros::from_secs;
     let heard = |part: &mut Partition, tenure, counter, token, at| {
-        part.on_report(
+        part.on_heartbeat(
             &report("n-1", tenure, counter, token, vec![]),
             Source::Heartbeat,
             at,
@@ -1148,7 +1154,7 @@
                     let tasks: Vec<TaskStatus> = tasks.into_values().collect();
                     let host = format!("n-{}", h + 1);
                     let said = report(&host, tenure, counter, 5, tasks.clone());
-                    part.on_report(&said, Source::Heartbeat, NOW);
+                    part.on_heartbeat(&said, Source::Heartbeat, NOW);
                     if (tenure, counter) > newest[h] {
                         newest[h] = (tenure, counter);
                         told[h] = tasks;
@@ -1158,19 +1164,19 @@
                     let ending = if done { Termination::Done } else { Termination::Cancelled };
                     part.end_job(&JobId::new(jobs[job]), ending, NOW);
                 }
-                Word::Pass => part.pass(NOW),
+                Word::Pass => part.run_cycle(NOW),
                 Word::Answer(h) => {
                     let host = HostId::new(&format!("n-{}", h + 1));
-                    let orders = part.orders(&host);
+                    let orders = part.commands(&host);
                     part.apply(&host, HostInput::Answered(&orders), NOW);
                 }
             }
             for (h, tasks) in told.iter().enumerate() {
                 let host = HostId::new(&format!("n-{}", h + 1));
-                let orders = part.orders(&host);
+                let orders = part.commands(&host);
                 for t in tasks.iter().filter(|t| !matches!(t.phase, TaskPhase::Exited(_))) {
                     let counted = part.jobs.get(&t.task.job).is_some_and(|j| {
-                        j.ending.is_none() && j.live.get(&t.task.index) == Some(&host)
+                        j.termination.is_none() && j.live.get(&t.task.index) == Some(&host)
                     });
                     let stopped = orders.iter().any(|o| {
                         matches!(o, Command::Stop(task, attempt, _) if *task == t.task && *attempt == t.attempt)
--- a/crates/jasperhill-testkit/src/lib.rs
+++ b/crates/jasperhill-testkit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the state service, the cloud, workers and users, in one process, with
 //! several real controllers between them. Seeded and on tokio's paused time, so that a run
 //! repeats. The protocol's rules are asserted at every step; a broken one is recorded in
-//! [`World::broken`].
+//! `Outcome::broken`.
 
 pub mod behaviour;
 pub mod cloud;
--- a/crates/jasperhill-testkit/src/state.rs
+++ b/crates/jasperhill-testkit/src/state.rs
@@ -3,7 +3,7 @@
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_wire::{
     Revision,
-    state::{
+    store::{
         Change, KeyValue, LeaseResponse, Listing, Transaction, TransactionResponse, WatchEvent,
         WatchResponse,
     },
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -12,7 +12,10 @@
     workers::{Times, Worker},
 };
 use jasperhill_connections::{Class, PlanInputs};
-use jasperhill_controller::{Clock, Controller, Settings, Transport, transport::{self, Call}};
+use jasperhill_controller::{
+    Clock, Controller, Settings, Transport,
+    transport::{self, Call},
+};
 use jasperhill_http::{
     ClientError, ConnectionTracker, Method, Request, Response, client::ANSWER_MAX,
 };
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -416,7 +416,7 @@
             host.apply(HostInput::Report(&report, Source::Heartbeat), now);
             let orders = host.orders(|_, _| true);
             let withheld = host
-                .rests_on()
+                .in_flight_known_as_of()
                 .is_some_and(|known| now >= bounds.until(known));
             if !(guarded && withheld) {
                 host.apply(HostInput::Answered(&orders), now);
--- a/crates/jasperhill-wire/src/lib.rs
+++ b/crates/jasperhill-wire/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod ids;
 pub mod mesh;
 pub mod record;
-pub mod state;
+pub mod store;
 pub mod units;
 pub mod user;
 pub mod worker;
--- a/crates/jasperhill-wire/src/record.rs
+++ b/crates/jasperhill-wire/src/record.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A keeper's name for one part of its asks. The first is its own, so that a single part looks
+/// A delegate's name for one part of its asks. The first is its own, so that a single part looks
 /// as it always did; an owner of any version answers each part as an ask of its own.
 pub fn delegation_part(keeper: &Member, part: u32) -> Member {
     if part == 0 {
@@ -45,7 +45,7 @@
 pub fn proposal_key(id: &JobId) -> String {
     format!("jh/want/{id}")
 }
-/// What an owner lets a keeper answer for.
+/// What an owner lets a delegate answer for.
 pub fn delegation_grant_key(partition: u32, keeper: &Member) -> String {
     format!("jh/grant/{partition}/{keeper}")
 }
@@ -191,11 +191,11 @@
 }
 
 /// What this version understands. 0, or no word of it: nothing beyond single jobs and blocks of
-/// any size. [`PIPELINES`] and [`LINKS`] say what came with the others.
+/// any size. [`DEPENDENCIES`] and [`REACHABILITY`] say what came with the others.
 pub const FEATURE_LEVEL: u32 = REACHABILITY;
 /// `waits_on`, the spreading of cancellations, small blocks, asks in parts.
 pub const DEPENDENCIES: u32 = 1;
-/// Messages about links, orders through another controller, roles taken by the owner's word, jobs
+/// Messages about links, commands through another controller, roles taken by the owner's word, jobs
 /// put before their owner through the store.
 pub const REACHABILITY: u32 = 2;
 
@@ -229,7 +229,7 @@
     pub lease: u64,
 }
 
-/// The hosts that a keeper asks for. The lease and the number name the ask.
+/// The hosts that a delegate asks for. The lease and the number name the ask.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegationRequestRecord {
     #[serde(rename = "n")]
@@ -253,8 +253,8 @@
     pub retry_after_s: Option<u32>,
 }
 
-/// The hosts that an owner lets a keeper answer for, with the tokens to show, and the ask
-/// that this answers. The owner names the tokens: another controller's mirror may have read a
+/// The hosts that an owner lets a delegate answer for, with the tokens to show, and the ask
+/// that this answers. The owner names the tokens: another controller's watch cache may have read a
 /// host's record as part of a younger block, and a token above the owner's would shut it out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegationGrantRecord {
--- a/crates/jasperhill-wire/src/worker.rs
+++ b/crates/jasperhill-wire/src/worker.rs
@@ -150,7 +150,7 @@
     commands: Vec<CommandBody>,
 }
 
-/// The body of a 200 to a report (`tenure` absent) or of a `/do` (`tenure` given).
+/// The body of a 200 to a report (`incarnation` absent) or of a `/do` (`incarnation` given).
 pub fn commands_body(
     token: FencingToken,
     incarnation: Option<u64>,
--- a/crates/jasperhill-wire/tests/formats.rs
+++ b/crates/jasperhill-wire/tests/formats.rs
@@ -4,7 +4,7 @@
     Attempt, FencingToken, JobId, Micros, Name, Resources, Revision, TaskId,
     mesh::{MeshRequest, MeshResponse, TaskCounts, decode, encode},
     record::{JobRecord, RecordPhase, ResidualUsage},
-    state::{Change, Guard, Transaction},
+    store::{Change, Guard, Transaction},
     user::{JobRequest, Priority, Shape},
     worker::{Command, Heartbeat, commands_body},
 };
--- a/crates/jasperhill-wire/tests/samples.rs
+++ b/crates/jasperhill-wire/tests/samples.rs
@@ -14,7 +14,7 @@
         SessionRecord, block_key, delegation_grant_key, delegation_part, delegation_request_key,
         feature_level_key, job_key, proposal_key, role_key, session_key, types_key,
     },
-    state::{Change, Guard, Transaction},
+    store::{Change, Guard, Transaction},
     user::{ErrorBody, JobPhase, JobRequest, JobResponse, JobStatus, Priority, Shape},
     worker::{Command, commands_body, redirect_body},
 };
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -126,7 +126,7 @@
         s.zones,
         s.teams.len()
     );
-    for (team, partition) in jasperhill_scheduler::split::split(&s.teams, s.size) {
+    for (team, partition) in jasperhill_scheduler::sharding::split(&s.teams, s.size) {
         println!("team {team} in partition {partition}");
     }
     println!(
