--- a/crates/jasperhill-controller/src/delegation/mod.rs
+++ b/crates/jasperhill-controller/src/delegation/mod.rs
@@ -5,7 +5,7 @@
 //! The delegate writes the hosts that come to it into its *ask*. The owner, if it has not heard
 //! them itself, first counts their leases as renewed until the end of the grant, and then
 //! writes the *grant*, which names the ask. The delegate may answer, with the owner's token and
-//! no new work, until [`Settings::delegation_time`] after it *sent* that ask; the owner counts from when
+//! no new work, until `Settings::delegation_time` after it *sent* that ask; the owner counts from when
 //! it *saw* the ask, which is later. So no host is taken for lapsed that could still be kept,
 //! whatever is delivered late. A takeover counts from its own beginning, since every grant in
 //! the store then belongs to an ask sent before.
