--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -121,7 +121,7 @@
             .scheduling
             .partitions
             .values()
-            .flat_map(|p| p.starvation.standing());
+            .flat_map(|p| p.starvation.shares());
         let least = standings.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
         match least {
             Some((group, s)) => tracing::info!(
--- a/crates/jasperhill-controller/src/heartbeats/mod.rs
+++ b/crates/jasperhill-controller/src/heartbeats/mod.rs
@@ -13,7 +13,7 @@
 use jasperhill_connections::limiter;
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_membership::{link::Observation, reachability::LinkId};
-use jasperhill_scheduler::{FencingState, HostInput, Partition, Source};
+use jasperhill_scheduler::{FencingState, HeartbeatSource, HostInput, Partition};
 use jasperhill_wire::{
     HostId, JobId, Member, Micros, Revision, mesh,
     record::{HostAssignment, HostRecord, JobRecord, RecordPhase, Role, job_key, role_key},
@@ -416,7 +416,7 @@
         if !state.authority.holds(now) {
             return Err(unavailable());
         }
-        partition.on_heartbeat(report, Source::Heartbeat, now);
+        partition.on_heartbeat(report, HeartbeatSource::Heartbeat, now);
         let orders = partition.commands(&host);
         let Some((token, rests_on)) = partition
             .hosts
@@ -622,7 +622,7 @@
                 Some((
                     host.address.parse::<SocketAddr>().ok()?,
                     part.since,
-                    host.tenure,
+                    host.incarnation,
                     host.zone.clone(),
                     part.hosts.len(),
                 ))
@@ -696,7 +696,7 @@
         if host.last_answer > self.settings.bounds.until(known) {
             return None;
         }
-        let (tenure, token) = (host.tenure?, host.token);
+        let (tenure, token) = (host.incarnation?, host.token);
         let pressing = orders.iter().any(|o| !matches!(o, Command::Clear(..)));
         let unfenced = matches!(host.fencing, FencingState::Unfenced { .. });
         if host.in_flight() || host.in_doubt() || !(pressing || unfenced) {
@@ -715,7 +715,7 @@
                 if let Some(partition) = self.state.borrow_mut().scheduling.partitions.get_mut(&p)
                     && partition.since == since
                 {
-                    partition.on_heartbeat(&report, Source::Direct, now);
+                    partition.on_heartbeat(&report, HeartbeatSource::Direct, now);
                 }
             }
             Ok(report) => tracing::warn!(host = %id, other = %report.host, "another host answers"),
@@ -740,13 +740,13 @@
                         continue;
                     };
                     let whole = job.done.is_full();
-                    let suspected = job.failures.failing() != job.failed_attempts_saved;
+                    let suspected = job.failures.failed_attempts() != job.failed_attempts_saved;
                     let partial = !job.unsaved.is_empty() && (!job.is_gang() || whole);
                     if job.termination.is_some() || !(partial || suspected) {
                         continue;
                     }
                     // What others wait for goes ahead.
-                    let needed = whole && state.cache.dependencies.is_needed(&id);
+                    let needed = whole && state.cache.dependencies.has_dependents(&id);
                     if state.results.saving.contains(&id)
                         || (state.results.saving.len() > SAVING_MAX && !needed)
                     {
@@ -785,7 +785,7 @@
     }
 
     async fn save(self: Rc<Self>, p: u32, id: JobId) {
-        let needed = self.state.borrow().cache.dependencies.is_needed(&id);
+        let needed = self.state.borrow().cache.dependencies.has_dependents(&id);
         let prepared = {
             let state = self.state.borrow();
             match (state.scheduling.partitions.get(&p), state.cache.job(&id)) {
@@ -834,7 +834,8 @@
         if let Some(partition) = state.scheduling.partitions.get_mut(&p)
             && partition.jobs.get(&id).is_some_and(|j| {
                 j.termination.is_none()
-                    && (!j.unsaved.is_empty() || j.failures.failing() != j.failed_attempts_saved)
+                    && (!j.unsaved.is_empty()
+                        || j.failures.failed_attempts() != j.failed_attempts_saved)
             })
         {
             partition.unsaved.insert(id);
@@ -855,7 +856,7 @@
             let record = JobRecord::terminal(RecordPhase::Done, job.done.count());
             return Some((record, job.unsaved.clone()));
         }
-        let failing = job.failures.failing();
+        let failing = job.failures.failed_attempts();
         if job.is_gang() && failing == job.failed_attempts_saved {
             return None;
         }
--- a/crates/jasperhill-controller/src/provisioner/inventory.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -112,7 +112,7 @@
                         Some((hosts, at)) if now - *at < Micros::from_secs(8) => *hosts,
                         _ => 0.0,
                     };
-                let floor = tuning.floor_of(p, self.settings.size);
+                let floor = tuning.min_machines_of(p, self.settings.size);
                 Inventory {
                     want: tuning.planned(need.total(), coming, floor),
                     want_ordinary: tuning.planned(need.ordinary, expected, floor),
--- a/crates/jasperhill-controller/src/provisioner/mod.rs
+++ b/crates/jasperhill-controller/src/provisioner/mod.rs
@@ -68,7 +68,7 @@
     /// A machine without a record reports: it is up.
     pub fn came_up(&mut self, id: &HostId, now: Micros) {
         if let Some(b) = self.booting.remove(id) {
-            self.boots.note(&b.kind, &b.zone, now - b.since, now);
+            self.boots.record(&b.kind, &b.zone, now - b.since, now);
         }
     }
 
--- a/crates/jasperhill-controller/src/provisioner/scale_in.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_in.rs
@@ -117,20 +117,20 @@
                     more(stock.have, stock.want),
                     more(stock.have_ordinary, stock.want_ordinary),
                 );
-                partition.drain_some(now, surplus);
+                partition.drain_surplus(now, surplus);
                 let ids: Vec<HostId> = partition.hosts.keys().cloned().collect();
                 for id in ids {
                     let Some(host) = partition.hosts.get(&id) else {
                         continue;
                     };
-                    if !matches!(host.usage, HostAssignment::Partition(_))
+                    if !matches!(host.assignment, HostAssignment::Partition(_))
                         || state.commands.token_updates.contains(&id)
                     {
                         continue;
                     }
                     let lost = host.fencing == FencingState::Lapsed
                         && now - host.last_answer
-                            > self.scheduler_config.lapse() + Micros::from_secs(30);
+                            > self.scheduler_config.lease_expiry() + Micros::from_secs(30);
                     let bad = host.is_empty() && (host.is_faulty(now) || host.slowness > 2.2);
                     let spare = stock.have > stock.want
                         && (host.spot || stock.have_ordinary > stock.want_ordinary)
@@ -153,7 +153,7 @@
                     state.commands.token_updates.insert(id.clone());
                     gifts.push((*p, partition.since, id.clone(), kept.clone(), usage));
                     if let Some(host) = partition.hosts.get_mut(&id) {
-                        host.usage = usage;
+                        host.assignment = usage;
                     }
                 }
             }
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -180,7 +180,7 @@
                         let place = self.dependency_status(state, job);
                         // A job that waits for others now was never started by a controller
                         // that knows of that.
-                        let created = match place.gate {
+                        let created = match place.readiness {
                             Readiness::Waiting
                                 if state.membership.features.supports(DEPENDENCIES) =>
                             {
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -29,7 +29,7 @@
         let id = &job.request.id;
         let claim = state.cache.dependencies.inherited_urgency(id);
         DependencyStatus {
-            gate: match state.cache.dependencies.state_of(id) {
+            readiness: match state.cache.dependencies.state_of(id) {
                 DependencyState::Ready => Readiness::Open,
                 _ => Readiness::Waiting,
             },
@@ -202,33 +202,35 @@
 fn log_note(note: &Event) {
     match note {
         Event::HostLost(host) => tracing::info!(%host, "host lost: its lease has lapsed"),
-        Event::HostAside(host) => tracing::info!(%host, "host set aside: it fails what it starts"),
+        Event::HostQuarantined(host) => {
+            tracing::info!(%host, "host set aside: it fails what it starts")
+        }
         Event::Failed(task, host, ran) => {
             tracing::debug!(%task, %host, ran_s = ran.as_secs_f64(), "task failed");
         }
-        Event::JobSuspect(job) => tracing::info!(%job, "job suspect: it fails wherever it runs"),
+        Event::JobBackingOff(job) => tracing::info!(%job, "job suspect: it fails wherever it runs"),
         Event::Stopped(task, host, why) => tracing::info!(%task, %host, why, "task stopped"),
         Event::HostSlow(host, times) => {
             tracing::info!(%host, times, "host slow by what runs there")
         }
-        Event::Behind(group, Some(s)) => tracing::info!(
+        Event::Starved(group, Some(s)) => tracing::info!(
             ?group,
             share = s.share,
             waiting = s.waiting,
             "behind its floor"
         ),
-        Event::Behind(group, None) => tracing::info!(?group, "no more behind its floor"),
-        Event::Whole(r) => tracing::info!(
+        Event::Starved(group, None) => tracing::info!(?group, "no more behind its floor"),
+        Event::ProductionRecovered(r) => tracing::info!(
             after_s = r.after.as_secs_f64(),
             lost = r.lost,
             overtaken = r.overtaken,
             "production is whole again"
         ),
-        Event::AllKnown(after, lapsed) => tracing::info!(
+        Event::AllHostsConfirmed(after, lapsed) => tracing::info!(
             after_s = after.as_secs_f64(),
             lapsed,
             "all hosts are known after the takeover"
         ),
-        Event::Strange(task, host, why) => tracing::warn!(%task, %host, why, "task stopped"),
+        Event::UnexpectedTask(task, host, why) => tracing::warn!(%task, %host, why, "task stopped"),
     }
 }
--- a/crates/jasperhill-controller/src/settings.rs
+++ b/crates/jasperhill-controller/src/settings.rs
@@ -304,7 +304,7 @@
             teams.push(TeamLimits {
                 name: team,
                 guaranteed: Resources::from_units(t.cpus, t.gpus, 0.0),
-                most: Resources::from_units(t.cpus_max, t.gpus_max, 0.0),
+                limit: Resources::from_units(t.cpus_max, t.gpus_max, 0.0),
             });
         }
         if !(p.time_bound_ms.is_finite() && p.time_bound_ms >= 0.0) {
--- a/crates/jasperhill-controller/src/users.rs
+++ b/crates/jasperhill-controller/src/users.rs
@@ -488,7 +488,7 @@
         state
             .cache
             .dependencies
-            .release(&request.dependencies, rest)
+            .time_until_ready(&request.dependencies, rest)
     }
 
     async fn poll(self: &Rc<Self>, id: &str) -> Response {
--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -6,7 +6,7 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use jasperhill_scheduler::{
-    MachineSpec, Partition, SchedulerConfig, Source, TeamLimits, Tuning, host::HostInput,
+    HeartbeatSource, MachineSpec, Partition, SchedulerConfig, TeamLimits, Tuning, host::HostInput,
 };
 use jasperhill_wire::{
     FencingToken, HostId, JobId, Micros, Name, Resources, Revision,
@@ -93,7 +93,7 @@
             termination_notice: None,
             tasks: tasks.collect(),
         };
-        part.on_heartbeat(&report, Source::Heartbeat, NOW);
+        part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
         part.apply(&id, HostInput::Answered(&[]), NOW);
     }
 }
@@ -113,7 +113,7 @@
     let team = |n: u64| TeamLimits {
         name: Name::from(format!("team-{n}").as_str()),
         guaranteed: Resources::default(),
-        most: Resources::default(),
+        limit: Resources::default(),
     };
     let config = Rc::new(SchedulerConfig {
         partitions: 3,
@@ -239,7 +239,7 @@
             };
             let take = |mut part: Partition| {
                 for report in &reports {
-                    part.on_heartbeat(report, Source::Direct, NOW);
+                    part.on_heartbeat(report, HeartbeatSource::Direct, NOW);
                 }
                 part.run_cycle(black_box(NOW));
                 part
--- a/crates/jasperhill-scheduler/src/admission.rs
+++ b/crates/jasperhill-scheduler/src/admission.rs
@@ -3,12 +3,15 @@
 
 use crate::{
     config::fetch_time,
-    cycle::{Begin, Pass},
+    cycle::{Cycle, SimulationStart},
     host::{Host, TaskState},
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
     placement::start_delay,
-    schedule_simulation::{Booking, Occupied, density, insert, misses, place, remaining},
+    schedule_simulation::{
+        Occupied, Reservation, count_missed, density, insert_by_deadline, insert_position,
+        remaining,
+    },
 };
 use jasperhill_wire::{HostId, JobId, Micros, TaskId, user::JobRequest};
 use std::{
@@ -18,10 +21,10 @@
 };
 
 /// Tasks of one job that are booked in one pass; the rest follows in later ones.
-const BOOK_MAX: u64 = 256;
+const RESERVATIONS_MAX: u64 = 256;
 
 /// The deadline of what has missed its own.
-pub(crate) const FOR_EVER: Micros = Micros::from_secs(86_400);
+pub(crate) const NO_DEADLINE: Micros = Micros::from_secs(86_400);
 
 /// What a host would make of one more booking: fewer new misses first, then the lower
 /// density, then the host's place.
@@ -48,19 +51,19 @@
 }
 
 impl Partition {
-    pub(crate) fn booking(
+    pub(crate) fn reservation(
         &self,
         host: &Host,
         task: &TaskId,
         request: &JobRequest,
         due: Micros,
         now: Micros,
-    ) -> Booking {
+    ) -> Reservation {
         let delay = start_delay(host, request, now).scale(self.config.tuning.uncertainty);
-        Booking {
+        Reservation {
             task: task.clone(),
             each: request.each,
-            adjusted: due - delay,
+            adjusted_deadline: due - delay,
             estimate: self.estimate(request).scale(host.slowness.max(1.0)),
         }
     }
@@ -70,7 +73,7 @@
         let mut occupied: Vec<Occupied> = host
             .tasks
             .iter()
-            .filter(|(_, t)| t.is_on())
+            .filter(|(_, t)| t.holds_resources())
             .map(|(task, t)| {
                 let until = match (self.jobs.get(&task.job), t.stopping) {
                     (Some(_), Some((grace, since))) => {
@@ -101,21 +104,21 @@
     }
 
     /// What the forward runs on a host begin with.
-    pub(crate) fn begin(&self, host: &Host, now: Micros) -> Begin {
+    pub(crate) fn begin(&self, host: &Host, now: Micros) -> SimulationStart {
         let running: Rc<[Occupied]> = self.occupied(host, now).into();
-        Begin {
-            misses: misses(now, host.room(), &running, &host.queue),
+        SimulationStart {
+            misses: count_missed(now, host.free_resources(), &running, &host.queue),
             running,
         }
     }
 
     /// The forward run on one host with one more booking: new misses, and the density.
-    fn rank(&self, pass: &Pass, host: &Host, slot: usize, booking: &Booking) -> Rank {
+    fn rank(&self, pass: &Cycle, host: &Host, slot: usize, booking: &Reservation) -> Rank {
         let now = pass.now;
-        let room = host.room();
+        let room = host.free_resources();
         if host.queue.is_empty() && booking.each.fits(&room) {
             // Starts at once: nothing else bears on it.
-            let missed = usize::from(now + booking.estimate > booking.adjusted);
+            let missed = usize::from(now + booking.estimate > booking.adjusted_deadline);
             let dense = density(now, [booking]);
             return Rank {
                 missed,
@@ -123,11 +126,11 @@
                 slot,
             };
         }
-        let begin = pass.begin(slot, || self.begin(host, now));
-        let (head, tail) = host.queue.split_at(place(&host.queue, booking));
+        let begin = pass.simulation_start(slot, || self.begin(host, now));
+        let (head, tail) = host.queue.split_at(insert_position(&host.queue, booking));
         let with = || head.iter().chain([booking]).chain(tail);
         Rank {
-            missed: misses(now, room, &begin.running, with()).saturating_sub(begin.misses),
+            missed: count_missed(now, room, &begin.running, with()).saturating_sub(begin.misses),
             dense: density(now, with()),
             slot,
         }
@@ -138,34 +141,38 @@
     /// changes the outcome only on the host that got it.
     ///
     /// An admitted task that would miss everywhere goes where the fewest do.
-    pub(crate) fn book(&mut self, pass: &Pass, id: &JobId) {
+    pub(crate) fn reserve(&mut self, pass: &Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.pending() == 0 {
             return;
         }
         let request = job.request.clone();
         let Some(due) = job.due else { return };
-        let due = if job.missed { pass.now + FOR_EVER } else { due };
-        let taken = job.booked.len() as u64;
+        let due = if job.missed_deadline {
+            pass.now + NO_DEADLINE
+        } else {
+            due
+        };
+        let taken = job.reserved.len() as u64;
         if !self.may_start(pass, &request, taken + 1) {
             return;
         }
-        let zones = self.zone_rooms(job);
+        let zones = self.zone_capacity(job);
         let any = TaskId::new(id, 0);
         let mut heap: BinaryHeap<Reverse<Rank>> = self
             .with_slots(pass)
             .filter(|(_, slot, host)| {
                 slot.usable
-                    && Self::suits(job, host)
+                    && Self::is_feasible(job, host)
                     && zones.allows(&host.zone)
                     && request.each.fits(&host.spec.capacity)
             })
             .map(|(i, _, host)| {
-                let booking = self.booking(host, &any, &request, due, pass.now);
+                let booking = self.reservation(host, &any, &request, due, pass.now);
                 Reverse(self.rank(pass, host, i, &booking))
             })
             .collect();
-        for more in 1..=BOOK_MAX {
+        for more in 1..=RESERVATIONS_MAX {
             if !self.may_start(pass, &request, taken + more) {
                 return;
             }
@@ -191,12 +198,12 @@
             let Some(host) = self.hosts.get(&id) else {
                 return;
             };
-            let booking = self.booking(host, &task, &request, due, pass.now);
+            let booking = self.reservation(host, &task, &request, due, pass.now);
             if let Some(host) = self.hosts.get_mut(&id) {
-                insert(&mut host.queue, booking.clone());
+                insert_by_deadline(&mut host.queue, booking.clone());
             }
-            self.set_step(&task, TaskStep::Booked(id.clone()));
-            pass.forget(slot);
+            self.set_step(&task, TaskStep::Reserved(id.clone()));
+            pass.invalidate(slot);
             if let Some(host) = self.hosts.get(&id) {
                 heap.push(Reverse(self.rank(pass, host, slot, &booking)));
             }
@@ -205,10 +212,10 @@
 
     /// Starts booked tasks: from the head of their hosts' queues, and on any host that has
     /// room and no queue of its own.
-    pub(crate) fn start_booked(&mut self, pass: &mut Pass, id: &JobId) {
+    pub(crate) fn start_reserved(&mut self, pass: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
-        if job.booked.is_empty() || pass.is_hopeless(&request.each) {
+        if job.reserved.is_empty() || pass.is_infeasible(&request.each) {
             return;
         }
         if !self.may_start(pass, &request, 1) {
@@ -226,7 +233,7 @@
             .collect();
         let may = |home: &HostId| !spare.is_empty() || roomy.contains(home);
         let booked: Vec<(u32, HostId)> = job
-            .booked
+            .reserved
             .iter()
             .filter(|(_, home)| may(home))
             .map(|(i, home)| (*i, home.clone()))
@@ -234,7 +241,7 @@
         if booked.is_empty() {
             return;
         }
-        let mut zones = self.zone_rooms(job);
+        let mut zones = self.zone_capacity(job);
         // The hosts of its own bookings that have room; few when the fleet is full.
         let mut homes: BTreeMap<&HostId, Option<usize>> = BTreeMap::new();
         for (i, home) in &booked {
@@ -246,7 +253,7 @@
             let home_fits = at.filter(|at| {
                 pass.fits(*at, id, &request.each)
                     && self.hosts.get(home).is_some_and(|h| {
-                        Self::suits(job, h)
+                        Self::is_feasible(job, h)
                             && zones.allows(&h.zone)
                             && !h.tasks.contains_key(&TaskId::new(id, *i))
                     })
@@ -262,7 +269,7 @@
             if let Some(zone) = self.zone_of(&pass.slots[slot].id) {
                 zones.add(&zone);
             }
-            self.judge(pass, &mut spare, slot, &request, true);
+            self.rescore(pass, &mut spare, slot, &request, true);
         }
     }
 
@@ -297,7 +304,7 @@
         };
         let used = self.team_use(&request.team);
         let mut tested = 0;
-        while tested < request.tasks.min(BOOK_MAX as u32)
+        while tested < request.tasks.min(RESERVATIONS_MAX as u32)
             && team.allows(&(used + request.each.times(u64::from(tested) + 1)))
         {
             tested += 1;
@@ -342,15 +349,15 @@
         now: Micros,
         most: u32,
     ) -> (u32, usize) {
-        let (room, running) = (host.room(), self.occupied(host, now));
-        let before = misses(now, room, &running, &host.queue);
-        let booking = self.booking(host, &TaskId::new(&request.id, 0), request, due, now);
-        let at = place(&host.queue, &booking);
+        let (room, running) = (host.free_resources(), self.occupied(host, now));
+        let before = count_missed(now, room, &running, &host.queue);
+        let booking = self.reservation(host, &TaskId::new(&request.id, 0), request, due, now);
+        let at = insert_position(&host.queue, &booking);
         let (head, tail) = host.queue.split_at(at);
         let mut can = 0;
         while can < most {
             let more = std::iter::repeat_n(&booking, can as usize + 1);
-            if misses(now, room, &running, head.iter().chain(more).chain(tail)) > before {
+            if count_missed(now, room, &running, head.iter().chain(more).chain(tail)) > before {
                 break;
             }
             can += 1;
--- a/crates/jasperhill-scheduler/src/autoscaler.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler.rs
@@ -67,11 +67,11 @@
         if let Some(team) = config.team(&r.team) {
             let gpus = by_team.entry(&r.team).or_default();
             if let Some(room) = team
-                .most
+                .limit
                 .gpus
                 .saturating_sub(*gpus)
                 .checked_div(r.each.gpus)
-                && team.most.gpus > 0
+                && team.limit.gpus > 0
             {
                 tasks = tasks.min(room);
             }
--- a/crates/jasperhill-scheduler/src/boot_times.rs
+++ b/crates/jasperhill-scheduler/src/boot_times.rs
@@ -27,7 +27,7 @@
 
 impl BootTimes {
     /// A machine has come up after so long.
-    pub fn note(&mut self, kind: &Name, zone: &Name, took: Micros, now: Micros) {
+    pub fn record(&mut self, kind: &Name, zone: &Name, took: Micros, now: Micros) {
         let seen = self.seen.entry((kind.clone(), zone.clone())).or_default();
         if seen.len() >= SEEN_MAX {
             seen.pop_front();
@@ -98,7 +98,7 @@
         assert!(!late(&boots, 45, now) && late(&boots, 60, now));
         // Where all take three times as long none is late before, and elsewhere nothing changes.
         for _ in 0..8 {
-            boots.note(&"box".into(), &"a".into(), Micros::from_secs(90), now);
+            boots.record(&"box".into(), &"a".into(), Micros::from_secs(90), now);
         }
         assert!(!late(&boots, 100, now) && late(&boots, 120, now));
         let elsewhere = boots.usual(&"box".into(), &"b".into(), NOMINAL, now);
@@ -107,7 +107,7 @@
         assert!(late(&boots, 60, now + REMEMBERED));
         // Boots that were quick for a while do not make ordinary ones late.
         for _ in 0..SEEN_MAX {
-            boots.note(&"box".into(), &"a".into(), Micros::from_secs(1), now);
+            boots.record(&"box".into(), &"a".into(), Micros::from_secs(1), now);
         }
         assert!(!late(&boots, 45, now));
         assert!(BootTimes::never_comes(NOMINAL, Micros::from_secs(141)));
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -15,7 +15,7 @@
 pub struct TeamLimits {
     pub name: Name,
     pub guaranteed: Resources,
-    pub most: Resources,
+    pub limit: Resources,
 }
 
 impl TeamLimits {
@@ -23,7 +23,7 @@
         (bound.cpus == 0 || used.cpus <= bound.cpus) && (bound.gpus == 0 || used.gpus <= bound.gpus)
     }
     pub fn allows(&self, used: &Resources) -> bool {
-        Self::within(used, &self.most)
+        Self::within(used, &self.limit)
     }
     pub fn guarantees(&self, used: &Resources) -> bool {
         (self.guaranteed.cpus > 0 || self.guaranteed.gpus > 0)
@@ -41,16 +41,16 @@
     /// How long an idle machine is kept.
     pub idle_keep: Micros,
     /// Machines kept, in all, however little there is to do.
-    pub floor: u32,
+    pub min_machines: u32,
     /// A class or team of whose jobs a smaller part begins gets turns before others; 0: none does.
     pub least_share: f64,
 }
 
 impl Tuning {
     /// The part of the floor that a partition keeps.
-    pub fn floor_of(&self, partition: u32, partitions: u32) -> u32 {
+    pub fn min_machines_of(&self, partition: u32, partitions: u32) -> u32 {
         let all = partitions.max(1);
-        self.floor / all + u32::from(partition < self.floor % all)
+        self.min_machines / all + u32::from(partition < self.min_machines % all)
     }
 
     /// Machines that a partition should have for work that needs so many, with room for what
@@ -71,7 +71,7 @@
             uncertainty: 1.0,
             headroom: 0.1,
             idle_keep: Micros::from_secs(8),
-            floor: 0,
+            min_machines: 0,
             least_share: 0.6,
         }
     }
@@ -93,15 +93,15 @@
 impl SchedulerConfig {
     /// How long after the last possible answer a worker's tasks are surely gone: its lease,
     /// and what two drifting clocks and late timers can add.
-    pub fn lapse(&self) -> Micros {
+    pub fn lease_expiry(&self) -> Micros {
         self.lease + self.lease.scale(0.002) + Micros::from_millis(400)
     }
     /// A host that has not been heard for so long may be lost: more than two reports.
-    pub fn silence(&self) -> Micros {
+    pub fn silence_limit(&self) -> Micros {
         self.report.scale(2.5) + Micros::from_secs(1)
     }
     /// A wait that is not worth stopping anything for.
-    pub fn patience(&self, class: &Name) -> Micros {
+    pub fn longest_start_delay(&self, class: &Name) -> Micros {
         self.start_within
             .get(class)
             .copied()
--- a/crates/jasperhill-scheduler/src/cycle.rs
+++ b/crates/jasperhill-scheduler/src/cycle.rs
@@ -8,7 +8,7 @@
     partition::{Event, Partition, UnconfirmedTasks},
     preemption::Victim,
     schedule_simulation::Occupied,
-    starvation::{self, Waiting},
+    starvation::{self, WaitingJob},
 };
 use jasperhill_wire::{
     Attempt, HostId, JobId, Micros, Name, Resources, TaskId,
@@ -17,7 +17,7 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
 /// A host as a pass sees it.
-pub(crate) struct Slot {
+pub(crate) struct HostSlot {
     pub id: HostId,
     pub usable: bool,
     /// Room left.
@@ -31,7 +31,7 @@
 /// What the forward runs on a host begin with. Made once, until something starts or stops there:
 /// many jobs are played on every host in one pass.
 #[derive(Clone)]
-pub(crate) struct Begin {
+pub(crate) struct SimulationStart {
     pub running: Rc<[Occupied]>,
     /// Bookings that miss already.
     pub misses: usize,
@@ -42,12 +42,12 @@
 
 /// A gang for which there was nothing in this pass, so that there is nothing for one like it
 /// that is as large and no more important. Room, and what could be stopped, only shrink.
-struct Hopeless {
+struct InfeasibleGang {
     priority: Priority,
     request: Rc<JobRequest>,
 }
 
-impl Hopeless {
+impl InfeasibleGang {
     fn covers(&self, priority: Priority, r: &JobRequest) -> bool {
         let known = &self.request;
         self.priority <= priority
@@ -60,28 +60,28 @@
 }
 
 /// What a pass keeps track of.
-pub(crate) struct Pass {
+pub(crate) struct Cycle {
     pub now: Micros,
     pub ghosts: UnconfirmedTasks,
     /// One for every host, in the order of [`Partition::hosts`]; none comes or goes meanwhile.
-    pub slots: Vec<Slot>,
+    pub slots: Vec<HostSlot>,
     /// What teams may be using unseen.
-    haunted: BTreeMap<Name, Resources>,
+    unconfirmed_use: BTreeMap<Name, Resources>,
     /// Amounts for which no host has room. Room only shrinks during a pass, so these stay
     /// true: what waits behind a full fleet costs one comparison, not a look at every host.
-    hopeless: Vec<Resources>,
-    begins: RefCell<Vec<Option<Begin>>>,
+    infeasible: Vec<Resources>,
+    simulation_starts: RefCell<Vec<Option<SimulationStart>>>,
     /// What could be stopped on each host for work of a priority, gangs of several tasks included
     /// or not; made once like the beginnings.
     victims: RefCell<BTreeMap<(Priority, bool), Victims>>,
     /// Gangs without seats, and those for which no room can be made.
-    seatless: Vec<Hopeless>,
-    roomless: Vec<Hopeless>,
+    gangs_without_hosts: Vec<InfeasibleGang>,
+    gangs_without_victims: Vec<InfeasibleGang>,
     /// Gangs that keep hosts free, and how many hosts.
-    pub reserving: (usize, usize),
+    pub held_for_gangs: (usize, usize),
 }
 
-impl Pass {
+impl Cycle {
     pub fn slot(&self, host: &HostId) -> Option<usize> {
         self.slots.binary_search_by(|s| s.id.cmp(host)).ok()
     }
@@ -94,15 +94,15 @@
         })
     }
     pub fn take(&mut self, i: usize, each: &Resources) {
-        self.forget(i);
+        self.invalidate(i);
         if let Some(slot) = self.slots.get_mut(i) {
             slot.room -= *each;
             slot.listed += 1;
         }
     }
     /// The forward runs on this host begin differently now.
-    pub fn forget(&self, i: usize) {
-        if let Some(begin) = self.begins.borrow_mut().get_mut(i) {
+    pub fn invalidate(&self, i: usize) {
+        if let Some(begin) = self.simulation_starts.borrow_mut().get_mut(i) {
             *begin = None;
         }
         for known in self.victims.borrow_mut().values_mut() {
@@ -111,9 +111,9 @@
             }
         }
     }
-    pub fn forget_host(&self, host: &HostId) {
+    pub fn invalidate_host(&self, host: &HostId) {
         if let Some(i) = self.slot(host) {
-            self.forget(i);
+            self.invalidate(i);
         }
     }
     pub fn victims(
@@ -132,38 +132,48 @@
             None => make().into(),
         }
     }
-    pub fn begin(&self, i: usize, make: impl FnOnce() -> Begin) -> Begin {
-        let known = self.begins.borrow().get(i).cloned().flatten();
+    pub fn simulation_start(
+        &self,
+        i: usize,
+        make: impl FnOnce() -> SimulationStart,
+    ) -> SimulationStart {
+        let known = self.simulation_starts.borrow().get(i).cloned().flatten();
         known.unwrap_or_else(|| {
             let begin = make();
-            if let Some(place) = self.begins.borrow_mut().get_mut(i) {
+            if let Some(place) = self.simulation_starts.borrow_mut().get_mut(i) {
                 *place = Some(begin.clone());
             }
             begin
         })
     }
-    pub fn is_seatless(&self, priority: Priority, r: &JobRequest) -> bool {
-        self.seatless.iter().any(|h| h.covers(priority, r))
+    pub fn is_gang_without_hosts(&self, priority: Priority, r: &JobRequest) -> bool {
+        self.gangs_without_hosts
+            .iter()
+            .any(|h| h.covers(priority, r))
     }
-    pub fn note_seatless(&mut self, priority: Priority, request: &Rc<JobRequest>) {
+    pub fn note_gang_without_hosts(&mut self, priority: Priority, request: &Rc<JobRequest>) {
         let request = request.clone();
-        self.seatless.push(Hopeless { priority, request });
+        self.gangs_without_hosts
+            .push(InfeasibleGang { priority, request });
     }
-    pub fn is_roomless(&self, priority: Priority, r: &JobRequest) -> bool {
-        self.roomless.iter().any(|h| h.covers(priority, r))
+    pub fn is_gang_without_victims(&self, priority: Priority, r: &JobRequest) -> bool {
+        self.gangs_without_victims
+            .iter()
+            .any(|h| h.covers(priority, r))
     }
-    pub fn note_roomless(&mut self, priority: Priority, request: &Rc<JobRequest>) {
+    pub fn note_gang_without_victims(&mut self, priority: Priority, request: &Rc<JobRequest>) {
         let request = request.clone();
-        self.roomless.push(Hopeless { priority, request });
+        self.gangs_without_victims
+            .push(InfeasibleGang { priority, request });
     }
     /// No usable host has room for this.
-    pub fn is_hopeless(&mut self, each: &Resources) -> bool {
-        if self.hopeless.iter().any(|h| h.fits(each)) {
+    pub fn is_infeasible(&mut self, each: &Resources) -> bool {
+        if self.infeasible.iter().any(|h| h.fits(each)) {
             return true;
         }
         let none = !self.slots.iter().any(|s| s.usable && each.fits(&s.room));
         if none {
-            self.hopeless.push(*each);
+            self.infeasible.push(*each);
         }
         none
     }
@@ -182,42 +192,46 @@
 
 impl Partition {
     /// The hosts as they are now.
-    pub(crate) fn look(&self, now: Micros) -> Pass {
-        let ghosts = self.ghosts();
+    pub(crate) fn begin_cycle(&self, now: Micros) -> Cycle {
+        let ghosts = self.unconfirmed_tasks();
         let mut haunted: BTreeMap<Name, Resources> = BTreeMap::new();
-        for job in self.jobs.values().filter(|j| self.is_haunted(j, &ghosts)) {
-            *haunted.entry(job.request.team.clone()).or_default() += job.unseen();
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| self.may_run_unconfirmed(j, &ghosts))
+        {
+            *haunted.entry(job.request.team.clone()).or_default() += job.unconfirmed_use();
         }
         let slots = self
             .hosts
             .values()
-            .map(|h| Slot {
+            .map(|h| HostSlot {
                 id: h.id.clone(),
                 usable: h.is_usable(now, &self.config),
-                room: h.room(),
+                room: h.free_resources(),
                 listed: h.listed(),
                 reserved: None,
             })
             .collect();
-        Pass {
+        Cycle {
             now,
             ghosts,
-            begins: RefCell::new(vec![None; self.hosts.len()]),
+            simulation_starts: RefCell::new(vec![None; self.hosts.len()]),
             victims: RefCell::default(),
             slots,
-            haunted,
-            hopeless: Vec::new(),
-            seatless: Vec::new(),
-            roomless: Vec::new(),
-            reserving: (0, 0),
+            unconfirmed_use: haunted,
+            infeasible: Vec::new(),
+            gangs_without_hosts: Vec::new(),
+            gangs_without_victims: Vec::new(),
+            held_for_gangs: (0, 0),
         }
     }
 
     /// Every host with its slot.
     pub(crate) fn with_slots<'a>(
         &'a self,
-        pass: &'a Pass,
-    ) -> impl Iterator<Item = (usize, &'a Slot, &'a Host)> {
+        pass: &'a Cycle,
+    ) -> impl Iterator<Item = (usize, &'a HostSlot, &'a Host)> {
         pass.slots
             .iter()
             .zip(self.hosts.values())
@@ -228,45 +242,45 @@
     /// Starts what can be started. Call when something has changed, and now and then.
     pub fn run_cycle(&mut self, now: Micros) {
         self.changed = false;
-        self.lapse(now);
-        self.note_known(now);
-        self.mend_gangs(now);
-        self.clear_suspects(now);
-        self.watch_overruns(now);
-        self.drain_noticed(now);
+        self.expire_leases(now);
+        self.note_confirmed(now);
+        self.stop_broken_gangs(now);
+        self.clear_outlived_failures(now);
+        self.check_overruns(now);
+        self.stop_before_termination(now);
         self.move_replicas(now);
-        let mut pass = self.look(now);
-        self.unbook_unusable(&pass);
-        self.mark_missed(now);
+        let mut pass = self.begin_cycle(now);
+        self.release_unusable_reservations(&pass);
+        self.mark_missed_deadlines(now);
         let mut order: Vec<_> = self
             .jobs
             .values()
             .filter(|j| {
                 j.termination.is_none()
                     && j.gate == Readiness::Open
-                    && (j.pending() > 0 || !j.booked.is_empty())
-                    && !self.is_haunted(j, &pass.ghosts)
+                    && (j.pending() > 0 || !j.reserved.is_empty())
+                    && !self.may_run_unconfirmed(j, &pass.ghosts)
                     && now >= j.not_before
-                    && j.failures.may_try(now)
+                    && j.failures.may_retry(now)
             })
             .map(|j| (j.rank(), j.request.id.clone()))
             .collect();
-        self.give_turns(&pass, &order);
+        self.update_starvation(&pass, &order);
         for (rank, id) in &mut order {
             // Guards against a class or team that never gets its turn behind others' work.
-            if self.starvation.has_turn(id) && rank.0 > 0 {
+            if self.starvation.is_boosted(id) && rank.0 > 0 {
                 (rank.0, rank.1) = (1, 0);
             }
         }
         order.sort();
         self.backlog = order.len();
-        self.keep_made_room(now);
-        self.look_after_losses(now);
+        self.expire_preemptions(now);
+        self.update_recovery(now);
         let mut kept = false;
         for ((band, ..), id) in &order {
             if *band > 0 && !kept {
                 kept = true;
-                self.keep_room_for_losses(&mut pass);
+                self.hold_capacity_for_losses(&mut pass);
             }
             let Some(job) = self.jobs.get(id) else {
                 continue;
@@ -274,12 +288,14 @@
             match job.request.shape {
                 Shape::Gang => self.start_gang(&mut pass, id),
                 // A suspect job is booked nowhere: it would hold up others' forward runs.
-                Shape::Service | Shape::Array if job.due.is_none() || job.failures.is_suspect() => {
-                    self.start_loose(&mut pass, id);
+                Shape::Service | Shape::Array
+                    if job.due.is_none() || job.failures.is_backing_off() =>
+                {
+                    self.start_without_deadline(&mut pass, id);
                 }
                 _ => {
-                    self.book(&pass, id);
-                    self.start_booked(&mut pass, id);
+                    self.reserve(&pass, id);
+                    self.start_reserved(&mut pass, id);
                 }
             }
         }
@@ -287,7 +303,7 @@
     }
 
     /// Looks who of those that could start has fallen behind.
-    fn give_turns(&mut self, pass: &Pass, order: &[(Rank, JobId)]) {
+    fn update_starvation(&mut self, pass: &Cycle, order: &[(Rank, JobId)]) {
         if !self.starvation.is_due(pass.now) {
             return;
         }
@@ -296,37 +312,37 @@
         let could = |j: &&Job| {
             let tasks = if j.is_gang() { j.request.tasks } else { 1 };
             j.live.is_empty()
-                && !j.failures.is_suspect()
+                && !j.failures.is_backing_off()
                 && self.may_start(pass, &j.request, u64::from(tasks))
         };
         let idle = jobs.filter(could);
-        let waiting: Vec<Waiting<'_>> = idle
-            .map(|j| Waiting {
+        let waiting: Vec<WaitingJob<'_>> = idle
+            .map(|j| WaitingJob {
                 id: &j.request.id,
                 class: &j.request.class,
                 team: &j.request.team,
-                since: j.submitted.max(j.last_ran),
-                within: self.config.patience(&j.request.class),
+                since: j.submitted.max(j.last_started),
+                within: self.config.longest_start_delay(&j.request.class),
             })
             .collect();
         let least = self.config.tuning.least_share;
-        let was = self.starvation.behind(least);
+        let was = self.starvation.starved(least);
         self.starvation
-            .apply(starvation::Input::Look(&waiting), least, pass.now);
-        let is = self.starvation.behind(least);
+            .apply(starvation::Input::Evaluate(&waiting), least, pass.now);
+        let is = self.starvation.starved(least);
         for group in is.difference(&was) {
-            let standing = self.starvation.standing().get(group).copied();
-            let note = Event::Behind(group.clone(), standing);
+            let standing = self.starvation.shares().get(group).copied();
+            let note = Event::Starved(group.clone(), standing);
             self.events.push(note);
         }
         let caught_up = was.difference(&is).cloned();
         self.events
-            .extend(caught_up.map(|g| Event::Behind(g, None)));
+            .extend(caught_up.map(|g| Event::Starved(g, None)));
     }
 
     /// A gang that has lost a task stops the rest; a new attempt waits for the last of them.
-    fn mend_gangs(&mut self, now: Micros) {
-        let ghosts = self.ghosts();
+    fn stop_broken_gangs(&mut self, now: Micros) {
+        let ghosts = self.unconfirmed_tasks();
         let broken: Vec<JobId> = self
             .jobs
             .values()
@@ -336,7 +352,7 @@
                     && !j.live.is_empty()
                     && j.unsaved.is_empty()
                     && j.pending() > 0
-                    && !self.is_haunted(j, &ghosts)
+                    && !self.may_run_unconfirmed(j, &ghosts)
             })
             .map(|j| j.request.id.clone())
             .collect();
@@ -346,11 +362,11 @@
     }
 
     /// Jobs with tasks to start that can't end in time any more queue last from now on.
-    fn mark_missed(&mut self, now: Micros) {
+    fn mark_missed_deadlines(&mut self, now: Micros) {
         let missed: Vec<JobId> = self
             .jobs
             .values()
-            .filter(|j| !j.missed && (j.pending() > 0 || !j.booked.is_empty()))
+            .filter(|j| !j.missed_deadline && (j.pending() > 0 || !j.reserved.is_empty()))
             .filter(|j| {
                 j.due
                     .is_some_and(|due| now + self.estimate(&j.request) > due)
@@ -361,29 +377,29 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.missed = true;
-            let booked: Vec<u32> = job.booked.keys().copied().collect();
+            job.missed_deadline = true;
+            let booked: Vec<u32> = job.reserved.keys().copied().collect();
             for i in booked {
-                self.unbook(&id, i);
+                self.release_reservation(&id, i);
             }
         }
     }
 
     /// Bookings on hosts that can't be used any more are made anew.
-    fn unbook_unusable(&mut self, pass: &Pass) {
+    fn release_unusable_reservations(&mut self, pass: &Cycle) {
         let lost: Vec<TaskId> = self
             .with_slots(pass)
             .filter(|(_, slot, h)| !slot.usable && !h.queue.is_empty())
             .flat_map(|(_, _, h)| h.queue.iter().map(|b| b.task.clone()))
             .collect();
         for task in lost {
-            self.unbook(&task.job, task.index);
+            self.release_reservation(&task.job, task.index);
         }
     }
 
     /// So many more tasks may start or be booked: all that the job needs is done, and its team
     /// stays within its limit.
-    pub(crate) fn may_start(&self, pass: &Pass, request: &JobRequest, tasks: u64) -> bool {
+    pub(crate) fn may_start(&self, pass: &Cycle, request: &JobRequest, tasks: u64) -> bool {
         let open = |j: &Job| j.gate == Readiness::Open;
         if !self.jobs.get(&request.id).is_some_and(open) {
             return false;
@@ -392,13 +408,17 @@
             return false;
         };
         let used = self.used.get(&request.team).copied().unwrap_or_default();
-        let unseen = pass.haunted.get(&request.team).copied().unwrap_or_default();
+        let unseen = pass
+            .unconfirmed_use
+            .get(&request.team)
+            .copied()
+            .unwrap_or_default();
         team.allows(&(used + unseen + request.each.times(tasks)))
     }
 
     pub(crate) fn start(
         &mut self,
-        pass: &mut Pass,
+        pass: &mut Cycle,
         id: &JobId,
         i: u32,
         slot: usize,
@@ -411,8 +431,8 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if let Some(place) = job.making_room.iter().position(|(h, _)| h == &host) {
-            job.making_room.swap_remove(place);
+        if let Some(place) = job.preempting.iter().position(|(h, _)| h == &host) {
+            job.preempting.swap_remove(place);
         }
         let request = job.request.clone();
         if job.live.is_empty() {
@@ -421,13 +441,13 @@
             let begun = starvation::Input::Begun { id, class, team };
             self.starvation.apply(begun, least, pass.now);
         }
-        job.last_ran = pass.now;
+        job.last_started = pass.now;
         let each = request.each;
         let attempt = attempt.unwrap_or_else(|| self.next_attempt());
-        if let Some(home) = self.jobs.get(id).and_then(|j| j.booked.get(&i)) {
-            pass.forget_host(home);
+        if let Some(home) = self.jobs.get(id).and_then(|j| j.reserved.get(&i)) {
+            pass.invalidate_host(home);
         }
-        self.unbook(id, i);
+        self.release_reservation(id, i);
         self.set_step(&task, TaskStep::Live(host.clone()));
         let image = (request.image.clone(), request.image_gb);
         self.apply(
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -77,7 +77,7 @@
     Released(JobId),
     Doomed(JobId),
     /// The jobs after it leave it something else.
-    Claimed(JobId),
+    UrgencyChanged(JobId),
 }
 
 /// A job that others need, or that needs others.
@@ -86,7 +86,7 @@
     /// What it needs that is not done.
     left: BTreeSet<JobId>,
     /// Unfinished jobs that need it.
-    after: BTreeSet<JobId>,
+    dependents: BTreeSet<JobId>,
     doomed: bool,
     claim: InheritedUrgency,
     /// `None`: its own record has not been seen.
@@ -119,8 +119,8 @@
     }
 
     /// Unfinished jobs wait for this one.
-    pub fn is_needed(&self, id: &JobId) -> bool {
-        self.nodes.get(id).is_some_and(|n| !n.after.is_empty())
+    pub fn has_dependents(&self, id: &JobId) -> bool {
+        self.nodes.get(id).is_some_and(|n| !n.dependents.is_empty())
     }
 
     /// Unfinished jobs whose own records do not say yet that they are cancelled.
@@ -166,7 +166,7 @@
                 RecordedOutcome::Cancelled => doomed = true,
                 RecordedOutcome::Open => {
                     let node = self.nodes.entry(need.clone()).or_default();
-                    node.after.insert(id.clone());
+                    node.dependents.insert(id.clone());
                     doomed |= node.doomed;
                     left.insert(need.clone());
                 }
@@ -176,9 +176,9 @@
         node.terms = Some(terms);
         node.left = left;
         if doomed {
-            self.doom(id, outputs);
+            self.cancel_dependents(id, outputs);
         } else {
-            self.pass_claims(id, outputs);
+            self.propagate_urgency(id, outputs);
         }
     }
 
@@ -189,13 +189,13 @@
         };
         for need in &node.left {
             if let Some(before) = self.nodes.get_mut(need) {
-                before.after.remove(id);
+                before.dependents.remove(id);
             }
-            self.reclaim(need, outputs);
+            self.recompute_urgency(need, outputs);
         }
-        for after in &node.after {
+        for after in &node.dependents {
             if !done {
-                self.doom(after, outputs);
+                self.cancel_dependents(after, outputs);
             } else if let Some(later) = self.nodes.get_mut(after)
                 && later.left.remove(id)
                 && later.left.is_empty()
@@ -207,7 +207,7 @@
     }
 
     /// Cancels a job and all that need it, each once.
-    fn doom(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
+    fn cancel_dependents(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
         let mut next = vec![id.clone()];
         while let Some(id) = next.pop() {
             let Some(node) = self.nodes.get_mut(&id) else {
@@ -216,14 +216,14 @@
             if std::mem::replace(&mut node.doomed, true) {
                 continue;
             }
-            next.extend(node.after.iter().cloned());
+            next.extend(node.dependents.iter().cloned());
             self.doomed.insert(id.clone());
             outputs.push(Output::Doomed(id));
         }
     }
 
     /// What this job leaves those that it needs.
-    fn leaves(&self, id: &JobId) -> InheritedUrgency {
+    fn passed_on(&self, id: &JobId) -> InheritedUrgency {
         let Some((node, terms)) = self.nodes.get(id).and_then(|n| Some((n, n.terms?))) else {
             return InheritedUrgency::default();
         };
@@ -242,11 +242,11 @@
     }
 
     /// Carries a job's claim back to all before it.
-    fn pass_claims(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
+    fn propagate_urgency(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
         let mut next = vec![id.clone()];
         let mut steps = 0;
         while let Some(id) = next.pop() {
-            let left = self.leaves(&id);
+            let left = self.passed_on(&id);
             let before = self.nodes.get(&id).map(|n| &n.left);
             let before: Vec<JobId> = before.into_iter().flatten().cloned().collect();
             for need in before {
@@ -258,7 +258,7 @@
                     && node.claim.with(left) != node.claim
                 {
                     node.claim = node.claim.with(left);
-                    outputs.push(Output::Claimed(need.clone()));
+                    outputs.push(Output::UrgencyChanged(need.clone()));
                     next.push(need);
                 }
             }
@@ -266,27 +266,27 @@
     }
 
     /// A job after this one is gone: what is left to claim of it and of those before it.
-    fn reclaim(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
+    fn recompute_urgency(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
         let mut next = vec![id.clone()];
         let mut steps = 0;
         while let Some(id) = next.pop() {
             let Some(node) = self.nodes.get(&id) else {
                 continue;
             };
-            steps += 1 + node.after.len();
+            steps += 1 + node.dependents.len();
             if steps > CLAIMS_MAX {
                 return;
             }
             let claim = node
-                .after
+                .dependents
                 .iter()
                 .fold(InheritedUrgency::default(), |all, a| {
-                    all.with(self.leaves(a))
+                    all.with(self.passed_on(a))
                 });
-            let idle = node.after.is_empty() && node.left.is_empty() && !node.doomed;
+            let idle = node.dependents.is_empty() && node.left.is_empty() && !node.doomed;
             if claim != node.claim {
                 next.extend(node.left.iter().cloned());
-                outputs.push(Output::Claimed(id.clone()));
+                outputs.push(Output::UrgencyChanged(id.clone()));
             }
             if idle {
                 self.nodes.remove(&id);
@@ -298,7 +298,7 @@
 
     /// How long until all that a job needs is expected to be done. `rest`: how long a job that may
     /// run takes from now on, or any job once it may. Too many to look at: what was seen so far.
-    pub fn release(&self, needs: &[JobId], rest: impl Fn(&JobId) -> Micros) -> Micros {
+    pub fn time_until_ready(&self, needs: &[JobId], rest: impl Fn(&JobId) -> Micros) -> Micros {
         let mut known: HashMap<&JobId, Micros> = HashMap::new();
         let mut next: Vec<(&JobId, bool)> = needs.iter().map(|n| (n, false)).collect();
         let mut looked = 0;
@@ -555,7 +555,7 @@
             submit(&mut chain, n, &[20_000]);
         }
         submit(&mut chain, 20_801, &(20_001..=20_800).collect::<Vec<_>>());
-        let rest = chain.release(&[id(20_000)], |_| Micros(1));
+        let rest = chain.time_until_ready(&[id(20_000)], |_| Micros(1));
         assert!(rest >= Micros(1_000) && rest <= Micros(20_001));
         let outputs = chain.apply(Input::Ended {
             id: &id(0),
@@ -572,12 +572,12 @@
         submit(&mut chain, 2, &[0]);
         submit(&mut chain, 3, &[1, 2]);
         let rest = |j: &JobId| Micros([5, 10, 30, 7][j.as_str()[4..].parse::<usize>().unwrap()]);
-        assert_eq!(chain.release(&[id(3)], rest), Micros(5 + 30 + 7));
+        assert_eq!(chain.time_until_ready(&[id(3)], rest), Micros(5 + 30 + 7));
         chain.apply(Input::Ended {
             id: &id(0),
             done: true,
         });
-        assert_eq!(chain.release(&[id(3)], rest), Micros(30 + 7));
-        assert_eq!(chain.release(&[], rest), Micros::ZERO);
+        assert_eq!(chain.time_until_ready(&[id(3)], rest), Micros(30 + 7));
+        assert_eq!(chain.time_until_ready(&[], rest), Micros::ZERO);
     }
 }
--- a/crates/jasperhill-scheduler/src/drain.rs
+++ b/crates/jasperhill-scheduler/src/drain.rs
@@ -5,7 +5,7 @@
     host::Host,
     job::Job,
     partition::{Event, Partition},
-    placement::ZoneRooms,
+    placement::ZoneCapacity,
 };
 use jasperhill_wire::{HostId, Micros, TaskId};
 
@@ -25,12 +25,12 @@
 
 /// How many replicas may be moved by now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Moves {
+pub(crate) struct MoveBudget {
     ready: f64,
     at: Micros,
 }
 
-impl Moves {
+impl MoveBudget {
     /// Counts up to now, and takes one if there is one.
     pub fn take(&mut self, replicas: usize, now: Micros) -> bool {
         self.ready += (now - self.at).as_secs_f64() * replicas as f64 / MOVED;
@@ -51,7 +51,7 @@
     ///
     /// What is too many would only collect work that keeps it. Guards against a fleet that
     /// shrinks slower than its load because hosts that wait for a long task hold up others.
-    pub fn drain_some(&mut self, now: Micros, surplus: (usize, usize)) {
+    pub fn drain_surplus(&mut self, now: Micros, surplus: (usize, usize)) {
         let (mut most, mut ordinary) = surplus;
         if self.has_unconfirmed_tasks() {
             return;
@@ -88,7 +88,8 @@
         soonest.sort_by_key(|(until, tasks, h)| (*until, *tasks, &h.id));
         let mut chosen = Vec::new();
         for (.., host) in soonest.into_iter().take(LOOKED_AT) {
-            if chosen.len() < most && (host.spot || ordinary > 0) && self.empties(host, now) {
+            if chosen.len() < most && (host.spot || ordinary > 0) && self.can_be_drained(host, now)
+            {
                 ordinary -= usize::from(!host.spot);
                 chosen.push(host.id.clone());
             }
@@ -109,30 +110,32 @@
     }
 
     /// All replicas there can move; the rest ends by itself.
-    fn empties(&self, host: &Host, now: Micros) -> bool {
+    fn can_be_drained(&self, host: &Host, now: Micros) -> bool {
         host.tasks
             .iter()
-            .filter(|(_, t)| t.is_on())
+            .filter(|(_, t)| t.holds_resources())
             .all(|(task, t)| {
                 self.jobs.get(&task.job).is_some_and(|j| {
                     !j.is_service()
                         || (t.running.is_some_and(|r| now - r > SETTLED)
-                            && self.has_refuge(j, task, &host.id, now))
+                            && self.has_other_host(j, task, &host.id, now))
                 })
             })
     }
 
     /// Another host is there where this replica would run at once.
-    fn has_refuge(&self, job: &Job, task: &TaskId, from: &HostId, now: Micros) -> bool {
+    fn has_other_host(&self, job: &Job, task: &TaskId, from: &HostId, now: Micros) -> bool {
         let r = &job.request;
         // The one that moves does not count where it is.
         let others = job.live.iter().filter(|(i, _)| **i != task.index);
-        let zones = ZoneRooms::among(r, others.map(|(_, h)| h), |h| self.zone_of(h));
+        let zones = ZoneCapacity::among(r, others.map(|(_, h)| h), |h| self.zone_of(h));
         self.hosts
             .values()
             .filter(|h| &h.id != from && h.tasks_on() > 0 && h.is_usable(now, &self.config))
-            .filter(|h| r.each.fits(&h.room()) && h.has_image(&r.image))
-            .any(|h| Self::suits(job, h) && !h.tasks.contains_key(task) && zones.allows(&h.zone))
+            .filter(|h| r.each.fits(&h.free_resources()) && h.has_image(&r.image))
+            .any(|h| {
+                Self::is_feasible(job, h) && !h.tasks.contains_key(task) && zones.allows(&h.zone)
+            })
     }
 
     /// Moves replicas off draining hosts, one at a time each, so that each is away only for
@@ -148,16 +151,16 @@
             if host
                 .tasks
                 .values()
-                .any(|t| t.is_on() && t.stopping.is_some())
+                .any(|t| t.holds_resources() && t.stopping.is_some())
             {
                 continue;
             }
             let next = host.tasks.iter().find(|(task, t)| {
-                t.is_on()
+                t.holds_resources()
                     && self.jobs.get(&task.job).is_some_and(|j| {
                         j.is_service()
                             && j.pending() == 0
-                            && self.has_refuge(j, task, &host.id, now)
+                            && self.has_other_host(j, task, &host.id, now)
                     })
             });
             if let Some((task, _)) = next {
@@ -190,13 +193,13 @@
     /// Guards against a consolidation that users see as replicas missing.
     #[test]
     fn few_of_the_replicas_move_at_a_time() {
-        let mut moves = Moves::default();
-        let moved = |moves: &mut Moves, replicas, seconds: u64| {
+        let mut moves = MoveBudget::default();
+        let moved = |moves: &mut MoveBudget, replicas, seconds: u64| {
             let tries = (0..seconds * 10).map(|t| Micros::from_millis(3_600_000 + t * 100));
             tries.filter(|at| moves.take(replicas, *at)).count()
         };
         assert!((30..=33).contains(&moved(&mut moves, 500, 30)));
-        let mut few = Moves::default();
+        let mut few = MoveBudget::default();
         assert!((1..=4).contains(&moved(&mut few, 50, 30)));
     }
 }
--- a/crates/jasperhill-scheduler/src/failures.rs
+++ b/crates/jasperhill-scheduler/src/failures.rs
@@ -25,13 +25,13 @@
     /// A task of it has completed: whatever fails now is not the job's fault.
     Proven,
     /// Nothing speaks against it yet.
-    Sound,
+    Clean,
     /// It has failed on these hosts, each with its weight, and succeeded nowhere since.
-    Doubted(BTreeMap<HostId, u32>),
+    Failing(BTreeMap<HostId, u32>),
     /// Its failures are its own. `level` counts the tries, the next one not before `next`;
     /// `ran` is the longest that a failed task had run. `hosts` are absolved of its failures
     /// for as long as it is suspect.
-    Suspect {
+    BackingOff {
         level: u32,
         next: Micros,
         ran: Micros,
@@ -50,16 +50,16 @@
     /// A task has completed.
     Succeeded,
     /// A task has been running for so long.
-    Runs(Micros),
+    RunningFor(Micros),
 }
 
 impl FailureHistory {
     /// As a record says: so many tries that failed, or none.
     pub fn from_record(failing: u32, now: Micros) -> Self {
         match failing.checked_sub(1) {
-            None => Self::Sound,
+            None => Self::Clean,
             // One try, so that little is repeated after a takeover.
-            Some(level) => Self::Suspect {
+            Some(level) => Self::BackingOff {
                 level: level.min(DOUBLINGS),
                 next: now + Self::pause(level),
                 ran: Micros::ZERO,
@@ -69,30 +69,30 @@
     }
 
     /// What the record says.
-    pub fn failing(&self) -> u32 {
+    pub fn failed_attempts(&self) -> u32 {
         match self {
-            Self::Suspect { level, .. } => level + 1,
+            Self::BackingOff { level, .. } => level + 1,
             _ => 0,
         }
     }
 
-    pub fn is_suspect(&self) -> bool {
-        matches!(self, Self::Suspect { .. })
+    pub fn is_backing_off(&self) -> bool {
+        matches!(self, Self::BackingOff { .. })
     }
 
     /// It should not go there again.
     pub fn avoids(&self, host: &HostId) -> bool {
-        matches!(self, Self::Doubted(hosts) if hosts.contains_key(host))
+        matches!(self, Self::Failing(hosts) if hosts.contains_key(host))
     }
 
     /// There are hosts that it should not go to again.
     pub fn avoids_any(&self) -> bool {
-        matches!(self, Self::Doubted(_))
+        matches!(self, Self::Failing(_))
     }
 
     /// It may try now.
-    pub fn may_try(&self, now: Micros) -> bool {
-        !matches!(self, Self::Suspect { next, .. } if now < *next)
+    pub fn may_retry(&self, now: Micros) -> bool {
+        !matches!(self, Self::BackingOff { next, .. } if now < *next)
     }
 
     fn pause(level: u32) -> Micros {
@@ -104,15 +104,15 @@
         match (input, &mut *self) {
             (Input::Succeeded, _) => *self = Self::Proven,
             (Input::Failed { .. }, Self::Proven) => {}
-            (Input::Runs(time), Self::Suspect { ran, .. }) => {
+            (Input::RunningFor(time), Self::BackingOff { ran, .. }) => {
                 if time >= Micros(ran.0.saturating_mul(OUTLIVES)) + OUTLIVES_BY {
-                    *self = Self::Sound;
+                    *self = Self::Clean;
                 }
             }
-            (Input::Runs(_), _) => {}
+            (Input::RunningFor(_), _) => {}
             (
                 Input::Failed { ran, host, .. },
-                Self::Suspect {
+                Self::BackingOff {
                     level,
                     next,
                     ran: most,
@@ -129,22 +129,22 @@
                     *next = now + Self::pause(*level);
                 }
             }
-            (Input::Failed { host, serves, ran }, Self::Sound | Self::Doubted(_)) => {
-                let mut hosts = match std::mem::replace(self, Self::Sound) {
-                    Self::Doubted(hosts) => hosts,
+            (Input::Failed { host, serves, ran }, Self::Clean | Self::Failing(_)) => {
+                let mut hosts = match std::mem::replace(self, Self::Clean) {
+                    Self::Failing(hosts) => hosts,
                     _ => BTreeMap::new(),
                 };
                 let weight = hosts.entry(host.clone()).or_default();
                 *weight = (*weight).max(1 + u32::from(serves));
                 *self = if hosts.values().sum::<u32>() >= PROOF {
-                    Self::Suspect {
+                    Self::BackingOff {
                         level: 0,
                         next: now + Self::pause(0),
                         ran,
                         hosts: hosts.into_keys().collect(),
                     }
                 } else {
-                    Self::Doubted(hosts)
+                    Self::Failing(hosts)
                 };
             }
         }
@@ -166,19 +166,19 @@
 
     #[test]
     fn a_wave_of_failures_is_one_try() {
-        let mut trust = FailureHistory::Sound;
+        let mut trust = FailureHistory::Clean;
         let mut now = Micros::from_secs(100);
         for n in 0..250 {
             trust.apply(failed(&HostId::new(&format!("n-{n}")), false), now);
         }
-        assert_eq!(trust.failing(), 1);
+        assert_eq!(trust.failed_attempts(), 1);
         // Each later try that fails doubles the pause, up to a bound.
         let mut last = Micros::ZERO;
         for _ in 0..8 {
-            let FailureHistory::Suspect { next, .. } = trust else {
+            let FailureHistory::BackingOff { next, .. } = trust else {
                 panic!("{trust:?}")
             };
-            assert!(!trust.may_try(Micros(next.0 - 1)) && trust.may_try(next));
+            assert!(!trust.may_retry(Micros(next.0 - 1)) && trust.may_retry(next));
             assert!(next - now >= last && next - now <= Micros::from_secs(64));
             last = next - now;
             now = next;
@@ -196,7 +196,7 @@
         /// A job is suspect only after failures on two hosts, and never after a success.
         #[test]
         fn no_job_is_suspected_for_one_host(steps in proptest::collection::vec((0u8..5, any::<bool>()), 0..60)) {
-            let mut trust = FailureHistory::Sound;
+            let mut trust = FailureHistory::Clean;
             let mut hosts = BTreeSet::new();
             let mut proven = false;
             for (at, (what, serves)) in steps.into_iter().enumerate() {
@@ -210,9 +210,9 @@
                     trust.apply(failed(&host, serves), now);
                     hosts.insert(host);
                 }
-                prop_assert!(!trust.is_suspect() || hosts.len() >= 2);
-                prop_assert!(!trust.is_suspect() || !proven);
-                prop_assert!(trust.is_suspect() || proven || hosts.len() < 3);
+                prop_assert!(!trust.is_backing_off() || hosts.len() >= 2);
+                prop_assert!(!trust.is_backing_off() || !proven);
+                prop_assert!(trust.is_backing_off() || proven || hosts.len() < 3);
             }
         }
     }
--- a/crates/jasperhill-scheduler/src/gang.rs
+++ b/crates/jasperhill-scheduler/src/gang.rs
@@ -1,11 +1,11 @@
 //! Gangs: started whole or not at all, and hosts kept free for those that wait.
 
 use crate::{
-    cycle::Pass,
+    cycle::Cycle,
     host::{Host, LISTED_MAX},
-    job::{HostReservation, Job},
+    job::{HeldHosts, Job},
     partition::Partition,
-    placement::{ZoneRooms, cost, unproved},
+    placement::{ZoneCapacity, cost, unproven_penalty},
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, user::JobRequest};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,13 +13,13 @@
 /// How long the choice of hosts kept for a waiting gang stands before it is made anew.
 const KEPT_FOR: Micros = Micros::from_secs(1);
 /// Gangs that may keep hosts however few there are.
-const KEEPERS: usize = 2;
+const HOLDING_GANGS: usize = 2;
 /// Beyond these, no more than this part of the hosts is kept.
-const KEPT_PART: usize = 8;
+const HELD_PART: usize = 8;
 
 impl Partition {
     /// Starts a gang whole or not at all.
-    pub(crate) fn start_gang(&mut self, pass: &mut Pass, id: &JobId) {
+    pub(crate) fn start_gang(&mut self, pass: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
         if !job.live.is_empty() || !job.unsaved.is_empty() {
@@ -30,10 +30,11 @@
         }
         let mut best: Option<(u64, Vec<usize>)> = None;
         let priority = job.priority();
-        let looked = !pass.is_hopeless(&request.each) && !pass.is_seatless(priority, &request);
+        let looked =
+            !pass.is_infeasible(&request.each) && !pass.is_gang_without_hosts(priority, &request);
         if looked {
             for zones in self.zone_sets(pass, &request) {
-                if let Some((cost, slots)) = self.seats(pass, job, &request, &zones)
+                if let Some((cost, slots)) = self.find_hosts(pass, job, &request, &zones)
                     && best.as_ref().is_none_or(|(c, _)| cost < *c)
                 {
                     best = Some((cost, slots));
@@ -44,34 +45,34 @@
         if best.is_none()
             && looked
             && !job.failures.avoids_any()
-            && !self.hosts.values().any(|h| h.lists(id))
+            && !self.hosts.values().any(|h| h.lists_job(id))
         {
-            pass.note_seatless(priority, &request);
+            pass.note_gang_without_hosts(priority, &request);
         }
         match best {
             Some((_, slots)) => {
                 let attempt = self.next_attempt();
                 if let Some(job) = self.jobs.get_mut(id) {
                     job.attempt = Some(attempt);
-                    job.kept = None;
-                    job.making_room.clear();
+                    job.held_hosts = None;
+                    job.preempting.clear();
                 }
                 for (i, slot) in slots.into_iter().enumerate() {
                     self.start(pass, id, i as u32, slot, Some(attempt));
                 }
             }
             // Nobody makes way for what fails wherever it runs.
-            None if job.failures.is_suspect() => {}
+            None if job.failures.is_backing_off() => {}
             None => {
-                self.reserve(pass, id, &request);
-                self.make_gang_room(pass, id);
-                self.hold(pass, id);
+                self.choose_hosts(pass, id, &request);
+                self.preempt_for_gang(pass, id);
+                self.hold_hosts(pass, id);
             }
         }
     }
 
     /// The sets of zones that a gang may be spread over.
-    fn zone_sets(&self, pass: &Pass, request: &JobRequest) -> Vec<BTreeSet<Name>> {
+    fn zone_sets(&self, pass: &Cycle, request: &JobRequest) -> Vec<BTreeSet<Name>> {
         let zones: BTreeSet<Name> = self
             .with_slots(pass)
             .filter(|(_, slot, _)| slot.usable && request.each.fits(&slot.room))
@@ -89,9 +90,9 @@
     }
 
     /// Hosts for every task of a gang within these zones, with room now.
-    fn seats(
+    fn find_hosts(
         &self,
-        pass: &Pass,
+        pass: &Cycle,
         job: &Job,
         request: &JobRequest,
         zones: &BTreeSet<Name>,
@@ -99,8 +100,8 @@
         let fitting: Vec<(usize, Resources, &Host)> = self
             .with_slots(pass)
             .filter(|(i, _, _)| pass.fits(*i, &request.id, &request.each))
-            .filter(|(_, _, host)| zones.contains(&host.zone) && Self::suits(job, host))
-            .filter(|(_, _, host)| !host.lists(&request.id))
+            .filter(|(_, _, host)| zones.contains(&host.zone) && Self::is_feasible(job, host))
+            .filter(|(_, _, host)| !host.lists_job(&request.id))
             .map(|(i, slot, host)| (i, slot.room, host))
             .collect();
         // Most waiting gangs end here, before any host is judged.
@@ -114,7 +115,8 @@
         let mut candidates: Vec<_> = fitting
             .into_iter()
             .map(|(i, room, host)| {
-                let cost = cost(host, &room, request, pass.now) + unproved(job, host, pass.now);
+                let cost =
+                    cost(host, &room, request, pass.now) + unproven_penalty(job, host, pass.now);
                 (cost, i, host, room)
             })
             .collect();
@@ -141,9 +143,9 @@
 
     /// Chooses the hosts that are free the soonest for a waiting gang, so that small work does
     /// not hold it up for ever. Looked up again only now and then.
-    fn reserve(&mut self, pass: &mut Pass, id: &JobId, request: &JobRequest) {
+    fn choose_hosts(&mut self, pass: &mut Cycle, id: &JobId, request: &JobRequest) {
         let Some(job) = self.jobs.get(id) else { return };
-        let stands = job.kept.as_ref().is_some_and(|k| {
+        let stands = job.held_hosts.as_ref().is_some_and(|k| {
             pass.now < k.until
                 && k.hosts.iter().all(|h| {
                     pass.slot(h).is_some_and(|i| {
@@ -152,13 +154,13 @@
                     })
                 })
         });
-        if stands || !self.may_keep(pass, request) {
+        if stands || !self.may_hold_hosts(pass, request) {
             return;
         }
         let mut ready: Vec<(Micros, usize, &Host)> = self
             .with_slots(pass)
             .filter(|(_, slot, _)| slot.usable && slot.reserved.is_none())
-            .filter(|(_, _, h)| Self::suits(job, h))
+            .filter(|(_, _, h)| Self::is_feasible(job, h))
             .filter_map(|(i, _, h)| Some((self.free_at(pass, (i, h), &request.each)?, i, h)))
             .collect();
         ready.sort_by_key(|(t, i, _)| (*t, *i));
@@ -166,7 +168,7 @@
             .one_zone
             .then(|| self.soonest_zone(&ready, request.tasks as usize))
             .flatten();
-        let mut zones = ZoneRooms::of(job, |_| None);
+        let mut zones = ZoneCapacity::of(job, |_| None);
         let (mut hosts, mut at): (Vec<HostId>, Micros) = (Vec::new(), pass.now);
         for (t, _, h) in &ready {
             if hosts.len() == request.tasks as usize {
@@ -180,7 +182,7 @@
         }
         let whole = hosts.len() == request.tasks as usize;
         if let Some(job) = self.jobs.get_mut(id) {
-            job.kept = whole.then_some(HostReservation {
+            job.held_hosts = whole.then_some(HeldHosts {
                 hosts,
                 until: pass.now + KEPT_FOR,
                 ready: at,
@@ -201,20 +203,20 @@
         None
     }
 
-    fn may_keep(&self, pass: &Pass, request: &JobRequest) -> bool {
-        let (gangs, hosts) = pass.reserving;
-        gangs < KEEPERS || hosts + request.tasks as usize <= pass.usable() / KEPT_PART
+    fn may_hold_hosts(&self, pass: &Cycle, request: &JobRequest) -> bool {
+        let (gangs, hosts) = pass.held_for_gangs;
+        gangs < HOLDING_GANGS || hosts + request.tasks as usize <= pass.usable() / HELD_PART
     }
 
     /// Keeps the chosen hosts for the rest of the pass.
-    fn hold(&mut self, pass: &mut Pass, id: &JobId) {
+    fn hold_hosts(&mut self, pass: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        let Some(kept) = &job.kept else { return };
-        if job.making_room.is_empty() && !self.may_keep(pass, &job.request) {
+        let Some(kept) = &job.held_hosts else { return };
+        if job.preempting.is_empty() && !self.may_hold_hosts(pass, &job.request) {
             return;
         }
-        pass.reserving.0 += 1;
-        pass.reserving.1 += kept.hosts.len();
+        pass.held_for_gangs.0 += 1;
+        pass.held_for_gangs.1 += kept.hosts.len();
         for host in &kept.hosts {
             if let Some(i) = pass.slot(host)
                 && pass.slots[i].reserved.is_none()
@@ -227,17 +229,17 @@
     /// When the host is expected to have room for this, if ever.
     fn free_at(
         &self,
-        pass: &Pass,
+        pass: &Cycle,
         (slot, host): (usize, &Host),
         each: &Resources,
     ) -> Option<Micros> {
         let now = pass.now;
-        let mut room = host.room();
+        let mut room = host.free_resources();
         if each.fits(&room) {
             return Some(now);
         }
         let mut at = now;
-        let begin = pass.begin(slot, || self.begin(host, now));
+        let begin = pass.simulation_start(slot, || self.begin(host, now));
         for o in begin.running.iter().rev() {
             if each.fits(&room) {
                 return Some(at);
--- a/crates/jasperhill-scheduler/src/host.rs
+++ b/crates/jasperhill-scheduler/src/host.rs
@@ -16,12 +16,12 @@
 };
 
 /// Errors in a row after which a host is set aside, and for how long.
-const ERRORS: usize = 2;
-const ASIDE: Micros = Micros::from_secs(60);
+const QUARANTINE_AFTER: usize = 2;
+const QUARANTINE: Micros = Micros::from_secs(60);
 /// Errors remembered.
-const BLAME_MAX: usize = 16;
+const FAILURES_MAX: usize = 16;
 /// By then a job that fails everywhere is found out: no host is returned for its errors before.
-const ABSOLVED_WITHIN: Micros = Micros::from_secs(8);
+const FORGIVEN_WITHIN: Micros = Micros::from_secs(8);
 /// A completed task proves a host for so long after its start.
 const PROVED_FOR: Micros = Micros::from_secs(120);
 
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum HeartbeatSource {
     Heartbeat,
     Direct,
 }
@@ -80,21 +80,21 @@
 
 impl HostTask {
     /// Holds resources, or may.
-    pub fn is_on(&self) -> bool {
+    pub fn holds_resources(&self) -> bool {
         !matches!(self.state, TaskState::Exited(_))
     }
 }
 
 /// Starts that are on their way, or may be.
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlightCommands {
     starts: Vec<(TaskId, Attempt)>,
-    under: Under,
+    basis: CommandBasis,
 }
 
 /// What a start was sent under.
 #[derive(Clone, Copy, Debug)]
-struct Under {
+struct CommandBasis {
     token: FencingToken,
     /// As of when whoever sent it knew of cancellations.
     known: Micros,
@@ -102,7 +102,7 @@
 
 /// Commands sent directly whose fate is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doubt {
+enum CommandDoubt {
     None,
     /// The host's record must be rewritten to raise the token.
     NeedsToken,
@@ -112,7 +112,7 @@
 
 #[derive(Debug)]
 pub enum HostInput<'a> {
-    Report(&'a Heartbeat, Source),
+    Heartbeat(&'a Heartbeat, HeartbeatSource),
     /// A report was answered 200 with these commands.
     Answered(&'a [Command]),
     /// Another controller may answer its reports until then.
@@ -126,7 +126,7 @@
     /// The record was rewritten.
     TokenRaised(FencingToken),
     /// It has begun a new session although its reports were answered: it does not hear.
-    Deaf,
+    NotReceiving,
     /// The lease has surely lapsed, or the machine is gone.
     Gone,
     /// Start this task, which takes this much and needs this image.
@@ -153,53 +153,53 @@
     pub spec: Rc<MachineSpec>,
     pub zone: Name,
     pub spot: bool,
-    pub usage: HostAssignment,
+    pub assignment: HostAssignment,
     pub token: FencingToken,
     pub fencing: FencingState,
-    pub tenure: Option<u64>,
-    counter: u64,
+    pub incarnation: Option<u64>,
+    sequence: u64,
     pub tasks: BTreeMap<TaskId, HostTask>,
     /// What its tasks take together, and how many of them are on it or wait for an image:
     /// running sums, so that a pass over many hosts need not look at every task.
     used: Resources,
-    on: usize,
+    tasks_holding: usize,
     fetching: usize,
     /// Exited tasks of earlier attempts, still listed by the worker.
     stale: BTreeSet<(TaskId, Attempt)>,
-    doubt: Doubt,
-    doubted: BTreeSet<(TaskId, Attempt)>,
+    command_doubt: CommandDoubt,
+    doubted_starts: BTreeSet<(TaskId, Attempt)>,
     /// What they were sent under.
-    doubt_under: Option<Under>,
-    flight: Option<Flight>,
+    doubt_basis: Option<CommandBasis>,
+    in_flight_commands: Option<InFlightCommands>,
     pub last_heard: Micros,
     /// When a report last came from it here by its own doing, or may have, to an owner before. `None`:
     /// it is new here, or known by direct answers alone to have begun a session: nobody may renew that.
-    spoke: Option<Micros>,
+    last_heartbeat: Option<Micros>,
     /// The last moment at which anyone can have renewed its lease.
     pub last_answer: Micros,
     /// When a report of it was last answered here.
     pub answered: Option<Micros>,
-    pub notice: Option<Micros>,
+    pub terminates_at: Option<Micros>,
     /// Images seen there, the most recent last.
     pub images: Vec<(Name, f64)>,
     /// Admitted tasks booked here, in order of adjusted deadline.
-    pub queue: Vec<crate::schedule_simulation::Booking>,
+    pub queue: Vec<crate::schedule_simulation::Reservation>,
     /// When it last became empty.
     pub idle_since: Option<Micros>,
     /// Being emptied so that it can be given up, since when.
     pub draining: Option<Micros>,
     /// The jobs of its errors in a row, one for each error, and set aside until.
     pub blame: Vec<JobId>,
-    pub aside_until: Option<Micros>,
+    pub quarantined_until: Option<Micros>,
     /// When the last task that completed here was started.
-    pub proved: Option<Micros>,
+    pub last_success_started: Option<Micros>,
     /// Run times against expectation, smoothed; above 1 is slow.
     pub slowness: f64,
     /// Whether it keeps pace by what runs there, since when it does not, and when a task last
     /// ended in time.
     pub pace: Pace,
-    pub convicted: Option<Micros>,
-    pub in_time: Option<Micros>,
+    pub slow_since: Option<Micros>,
+    pub last_in_time: Option<Micros>,
 }
 
 impl Host {
@@ -217,103 +217,107 @@
             spec,
             zone: record.zone.clone(),
             spot: record.spot,
-            usage: record.assignment,
+            assignment: record.assignment,
             token,
             fencing: FencingState::Unfenced { unconfirmed },
-            tenure: None,
-            counter: 0,
+            incarnation: None,
+            sequence: 0,
             tasks: BTreeMap::new(),
             used: Resources::default(),
-            on: 0,
+            tasks_holding: 0,
             fetching: 0,
             stale: BTreeSet::new(),
-            doubt: Doubt::None,
-            doubted: BTreeSet::new(),
-            doubt_under: None,
-            flight: None,
+            command_doubt: CommandDoubt::None,
+            doubted_starts: BTreeSet::new(),
+            doubt_basis: None,
+            in_flight_commands: None,
             last_heard: now,
-            spoke: unconfirmed.then_some(now),
+            last_heartbeat: unconfirmed.then_some(now),
             last_answer: now,
             answered: None,
-            notice: None,
+            terminates_at: None,
             images: Vec::new(),
             queue: Vec::new(),
             idle_since: Some(now),
             draining: None,
             blame: Vec::new(),
-            aside_until: None,
-            proved: None,
+            quarantined_until: None,
+            last_success_started: None,
             slowness: 1.0,
             pace: Pace::Steady,
-            convicted: None,
-            in_time: None,
+            slow_since: None,
+            last_in_time: None,
         }
     }
 
-    pub fn has_ghosts(&self) -> bool {
+    pub fn has_unconfirmed_tasks(&self) -> bool {
         self.fencing == FencingState::Unfenced { unconfirmed: true }
     }
     pub fn needs_token(&self) -> bool {
-        self.doubt == Doubt::NeedsToken
+        self.command_doubt == CommandDoubt::NeedsToken
     }
     pub fn in_doubt(&self) -> bool {
-        self.doubt != Doubt::None
+        self.command_doubt != CommandDoubt::None
     }
     pub fn in_flight(&self) -> bool {
-        self.flight.is_some()
+        self.in_flight_commands.is_some()
     }
     /// A task of this job failed here. True if the host is set aside for it.
     pub fn blame(&mut self, job: &JobId, now: Micros) -> bool {
-        if self.blame.len() < BLAME_MAX {
+        if self.blame.len() < FAILURES_MAX {
             self.blame.push(job.clone());
         }
-        let aside = self.blame.len() >= ERRORS;
-        let news = aside && self.aside_until.is_none_or(|t| now >= t);
+        let aside = self.blame.len() >= QUARANTINE_AFTER;
+        let news = aside && self.quarantined_until.is_none_or(|t| now >= t);
         if aside {
-            self.aside_until = Some(now + ASIDE);
+            self.quarantined_until = Some(now + QUARANTINE);
         }
         news
     }
 
     /// The failures of this job turn out to be its own.
-    pub fn absolve(&mut self, job: &JobId) {
+    pub fn forgive_failures(&mut self, job: &JobId) {
         let before = self.blame.len();
         self.blame.retain(|j| j != job);
-        if before >= ERRORS && self.blame.len() < ERRORS {
-            self.aside_until = None;
+        if before >= QUARANTINE_AFTER && self.blame.len() < QUARANTINE_AFTER {
+            self.quarantined_until = None;
         }
     }
 
     /// Fails what it starts, by errors that no job has been found to be the cause of for a while.
     pub fn is_faulty(&self, now: Micros) -> bool {
-        self.blame.len() >= ERRORS
+        self.blame.len() >= QUARANTINE_AFTER
             && self
-                .aside_until
-                .is_none_or(|t| now + ASIDE >= t + ABSOLVED_WITHIN)
+                .quarantined_until
+                .is_none_or(|t| now + QUARANTINE >= t + FORGIVEN_WITHIN)
     }
 
     /// Has served others lately, and nothing speaks against it.
-    pub fn serves(&self, other_than: &JobId, now: Micros) -> bool {
-        self.proved.is_some_and(|t| now - t < PROVED_FOR)
+    pub fn has_served_others(&self, other_than: &JobId, now: Micros) -> bool {
+        self.last_success_started
+            .is_some_and(|t| now - t < PROVED_FOR)
             && self.blame.iter().all(|j| j == other_than)
     }
 
     /// Nothing runs, may run or is booked there.
     pub fn is_empty(&self) -> bool {
-        self.on == 0 && self.doubt == Doubt::None && self.flight.is_none() && !self.has_ghosts()
+        self.tasks_holding == 0
+            && self.command_doubt == CommandDoubt::None
+            && self.in_flight_commands.is_none()
+            && !self.has_unconfirmed_tasks()
     }
 
     /// May get new tasks.
     pub fn is_usable(&self, now: Micros, config: &SchedulerConfig) -> bool {
         self.fencing == FencingState::Fenced
-            && matches!(self.usage, HostAssignment::Partition(_))
-            && self.notice.is_none()
-            && self.doubt == Doubt::None
+            && matches!(self.assignment, HostAssignment::Partition(_))
+            && self.terminates_at.is_none()
+            && self.command_doubt == CommandDoubt::None
             && self.draining.is_none()
-            && self.aside_until.is_none_or(|t| now >= t)
+            && self.quarantined_until.is_none_or(|t| now >= t)
             // Guards against a machine that answers and reaches nobody: what it is given straight,
             // its lease kills.
-            && self.spoke.is_some_and(|t| now - t < config.silence())
+            && self.last_heartbeat.is_some_and(|t| now - t < config.silence_limit())
     }
 
     pub fn used(&self) -> Resources {
@@ -321,15 +325,15 @@
     }
     /// Tasks that hold resources, or may.
     pub fn tasks_on(&self) -> usize {
-        self.on
+        self.tasks_holding
     }
 
     /// Brings the running sums up to the tasks.
     fn recount(&mut self) {
-        (self.used, self.on, self.fetching) = (Resources::default(), 0, 0);
-        for t in self.tasks.values().filter(|t| t.is_on()) {
+        (self.used, self.tasks_holding, self.fetching) = (Resources::default(), 0, 0);
+        for t in self.tasks.values().filter(|t| t.holds_resources()) {
             self.used += t.each;
-            self.on += 1;
+            self.tasks_holding += 1;
             let waits = matches!(t.state, TaskState::Ordered | TaskState::Fetching);
             self.fetching += usize::from(waits && t.image.is_some());
         }
@@ -350,13 +354,13 @@
     }
 
     /// Lists some task of this job.
-    pub fn lists(&self, job: &JobId) -> bool {
+    pub fn lists_job(&self, job: &JobId) -> bool {
         let first = TaskId::new(job, 0);
         let next = self.tasks.range(first..).next();
         next.is_some_and(|(task, _)| &task.job == job)
     }
 
-    pub fn room(&self) -> Resources {
+    pub fn free_resources(&self) -> Resources {
         let mut room = self.spec.capacity;
         room -= self.used;
         room
@@ -378,9 +382,9 @@
     /// Whether a direct `run` of this attempt may still be executed.
     fn may_start_later(&self, task: &TaskId, attempt: Attempt) -> bool {
         let key = (task.clone(), attempt);
-        self.doubted.contains(&key)
+        self.doubted_starts.contains(&key)
             || self
-                .flight
+                .in_flight_commands
                 .as_ref()
                 .is_some_and(|f| f.starts.contains(&key))
     }
@@ -390,8 +394,11 @@
     /// is on its way: its job may be cancelled meanwhile, and it would begin however much later.
     /// `None`: nothing is under way, or an answer raises the token above it.
     pub fn in_flight_known_as_of(&self) -> Option<Micros> {
-        let flight = self.flight.as_ref().filter(|f| !f.starts.is_empty());
-        let under = [flight.map(|f| f.under), self.doubt_under];
+        let flight = self
+            .in_flight_commands
+            .as_ref()
+            .filter(|f| !f.starts.is_empty());
+        let under = [flight.map(|f| f.basis), self.doubt_basis];
         let present = under
             .into_iter()
             .flatten()
@@ -401,7 +408,7 @@
 
     /// All outstanding commands. Level-triggered: repeated until the reports show the effect.
     /// `durable` says whether a finished task's result is safe.
-    pub fn orders(&self, durable: impl Fn(&TaskId, ExitCause) -> bool) -> Vec<Command> {
+    pub fn commands(&self, durable: impl Fn(&TaskId, ExitCause) -> bool) -> Vec<Command> {
         let mut out = Vec::new();
         for (task, attempt) in &self.stale {
             // Guards against `clear` before a late `run` of the same attempt: the worker
@@ -431,7 +438,9 @@
     pub fn apply(&mut self, input: HostInput<'_>, now: Micros) -> Vec<HostOutput> {
         let mut out = Vec::new();
         match input {
-            HostInput::Report(report, source) => self.on_report(report, source, now, &mut out),
+            HostInput::Heartbeat(report, source) => {
+                self.on_heartbeat(report, source, now, &mut out)
+            }
             HostInput::Answered(orders) => {
                 self.last_answer = self.last_answer.max(now);
                 self.answered = Some(now);
@@ -451,34 +460,36 @@
                     _ => None,
                 });
                 let token = self.token;
-                self.flight = Some(Flight {
+                self.in_flight_commands = Some(InFlightCommands {
                     starts: starts.collect(),
-                    under: Under { token, known },
+                    basis: CommandBasis { token, known },
                 });
             }
-            HostInput::DirectSettled => self.flight = None,
+            HostInput::DirectSettled => self.in_flight_commands = None,
             HostInput::DirectUnanswered => {
-                if let Some(flight) = self.flight.take()
+                if let Some(flight) = self.in_flight_commands.take()
                     && !flight.starts.is_empty()
                     && self.fencing != FencingState::Lapsed
                 {
-                    self.doubted.extend(flight.starts);
-                    self.doubt_under = Some(flight.under);
-                    self.doubt = Doubt::NeedsToken;
+                    self.doubted_starts.extend(flight.starts);
+                    self.doubt_basis = Some(flight.basis);
+                    self.command_doubt = CommandDoubt::NeedsToken;
                 }
             }
             HostInput::TokenRaised(token) => {
                 if token > self.token {
                     self.token = token;
-                    if self.doubt == Doubt::NeedsToken {
-                        self.doubt = Doubt::Until(token);
+                    if self.command_doubt == CommandDoubt::NeedsToken {
+                        self.command_doubt = CommandDoubt::Until(token);
                     }
                 }
             }
             // Guards against a machine that is given new work in each of its sessions and hears of
             // none: it gets some again once it shows a token that it can only have heard now.
-            HostInput::Deaf if self.doubt == Doubt::None => self.doubt = Doubt::NeedsToken,
-            HostInput::Deaf => {}
+            HostInput::NotReceiving if self.command_doubt == CommandDoubt::None => {
+                self.command_doubt = CommandDoubt::NeedsToken
+            }
+            HostInput::NotReceiving => {}
             HostInput::Gone => {
                 self.drop_all(&mut out);
                 self.fencing = FencingState::Lapsed;
@@ -523,7 +534,7 @@
             }
         }
         self.recount();
-        if self.idle_since.is_none() && self.on == 0 {
+        if self.idle_since.is_none() && self.tasks_holding == 0 {
             self.idle_since = Some(now);
         }
         out
@@ -531,61 +542,64 @@
 
     fn drop_all(&mut self, out: &mut Vec<HostOutput>) {
         for (task, t) in std::mem::take(&mut self.tasks) {
-            if t.is_on() {
+            if t.holds_resources() {
                 out.push(HostOutput::Ended(task, None));
             }
         }
         self.stale.clear();
         // Late direct commands carry the old incarnation and die at the worker.
-        self.doubt = Doubt::None;
-        self.doubted.clear();
-        self.doubt_under = None;
+        self.command_doubt = CommandDoubt::None;
+        self.doubted_starts.clear();
+        self.doubt_basis = None;
     }
 
-    fn on_report(
+    fn on_heartbeat(
         &mut self,
         report: &Heartbeat,
-        source: Source,
+        source: HeartbeatSource,
         now: Micros,
         out: &mut Vec<HostOutput>,
     ) {
         let order = (report.incarnation, report.sequence);
-        if self.tenure.is_some_and(|t| order <= (t, self.counter)) {
+        if self
+            .incarnation
+            .is_some_and(|t| order <= (t, self.sequence))
+        {
             // Late: as old as the moment it was sent.
             return;
         }
-        if self.tenure.is_some_and(|t| report.incarnation > t) {
+        if self.incarnation.is_some_and(|t| report.incarnation > t) {
             // A larger incarnation proves that all earlier tasks are gone.
             self.drop_all(out);
         }
-        let begun = self.tenure.is_some_and(|t| t < report.incarnation);
+        let begun = self.incarnation.is_some_and(|t| t < report.incarnation);
         match source {
-            Source::Heartbeat => self.spoke = Some(now),
-            Source::Direct if begun => self.spoke = None,
-            Source::Direct => {}
+            HeartbeatSource::Heartbeat => self.last_heartbeat = Some(now),
+            HeartbeatSource::Direct if begun => self.last_heartbeat = None,
+            HeartbeatSource::Direct => {}
         }
-        if self.tenure != Some(report.incarnation) {
+        if self.incarnation != Some(report.incarnation) {
             // The lease of a session that we did not know runs from its beginning, which may be
             // long after our last answer. Guards against taking the new session for lapsed with
             // the old one, while what was sent to it directly runs.
             self.last_answer = self.last_answer.max(now);
         }
-        self.tenure = Some(report.incarnation);
-        self.counter = report.sequence;
+        self.incarnation = Some(report.incarnation);
+        self.sequence = report.sequence;
         self.last_heard = now;
         self.address.clone_from(&report.address);
-        self.notice = report.termination_notice.map(|n| now + n);
-        if let Doubt::Until(token) = self.doubt
+        self.terminates_at = report.termination_notice.map(|n| now + n);
+        if let CommandDoubt::Until(token) = self.command_doubt
             && report.token >= token
         {
-            self.doubt = Doubt::None;
-            self.doubted.clear();
-            self.doubt_under = None;
+            self.command_doubt = CommandDoubt::None;
+            self.doubted_starts.clear();
+            self.doubt_basis = None;
         }
-        if report.token > self.token && self.doubt == Doubt::None {
+        if report.token > self.token && self.command_doubt == CommandDoubt::None {
             // Commands with our token are dropped there, and our answers renew no lease: the
             // record is rewritten, which raises the token above any that was ever shown.
-            self.doubt = Doubt::NeedsToken;
+            self.command_doubt = CommandDoubt::NeedsToken;
         }
         if report.token >= self.token && self.fencing != FencingState::Fenced {
             self.fencing = FencingState::Fenced;
@@ -616,14 +630,14 @@
                 TaskState::Ordered => {
                     // A report that follows an answer settles it: the worker has executed or
                     // dropped it. A direct answer may overtake it, and settles nothing.
-                    let answered = t.answered && source == Source::Direct;
+                    let answered = t.answered && source == HeartbeatSource::Direct;
                     if t.stopping.is_some() && !late && !answered {
                         self.tasks.remove(&task);
                         out.push(HostOutput::Ended(
                             task,
                             Some(ExitCause::Stopped { saved: false }),
                         ));
-                    } else if source == Source::Heartbeat
+                    } else if source == HeartbeatSource::Heartbeat
                         && let Some(t) = self.tasks.get_mut(&task)
                     {
                         t.answered = false;
@@ -652,7 +666,7 @@
         };
         match self.tasks.get_mut(&item.task) {
             Some(t) if t.attempt == item.attempt => {
-                let was_on = t.is_on();
+                let was_on = t.holds_resources();
                 let was = t.state;
                 t.state = state;
                 t.answered = false;
@@ -684,7 +698,7 @@
                     out.push(HostOutput::Ended(item.task.clone(), Some(cause)));
                 } else {
                     if let Some(t) = known
-                        && t.is_on()
+                        && t.holds_resources()
                     {
                         // Another attempt of what we ordered here: the order will be refused as
                         // busy, so the one that is there is the one that counts.
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -1,7 +1,7 @@
 //! The job machine: which tasks of a job are finished, live, booked or pending. Every change
 //! of a task's state goes through [`Job::set`].
 
-use crate::{failures::FailureHistory, stragglers::Siblings, task_set::TaskSet};
+use crate::{failures::FailureHistory, stragglers::SiblingRunTimes, task_set::TaskSet};
 use jasperhill_wire::{
     Attempt, HostId, Micros, Resources, Revision,
     user::{JobRequest, Priority, Shape},
@@ -17,7 +17,7 @@
     /// Neither finished nor anywhere.
     Pending,
     /// Admitted to a host's queue.
-    Booked(HostId),
+    Reserved(HostId),
     /// On a host, or told to be.
     Live(HostId),
     Done,
@@ -32,7 +32,7 @@
 /// Hosts that a waiting gang keeps free, until the choice is made anew, and when they are
 /// expected to have room.
 #[derive(Clone, Debug)]
-pub struct HostReservation {
+pub struct HeldHosts {
     pub hosts: Vec<HostId>,
     pub until: Micros,
     pub ready: Micros,
@@ -49,7 +49,7 @@
 /// How a job stands in its pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DependencyStatus {
-    pub gate: Readiness,
+    pub readiness: Readiness,
     /// Since when it may start; its submission if it never waited.
     pub since: Micros,
     /// By when the jobs after it need it.
@@ -68,21 +68,21 @@
     pub due: Option<Micros>,
     pub gate: Readiness,
     /// What the jobs after it leave it.
-    left: (Option<Micros>, Option<Priority>),
+    inherited: (Option<Micros>, Option<Priority>),
     pub done: TaskSet,
     /// Finished, but not yet in the record.
     pub unsaved: BTreeSet<u32>,
     pub live: BTreeMap<u32, HostId>,
-    pub booked: BTreeMap<u32, HostId>,
+    pub reserved: BTreeMap<u32, HostId>,
     /// Tasks seen running, for display and for stopping the right one.
     pub running: BTreeSet<u32>,
     /// All its tasks have run at the same time.
     pub ran_whole: bool,
     /// How long its ended tasks ran.
-    pub siblings: Siblings,
+    pub sibling_run_times: SiblingRunTimes,
     /// Below this every task is done, live, booked or in `returned`.
     cursor: u32,
-    returned: BTreeSet<u32>,
+    returned_to_pending: BTreeSet<u32>,
     /// Set when the record has become final: nothing starts any more.
     pub termination: Option<Termination>,
     /// Whether its failures are its own.
@@ -94,16 +94,16 @@
     /// Some task of it has failed: its run times tell nothing.
     pub failed: bool,
     /// Room is being made there, and is waited for until then.
-    pub making_room: Vec<(HostId, Micros)>,
+    pub preempting: Vec<(HostId, Micros)>,
     /// Hosts kept free for this waiting gang.
-    pub kept: Option<HostReservation>,
+    pub held_hosts: Option<HeldHosts>,
     /// The attempt of a gang under way.
     pub attempt: Option<Attempt>,
     pub preempted: u32,
     /// Its deadline can't be met any more.
-    pub missed: bool,
+    pub missed_deadline: bool,
     /// When a task of it last started.
-    pub last_ran: Micros,
+    pub last_started: Micros,
 }
 
 impl Job {
@@ -120,48 +120,48 @@
             created,
             submitted,
             gate: Readiness::Open,
-            left: (None, None),
+            inherited: (None, None),
             done,
             unsaved: BTreeSet::new(),
             live: BTreeMap::new(),
-            booked: BTreeMap::new(),
+            reserved: BTreeMap::new(),
             running: BTreeSet::new(),
             ran_whole: false,
-            siblings: Siblings::default(),
+            sibling_run_times: SiblingRunTimes::default(),
             cursor: 0,
-            returned: BTreeSet::new(),
+            returned_to_pending: BTreeSet::new(),
             termination: None,
-            failures: FailureHistory::Sound,
+            failures: FailureHistory::Clean,
             failed_attempts_saved: 0,
             not_before: Micros::ZERO,
             failed: false,
-            making_room: Vec::new(),
-            kept: None,
+            preempting: Vec::new(),
+            held_hosts: None,
             attempt: None,
             preempted: 0,
-            missed: false,
-            last_ran: Micros::ZERO,
+            missed_deadline: false,
+            last_started: Micros::ZERO,
         }
     }
 
     /// The one function that changes how it stands in its pipeline. True if something has
     /// changed.
-    pub fn stand(&mut self, place: DependencyStatus) -> bool {
+    pub fn set_dependency_status(&mut self, place: DependencyStatus) -> bool {
         let left = (place.due, place.priority);
-        let moved = place.gate != self.gate;
+        let moved = place.readiness != self.gate;
         if moved {
-            self.gate = place.gate;
+            self.gate = place.readiness;
             self.submitted = place.since;
         }
-        let changed = moved || left != self.left;
-        self.left = left;
+        let changed = moved || left != self.inherited;
+        self.inherited = left;
         changed
     }
 
     /// Its priority, or that of the most important job that needs it.
     pub fn priority(&self) -> Priority {
         let own = self.request.priority;
-        self.left.1.map_or(own, |p| p.min(own))
+        self.inherited.1.map_or(own, |p| p.min(own))
     }
 
     pub fn step(&self, i: u32) -> TaskStep {
@@ -169,8 +169,8 @@
             TaskStep::Done
         } else if let Some(host) = self.live.get(&i) {
             TaskStep::Live(host.clone())
-        } else if let Some(host) = self.booked.get(&i) {
-            TaskStep::Booked(host.clone())
+        } else if let Some(host) = self.reserved.get(&i) {
+            TaskStep::Reserved(host.clone())
         } else {
             TaskStep::Pending
         }
@@ -182,17 +182,17 @@
             return;
         }
         self.live.remove(&i);
-        self.booked.remove(&i);
-        self.returned.remove(&i);
+        self.reserved.remove(&i);
+        self.returned_to_pending.remove(&i);
         self.running.remove(&i);
         match to {
             TaskStep::Pending => {
                 if i < self.cursor {
-                    self.returned.insert(i);
+                    self.returned_to_pending.insert(i);
                 }
             }
-            TaskStep::Booked(host) => {
-                self.booked.insert(i, host);
+            TaskStep::Reserved(host) => {
+                self.reserved.insert(i, host);
                 self.pass_cursor();
             }
             TaskStep::Live(host) => {
@@ -207,13 +207,13 @@
     }
 
     /// A task is seen running.
-    pub fn runs(&mut self, i: u32) {
+    pub fn mark_running(&mut self, i: u32) {
         self.running.insert(i);
         self.ran_whole |= self.running.len() >= self.request.tasks as usize;
     }
 
     fn is_taken(&self, i: u32) -> bool {
-        self.done.contains(i) || self.live.contains_key(&i) || self.booked.contains_key(&i)
+        self.done.contains(i) || self.live.contains_key(&i) || self.reserved.contains_key(&i)
     }
 
     fn pass_cursor(&mut self) {
@@ -224,7 +224,7 @@
 
     /// The first task that is neither finished, live nor booked.
     pub fn next_pending(&mut self) -> Option<u32> {
-        if let Some(i) = self.returned.first() {
+        if let Some(i) = self.returned_to_pending.first() {
             return Some(*i);
         }
         self.pass_cursor();
@@ -232,12 +232,12 @@
     }
 
     pub fn pending(&self) -> u32 {
-        self.request.tasks - self.done.count() - self.live.len() as u32 - self.booked.len() as u32
+        self.request.tasks - self.done.count() - self.live.len() as u32 - self.reserved.len() as u32
     }
 
     /// How many more tasks may start: a suspect job tries one at a time.
     pub fn startable(&self) -> u32 {
-        if !self.failures.is_suspect() || self.is_gang() {
+        if !self.failures.is_backing_off() || self.is_gang() {
             self.pending()
         } else {
             self.pending()
@@ -264,18 +264,18 @@
         let p = self.priority();
         let band = match p {
             // Behind everything else.
-            _ if self.failures.is_suspect() => 3,
+            _ if self.failures.is_backing_off() => 3,
             Priority::Production => 0,
             Priority::High => 1,
             Priority::Normal | Priority::Low => 2,
         };
-        let due = [self.due.filter(|_| !self.missed), self.left.0];
+        let due = [self.due.filter(|_| !self.missed_deadline), self.inherited.0];
         let due = due.into_iter().flatten().min().map_or(u64::MAX, |d| d.0);
         (band, due, p, self.submitted)
     }
 
     /// Resources of what could be running unseen.
-    pub fn unseen(&self) -> Resources {
+    pub fn unconfirmed_use(&self) -> Resources {
         self.request
             .each
             .times(u64::from(self.request.tasks - self.done.count()) - self.live.len() as u64)
--- a/crates/jasperhill-scheduler/src/lib.rs
+++ b/crates/jasperhill-scheduler/src/lib.rs
@@ -26,6 +26,6 @@
 pub mod task_set;
 
 pub use config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning};
-pub use host::{FencingState, Host, HostInput, Source};
+pub use host::{FencingState, HeartbeatSource, Host, HostInput};
 pub use partition::{AdmissionDecision, Partition};
 pub use task_set::TaskSet;
--- a/crates/jasperhill-scheduler/src/partition.rs
+++ b/crates/jasperhill-scheduler/src/partition.rs
@@ -3,13 +3,13 @@
 
 use crate::{
     config::{SchedulerConfig, Specs},
-    drain::Moves,
+    drain::MoveBudget,
     failures::{self, FailureHistory},
-    host::{Host, HostInput, HostOutput, Source, TaskState},
+    host::{HeartbeatSource, Host, HostInput, HostOutput, TaskState},
     job::{DependencyStatus, Job, Readiness, TaskStep, Termination},
-    recovery::{self, Recovered, Recovery, Returning},
+    recovery::{self, Recovered, Recovery, ReplicaRecovery},
     starvation::{Group, ServedShare, StarvationGuard},
-    stragglers::Watched,
+    stragglers::OverrunWatch,
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
@@ -33,21 +33,21 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     HostLost(HostId),
-    HostAside(HostId),
-    JobSuspect(JobId),
+    HostQuarantined(HostId),
+    JobBackingOff(JobId),
     /// A task failed after running for so long.
     Failed(TaskId, HostId, Micros),
     Stopped(TaskId, HostId, &'static str),
-    Strange(TaskId, HostId, &'static str),
+    UnexpectedTask(TaskId, HostId, &'static str),
     /// Its tasks take so many times as long.
     HostSlow(HostId, f64),
     /// A class or team is behind its floor, or no more.
-    Behind(Group, Option<ServedShare>),
+    Starved(Group, Option<ServedShare>),
     /// Production is whole again.
-    Whole(Recovered),
+    ProductionRecovered(Recovered),
     /// After a takeover: no host can run what is not known any more. After how long, and on
     /// how many hosts only because their leases lapsed.
-    AllKnown(Micros, usize),
+    AllHostsConfirmed(Micros, usize),
 }
 
 /// The kinds of hosts (type, zone, spot) that may run what a predecessor started.
@@ -84,12 +84,12 @@
     /// Jobs that the last pass went through.
     pub backlog: usize,
     /// Since when hosts may run what is not known, until none does.
-    haunted_since: Option<Micros>,
+    unconfirmed_since: Option<Micros>,
     /// What production has lost, and the room kept for what it may be losing.
     pub recovery: Recovery,
-    pub(crate) returning: Returning,
-    pub(crate) watched: Watched,
-    pub(crate) moves: Moves,
+    pub(crate) returning: ReplicaRecovery,
+    pub(crate) watched: OverrunWatch,
+    pub(crate) moves: MoveBudget,
     /// Who falls behind.
     pub starvation: StarvationGuard,
 }
@@ -114,28 +114,29 @@
             events: Vec::new(),
             changed: true,
             backlog: 0,
-            haunted_since: None,
+            unconfirmed_since: None,
             recovery: Recovery::default(),
-            returning: Returning::default(),
-            watched: Watched::default(),
-            moves: Moves::default(),
+            returning: ReplicaRecovery::default(),
+            watched: OverrunWatch::default(),
+            moves: MoveBudget::default(),
             starvation: StarvationGuard::default(),
         }
     }
 
     /// Notes when the last host has become known.
-    pub(crate) fn note_known(&mut self, now: Micros) {
-        self.sweep_ended();
-        match (self.has_unconfirmed_tasks(), self.haunted_since) {
+    pub(crate) fn note_confirmed(&mut self, now: Micros) {
+        self.remove_ended();
+        match (self.has_unconfirmed_tasks(), self.unconfirmed_since) {
             (true, None) => {
-                self.haunted_since = Some(now);
+                self.unconfirmed_since = Some(now);
                 self.recovery.apply(recovery::Input::TakenOver, now);
             }
             (false, Some(since)) => {
-                self.haunted_since = None;
+                self.unconfirmed_since = None;
                 let lapsed = |h: &&Host| h.fencing == crate::host::FencingState::Lapsed;
                 let lapsed = self.hosts.values().filter(lapsed).count();
-                self.events.push(Event::AllKnown(now - since, lapsed));
+                self.events
+                    .push(Event::AllHostsConfirmed(now - since, lapsed));
             }
             _ => {}
         }
@@ -162,8 +163,8 @@
                 FencingState::Lapsed => 1,
                 FencingState::Fenced if h.in_doubt() => 2,
                 FencingState::Fenced if h.draining.is_some() => 5,
-                FencingState::Fenced if h.notice.is_some() => 4,
-                FencingState::Fenced if h.aside_until.is_some_and(|t| now < t) => 4,
+                FencingState::Fenced if h.terminates_at.is_some() => 4,
+                FencingState::Fenced if h.quarantined_until.is_some_and(|t| now < t) => 4,
                 FencingState::Fenced => 3,
             };
             counts[reason] += 1;
@@ -173,13 +174,13 @@
 
     /// Some host may run what a predecessor started.
     pub fn has_unconfirmed_tasks(&self) -> bool {
-        self.hosts.values().any(Host::has_ghosts)
+        self.hosts.values().any(Host::has_unconfirmed_tasks)
     }
 
     /// The hosts that may run what a predecessor started.
-    pub(crate) fn ghosts(&self) -> UnconfirmedTasks {
+    pub(crate) fn unconfirmed_tasks(&self) -> UnconfirmedTasks {
         let mut ghosts = UnconfirmedTasks::default();
-        for h in self.hosts.values().filter(|h| h.has_ghosts()) {
+        for h in self.hosts.values().filter(|h| h.has_unconfirmed_tasks()) {
             let known = ghosts
                 .0
                 .iter()
@@ -198,14 +199,14 @@
     /// silently does not hold up work that never runs on such.
     ///
     /// Nor does it hold up a job that still waits for others: nobody has started that.
-    pub(crate) fn is_haunted(&self, job: &Job, ghosts: &UnconfirmedTasks) -> bool {
+    pub(crate) fn may_run_unconfirmed(&self, job: &Job, ghosts: &UnconfirmedTasks) -> bool {
         job.gate == Readiness::Open && job.created <= self.since && ghosts.may_hold(&job.request)
     }
 
     /// How a job stands in its pipeline.
     pub fn set_dependency_status(&mut self, id: &JobId, place: DependencyStatus) {
         if let Some(job) = self.jobs.get_mut(id) {
-            self.changed |= job.stand(place);
+            self.changed |= job.set_dependency_status(place);
         }
     }
 
@@ -234,14 +235,14 @@
         };
         if job.termination.is_none() {
             job.termination = Some(ending);
-            let booked: Vec<u32> = job.booked.keys().copied().collect();
+            let booked: Vec<u32> = job.reserved.keys().copied().collect();
             for i in booked {
-                self.unbook(id, i);
+                self.release_reservation(id, i);
             }
             self.stop_all(id, Micros::ZERO, now);
         }
         self.unsaved.remove(id);
-        self.sweep(id);
+        self.remove_if_gone(id);
         self.changed = true;
     }
 
@@ -276,9 +277,9 @@
     }
 
     /// Forgets an ended job once nothing of it is left, nor can be unseen.
-    fn sweep(&mut self, id: &JobId) {
+    fn remove_if_gone(&mut self, id: &JobId) {
         if self.jobs.get(id).is_some_and(|j| j.termination.is_some()) {
-            let ghosts = self.ghosts();
+            let ghosts = self.unconfirmed_tasks();
             if self.jobs.get(id).is_some_and(|j| self.is_gone(j, &ghosts)) {
                 self.jobs.remove(id);
             }
@@ -289,14 +290,14 @@
         let unseen = match job.termination {
             None => return false,
             Some(Termination::Done) => false,
-            Some(Termination::Cancelled) => self.is_haunted(job, ghosts),
+            Some(Termination::Cancelled) => self.may_run_unconfirmed(job, ghosts),
         };
         job.live.is_empty() && !unseen
     }
 
     /// The same for all of them.
-    pub(crate) fn sweep_ended(&mut self) {
-        let ghosts = self.ghosts();
+    pub(crate) fn remove_ended(&mut self) {
+        let ghosts = self.unconfirmed_tasks();
         let gone = self.jobs.iter().filter(|(_, j)| self.is_gone(j, &ghosts));
         for id in gone.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             self.jobs.remove(&id);
@@ -318,7 +319,7 @@
         };
         match self.hosts.get_mut(id) {
             Some(host) => {
-                host.usage = record.assignment;
+                host.assignment = record.assignment;
                 host.apply(HostInput::TokenRaised(token), now);
             }
             None => {
@@ -342,15 +343,18 @@
         self.changed = true;
     }
 
-    pub fn on_heartbeat(&mut self, report: &Heartbeat, source: Source, now: Micros) {
-        let before = self.hosts.get(&report.host).map(|h| (h.tenure, h.answered));
-        self.apply(&report.host, HostInput::Report(report, source), now);
+    pub fn on_heartbeat(&mut self, report: &Heartbeat, source: HeartbeatSource, now: Micros) {
+        let before = self
+            .hosts
+            .get(&report.host)
+            .map(|h| (h.incarnation, h.answered));
+        self.apply(&report.host, HostInput::Heartbeat(report, source), now);
         // Whoever ends a session has heard nothing for a whole lease.
         if let Some((Some(tenure), Some(answered))) = before
-            && self.hosts.get(&report.host).and_then(|h| h.tenure) > Some(tenure)
+            && self.hosts.get(&report.host).and_then(|h| h.incarnation) > Some(tenure)
             && now - answered < self.config.lease.scale(0.5)
         {
-            self.apply(&report.host, HostInput::Deaf, now);
+            self.apply(&report.host, HostInput::NotReceiving, now);
         }
     }
 
@@ -365,25 +369,25 @@
                 HostOutput::Fenced => {}
                 HostOutput::Running(task) => {
                     if let Some(job) = self.jobs.get_mut(&task.job) {
-                        job.runs(task.index);
+                        job.mark_running(task.index);
                         if let Some(host) = self.hosts.get_mut(id) {
                             host.touch_image(&job.request.image, job.request.image_gb);
                         }
                     }
-                    self.watch_pace(id, &task);
+                    self.watch_task(id, &task);
                 }
-                HostOutput::Found(task, attempt) => self.found(id, &task, attempt, now),
-                HostOutput::Ended(task, cause) => self.ended(id, &task, cause, now),
+                HostOutput::Found(task, attempt) => self.task_found(id, &task, attempt, now),
+                HostOutput::Ended(task, cause) => self.task_ended(id, &task, cause, now),
             }
         }
     }
 
-    fn found(&mut self, id: &HostId, task: &TaskId, attempt: Attempt, now: Micros) {
+    fn task_found(&mut self, id: &HostId, task: &TaskId, attempt: Attempt, now: Micros) {
         let on = self
             .hosts
             .get(id)
             .and_then(|h| h.tasks.get(task))
-            .is_some_and(|t| t.is_on());
+            .is_some_and(|t| t.holds_resources());
         if !on {
             return;
         }
@@ -392,13 +396,13 @@
             .get(&task.job)
             .map(|j| (j.step(task.index), j.termination, j.attempt));
         match known {
-            Some((TaskStep::Pending | TaskStep::Booked(_), None, gang))
+            Some((TaskStep::Pending | TaskStep::Reserved(_), None, gang))
                 if gang.is_none_or(|a| a == attempt)
                     && self.jobs.get(&task.job).is_some_and(|j| {
                         task.index < j.request.tasks && j.gate == Readiness::Open
                     }) =>
             {
-                self.unbook(&task.job, task.index);
+                self.release_reservation(&task.job, task.index);
                 self.set_step(task, TaskStep::Live(id.clone()));
                 let Some(job) = self.jobs.get_mut(&task.job) else {
                     return;
@@ -416,12 +420,12 @@
                         .get(task)
                         .is_some_and(|t| t.state == TaskState::Running)
                     {
-                        job.runs(task.index);
+                        job.mark_running(task.index);
                     }
                 }
             }
             // Cancelled, and still there: it counts until it is gone.
-            Some((TaskStep::Pending | TaskStep::Booked(_), Some(Termination::Cancelled), _))
+            Some((TaskStep::Pending | TaskStep::Reserved(_), Some(Termination::Cancelled), _))
                 if self
                     .jobs
                     .get(&task.job)
@@ -437,7 +441,7 @@
             }
             _ => {
                 // Finished, cancelled, unknown, or of an attempt that is not the gang's.
-                self.events.push(Event::Strange(
+                self.events.push(Event::UnexpectedTask(
                     task.clone(),
                     id.clone(),
                     "not expected there",
@@ -447,7 +451,7 @@
         }
     }
 
-    fn ended(&mut self, id: &HostId, task: &TaskId, cause: Option<ExitCause>, now: Micros) {
+    fn task_ended(&mut self, id: &HostId, task: &TaskId, cause: Option<ExitCause>, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -459,10 +463,10 @@
             } else {
                 task.index..task.index + 1
             };
-            self.learn(id, task, now);
+            self.learn_run_time(id, task, now);
             for i in all {
                 let task = TaskId::new(&task.job, i);
-                self.unbook(&task.job, i);
+                self.release_reservation(&task.job, i);
                 let live = self
                     .jobs
                     .get(&task.job)
@@ -472,7 +476,7 @@
                 // then neither counted nor stopped: its machine may be this one.
                 let still = |host: &HostId| {
                     let there = self.hosts.get(host).and_then(|h| h.tasks.get(&task));
-                    host != id || there.is_some_and(|t| t.is_on())
+                    host != id || there.is_some_and(|t| t.holds_resources())
                 };
                 match live {
                     // Still on its machine until it says otherwise.
@@ -489,17 +493,17 @@
             if let Some(host) = self.hosts.get_mut(id) {
                 host.blame.clear();
                 let began = host.tasks.get(task).map(|t| t.ordered);
-                host.proved = host.proved.max(began);
+                host.last_success_started = host.last_success_started.max(began);
             }
-            self.judge_again(&task.job, failures::Input::Succeeded, now);
-            self.sweep(&task.job);
+            self.reconsider_job(&task.job, failures::Input::Succeeded, now);
+            self.remove_if_gone(&task.job);
             return;
         }
         if !here {
             return;
         }
         if cause.is_none() {
-            self.note_lost(task, now);
+            self.record_lost_replica(task, now);
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -510,7 +514,7 @@
         {
             match cause {
                 ExitCause::Error => {
-                    self.failed(id, task, now);
+                    self.task_failed(id, task, now);
                 }
                 ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown => {
                     job.not_before = now + Micros::from_secs(1);
@@ -527,13 +531,13 @@
             },
         );
         self.finish_gang(&task.job);
-        self.sweep(&task.job);
+        self.remove_if_gone(&task.job);
     }
 
     /// A task has failed: held against its host, or, once it has failed wherever it was tried,
     /// against the job. Guards against a few arrays with a mistake that set aside and return a
     /// large part of the fleet within seconds.
-    fn failed(&mut self, id: &HostId, task: &TaskId, now: Micros) {
+    fn task_failed(&mut self, id: &HostId, task: &TaskId, now: Micros) {
         let (Some(job), Some(host)) = (self.jobs.get_mut(&task.job), self.hosts.get_mut(id)) else {
             return;
         };
@@ -545,68 +549,75 @@
             .map_or(Micros::ZERO, |began| now - began);
         self.events
             .push(Event::Failed(task.clone(), id.clone(), ran));
-        let (was, level) = (job.failures.is_suspect(), job.failures.failing());
+        let (was, level) = (
+            job.failures.is_backing_off(),
+            job.failures.failed_attempts(),
+        );
         let failed = failures::Input::Failed {
             host: id,
-            serves: host.serves(&task.job, now),
+            serves: host.has_served_others(&task.job, now),
             ran,
         };
         job.failures.apply(failed, now);
-        if job.failures.failing() != level {
+        if job.failures.failed_attempts() != level {
             self.unsaved.insert(task.job.clone());
         }
-        if !job.failures.is_suspect() {
+        if !job.failures.is_backing_off() {
             if host.blame(&task.job, now) {
-                self.events.push(Event::HostAside(id.clone()));
+                self.events.push(Event::HostQuarantined(id.clone()));
             }
         } else if !was {
-            let booked: Vec<u32> = job.booked.keys().copied().collect();
-            job.making_room.clear();
-            job.kept = None;
-            self.events.push(Event::JobSuspect(task.job.clone()));
+            let booked: Vec<u32> = job.reserved.keys().copied().collect();
+            job.preempting.clear();
+            job.held_hosts = None;
+            self.events.push(Event::JobBackingOff(task.job.clone()));
             for i in booked {
-                self.unbook(&task.job, i);
+                self.release_reservation(&task.job, i);
             }
             for host in self.hosts.values_mut() {
-                host.absolve(&task.job);
+                host.forgive_failures(&task.job);
             }
         }
     }
 
     /// Something speaks for a job: it completes a task, or one runs. If that clears it, the
     /// hosts on which it failed are blamed after all.
-    fn judge_again(&mut self, id: &JobId, input: failures::Input<'_>, now: Micros) {
+    fn reconsider_job(&mut self, id: &JobId, input: failures::Input<'_>, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let hosts = match &job.failures {
-            FailureHistory::Suspect { hosts, .. } => hosts.clone(),
+            FailureHistory::BackingOff { hosts, .. } => hosts.clone(),
             _ => BTreeSet::new(),
         };
-        let was = job.failures.is_suspect();
+        let was = job.failures.is_backing_off();
         job.failures.apply(input, now);
-        if !was || job.failures.is_suspect() {
+        if !was || job.failures.is_backing_off() {
             return;
         }
         self.unsaved.insert(id.clone());
         self.changed = true;
         for host in hosts {
             if let Some(h) = self.hosts.get_mut(&host)
-                && !h.serves(id, now)
+                && !h.has_served_others(id, now)
             {
                 // Failures that nothing excuses, as many as set a host aside.
                 let news = h.blame(id, now) | h.blame(id, now);
                 if news {
-                    self.events.push(Event::HostAside(host));
+                    self.events.push(Event::HostQuarantined(host));
                 }
             }
         }
     }
 
     /// A try that outlives those that failed clears a suspect job.
-    pub(crate) fn clear_suspects(&mut self, now: Micros) {
+    pub(crate) fn clear_outlived_failures(&mut self, now: Micros) {
         let mut outlived = Vec::new();
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.failures.is_suspect()) {
+        for (id, job) in self
+            .jobs
+            .iter()
+            .filter(|(_, j)| j.failures.is_backing_off())
+        {
             let runs = job
                 .running
                 .iter()
@@ -619,7 +630,7 @@
             outlived.extend(runs.map(|time| (id.clone(), time)));
         }
         for (id, time) in outlived {
-            self.judge_again(&id, failures::Input::Runs(time), now);
+            self.reconsider_job(&id, failures::Input::RunningFor(time), now);
         }
     }
 
@@ -640,7 +651,7 @@
     }
 
     /// Compares a finished task's run time with what was expected.
-    fn learn(&mut self, id: &HostId, task: &TaskId, now: Micros) {
+    fn learn_run_time(&mut self, id: &HostId, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -659,7 +670,7 @@
         *ratio += 0.05 * (seen - *ratio);
         let times = (seen / ratio.max(0.1)).clamp(0.2, 5.0);
         host.slowness += 0.2 * (times - host.slowness);
-        self.learn_pace(id, task, times, now);
+        self.learn_overrun(id, task, times, now);
     }
 
     /// The estimate, corrected by what was observed of the class.
@@ -686,8 +697,8 @@
         }
     }
 
-    pub(crate) fn unbook(&mut self, id: &JobId, i: u32) {
-        let Some(host) = self.jobs.get(id).and_then(|j| j.booked.get(&i)).cloned() else {
+    pub(crate) fn release_reservation(&mut self, id: &JobId, i: u32) {
+        let Some(host) = self.jobs.get(id).and_then(|j| j.reserved.get(&i)).cloned() else {
             return;
         };
         if let Some(host) = self.hosts.get_mut(&host) {
@@ -713,10 +724,10 @@
     /// What the team uses, or may be using unseen.
     pub fn team_use(&self, team: &Name) -> Resources {
         let mut used = self.used.get(team).copied().unwrap_or_default();
-        let ghosts = self.ghosts();
+        let ghosts = self.unconfirmed_tasks();
         for job in self.jobs.values() {
-            if &job.request.team == team && self.is_haunted(job, &ghosts) {
-                used += job.unseen();
+            if &job.request.team == team && self.may_run_unconfirmed(job, &ghosts) {
+                used += job.unconfirmed_use();
             }
         }
         used
@@ -739,7 +750,7 @@
         let Some(host) = self.hosts.get(id) else {
             return Vec::new();
         };
-        host.orders(|task, cause| match self.jobs.get(&task.job) {
+        host.commands(|task, cause| match self.jobs.get(&task.job) {
             // A result is forgotten by the worker only once the record has it.
             Some(job) if cause == ExitCause::Done => {
                 job.done.contains(task.index) && !job.unsaved.contains(&task.index)
@@ -749,8 +760,8 @@
     }
 
     /// Hosts whose leases have surely lapsed, and when the next one could.
-    pub fn lapse(&mut self, now: Micros) {
-        let lapse = self.config.lapse();
+    pub fn expire_leases(&mut self, now: Micros) {
+        let lapse = self.config.lease_expiry();
         let gone: Vec<HostId> = self
             .hosts
             .values()
@@ -766,25 +777,25 @@
     }
 
     /// Puts a host under notice aside: what can save is stopped while there is time.
-    pub(crate) fn drain_noticed(&mut self, now: Micros) {
+    pub(crate) fn stop_before_termination(&mut self, now: Micros) {
         let mut stops = Vec::new();
-        for host in self.hosts.values().filter(|h| h.notice.is_some()) {
+        for host in self.hosts.values().filter(|h| h.terminates_at.is_some()) {
             for (task, t) in &host.tasks {
                 let Some(job) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                if t.is_on() && t.stopping.is_none() && job.checkpoints() {
+                if t.holds_resources() && t.stopping.is_none() && job.checkpoints() {
                     stops.push((host.id.clone(), task.clone()));
                 }
             }
         }
         for (host, task) in stops {
-            self.make_way(&host, &task, "spot notice", now);
+            self.stop_with_grace(&host, &task, "spot notice", now);
         }
     }
 
     /// Stops a task, and its gang with it, with the time to save if it can.
-    pub(crate) fn make_way(
+    pub(crate) fn stop_with_grace(
         &mut self,
         host: &HostId,
         task: &TaskId,
@@ -812,7 +823,7 @@
     /// The host may be given up: empty, settled and long enough idle.
     pub fn is_spare(&self, id: &HostId, now: Micros, keep: Micros) -> bool {
         self.hosts.get(id).is_some_and(|h| {
-            matches!(h.usage, HostAssignment::Partition(_))
+            matches!(h.assignment, HostAssignment::Partition(_))
                 && h.is_empty()
                 && h.queue.is_empty()
                 && h.fencing == crate::host::FencingState::Fenced
--- a/crates/jasperhill-scheduler/src/placement.rs
+++ b/crates/jasperhill-scheduler/src/placement.rs
@@ -1,7 +1,7 @@
 //! Which hosts suit a task that starts now, and which suits best.
 
 use crate::{
-    cycle::{Pass, is_urgent},
+    cycle::{Cycle, is_urgent},
     host::Host,
     job::Job,
     partition::Partition,
@@ -52,8 +52,8 @@
 }
 
 /// A suspect job is tried where others succeed, so that the try tells something.
-pub(crate) fn unproved(job: &Job, host: &Host, now: Micros) -> u64 {
-    if job.failures.is_suspect() && !host.serves(&job.request.id, now) {
+pub(crate) fn unproven_penalty(job: &Job, host: &Host, now: Micros) -> u64 {
+    if job.failures.is_backing_off() && !host.has_served_others(&job.request.id, now) {
         60_000
     } else {
         0
@@ -63,7 +63,7 @@
 /// How many more tasks of a job each zone may hold, kept up to date while tasks start, so
 /// that the job's other tasks are looked up once and not for every host.
 #[derive(Clone, Debug)]
-pub(crate) struct ZoneRooms {
+pub(crate) struct ZoneCapacity {
     /// `None`: any number anywhere.
     cap: Option<u32>,
     one_zone: bool,
@@ -72,7 +72,7 @@
     here: Vec<(Name, u32)>,
 }
 
-impl ZoneRooms {
+impl ZoneCapacity {
     pub fn of(job: &Job, zone_of: impl Fn(&HostId) -> Option<Name>) -> Self {
         Self::among(&job.request, job.live.values(), zone_of)
     }
@@ -137,28 +137,29 @@
         self.hosts.get(host).map(|h| h.zone.clone())
     }
 
-    pub(crate) fn zone_rooms(&self, job: &Job) -> ZoneRooms {
-        ZoneRooms::of(job, |h| self.zone_of(h))
+    pub(crate) fn zone_capacity(&self, job: &Job) -> ZoneCapacity {
+        ZoneCapacity::of(job, |h| self.zone_of(h))
     }
 
     /// Whether tasks of this job may go to this host, as far as that does not depend on where
     /// the others are.
-    pub(crate) fn suits(job: &Job, host: &Host) -> bool {
+    pub(crate) fn is_feasible(job: &Job, host: &Host) -> bool {
         job.request
             .allows_host(&host.spec.machine_type, &host.zone, host.spot)
             && !job.failures.avoids(&host.id)
     }
 
     /// `behind_none`: only hosts where no admitted work waits.
-    pub(crate) fn candidates(&self, pass: &Pass, job: &Job, behind_none: bool) -> Candidates {
+    pub(crate) fn candidates(&self, pass: &Cycle, job: &Job, behind_none: bool) -> Candidates {
         let r = &job.request;
         let heap = self
             .with_slots(pass)
             .filter(|(i, _, _)| pass.fits(*i, &r.id, &r.each))
             .filter(|(_, _, host)| !behind_none || host.queue.is_empty())
-            .filter(|(_, _, host)| Self::suits(job, host))
+            .filter(|(_, _, host)| Self::is_feasible(job, host))
             .map(|(i, slot, host)| {
-                let cost = cost(host, &slot.room, r, pass.now) + unproved(job, host, pass.now);
+                let cost =
+                    cost(host, &slot.room, r, pass.now) + unproven_penalty(job, host, pass.now);
                 Reverse((cost, i))
             })
             .collect();
@@ -168,9 +169,9 @@
     /// The best candidate for task `i`.
     pub(crate) fn best(
         &self,
-        pass: &Pass,
+        pass: &Cycle,
         candidates: &mut Candidates,
-        zones: &ZoneRooms,
+        zones: &ZoneCapacity,
         (id, each): (&JobId, &Resources),
         i: u32,
     ) -> Option<usize> {
@@ -195,9 +196,9 @@
     }
 
     /// A task was started on this candidate: it is judged anew.
-    pub(crate) fn judge(
+    pub(crate) fn rescore(
         &self,
-        pass: &Pass,
+        pass: &Cycle,
         candidates: &mut Candidates,
         slot: usize,
         request: &JobRequest,
@@ -225,19 +226,19 @@
     }
 
     /// Deadline-free tasks that start alone: services and plain arrays.
-    pub(crate) fn start_loose(&mut self, pass: &mut Pass, id: &JobId) {
+    pub(crate) fn start_without_deadline(&mut self, pass: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
         let production = job.is_production();
-        let suspect = job.failures.is_suspect();
-        if pass.is_hopeless(&request.each) && !production {
+        let suspect = job.failures.is_backing_off();
+        if pass.is_infeasible(&request.each) && !production {
             return;
         }
         // The rest queues last: never ahead of admitted work that waits there.
         let behind_none = !is_urgent(job);
         let mut candidates = self.candidates(pass, job, behind_none);
-        let mut zones = self.zone_rooms(job);
-        let patience = self.patience_of(job, pass.now);
+        let mut zones = self.zone_capacity(job);
+        let patience = self.longest_wait(job, pass.now);
         loop {
             let Some(job) = self.jobs.get_mut(id) else {
                 return;
@@ -246,7 +247,7 @@
                 return;
             }
             let Some(i) = job.next_pending() else { return };
-            let (pending, making) = (job.pending() as usize, job.making_room.len());
+            let (pending, making) = (job.pending() as usize, job.preempting.len());
             if !self.may_start(pass, &request, 1) {
                 return;
             }
@@ -258,12 +259,12 @@
             // it start at once; room is made for as many of its tasks as wait.
             if production && wait > patience && !suspect {
                 if best.is_none() {
-                    self.note_no_room(pass, id, i);
+                    self.record_blocked_replica(pass, id, i);
                 }
                 if making >= pending {
                     return;
                 }
-                if self.make_room(pass, id, i, &zones, wait) {
+                if self.preempt_for_replica(pass, id, i, &zones, wait) {
                     continue;
                 }
             }
@@ -272,7 +273,7 @@
             if let Some(zone) = self.zone_of(&pass.slots[slot].id) {
                 zones.add(&zone);
             }
-            self.judge(pass, &mut candidates, slot, &request, behind_none);
+            self.rescore(pass, &mut candidates, slot, &request, behind_none);
         }
     }
 }
--- a/crates/jasperhill-scheduler/src/preemption.rs
+++ b/crates/jasperhill-scheduler/src/preemption.rs
@@ -1,16 +1,16 @@
 //! Making room: lesser work is stopped for production tasks and gangs.
 
 use crate::{
-    cycle::Pass,
+    cycle::Cycle,
     host::Host,
     partition::Partition,
-    placement::{ZoneRooms, start_delay},
+    placement::{ZoneCapacity, start_delay},
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, TaskId, user::Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long after the last victim must be gone room that was made is waited for.
-const ROOM_KEPT: Micros = Micros::from_secs(4);
+const FREED_HELD_FOR: Micros = Micros::from_secs(4);
 /// Room that comes by itself this soon is waited for.
 const SOON: Micros = Micros::from_secs(3);
 
@@ -23,7 +23,7 @@
 /// Work that could be stopped.
 pub(crate) struct Victim {
     /// Work lost by stopping it.
-    lost: Micros,
+    lost_work: Micros,
     task: TaskId,
     each: Resources,
     grace: Micros,
@@ -37,7 +37,7 @@
             .tasks
             .iter()
             // What is stopping already makes room for somebody else.
-            .filter(|(_, t)| t.is_on() && t.stopping.is_none())
+            .filter(|(_, t)| t.holds_resources() && t.stopping.is_none())
             .filter_map(|(task, t)| {
                 let other = self.jobs.get(&task.job)?;
                 let size = if other.is_gang() {
@@ -59,7 +59,7 @@
                         + Micros(MORE_IMPORTANT.0 * rank)
                         + if fresh { FRESH_COST } else { Micros::ZERO };
                     Victim {
-                        lost: Micros(lost.0.saturating_mul(u64::from(size))),
+                        lost_work: Micros(lost.0.saturating_mul(u64::from(size))),
                         task: task.clone(),
                         each: t.each,
                         grace,
@@ -67,41 +67,41 @@
                 })
             })
             .collect();
-        victims.sort_by_key(|v| v.lost);
+        victims.sort_by_key(|v| v.lost_work);
         victims
     }
 
-    fn stop_victims(&mut self, pass: &Pass, host: &HostId, victims: &[TaskId], why: &'static str) {
-        pass.forget_host(host);
+    fn stop_victims(&mut self, pass: &Cycle, host: &HostId, victims: &[TaskId], why: &'static str) {
+        pass.invalidate_host(host);
         for task in victims {
             let Some(other) = self.jobs.get_mut(&task.job) else {
                 continue;
             };
             other.preempted += 1;
             if other.is_gang() {
-                other.live.values().for_each(|h| pass.forget_host(h));
+                other.live.values().for_each(|h| pass.invalidate_host(h));
             }
-            self.make_way(host, task, why, pass.now);
+            self.stop_with_grace(host, task, why, pass.now);
         }
     }
 
     /// Stops work of lower priority for a production task that finds no room. True if room is
     /// now being made where the wait is shorter than `wait`.
-    pub(crate) fn make_room(
+    pub(crate) fn preempt_for_replica(
         &mut self,
-        pass: &mut Pass,
+        pass: &mut Cycle,
         id: &JobId,
         i: u32,
-        zones: &ZoneRooms,
+        zones: &ZoneCapacity,
         wait: Micros,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
         let (request, priority) = (job.request.clone(), job.priority());
-        let patience = self.patience_of(job, pass.now);
+        let patience = self.longest_wait(job, pass.now);
         let mut zones = zones.clone();
-        for (host, _) in &job.making_room {
+        for (host, _) in &job.preempting {
             if let Some(zone) = self.zone_of(host) {
                 zones.add(&zone);
             }
@@ -111,7 +111,7 @@
         for (at, slot, host) in self.with_slots(pass) {
             if !slot.usable
                 || slot.reserved.as_ref().is_some_and(|j| j != id)
-                || !Self::suits(job, host)
+                || !Self::is_feasible(job, host)
                 || !zones.allows(&host.zone)
                 || host.tasks.contains_key(&task)
             {
@@ -137,7 +137,7 @@
                     break;
                 }
                 free += victim.each;
-                loss += victim.lost;
+                loss += victim.lost_work;
                 grace = grace.max(victim.grace);
                 chosen.push(victim.task.clone());
             }
@@ -156,7 +156,8 @@
         let host = pass.slots[at].id.clone();
         self.stop_victims(pass, &host, &victims, "room for production");
         if let Some(job) = self.jobs.get_mut(id) {
-            job.making_room.push((host, pass.now + grace + ROOM_KEPT));
+            job.preempting
+                .push((host, pass.now + grace + FREED_HELD_FOR));
         }
         pass.take(at, &request.each);
         true
@@ -164,40 +165,40 @@
 
     /// Stops lesser work for a gang that does not find room for all of its tasks.
     /// The hosts are kept for it until it starts or the room has not come about in time.
-    pub(crate) fn make_gang_room(&mut self, pass: &mut Pass, id: &JobId) {
+    pub(crate) fn preempt_for_gang(&mut self, pass: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let (request, priority) = (job.request.clone(), job.priority());
-        if !job.making_room.is_empty() {
+        if !job.preempting.is_empty() {
             return;
         }
         if job
-            .kept
+            .held_hosts
             .as_ref()
             .is_some_and(|k| k.ready <= pass.now + SOON)
         {
             return;
         }
-        if pass.is_roomless(priority, &request) {
+        if pass.is_gang_without_victims(priority, &request) {
             return;
         }
         let mut listed = false;
         /// A place for one more task: what it costs, where, and who must go for it.
-        struct Seat {
+        struct CandidatePlacement {
             cost: u64,
             at: usize,
             victims: Vec<TaskId>,
             grace: Micros,
         }
-        let mut by_zone: BTreeMap<Name, Vec<Seat>> = BTreeMap::new();
+        let mut by_zone: BTreeMap<Name, Vec<CandidatePlacement>> = BTreeMap::new();
         for (at, slot, host) in self.with_slots(pass) {
             if !slot.usable
                 || slot.reserved.as_ref().is_some_and(|j| j != id)
-                || !Self::suits(job, host)
+                || !Self::is_feasible(job, host)
                 || !request.each.fits(&host.spec.capacity)
             {
                 continue;
             }
-            if host.lists(id) {
+            if host.lists_job(id) {
                 listed = true;
                 continue;
             }
@@ -213,7 +214,7 @@
             while found < request.tasks && request.each.fits(&free) {
                 free -= request.each;
                 found += 1;
-                seats.push(Seat {
+                seats.push(CandidatePlacement {
                     cost: delay,
                     at,
                     victims: Vec::new(),
@@ -229,13 +230,13 @@
                     break;
                 }
                 free += victim.each;
-                loss += victim.lost.0;
+                loss += victim.lost_work.0;
                 grace = grace.max(victim.grace);
                 go.push(victim.task.clone());
                 if request.each.fits(&free) {
                     free -= request.each;
                     found += 1;
-                    seats.push(Seat {
+                    seats.push(CandidatePlacement {
                         cost: delay + grace.0 + loss,
                         at,
                         victims: std::mem::take(&mut go),
@@ -244,10 +245,10 @@
                 }
             }
         }
-        let mut best: Option<(u64, Vec<Seat>)> = None;
+        let mut best: Option<(u64, Vec<CandidatePlacement>)> = None;
         for mut seats in by_zone.into_values() {
             seats.sort_by_key(|s| (s.cost, s.at, s.victims.len()));
-            let mut zones = ZoneRooms::of(job, |_| None);
+            let mut zones = ZoneCapacity::of(job, |_| None);
             let (mut total, mut chosen) = (0, Vec::new());
             for seat in seats {
                 let zone = self.zone_of(&pass.slots[seat.at].id).unwrap_or("".into());
@@ -266,12 +267,12 @@
         let Some((_, chosen)) = best else {
             // Where it is itself does not count for others.
             if !listed && !job.failures.avoids_any() {
-                pass.note_roomless(priority, &request);
+                pass.note_gang_without_victims(priority, &request);
             }
             return;
         };
         let grace = chosen.iter().map(|s| s.grace).max().unwrap_or_default();
-        let until = pass.now + grace + ROOM_KEPT;
+        let until = pass.now + grace + FREED_HELD_FOR;
         let hosts: BTreeSet<usize> = chosen.iter().map(|s| s.at).collect();
         for seat in &chosen {
             let host = pass.slots[seat.at].id.clone();
@@ -279,8 +280,8 @@
         }
         let hosts: Vec<HostId> = hosts.iter().map(|at| pass.slots[*at].id.clone()).collect();
         if let Some(job) = self.jobs.get_mut(id) {
-            job.making_room = hosts.iter().map(|h| (h.clone(), until)).collect();
-            job.kept = Some(crate::job::HostReservation {
+            job.preempting = hosts.iter().map(|h| (h.clone(), until)).collect();
+            job.held_hosts = Some(crate::job::HeldHosts {
                 hosts,
                 until,
                 ready: pass.now + grace,
@@ -289,15 +290,15 @@
     }
 
     /// Room that has not come about in time is not waited for any longer.
-    pub(crate) fn keep_made_room(&mut self, now: Micros) {
+    pub(crate) fn expire_preemptions(&mut self, now: Micros) {
         for job in self.jobs.values_mut() {
-            if job.making_room.is_empty() {
+            if job.preempting.is_empty() {
                 continue;
             }
             if job.pending() == 0 || job.termination.is_some() {
-                job.making_room.clear();
+                job.preempting.clear();
             }
-            job.making_room.retain(|(_, until)| now <= *until);
+            job.preempting.retain(|(_, until)| now <= *until);
         }
     }
 }
--- a/crates/jasperhill-scheduler/src/recovery.rs
+++ b/crates/jasperhill-scheduler/src/recovery.rs
@@ -4,7 +4,7 @@
 //! meanwhile would stand in their way.
 
 use crate::{
-    cycle::Pass,
+    cycle::Cycle,
     host::{FencingState, Host},
     job::{Job, Readiness},
     partition::{Event, Partition, UnconfirmedTasks},
@@ -15,7 +15,7 @@
 /// How long the choice of rooms that are kept stands before it is made anew.
 const KEPT_FOR: Micros = Micros::from_secs(1);
 /// The least that a replica may wait: once it has run, or is overdue, every second counts.
-const LEAST_PATIENCE: Micros = Micros::from_secs(1);
+const MIN_WAIT: Micros = Micros::from_secs(1);
 /// After a takeover, a host that has not answered for so long.
 const UNANSWERED: Micros = Micros::from_secs(4);
 /// A job that was there before a takeover for so long counts as one that ran.
@@ -28,10 +28,10 @@
 pub enum Recovery {
     /// Every replica that ran runs.
     #[default]
-    Whole,
+    Complete,
     /// Some replicas are lost, since a moment. `overtaken`: replicas that found no room while
     /// lesser work that started meanwhile was where they could have been.
-    Short {
+    Incomplete {
         since: Micros,
         lost: u32,
         overtaken: u32,
@@ -62,19 +62,19 @@
     /// The one function that changes it.
     pub fn apply(&mut self, input: Input, now: Micros) -> Option<Recovered> {
         match (&mut *self, input) {
-            (Self::Whole, Input::TakenOver | Input::Lost) => {
-                *self = Self::Short {
+            (Self::Complete, Input::TakenOver | Input::Lost) => {
+                *self = Self::Incomplete {
                     since: now,
                     lost: u32::from(input == Input::Lost),
                     overtaken: 0,
                 };
             }
-            (Self::Short { lost, .. }, Input::Lost) => *lost = lost.saturating_add(1),
-            (Self::Short { overtaken, .. }, Input::Overtaken) => {
+            (Self::Incomplete { lost, .. }, Input::Lost) => *lost = lost.saturating_add(1),
+            (Self::Incomplete { overtaken, .. }, Input::Overtaken) => {
                 *overtaken = overtaken.saturating_add(1);
             }
             (
-                Self::Short {
+                Self::Incomplete {
                     since,
                     lost,
                     overtaken,
@@ -86,31 +86,31 @@
                     lost: *lost,
                     overtaken: *overtaken,
                 };
-                *self = Self::Whole;
+                *self = Self::Complete;
                 return Some(recovered);
             }
-            (Self::Short { .. }, Input::TakenOver | Input::Missing(_))
-            | (Self::Whole, Input::Overtaken | Input::Missing(_)) => {}
+            (Self::Incomplete { .. }, Input::TakenOver | Input::Missing(_))
+            | (Self::Complete, Input::Overtaken | Input::Missing(_)) => {}
         }
         None
     }
 
-    pub fn is_short(&self) -> bool {
-        matches!(self, Self::Short { .. })
+    pub fn is_incomplete(&self) -> bool {
+        matches!(self, Self::Incomplete { .. })
     }
 }
 
 /// Room on a host that is kept for a replica that may be lost.
 #[derive(Clone, Debug)]
-pub(crate) struct Kept {
+pub(crate) struct HeldCapacity {
     host: HostId,
     each: Resources,
 }
 
 /// What is kept, and what waits.
 #[derive(Debug, Default)]
-pub(crate) struct Returning {
-    kept: Vec<Kept>,
+pub(crate) struct ReplicaRecovery {
+    kept: Vec<HeldCapacity>,
     until: Micros,
     /// Replicas that have found no room because of lesser work started since.
     overtaken: BTreeSet<TaskId>,
@@ -124,59 +124,59 @@
         match host.fencing {
             FencingState::Lapsed => false,
             // Asked directly since the takeover, and asked again.
-            FencingState::Unfenced { .. } => heard >= UNANSWERED.min(self.config.silence()),
+            FencingState::Unfenced { .. } => heard >= UNANSWERED.min(self.config.silence_limit()),
             FencingState::Fenced => heard >= self.config.report.scale(1.5) + Micros::from_secs(1),
         }
     }
 
     /// How long a task of this job may wait for an image before lesser work makes way for it
     /// where it could start at once: what is left of the time that the objectives give.
-    pub(crate) fn patience_of(&self, job: &Job, now: Micros) -> Micros {
-        let patience = self.config.patience(&job.request.class);
+    pub(crate) fn longest_wait(&self, job: &Job, now: Micros) -> Micros {
+        let patience = self.config.longest_start_delay(&job.request.class);
         if job.ran_whole {
-            return LEAST_PATIENCE.min(patience);
+            return MIN_WAIT.min(patience);
         }
-        ((job.submitted + patience) - now).max(LEAST_PATIENCE.min(patience))
+        ((job.submitted + patience) - now).max(MIN_WAIT.min(patience))
     }
 
-    fn counts_as_run(&self, job: &Job, now: Micros) -> bool {
+    fn has_run(&self, job: &Job, now: Micros) -> bool {
         job.ran_whole || (job.created <= self.since && now - job.submitted > SETTLED)
     }
 
     /// Replicas of a production service that is to run.
-    fn is_returning_kind(job: &Job) -> bool {
+    fn is_recoverable(job: &Job) -> bool {
         job.is_service()
             && job.priority() == Priority::Production
             && job.termination.is_none()
             && job.gate == Readiness::Open
-            && !job.failures.is_suspect()
+            && !job.failures.is_backing_off()
     }
 
     /// Looks after the losses: every pass while there are any, and costs nothing otherwise.
-    pub(crate) fn look_after_losses(&mut self, now: Micros) {
-        if !self.recovery.is_short() {
+    pub(crate) fn update_recovery(&mut self, now: Micros) {
+        if !self.recovery.is_incomplete() {
             return;
         }
         let mut missing = 0;
-        for job in self.jobs.values().filter(|j| Self::is_returning_kind(j)) {
-            if self.counts_as_run(job, now) {
+        for job in self.jobs.values().filter(|j| Self::is_recoverable(j)) {
+            if self.has_run(job, now) {
                 missing += job.request.tasks - (job.running.len() as u32).min(job.request.tasks);
             }
         }
         if let Some(recovered) = self.recovery.apply(Input::Missing(missing), now) {
             self.returning.overtaken.clear();
-            self.events.push(Event::Whole(recovered));
+            self.events.push(Event::ProductionRecovered(recovered));
         }
     }
 
     /// A replica finds no room: counted if lesser work that was started since the loss is where
     /// it could be.
-    pub(crate) fn note_no_room(&mut self, pass: &Pass, id: &JobId, i: u32) {
-        let Recovery::Short { since, .. } = self.recovery else {
+    pub(crate) fn record_blocked_replica(&mut self, pass: &Cycle, id: &JobId, i: u32) {
+        let Recovery::Incomplete { since, .. } = self.recovery else {
             return;
         };
         let Some(job) = self.jobs.get(id) else { return };
-        if !self.counts_as_run(job, pass.now) {
+        if !self.has_run(job, pass.now) {
             return;
         }
         let task = TaskId::new(id, i);
@@ -186,11 +186,11 @@
         };
         let taken = self.with_slots(pass).any(|(_, slot, host)| {
             slot.usable
-                && Self::suits(job, host)
+                && Self::is_feasible(job, host)
                 && host
                     .tasks
                     .iter()
-                    .any(|(t, on)| on.is_on() && on.ordered >= since && lesser(t))
+                    .any(|(t, on)| on.holds_resources() && on.ordered >= since && lesser(t))
         });
         if taken && self.returning.overtaken.len() < OVERTAKEN_MAX {
             let news = self.returning.overtaken.insert(task);
@@ -208,7 +208,7 @@
         };
         let on_silent = job.live.values().filter(|h| silent(h)).count() as u32;
         // After a takeover: what no host that answers runs is on one that does not.
-        let unseen = if self.is_haunted(job, ghosts) {
+        let unseen = if self.may_run_unconfirmed(job, ghosts) {
             job.pending()
         } else {
             0
@@ -218,15 +218,16 @@
 
     /// Keeps room for replicas that may be lost, for the rest of the pass: production is
     /// served already, and what follows is lesser work.
-    pub(crate) fn keep_room_for_losses(&mut self, pass: &mut Pass) {
+    pub(crate) fn hold_capacity_for_losses(&mut self, pass: &mut Cycle) {
         let now = pass.now;
         if now >= self.returning.until {
             self.returning.until = now + KEPT_FOR;
             self.returning.kept.clear();
-            let may_return =
-                |h: &Host| self.is_silent(h, now) && (h.tasks_on() > 0 || h.has_ghosts());
+            let may_return = |h: &Host| {
+                self.is_silent(h, now) && (h.tasks_on() > 0 || h.has_unconfirmed_tasks())
+            };
             if self.hosts.values().any(may_return) {
-                self.returning.kept = self.choose_rooms(pass);
+                self.returning.kept = self.choose_capacity(pass);
             }
         } else {
             let kept = std::mem::take(&mut self.returning.kept);
@@ -243,11 +244,11 @@
     }
 
     /// The rooms where the replicas at risk would start the soonest; they are taken.
-    fn choose_rooms(&self, pass: &mut Pass) -> Vec<Kept> {
+    fn choose_capacity(&self, pass: &mut Cycle) -> Vec<HeldCapacity> {
         let mut kept = Vec::new();
-        for job in self.jobs.values().filter(|j| Self::is_returning_kind(j)) {
+        for job in self.jobs.values().filter(|j| Self::is_recoverable(j)) {
             let many = self.at_risk(job, &pass.ghosts, pass.now);
-            if many == 0 || pass.is_hopeless(&job.request.each) {
+            if many == 0 || pass.is_infeasible(&job.request.each) {
                 continue;
             }
             let r = job.request.clone();
@@ -255,7 +256,7 @@
                 let host = self.hosts.get(*id);
                 host.is_some_and(|h| !self.is_silent(h, pass.now))
             });
-            let mut zones = crate::placement::ZoneRooms::among(&r, safe, |h| self.zone_of(h));
+            let mut zones = crate::placement::ZoneCapacity::among(&r, safe, |h| self.zone_of(h));
             let mut candidates = self.candidates(pass, job, false);
             // Any task of it: a replica that is there already does not come twice.
             let none = r.tasks;
@@ -269,19 +270,17 @@
                 if let Some(zone) = self.zone_of(&host) {
                     zones.add(&zone);
                 }
-                kept.push(Kept { host, each: r.each });
-                self.judge(pass, &mut candidates, i, &r, false);
+                kept.push(HeldCapacity { host, each: r.each });
+                self.rescore(pass, &mut candidates, i, &r, false);
             }
         }
         kept
     }
 
     /// A replica that ran is gone without having been told to stop.
-    pub(crate) fn note_lost(&mut self, task: &TaskId, now: Micros) {
+    pub(crate) fn record_lost_replica(&mut self, task: &TaskId, now: Micros) {
         let ran = |j: &Job| {
-            Self::is_returning_kind(j)
-                && self.counts_as_run(j, now)
-                && j.running.contains(&task.index)
+            Self::is_recoverable(j) && self.has_run(j, now) && j.running.contains(&task.index)
         };
         if self.jobs.get(&task.job).is_some_and(ran) {
             self.recovery.apply(Input::Lost, now);
@@ -310,6 +309,6 @@
             overtaken: 1,
         };
         assert_eq!(whole, Some(expected));
-        assert_eq!(r, Recovery::Whole);
+        assert_eq!(r, Recovery::Complete);
     }
 }
--- a/crates/jasperhill-scheduler/src/reference_model.rs
+++ b/crates/jasperhill-scheduler/src/reference_model.rs
@@ -2,14 +2,14 @@
 //! indexed ones come to. Tests only.
 
 use crate::{
-    admission::FOR_EVER,
+    admission::NO_DEADLINE,
     config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, fetch_time},
-    cycle::Pass,
-    host::Source,
+    cycle::Cycle,
+    host::HeartbeatSource,
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
     placement::cost,
-    schedule_simulation::{Booking, Occupied, density, insert, misses},
+    schedule_simulation::{Occupied, Reservation, count_missed, density, insert_by_deadline},
 };
 use jasperhill_wire::{
     FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
@@ -102,7 +102,7 @@
         teams: vec![TeamLimits {
             name: "red".into(),
             guaranteed: Resources::default(),
-            most: Resources::from_units(0.0, 90.0, 0.0),
+            limit: Resources::from_units(0.0, 90.0, 0.0),
         }],
         report: Micros::from_secs(3),
         lease: Micros::from_secs(16),
@@ -150,7 +150,7 @@
             termination_notice: None,
             tasks: listed,
         };
-        part.on_heartbeat(&report, Source::Heartbeat, NOW);
+        part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
         if let Some(host) = part.hosts.get_mut(&id) {
             host.touch_image(&Name::from(format!("i{image}").as_str()), 2.0);
             host.slowness = f64::from(*slow) / 10.0;
@@ -158,14 +158,14 @@
     }
     for (i, (host, left, estimate)) in s.booked.iter().enumerate() {
         let id = HostId::new(&format!("n-{:02}", host % s.hosts.len()));
-        let booking = Booking {
+        let booking = Reservation {
             task: TaskId::new(&JobId::new("job-other"), i as u32),
             each: Resources::from_units(1.0, 1.0, 4.0),
-            adjusted: NOW + Micros::from_secs(*left),
+            adjusted_deadline: NOW + Micros::from_secs(*left),
             estimate: Micros::from_secs(*estimate),
         };
         if let Some(host) = part.hosts.get_mut(&id) {
-            insert(&mut host.queue, booking);
+            insert_by_deadline(&mut host.queue, booking);
         }
     }
     let submitted = NOW - Micros::from_secs(s.submitted_ago);
@@ -181,21 +181,27 @@
 
 /// The forward run over all hosts for one task; among those with the fewest new misses the
 /// lowest density, the first of equals.
-fn choose(part: &Partition, pass: &Pass, task: &TaskId, due: Micros) -> Option<(HostId, Booking)> {
+fn choose(
+    part: &Partition,
+    pass: &Cycle,
+    task: &TaskId,
+    due: Micros,
+) -> Option<(HostId, Reservation)> {
     let job = part.jobs.get(&task.job)?;
-    let zones = part.zone_rooms(job);
-    let mut best: Option<(usize, f64, HostId, Booking)> = None;
+    let zones = part.zone_capacity(job);
+    let mut best: Option<(usize, f64, HostId, Reservation)> = None;
     for host in part.hosts.values() {
         let fits = job.request.each.fits(&host.spec.capacity);
-        if !fits || !Partition::suits(job, host) || !zones.allows(&host.zone) {
+        if !fits || !Partition::is_feasible(job, host) || !zones.allows(&host.zone) {
             continue;
         }
-        let booking = part.booking(host, task, &job.request, due, pass.now);
+        let booking = part.reservation(host, task, &job.request, due, pass.now);
         let running = part.occupied(host, pass.now);
         let mut queue = host.queue.clone();
-        let before = misses(pass.now, host.room(), &running, &queue);
-        insert(&mut queue, booking.clone());
-        let missed = misses(pass.now, host.room(), &running, &queue).saturating_sub(before);
+        let before = count_missed(pass.now, host.free_resources(), &running, &queue);
+        insert_by_deadline(&mut queue, booking.clone());
+        let missed =
+            count_missed(pass.now, host.free_resources(), &running, &queue).saturating_sub(before);
         let dense = density(pass.now, &queue);
         let better = |(m, d): (usize, f64)| {
             (missed, dense).partial_cmp(&(m, d)) == Some(std::cmp::Ordering::Less)
@@ -207,11 +213,11 @@
     best.map(|(_, _, host, booking)| (host, booking))
 }
 
-fn book(part: &mut Partition, pass: &Pass, id: &JobId) {
+fn book(part: &mut Partition, pass: &Cycle, id: &JobId) {
     let Some(job) = part.jobs.get(id) else { return };
-    let (request, missed) = (job.request.clone(), job.missed);
+    let (request, missed) = (job.request.clone(), job.missed_deadline);
     let Some(due) = job.due else { return };
-    let due = if missed { pass.now + FOR_EVER } else { due };
+    let due = if missed { pass.now + NO_DEADLINE } else { due };
     let mut taken = 0;
     while part.may_start(pass, &request, taken + 1) {
         let Some(i) = part.jobs.get_mut(id).and_then(Job::next_pending) else {
@@ -222,9 +228,9 @@
             return;
         };
         if let Some(host) = part.hosts.get_mut(&host) {
-            insert(&mut host.queue, booking);
+            insert_by_deadline(&mut host.queue, booking);
         }
-        part.set_step(&task, TaskStep::Booked(host));
+        part.set_step(&task, TaskStep::Reserved(host));
         taken += 1;
     }
 }
@@ -248,14 +254,14 @@
     {
         tested += 1;
     }
-    type Copy = (Vec<Occupied>, Vec<Booking>, usize);
+    type Copy = (Vec<Occupied>, Vec<Reservation>, usize);
     let mut copies: BTreeMap<HostId, Copy> = part
         .hosts
         .values()
         .filter(|h| request.allows_host(&h.spec.machine_type, &h.zone, h.spot))
         .map(|h| {
             let running = part.occupied(h, NOW);
-            let before = misses(NOW, h.room(), &running, &h.queue);
+            let before = count_missed(NOW, h.free_resources(), &running, &h.queue);
             (h.id.clone(), (running, h.queue.clone(), before))
         })
         .collect();
@@ -269,13 +275,13 @@
     let late: usize = copies.values().map(|c| c.2).sum();
     rented = rented.saturating_sub(late as u64);
     for i in 0..tested {
-        let mut best: Option<(f64, HostId, Vec<Booking>)> = None;
+        let mut best: Option<(f64, HostId, Vec<Reservation>)> = None;
         for (id, (running, queue, before)) in &copies {
             let host = &part.hosts[id];
             let task = TaskId::new(&request.id, i);
             let mut queue = queue.clone();
-            insert(&mut queue, part.booking(host, &task, request, due, NOW));
-            if misses(NOW, host.room(), running, &queue) > *before {
+            insert_by_deadline(&mut queue, part.reservation(host, &task, request, due, NOW));
+            if count_missed(NOW, host.free_resources(), running, &queue) > *before {
                 continue;
             }
             let dense = density(NOW, &queue);
@@ -293,7 +299,7 @@
 }
 
 /// Task after task on the cheapest host that has room and no queue.
-fn start_loose(part: &mut Partition, pass: &mut Pass, id: &JobId) {
+fn start_loose(part: &mut Partition, pass: &mut Cycle, id: &JobId) {
     loop {
         let Some(job) = part.jobs.get_mut(id) else {
             return;
@@ -304,12 +310,12 @@
             return;
         }
         let job = &part.jobs[id];
-        let zones = part.zone_rooms(job);
+        let zones = part.zone_capacity(job);
         let best = part
             .with_slots(pass)
             .filter(|(i, _, _)| pass.fits(*i, id, &request.each))
             .filter(|(_, _, h)| h.queue.is_empty())
-            .filter(|(_, _, h)| Partition::suits(job, h) && zones.allows(&h.zone))
+            .filter(|(_, _, h)| Partition::is_feasible(job, h) && zones.allows(&h.zone))
             .min_by_key(|(i, slot, h)| (cost(h, &slot.room, &request, pass.now), *i))
             .map(|(i, _, _)| i);
         match best {
@@ -319,7 +325,7 @@
     }
 }
 
-type Placed = Vec<(HostId, Vec<TaskId>, Vec<Booking>)>;
+type Placed = Vec<(HostId, Vec<TaskId>, Vec<Reservation>)>;
 
 fn placed(part: &Partition) -> Placed {
     let on = |h: &crate::Host| h.tasks.keys().cloned().collect();
@@ -344,8 +350,8 @@
     #[test]
     fn bookings_are_those_of_the_plain_forward_run(s in setting(Shape::Array)) {
         let (mut indexed, mut plainly) = (build(&s), build(&s));
-        let pass = indexed.look(NOW);
-        indexed.book(&pass, &s.request.id);
+        let pass = indexed.begin_cycle(NOW);
+        indexed.reserve(&pass, &s.request.id);
         book(&mut plainly, &pass, &s.request.id);
         prop_assert_eq!(placed(&indexed), placed(&plainly));
     }
@@ -364,9 +370,9 @@
     #[test]
     fn starts_are_those_of_the_plain_choice(s in setting(Shape::Service)) {
         let (mut indexed, mut plainly) = (build(&s), build(&s));
-        let mut pass = indexed.look(NOW);
-        indexed.start_loose(&mut pass, &s.request.id);
-        let mut pass = plainly.look(NOW);
+        let mut pass = indexed.begin_cycle(NOW);
+        indexed.start_without_deadline(&mut pass, &s.request.id);
+        let mut pass = plainly.begin_cycle(NOW);
         start_loose(&mut plainly, &mut pass, &s.request.id);
         prop_assert_eq!(placed(&indexed), placed(&plainly));
     }
--- a/crates/jasperhill-scheduler/src/schedule_simulation.rs
+++ b/crates/jasperhill-scheduler/src/schedule_simulation.rs
@@ -6,11 +6,11 @@
 
 /// A task booked on a host, not started yet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Booking {
+pub struct Reservation {
     pub task: TaskId,
     pub each: Resources,
     /// Deadline less factor times start delay.
-    pub adjusted: Micros,
+    pub adjusted_deadline: Micros,
     pub estimate: Micros,
 }
 
@@ -30,11 +30,11 @@
 
 /// Plays the queue from `now` and counts the tasks that would end after their adjusted
 /// deadlines. `running` is in order of ends, the soonest last.
-pub fn misses<'a>(
+pub fn count_missed<'a>(
     now: Micros,
     mut room: Resources,
     running: &[Occupied],
-    queue: impl IntoIterator<Item = &'a Booking>,
+    queue: impl IntoIterator<Item = &'a Reservation>,
 ) -> usize {
     let (mut at, mut missed) = (now, 0);
     // Of those that run, and of those that have been started in the play.
@@ -61,7 +61,7 @@
             }
         }
         let until = at + booking.estimate;
-        if until > booking.adjusted {
+        if until > booking.adjusted_deadline {
             missed += 1;
         }
         room -= booking.each;
@@ -73,20 +73,20 @@
 }
 
 /// The sum of estimate over time to deadline. Work whose time is up counts as dense as it gets.
-pub fn density<'a>(now: Micros, queue: impl IntoIterator<Item = &'a Booking>) -> f64 {
+pub fn density<'a>(now: Micros, queue: impl IntoIterator<Item = &'a Reservation>) -> f64 {
     queue
         .into_iter()
-        .map(|b| b.estimate.as_secs_f64() / (b.adjusted - now).as_secs_f64().max(0.001))
+        .map(|b| b.estimate.as_secs_f64() / (b.adjusted_deadline - now).as_secs_f64().max(0.001))
         .sum()
 }
 
 /// Where a booking goes in a queue: by adjusted deadline, after its equals.
-pub fn place(queue: &[Booking], booking: &Booking) -> usize {
-    queue.partition_point(|b| b.adjusted <= booking.adjusted)
+pub fn insert_position(queue: &[Reservation], booking: &Reservation) -> usize {
+    queue.partition_point(|b| b.adjusted_deadline <= booking.adjusted_deadline)
 }
 
-pub fn insert(queue: &mut Vec<Booking>, booking: Booking) {
-    let place = place(queue, &booking);
+pub fn insert_by_deadline(queue: &mut Vec<Reservation>, booking: Reservation) {
+    let place = insert_position(queue, &booking);
     queue.insert(place, booking);
 }
 
@@ -96,11 +96,11 @@
     use jasperhill_wire::JobId;
     use proptest::prelude::*;
 
-    fn booking(adjusted: u64, estimate: u64) -> Booking {
-        Booking {
+    fn booking(adjusted: u64, estimate: u64) -> Reservation {
+        Reservation {
             task: TaskId::new(&JobId::new("job-1"), 0),
             each: Resources::from_units(1.0, 1.0, 1.0),
-            adjusted: Micros::from_secs(adjusted),
+            adjusted_deadline: Micros::from_secs(adjusted),
             estimate: Micros::from_secs(estimate),
         }
     }
@@ -109,8 +109,8 @@
     fn two_at_a_time_meet_what_one_at_a_time_misses() {
         let queue = [booking(10, 10), booking(10, 10)];
         let one = Resources::from_units(1.0, 1.0, 1.0);
-        assert_eq!(misses(Micros::ZERO, one, &[], &queue), 1);
-        assert_eq!(misses(Micros::ZERO, one.times(2), &[], &queue), 0);
+        assert_eq!(count_missed(Micros::ZERO, one, &[], &queue), 1);
+        assert_eq!(count_missed(Micros::ZERO, one.times(2), &[], &queue), 0);
     }
 
     #[test]
@@ -120,7 +120,7 @@
             each: Resources::from_units(1.0, 1.0, 1.0),
         };
         assert_eq!(
-            misses(
+            count_missed(
                 Micros::ZERO,
                 Resources::default(),
                 &[held],
@@ -141,11 +141,11 @@
             items in proptest::collection::vec((1u64..300, 1u64..60), 1..30)
         ) {
             let mut queue = Vec::new();
-            for (d, e) in &items { insert(&mut queue, booking(*d, *e)); }
-            prop_assert!(queue.windows(2).all(|w| w[0].adjusted <= w[1].adjusted));
+            for (d, e) in &items { insert_by_deadline(&mut queue, booking(*d, *e)); }
+            prop_assert!(queue.windows(2).all(|w| w[0].adjusted_deadline <= w[1].adjusted_deadline));
             let wide = Resources::from_units(1.0, 1.0, 1.0).times(items.len() as u64);
             let alone = items.iter().filter(|(d, e)| e > d).count();
-            prop_assert_eq!(misses(Micros::ZERO, wide, &[], &queue), alone);
+            prop_assert_eq!(count_missed(Micros::ZERO, wide, &[], &queue), alone);
         }
     }
 }
--- a/crates/jasperhill-scheduler/src/starvation.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -15,14 +15,14 @@
 /// Fewer jobs than this that wait for too long don't put anybody behind.
 const FEW: usize = 2;
 /// How long a job must have waited, at the least, and so many times what its objective says.
-const PATIENCE: Micros = Micros::from_secs(45);
-const PATIENCE_TIMES: f64 = 3.0;
+const LONG_WAIT: Micros = Micros::from_secs(45);
+const LONG_WAIT_TIMES: f64 = 3.0;
 /// Turns of one class or team at a time: one, and one more for each so many that wait. Guards
 /// against a gang that gathers its machines, or can't, and holds up all behind it.
-const TURN_EACH: usize = 4;
-const TURNS_MAX: usize = 4;
+const WAITING_PER_BOOST: usize = 4;
+const BOOSTED_MAX: usize = 4;
 /// How often who is behind is found out.
-const LOOK: Micros = Micros::from_secs(1);
+const EVALUATE_EVERY: Micros = Micros::from_secs(1);
 /// Classes and teams that are remembered.
 const NAMES_MAX: usize = 1_000;
 
@@ -35,7 +35,7 @@
 
 /// A job that could start, and has nothing running.
 #[derive(Clone, Debug)]
-pub struct Waiting<'a> {
+pub struct WaitingJob<'a> {
     pub id: &'a JobId,
     pub class: &'a Name,
     pub team: &'a Name,
@@ -45,9 +45,9 @@
     pub within: Micros,
 }
 
-impl Waiting<'_> {
+impl WaitingJob<'_> {
     fn is_long(&self, now: Micros) -> bool {
-        now - self.since > PATIENCE.max(self.within.scale(PATIENCE_TIMES))
+        now - self.since > LONG_WAIT.max(self.within.scale(LONG_WAIT_TIMES))
     }
     fn groups(&self) -> [Group; 2] {
         [
@@ -66,7 +66,7 @@
         team: &'a Name,
     },
     /// All that waits now, for a look around.
-    Look(&'a [Waiting<'a>]),
+    Evaluate(&'a [WaitingJob<'a>]),
 }
 
 /// Of one class or team.
@@ -83,7 +83,7 @@
     /// How many jobs have begun lately, and as of when.
     begun: BTreeMap<Group, (f64, Micros)>,
     standing: BTreeMap<Group, ServedShare>,
-    turns: BTreeSet<JobId>,
+    boosted: BTreeSet<JobId>,
     /// When it last looked around.
     looked: Option<Micros>,
 }
@@ -93,7 +93,7 @@
     pub fn apply(&mut self, input: Input<'_>, least: f64, now: Micros) {
         match input {
             Input::Begun { id, class, team } => {
-                self.turns.remove(id);
+                self.boosted.remove(id);
                 for group in [Group::Class(class.clone()), Group::Team(team.clone())] {
                     if self.begun.len() >= NAMES_MAX && !self.begun.contains_key(&group) {
                         self.begun.retain(|_, (_, at)| now - *at < MEMORY);
@@ -102,15 +102,15 @@
                     *known = (faded(*known, now) + 1.0, now);
                 }
             }
-            Input::Look(waiting) => self.look(waiting, least, now),
+            Input::Evaluate(waiting) => self.look(waiting, least, now),
         }
     }
 
-    fn look(&mut self, waiting: &[Waiting<'_>], least: f64, now: Micros) {
+    fn look(&mut self, waiting: &[WaitingJob<'_>], least: f64, now: Micros) {
         self.looked = Some(now);
         self.standing.clear();
-        self.turns.clear();
-        let mut long: BTreeMap<Group, Vec<&Waiting<'_>>> = BTreeMap::new();
+        self.boosted.clear();
+        let mut long: BTreeMap<Group, Vec<&WaitingJob<'_>>> = BTreeMap::new();
         for job in waiting.iter().filter(|w| w.is_long(now)) {
             for group in job.groups() {
                 long.entry(group).or_default().push(job);
@@ -126,32 +126,32 @@
             if share < least && waiting >= FEW {
                 let mut oldest: Vec<_> = jobs.iter().map(|w| (w.since, w.id)).collect();
                 oldest.sort();
-                let turns = (1 + waiting / TURN_EACH).min(TURNS_MAX);
-                self.turns
+                let turns = (1 + waiting / WAITING_PER_BOOST).min(BOOSTED_MAX);
+                self.boosted
                     .extend(oldest.into_iter().take(turns).map(|(_, id)| id.clone()));
             }
         }
     }
 
     /// It goes before all work but production.
-    pub fn has_turn(&self, id: &JobId) -> bool {
-        self.turns.contains(id)
+    pub fn is_boosted(&self, id: &JobId) -> bool {
+        self.boosted.contains(id)
     }
 
     /// Time to look around again. Not with every pass: what waits may be thousands of jobs.
     pub fn is_due(&self, now: Micros) -> bool {
-        self.looked.is_none_or(|t| now - t >= LOOK)
+        self.looked.is_none_or(|t| now - t >= EVALUATE_EVERY)
     }
 
     /// Those that get turns.
-    pub fn behind(&self, least: f64) -> BTreeSet<Group> {
+    pub fn starved(&self, least: f64) -> BTreeSet<Group> {
         let behind = |s: &ServedShare| s.share < least && s.waiting >= FEW;
         let groups = self.standing.iter().filter(|(_, s)| behind(s));
         groups.map(|(g, _)| g.clone()).collect()
     }
 
     /// Those of whose jobs some wait for too long.
-    pub fn standing(&self) -> &BTreeMap<Group, ServedShare> {
+    pub fn shares(&self) -> &BTreeMap<Group, ServedShare> {
         &self.standing
     }
 }
@@ -181,8 +181,8 @@
             let id = &ids[7];
             floors.apply(Input::Begun { id, class, team }, 0.6, secs(n as u64));
         }
-        let waiting: Vec<Waiting<'_>> = (0..8)
-            .map(|n| Waiting {
+        let waiting: Vec<WaitingJob<'_>> = (0..8)
+            .map(|n| WaitingJob {
                 id: &ids[n],
                 class: if n < 4 { &idle } else { &urgent },
                 team: &teams[n % 2],
@@ -190,10 +190,10 @@
                 within: Micros::from_secs(10),
             })
             .collect();
-        floors.apply(Input::Look(&waiting), 0.6, secs(50));
-        assert!(floors.standing().is_empty(), "nobody has waited for long");
-        floors.apply(Input::Look(&waiting), 0.6, secs(100));
-        let turns: Vec<bool> = ids.iter().map(|id| floors.has_turn(id)).collect();
+        floors.apply(Input::Evaluate(&waiting), 0.6, secs(50));
+        assert!(floors.shares().is_empty(), "nobody has waited for long");
+        floors.apply(Input::Evaluate(&waiting), 0.6, secs(100));
+        let turns: Vec<bool> = ids.iter().map(|id| floors.is_boosted(id)).collect();
         // The oldest two of the class that is behind; the other class and the teams are not.
         assert_eq!(
             turns,
@@ -202,18 +202,18 @@
         // With its first start the turn is over.
         let (id, class, team) = (&ids[3], &idle, &teams[1]);
         floors.apply(Input::Begun { id, class, team }, 0.6, secs(100));
-        assert!(!floors.has_turn(id));
-        let share = floors.standing()[&Group::Class(urgent.clone())].share;
+        assert!(!floors.is_boosted(id));
+        let share = floors.shares()[&Group::Class(urgent.clone())].share;
         assert!(share > 0.9, "{share}");
         // Off, nobody gets a turn; and once enough have begun nobody needs one.
-        floors.apply(Input::Look(&waiting), 0.0, secs(100));
-        assert!(!ids.iter().any(|id| floors.has_turn(id)));
+        floors.apply(Input::Evaluate(&waiting), 0.0, secs(100));
+        assert!(!ids.iter().any(|id| floors.is_boosted(id)));
         for _ in 0..10 {
             let (class, team) = (&idle, &teams[0]);
             let id = &ids[7];
             floors.apply(Input::Begun { id, class, team }, 0.6, secs(100));
         }
-        floors.apply(Input::Look(&waiting), 0.6, secs(101));
-        assert!(!ids.iter().any(|id| floors.has_turn(id)));
+        floors.apply(Input::Evaluate(&waiting), 0.6, secs(101));
+        assert!(!ids.iter().any(|id| floors.is_boosted(id)));
     }
 }
--- a/crates/jasperhill-scheduler/src/stragglers.rs
+++ b/crates/jasperhill-scheduler/src/stragglers.rs
@@ -23,7 +23,7 @@
 /// Nothing has ended in time on the machine for this part of a task's expected time.
 const QUIET: f64 = 0.75;
 /// The log of the odds that convict.
-const CONVICTS: f64 = 5.0;
+const SLOW_LOG_ODDS: f64 = 5.0;
 /// Of a slow machine's tasks, so many overrun.
 const SLOW_OVERRUNS: f64 = 0.9;
 /// The share of overruns of a class that is not known, and its bounds.
@@ -45,14 +45,14 @@
 
 /// How long the ended tasks of a job ran.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Siblings {
+pub struct SiblingRunTimes {
     ended: u32,
     seconds: f64,
     /// A few of the hosts.
     hosts: BTreeSet<HostId>,
 }
 
-impl Siblings {
+impl SiblingRunTimes {
     pub fn note(&mut self, host: &HostId, ran: Micros) {
         self.ended += 1;
         self.seconds += ran.as_secs_f64();
@@ -90,7 +90,7 @@
     /// The one function that changes it. True if it has been convicted now.
     pub fn apply(&mut self, input: Input) -> bool {
         match (&mut *self, input) {
-            (Self::Steady, Input::Weighed { odds, times }) if odds >= CONVICTS => {
+            (Self::Steady, Input::Weighed { odds, times }) if odds >= SLOW_LOG_ODDS => {
                 *self = Self::Slow {
                     times: times.clamp(1.0, SLOWEST),
                 };
@@ -111,12 +111,12 @@
 
 /// When tasks overrun, and how often tasks of a class do.
 #[derive(Debug, Default)]
-pub(crate) struct Watched {
+pub(crate) struct OverrunWatch {
     due: BTreeSet<(Micros, HostId, TaskId, Attempt)>,
     tails: BTreeMap<Name, f64>,
 }
 
-impl Watched {
+impl OverrunWatch {
     fn tail(&self, class: &Name) -> f64 {
         let tail = self.tails.get(class).copied().unwrap_or(TAIL_FIRST);
         tail.clamp(TAIL_LEAST, TAIL_MOST)
@@ -127,10 +127,10 @@
     /// How long a task of this job should run on a machine of the usual pace, and whether that
     /// is known from its others.
     fn expected_run(&self, job: &Job, here: &HostId) -> Option<(Micros, bool)> {
-        if job.is_service() || job.failures.is_suspect() {
+        if job.is_service() || job.failures.is_backing_off() {
             return None;
         }
-        if let Some(took) = job.siblings.took(here) {
+        if let Some(took) = job.sibling_run_times.took(here) {
             return Some((took.max(LEAST), true));
         }
         // What was stopped before goes on where it was: its estimate says too much.
@@ -139,7 +139,7 @@
     }
 
     /// A task is seen running: it is looked at again when it overruns.
-    pub(crate) fn watch_pace(&mut self, host: &HostId, task: &TaskId) {
+    pub(crate) fn watch_task(&mut self, host: &HostId, task: &TaskId) {
         let began = self.hosts.get(host).and_then(|h| {
             let t = h.tasks.get(task)?;
             Some((t.running?, t.attempt))
@@ -158,7 +158,7 @@
 
     /// A task has ended by itself after so many times its expected run: its class learns, and
     /// the machine is absolved if it was in time.
-    pub(crate) fn learn_pace(&mut self, host: &HostId, task: &TaskId, times: f64, now: Micros) {
+    pub(crate) fn learn_overrun(&mut self, host: &HostId, task: &TaskId, times: f64, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -170,11 +170,11 @@
         };
         let class = job.request.class.clone();
         if !h.pace.is_slow() {
-            job.siblings.note(host, now - began);
+            job.sibling_run_times.note(host, now - began);
         }
         if times <= IN_TIME {
-            h.in_time = Some(now);
-            if h.convicted.is_none_or(|at| began >= at) {
+            h.last_in_time = Some(now);
+            if h.slow_since.is_none_or(|at| began >= at) {
                 h.pace.apply(Input::EndedInTime);
             }
         }
@@ -183,7 +183,7 @@
     }
 
     /// Looks at the machines where a task overruns by now.
-    pub(crate) fn watch_overruns(&mut self, now: Micros) {
+    pub(crate) fn check_overruns(&mut self, now: Micros) {
         let mut hosts = BTreeSet::new();
         while self.watched.due.first().is_some_and(|(at, ..)| *at <= now) {
             let Some((_, host, task, attempt)) = self.watched.due.pop_first() else {
@@ -209,7 +209,7 @@
             }
         }
         for host in hosts {
-            self.weigh(&host, now);
+            self.weigh_evidence(&host, now);
         }
     }
 
@@ -230,7 +230,7 @@
             let Some((expected, by_others)) = self.expected_run(job, id) else {
                 continue;
             };
-            let quiet_since = host.in_time.unwrap_or(Micros::ZERO).max(began);
+            let quiet_since = host.last_in_time.unwrap_or(Micros::ZERO).max(began);
             let over = (now - began).as_secs_f64() / expected.as_secs_f64();
             if over < OVER || now - quiet_since < expected.scale(QUIET) {
                 continue;
@@ -245,7 +245,7 @@
         (if times.len() < 2 { 0.0 } else { odds }, middle)
     }
 
-    fn weigh(&mut self, id: &HostId, now: Micros) {
+    fn weigh_evidence(&mut self, id: &HostId, now: Micros) {
         let slow = self.hosts.values().filter(|h| h.pace.is_slow()).count();
         if slow >= (self.hosts.len() / SLOW_PART).max(1) {
             return;
@@ -257,14 +257,14 @@
         if !host.pace.apply(Input::Weighed { odds, times }) {
             return;
         }
-        host.convicted = Some(now);
+        host.slow_since = Some(now);
         host.slowness = host.slowness.max(times.min(SLOWEST));
         self.events.push(Event::HostSlow(id.clone(), times));
-        self.move_savers(id, now);
+        self.move_checkpointing_tasks(id, now);
     }
 
     /// Work that can save goes on elsewhere: it loses nothing but the time to save.
-    fn move_savers(&mut self, id: &HostId, now: Micros) {
+    fn move_checkpointing_tasks(&mut self, id: &HostId, now: Micros) {
         let Some(host) = self.hosts.get(id) else {
             return;
         };
@@ -285,7 +285,7 @@
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 job.preempted += 1;
             }
-            self.make_way(id, &task, "moved off a slow host", now);
+            self.stop_with_grace(id, &task, "moved off a slow host", now);
         }
     }
 }
@@ -298,8 +298,8 @@
     fn a_verdict_stands_until_a_later_task_ends_in_time() {
         let mut pace = Pace::default();
         let weighed = |odds| Input::Weighed { odds, times: 9.0 };
-        assert!(!pace.apply(weighed(CONVICTS - 0.1)));
-        assert!(pace.apply(weighed(CONVICTS)));
+        assert!(!pace.apply(weighed(SLOW_LOG_ODDS - 0.1)));
+        assert!(pace.apply(weighed(SLOW_LOG_ODDS)));
         assert_eq!(pace, Pace::Slow { times: SLOWEST });
         assert!(!pace.apply(weighed(50.0)));
         pace.apply(Input::EndedInTime);
@@ -308,7 +308,7 @@
 
     #[test]
     fn others_of_the_job_count_from_several_hosts_and_elsewhere() {
-        let mut s = Siblings::default();
+        let mut s = SiblingRunTimes::default();
         let at = Micros::from_secs;
         let (a, b) = (HostId::new("n-1"), HostId::new("n-2"));
         for _ in 0..4 {
--- a/crates/jasperhill-scheduler/tests/config.rs
+++ b/crates/jasperhill-scheduler/tests/config.rs
@@ -13,8 +13,11 @@
     assert_eq!(none.planned(0.0, 0.3, 0), 0);
     assert_eq!(none.planned(0.01, 0.0, 0), 1);
     assert_eq!(none.planned(10.0, 2.0, 0), 14);
-    let seven = Tuning { floor: 7, ..none };
-    let shares: Vec<u32> = (0..3).map(|p| seven.floor_of(p, 3)).collect();
+    let seven = Tuning {
+        min_machines: 7,
+        ..none
+    };
+    let shares: Vec<u32> = (0..3).map(|p| seven.min_machines_of(p, 3)).collect();
     assert_eq!(shares, [3, 2, 2]);
     assert_eq!(seven.planned(0.0, 0.0, 3), 3);
 }
@@ -126,7 +129,7 @@
             teams: vec![TeamLimits {
                 name: "red".into(),
                 guaranteed: Resources::default(),
-                most: Resources::from_units(0.0, f64::from(MOST), 0.0),
+                limit: Resources::from_units(0.0, f64::from(MOST), 0.0),
             }],
             report: Micros::from_secs(3),
             lease: Micros::from_secs(16),
