--- a/crates/jasperhill-scheduler/tests/machines.rs
+++ b/crates/jasperhill-scheduler/tests/machines.rs
@@ -1,8 +1,8 @@
 //! The host and partition machines, driven by chosen and by generated events.
 
 use jasperhill_scheduler::{
-    AdmissionDecision, FencingState, Host, HostInput, MachineSpec, Partition, SchedulerConfig,
-    Source, TeamLimits, Tuning,
+    AdmissionDecision, FencingState, HeartbeatSource, Host, HostInput, MachineSpec, Partition,
+    SchedulerConfig, TeamLimits, Tuning,
     job::{DependencyStatus, Readiness, Termination},
 };
 use jasperhill_wire::{
@@ -77,7 +77,7 @@
         NOW,
     );
     host.apply(
-        HostInput::Report(&report("n-1", 1, 1, 5, vec![]), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 1, 1, 5, vec![]), HeartbeatSource::Heartbeat),
         NOW,
     );
     host
@@ -95,28 +95,31 @@
 fn a_result_is_not_cleared_while_its_run_is_in_doubt() {
     let mut host = host();
     start(&mut host, 0, 7);
-    let orders = host.orders(|_, _| true);
+    let orders = host.commands(|_, _| true);
     host.apply(HostInput::DirectSent(orders, NOW), NOW);
     host.apply(HostInput::DirectUnanswered, NOW);
     assert!(host.needs_token());
     let exited = vec![seen(0, 7, TaskPhase::Exited(ExitCause::Done))];
     host.apply(
-        HostInput::Report(&report("n-1", 1, 2, 5, exited.clone()), Source::Heartbeat),
+        HostInput::Heartbeat(
+            &report("n-1", 1, 2, 5, exited.clone()),
+            HeartbeatSource::Heartbeat,
+        ),
         NOW,
     );
     // The late `run` would start it once more.
-    assert_eq!(host.orders(|_, _| true), vec![]);
+    assert_eq!(host.commands(|_, _| true), vec![]);
     host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
-        HostInput::Report(&report("n-1", 1, 3, 9, exited), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 1, 3, 9, exited), HeartbeatSource::Heartbeat),
         NOW,
     );
     assert_eq!(
-        host.orders(|_, _| true),
+        host.commands(|_, _| true),
         vec![Command::Clear(task(0), Attempt(7))]
     );
     // And not before the result is durable.
-    assert_eq!(host.orders(|_, _| false), vec![]);
+    assert_eq!(host.commands(|_, _| false), vec![]);
 }
 
 /// A worker that has seen a higher token drops every order: without this the host looks
@@ -125,13 +128,13 @@
 fn a_host_that_has_seen_a_higher_token_gets_none_until_ours_is_raised() {
     let mut host = host();
     host.apply(
-        HostInput::Report(&report("n-1", 1, 2, 8, vec![]), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 1, 2, 8, vec![]), HeartbeatSource::Heartbeat),
         NOW,
     );
     assert!(host.needs_token() && !host.is_usable(NOW, &config()));
     host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
-        HostInput::Report(&report("n-1", 1, 3, 9, vec![]), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 1, 3, 9, vec![]), HeartbeatSource::Heartbeat),
         NOW,
     );
     assert!(host.is_usable(NOW, &config()));
@@ -141,17 +144,17 @@
 fn a_stopped_task_counts_until_no_order_can_start_it() {
     let mut host = host();
     start(&mut host, 0, 7);
-    let orders = host.orders(|_, _| true);
+    let orders = host.commands(|_, _| true);
     host.apply(HostInput::Answered(&orders), NOW);
     host.apply(HostInput::Stop(&task(0), Micros::ZERO), NOW);
     // A direct answer can overtake the answer to the report: absent there proves nothing.
     host.apply(
-        HostInput::Report(&report("n-1", 1, 2, 5, vec![]), Source::Direct),
+        HostInput::Heartbeat(&report("n-1", 1, 2, 5, vec![]), HeartbeatSource::Direct),
         NOW,
     );
     assert!(!host.is_empty());
     host.apply(
-        HostInput::Report(&report("n-1", 1, 3, 5, vec![]), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 1, 3, 5, vec![]), HeartbeatSource::Heartbeat),
         NOW,
     );
     assert!(host.is_empty());
@@ -163,16 +166,16 @@
     start(&mut host, 0, 7);
     let running = vec![seen(0, 7, TaskPhase::Running)];
     host.apply(
-        HostInput::Report(&report("n-1", 1, 5, 5, running), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 1, 5, 5, running), HeartbeatSource::Heartbeat),
         NOW,
     );
     host.apply(
-        HostInput::Report(&report("n-1", 1, 4, 5, vec![]), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 1, 4, 5, vec![]), HeartbeatSource::Heartbeat),
         NOW,
     );
     assert!(!host.is_empty());
     host.apply(
-        HostInput::Report(&report("n-1", 2, 6, 5, vec![]), Source::Heartbeat),
+        HostInput::Heartbeat(&report("n-1", 2, 6, 5, vec![]), HeartbeatSource::Heartbeat),
         NOW,
     );
     assert!(host.is_empty());
@@ -186,9 +189,13 @@
     let mut part = partition(1, false);
     let id = HostId::new("n-1");
     part.apply(&id, HostInput::Answered(&[]), NOW);
-    let lease = part.config.lapse();
+    let lease = part.config.lease_expiry();
     let just_before = NOW + lease - Micros::from_millis(100);
-    part.on_heartbeat(&report("n-1", 2, 9, 5, vec![]), Source::Direct, just_before);
+    part.on_heartbeat(
+        &report("n-1", 2, 9, 5, vec![]),
+        HeartbeatSource::Direct,
+        just_before,
+    );
     part.upsert_job(
         &request("job-1", "array", 1, 1.0, None),
         Revision(6),
@@ -201,7 +208,7 @@
     assert_eq!(live(&part, "job-1"), 0);
     part.on_heartbeat(
         &report("n-1", 2, 10, 5, vec![]),
-        Source::Heartbeat,
+        HeartbeatSource::Heartbeat,
         just_before,
     );
     part.run_cycle(just_before);
@@ -242,7 +249,7 @@
         part.upsert_job(&new, Revision(6), NOW, &[], (0, NOW));
         part.on_heartbeat(
             &report("n-1", 1, 1, 5, vec![running(0)]),
-            Source::Direct,
+            HeartbeatSource::Direct,
             NOW,
         );
         if !recalled {
@@ -259,7 +266,7 @@
         // The other host shows one, which is stopped as well; the third is nowhere.
         part.on_heartbeat(
             &report("n-2", 1, 1, 5, vec![running(2)]),
-            Source::Direct,
+            HeartbeatSource::Direct,
             NOW,
         );
         part.run_cycle(NOW);
@@ -268,7 +275,11 @@
         for (host, n) in [("n-1", 0), ("n-2", 2)] {
             let mut gone = running(n);
             gone.phase = TaskPhase::Exited(ExitCause::Stopped { saved: false });
-            part.on_heartbeat(&report(host, 1, 2, 5, vec![gone]), Source::Heartbeat, NOW);
+            part.on_heartbeat(
+                &report(host, 1, 2, 5, vec![gone]),
+                HeartbeatSource::Heartbeat,
+                NOW,
+            );
         }
         part.run_cycle(NOW);
         assert_eq!(gpus(&part), 4);
@@ -293,12 +304,20 @@
         }
         let new = request("job-new", "array", 4, 1.0, None);
         part.upsert_job(&new, Revision(6), NOW, &[], (0, NOW));
-        part.on_heartbeat(&report("n-1", 1, 1, 5, vec![]), Source::Direct, NOW);
+        part.on_heartbeat(
+            &report("n-1", 1, 1, 5, vec![]),
+            HeartbeatSource::Direct,
+            NOW,
+        );
         part.run_cycle(NOW);
         assert_eq!(live(&part, "job-new"), 1);
         // The other host's lease has surely lapsed: nothing of it is left.
-        let later = NOW + part.config.lapse() + Micros::from_secs(1);
-        part.on_heartbeat(&report("n-1", 1, 2, 5, vec![]), Source::Heartbeat, later);
+        let later = NOW + part.config.lease_expiry() + Micros::from_secs(1);
+        part.on_heartbeat(
+            &report("n-1", 1, 2, 5, vec![]),
+            HeartbeatSource::Heartbeat,
+            later,
+        );
         part.apply(&HostId::new("n-1"), HostInput::Answered(&[]), later);
         part.run_cycle(later);
         assert!(!part.jobs.contains_key(&cancelled.id));
@@ -314,7 +333,7 @@
 /// given straight, in each of its sessions, and that its lease kills each time.
 #[test]
 fn a_machine_that_reaches_nobody_gets_no_work() {
-    let (config, silence) = (config(), config().silence());
+    let (config, silence) = (config(), config().silence_limit());
     let taken = |ghosts| {
         let now = NOW;
         Host::new(
@@ -328,30 +347,30 @@
     };
     let heard = |host: &mut Host, (tenure, counter), source, at| {
         host.apply(
-            HostInput::Report(&report("n-1", tenure, counter, 5, vec![]), source),
+            HostInput::Heartbeat(&report("n-1", tenure, counter, 5, vec![]), source),
             at,
         );
         host.is_usable(at, &config)
     };
     // New here: it may not come round to us for as long as its lease lasts.
     let mut host = taken(false);
-    assert!(!heard(&mut host, (1, 1), Source::Direct, NOW));
-    assert!(heard(&mut host, (1, 2), Source::Heartbeat, NOW));
+    assert!(!heard(&mut host, (1, 1), HeartbeatSource::Direct, NOW));
+    assert!(heard(&mut host, (1, 2), HeartbeatSource::Heartbeat, NOW));
     // It goes on answering, and does not report.
     let later = NOW + silence;
-    assert!(!heard(&mut host, (1, 3), Source::Direct, later));
-    assert!(heard(&mut host, (1, 4), Source::Heartbeat, later));
+    assert!(!heard(&mut host, (1, 3), HeartbeatSource::Direct, later));
+    assert!(heard(&mut host, (1, 4), HeartbeatSource::Heartbeat, later));
     // Another session, known by a direct answer.
-    assert!(!heard(&mut host, (2, 5), Source::Direct, later));
-    assert!(heard(&mut host, (2, 6), Source::Heartbeat, later));
+    assert!(!heard(&mut host, (2, 5), HeartbeatSource::Direct, later));
+    assert!(heard(&mut host, (2, 6), HeartbeatSource::Heartbeat, later));
     // New to us, and not in its first session: nobody has answered it.
     let mut host = taken(false);
-    assert!(!heard(&mut host, (3, 1), Source::Direct, NOW));
-    assert!(heard(&mut host, (3, 2), Source::Heartbeat, NOW));
+    assert!(!heard(&mut host, (3, 1), HeartbeatSource::Direct, NOW));
+    assert!(heard(&mut host, (3, 2), HeartbeatSource::Heartbeat, NOW));
     // After a takeover any session may be one that is renewed, for a while.
     let mut host = taken(true);
-    assert!(heard(&mut host, (3, 1), Source::Direct, NOW));
-    assert!(!heard(&mut host, (3, 2), Source::Direct, later));
+    assert!(heard(&mut host, (3, 1), HeartbeatSource::Direct, NOW));
+    assert!(!heard(&mut host, (3, 2), HeartbeatSource::Direct, later));
 }
 
 fn config() -> Rc<SchedulerConfig> {
@@ -360,7 +379,7 @@
         teams: vec![TeamLimits {
             name: "red".into(),
             guaranteed: Resources::from_units(0.0, 2.0, 0.0),
-            most: Resources::from_units(0.0, 4.0, 0.0),
+            limit: Resources::from_units(0.0, 4.0, 0.0),
         }],
         report: Micros::from_secs(3),
         lease: Micros::from_secs(16),
@@ -391,7 +410,7 @@
         if !at_takeover {
             part.on_heartbeat(
                 &report(id.as_str(), 1, 1, 5, vec![]),
-                Source::Heartbeat,
+                HeartbeatSource::Heartbeat,
                 NOW,
             );
         }
@@ -420,12 +439,20 @@
         &[],
         (0, NOW),
     );
-    part.on_heartbeat(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
+    part.on_heartbeat(
+        &report("n-1", 1, 9, 5, vec![]),
+        HeartbeatSource::Direct,
+        NOW,
+    );
     part.run_cycle(NOW);
     assert_eq!((live(&part, "job-old"), live(&part, "job-new")), (0, 1));
     // The other host's lease has surely lapsed.
-    let later = NOW + part.config.lapse();
-    part.on_heartbeat(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, later);
+    let later = NOW + part.config.lease_expiry();
+    part.on_heartbeat(
+        &report("n-1", 1, 10, 5, vec![]),
+        HeartbeatSource::Heartbeat,
+        later,
+    );
     part.apply(&"n-1".into(), HostInput::Answered(&[]), later);
     part.run_cycle(later);
     assert_eq!(
@@ -449,7 +476,11 @@
     for job in [steady, Rc::new(flexible)] {
         part.upsert_job(&job, Revision(3), NOW, &[], (0, NOW));
     }
-    part.on_heartbeat(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
+    part.on_heartbeat(
+        &report("n-1", 1, 9, 5, vec![]),
+        HeartbeatSource::Direct,
+        NOW,
+    );
     part.run_cycle(NOW);
     assert_eq!(live(&part, "job-steady"), 1);
     assert_eq!(live(&part, "job-flexible"), 0);
@@ -472,7 +503,11 @@
         &[],
         (0, NOW),
     );
-    part.on_heartbeat(&report("n-1", 1, 9, 5, vec![]), Source::Direct, NOW);
+    part.on_heartbeat(
+        &report("n-1", 1, 9, 5, vec![]),
+        HeartbeatSource::Direct,
+        NOW,
+    );
     part.run_cycle(NOW);
     assert_eq!(live(&part, "job-new"), 1);
 }
@@ -533,7 +568,11 @@
     // Never sent, so taken back at once; nothing of the attempt is left.
     assert_eq!(orders, vec![]);
     assert_eq!(live(&part, "job-1"), 0);
-    part.on_heartbeat(&report("n-1", 2, 20, 5, vec![]), Source::Heartbeat, NOW);
+    part.on_heartbeat(
+        &report("n-1", 2, 20, 5, vec![]),
+        HeartbeatSource::Heartbeat,
+        NOW,
+    );
     part.run_cycle(NOW);
     let next = part.jobs[&JobId::new("job-1")].attempt;
     assert!(next.is_none() || next > Some(attempt));
@@ -579,7 +618,7 @@
         let on: Vec<(TaskId, Attempt)> = part.hosts[&host]
             .tasks
             .iter()
-            .filter(|(_, t)| t.is_on())
+            .filter(|(_, t)| t.holds_resources())
             .map(|(id, t)| (id.clone(), t.attempt))
             .collect();
         let tasks = on
@@ -591,12 +630,16 @@
             })
             .collect();
         counter += 1;
-        part.on_heartbeat(&report("n-1", 1, counter, 5, tasks), Source::Heartbeat, now);
+        part.on_heartbeat(
+            &report("n-1", 1, counter, 5, tasks),
+            HeartbeatSource::Heartbeat,
+            now,
+        );
         let later = request(&format!("job-9{round}"), "array", 1, 2.0, None);
         part.upsert_job(&later, Revision(6), now, &[], (0, NOW));
     }
     assert!(!part.hosts[&host].is_usable(NOW, &part.config));
-    assert!(part.hosts[&HostId::new("n-2")].aside_until.is_none());
+    assert!(part.hosts[&HostId::new("n-2")].quarantined_until.is_none());
 }
 
 /// What a host says: all tasks that are on it have failed, or have completed.
@@ -613,9 +656,16 @@
         phase: TaskPhase::Exited(cause),
     };
     let on = part.hosts[&HostId::new(host)].tasks.iter();
-    let tasks: Vec<TaskStatus> = on.filter(|(_, t)| t.is_on()).map(exited).collect();
+    let tasks: Vec<TaskStatus> = on
+        .filter(|(_, t)| t.holds_resources())
+        .map(exited)
+        .collect();
     let n = tasks.len();
-    part.on_heartbeat(&report(host, 1, counter, 5, tasks), Source::Heartbeat, now);
+    part.on_heartbeat(
+        &report(host, 1, counter, 5, tasks),
+        HeartbeatSource::Heartbeat,
+        now,
+    );
     n
 }
 
@@ -638,7 +688,7 @@
         failed += all_exit(&mut part, &format!("n-{n}"), 5, ExitCause::Error, NOW);
     }
     assert_eq!(failed, 40);
-    assert!(part.jobs[&id].failures.is_suspect());
+    assert!(part.jobs[&id].failures.is_backing_off());
     assert!(part.hosts.values().all(|h| h.is_usable(NOW, &part.config)));
     assert!(part.unsaved.contains(&id), "the suspicion is to be written");
     // Nothing during the pause, one task after it, and the pause grows.
@@ -650,7 +700,7 @@
     // The try completes: it was not the job, and the others are blamed after all.
     let host = part.jobs[&id].live.values().next().unwrap().clone();
     all_exit(&mut part, host.as_str(), 6, ExitCause::Done, later);
-    assert!(!part.jobs[&id].failures.is_suspect());
+    assert!(!part.jobs[&id].failures.is_backing_off());
     for h in part.hosts.values() {
         assert_eq!(h.is_usable(later, &part.config), h.id == host);
     }
@@ -740,7 +790,7 @@
                 }
                 Step::Stop(i) => { host.apply(HostInput::Stop(&task(i), Micros::ZERO), NOW); }
                 Step::Send if !host.in_flight() && !host.in_doubt() => {
-                    let orders = host.orders(|_, _| true);
+                    let orders = host.commands(|_, _| true);
                     unsettled = orders.iter().filter(|o| matches!(o, Command::Start(..)))
                         .map(|o| (o.key().0.clone(), o.key().1)).collect();
                     host.apply(HostInput::DirectSent(orders, NOW), NOW);
@@ -752,7 +802,7 @@
                     host.apply(HostInput::DirectUnanswered, NOW);
                 }
                 Step::Answer => {
-                    let orders = host.orders(|_, _| true);
+                    let orders = host.commands(|_, _| true);
                     host.apply(HostInput::Answered(&orders), NOW);
                 }
                 Step::Raise => { token += 10; host.apply(HostInput::TokenRaised(FencingToken(token)), NOW); }
@@ -769,14 +819,14 @@
                         };
                         Some(seen(i as u32, known.attempt.0, phase))
                     }).collect();
-                    let before = host.tenure;
-                    host.apply(HostInput::Report(&report("n-1", tenure, counter, shown.min(token), tasks), Source::Heartbeat), NOW);
-                    if host.tenure > before || !host.in_doubt() { doubted.clear(); }
+                    let before = host.incarnation;
+                    host.apply(HostInput::Heartbeat(&report("n-1", tenure, counter, shown.min(token), tasks), HeartbeatSource::Heartbeat), NOW);
+                    if host.incarnation > before || !host.in_doubt() { doubted.clear(); }
                 }
                 _ => {}
             }
             prop_assert!(host.token.0 >= 5);
-            for order in host.orders(|_, _| true) {
+            for order in host.commands(|_, _| true) {
                 if let Command::Clear(task, attempt) = order {
                     prop_assert!(!doubted.contains(&(task.clone(), attempt)), "cleared in doubt");
                     prop_assert!(!unsettled.contains(&(task, attempt)), "cleared in flight");
@@ -811,7 +861,11 @@
     // Once the results are in the record, others follow.
     let done: std::collections::BTreeSet<u32> = (0..50_000).collect();
     part.saved(&JobId::new("job-1"), &done, 0);
-    part.on_heartbeat(&report("n-1", 1, 10, 5, vec![]), Source::Heartbeat, NOW);
+    part.on_heartbeat(
+        &report("n-1", 1, 10, 5, vec![]),
+        HeartbeatSource::Heartbeat,
+        NOW,
+    );
     part.run_cycle(NOW);
     assert!(live(&part, "job-1") > 100);
 }
@@ -849,7 +903,7 @@
     let mut part = partition(2, false);
     let id = JobId::new("job-2");
     let place = |gate, due| DependencyStatus {
-        gate,
+        readiness: gate,
         since: NOW,
         due,
         priority: Some(Priority::High),
@@ -860,7 +914,7 @@
         part.set_dependency_status(&id, place(Readiness::Waiting, None));
         part.run_cycle(NOW);
         assert_eq!(live(&part, "job-2"), 0);
-        assert!(part.jobs[&id].booked.is_empty());
+        assert!(part.jobs[&id].reserved.is_empty());
         let other = request("job-3", "array", 1, 1.0, None);
         part.upsert_job(&other, Revision(7), NOW, &[], (0, NOW));
         let soon = NOW + Micros::from_secs(5);
@@ -903,29 +957,32 @@
         hosts.map(|h| h.id.clone()).collect()
     };
     // Ordinary machines are not too many: none is emptied.
-    part.drain_some(NOW, (2, 0));
+    part.drain_surplus(NOW, (2, 0));
     assert_eq!(drained(&part), Vec::<HostId>::new());
-    part.drain_some(NOW, (1, 1));
+    part.drain_surplus(NOW, (1, 1));
     assert_eq!(drained(&part), [short]);
-    part.drain_some(NOW, (2, 2));
+    part.drain_surplus(NOW, (2, 2));
     assert_eq!(part.hosts[&long].draining, Some(NOW));
-    part.drain_some(NOW, (1, 2));
+    part.drain_surplus(NOW, (1, 2));
     assert_eq!(drained(&part).len(), 1);
-    part.drain_some(NOW, (0, 0));
+    part.drain_surplus(NOW, (0, 0));
     assert_eq!(drained(&part), Vec::<HostId>::new());
 }
 
 /// The host reports everything that it was told to run as running.
 fn all_runs(part: &mut Partition, host: &str, counter: u64, now: Micros) {
     let id = HostId::new(host);
-    let tasks = part.hosts[&id].tasks.iter().filter(|(_, t)| t.is_on());
+    let tasks = part.hosts[&id]
+        .tasks
+        .iter()
+        .filter(|(_, t)| t.holds_resources());
     let tasks = tasks.map(|(task, t)| TaskStatus {
         task: task.clone(),
         attempt: t.attempt,
         phase: TaskPhase::Running,
     });
     let report = report(host, 1, counter, 5, tasks.collect());
-    part.on_heartbeat(&report, Source::Heartbeat, now);
+    part.on_heartbeat(&report, HeartbeatSource::Heartbeat, now);
     part.apply(&id, HostInput::Answered(&[]), now);
 }
 
@@ -948,7 +1005,11 @@
     let other = if home.as_str() == "n-1" { "n-2" } else { "n-1" };
     all_runs(&mut part, home.as_str(), 5, NOW);
     let silent = NOW + Micros::from_secs(7);
-    part.on_heartbeat(&report(other, 1, 5, 5, vec![]), Source::Heartbeat, silent);
+    part.on_heartbeat(
+        &report(other, 1, 5, 5, vec![]),
+        HeartbeatSource::Heartbeat,
+        silent,
+    );
     let lesser = whole_host("job-batch", "array", 1, Priority::Normal);
     part.upsert_job(&lesser, Revision(7), silent, &[], (0, silent));
     part.run_cycle(silent);
@@ -960,18 +1021,26 @@
     assert_eq!(live(&part, "job-batch"), 1);
     // And without it in the way, the replica is whole again as soon as its host is lost.
     part.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
-    part.on_heartbeat(&report(other, 1, 6, 5, vec![]), Source::Heartbeat, back);
+    part.on_heartbeat(
+        &report(other, 1, 6, 5, vec![]),
+        HeartbeatSource::Heartbeat,
+        back,
+    );
     part.run_cycle(back);
-    let lost = back + part.config.lapse();
-    part.on_heartbeat(&report(other, 1, 7, 5, vec![]), Source::Heartbeat, lost);
+    let lost = back + part.config.lease_expiry();
+    part.on_heartbeat(
+        &report(other, 1, 7, 5, vec![]),
+        HeartbeatSource::Heartbeat,
+        lost,
+    );
     part.apply(&other.into(), HostInput::Answered(&[]), lost);
     part.run_cycle(lost);
-    assert!(part.recovery.is_short());
+    assert!(part.recovery.is_incomplete());
     let now = part.jobs[&JobId::new("job-live")].live[&0].clone();
     assert_eq!(now.as_str(), other);
     all_runs(&mut part, other, 8, lost);
     part.run_cycle(lost + Micros::from_secs(1));
-    assert!(!part.recovery.is_short());
+    assert!(!part.recovery.is_incomplete());
 }
 
 /// Guards against a replica that waits for as long as a gang of several tasks runs.
@@ -1033,7 +1102,7 @@
                 },
             });
             let report = report("n-1", 1, 7, 5, tasks.collect());
-            part.on_heartbeat(&report, Source::Heartbeat, at);
+            part.on_heartbeat(&report, HeartbeatSource::Heartbeat, at);
         }
         let over = NOW + Micros::from_secs(21);
         all_runs(&mut part, "n-1", 9, over);
@@ -1059,7 +1128,7 @@
     let heard = |part: &mut Partition, tenure, counter, token, at| {
         part.on_heartbeat(
             &report("n-1", tenure, counter, token, vec![]),
-            Source::Heartbeat,
+            HeartbeatSource::Heartbeat,
             at,
         );
         part.apply(&id, HostInput::Answered(&[]), at);
@@ -1154,7 +1223,7 @@
                     let tasks: Vec<TaskStatus> = tasks.into_values().collect();
                     let host = format!("n-{}", h + 1);
                     let said = report(&host, tenure, counter, 5, tasks.clone());
-                    part.on_heartbeat(&said, Source::Heartbeat, NOW);
+                    part.on_heartbeat(&said, HeartbeatSource::Heartbeat, NOW);
                     if (tenure, counter) > newest[h] {
                         newest[h] = (tenure, counter);
                         told[h] = tasks;
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -5,7 +5,7 @@
 //! `MEETINGS=200 cargo test --release -p jasperhill-testkit --test meetings -- --ignored`.
 
 use jasperhill_membership::LeaseTerms;
-use jasperhill_scheduler::{Host, HostInput, MachineSpec, Source};
+use jasperhill_scheduler::{HeartbeatSource, Host, HostInput, MachineSpec};
 use jasperhill_testkit::{
     Plan,
     days::{drawn, from_peers},
@@ -413,8 +413,11 @@
         let at = origin + millis(500 * half);
         if half % 5 == 0 {
             let report = Heartbeat::parse(worker.report().to_string().as_bytes()).unwrap();
-            host.apply(HostInput::Report(&report, Source::Heartbeat), now);
-            let orders = host.orders(|_, _| true);
+            host.apply(
+                HostInput::Heartbeat(&report, HeartbeatSource::Heartbeat),
+                now,
+            );
+            let orders = host.commands(|_, _| true);
             let withheld = host
                 .in_flight_known_as_of()
                 .is_some_and(|known| now >= bounds.until(known));
@@ -428,8 +431,8 @@
             1 => {
                 let begin = HostInput::Start(task.clone(), Attempt(7), each, image.clone());
                 host.apply(begin, now);
-                let orders = host.orders(|_, _| true);
-                sent = commands_body(host.token, host.tenure, &orders);
+                let orders = host.commands(|_, _| true);
+                sent = commands_body(host.token, host.incarnation, &orders);
                 host.apply(HostInput::DirectSent(orders, now), now);
             }
             3 => {
--- a/crates/jasperhill/src/own.rs
+++ b/crates/jasperhill/src/own.rs
@@ -62,7 +62,7 @@
         own.tuning.idle_keep = Micros::from_secs_f64(x);
     }
     if let Some(x) = number("floor_machines", 0.0, 100_000.0)? {
-        own.tuning.floor = x as u32;
+        own.tuning.min_machines = x as u32;
     }
     if let Some(x) = number("restless_after", 0.0, 100.0)? {
         own.crash_loop_threshold = Some(x as u32);
@@ -83,7 +83,7 @@
     fn values_are_read_and_the_rest_stays_default() {
         let own = parse("headroom: 0.5\nsession_s: 8 floor_machines: 6 restless_after: 0").unwrap();
         assert_eq!(own.crash_loop_threshold, Some(0));
-        assert_eq!(own.tuning.floor, 6);
+        assert_eq!(own.tuning.min_machines, 6);
         assert_eq!(own.tuning.headroom, 0.5);
         assert_eq!(own.session, Some(Micros::from_secs(8)));
         assert_eq!(own.tuning.uncertainty, 1.0);
@@ -101,7 +101,7 @@
         let tuning = &own.tuning;
         assert_eq!((tuning.uncertainty, tuning.headroom), (1.5, 0.25));
         assert_eq!(tuning.idle_keep, Micros::from_millis(12_500));
-        assert_eq!((tuning.floor, tuning.least_share), (6, 0.5));
+        assert_eq!((tuning.min_machines, tuning.least_share), (6, 0.5));
         assert_eq!(own.session, Some(Micros::from_secs(9)));
         assert_eq!(own.crash_loop_threshold, Some(4));
     }
