--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -1,4 +1,4 @@
-//! What a pass costs at the size of a partition of the largest fleet, and how that grows when
+//! What a cycle costs at the size of a partition of the largest fleet, and how that grows when
 //! machines and waiting jobs are doubled and doubled again. It must grow no faster than both
 //! together.
 //!
@@ -176,7 +176,7 @@
         group.bench_function(BenchmarkId::new("work waits", HOSTS * scale), |b| {
             b.iter(|| waiting.run_cycle(black_box(NOW)));
         });
-        // A third of the machines fail in one moment: the pass that follows.
+        // A third of the machines fail in one moment: the cycle that follows.
         group.bench_function(BenchmarkId::new("a third is lost", HOSTS * scale), |b| {
             let lost = || {
                 let mut part = full(scale);
@@ -185,13 +185,13 @@
                 }
                 part
             };
-            let pass = |mut part: Partition| {
+            let cycle = |mut part: Partition| {
                 part.run_cycle(black_box(NOW));
                 part
             };
-            b.iter_batched(lost, pass, BatchSize::PerIteration);
+            b.iter_batched(lost, cycle, BatchSize::PerIteration);
         });
-        // A takeover of this many machines: all their reports, and the pass that follows.
+        // A takeover of this many machines: all their heartbeats, and the cycle that follows.
         group.bench_function(BenchmarkId::new("taken over", HOSTS * scale), |b| {
             let known = full(scale);
             let reports: Vec<Heartbeat> = hosts(&known)
--- /dev/null
+++ b/crates/jasperhill-scheduler/src/autoscaler/tests.rs
@@ -0,0 +1,45 @@
+use super::*;
+use crate::config::MachineSpec;
+use jasperhill_wire::Resources;
+use std::rc::Rc;
+
+/// Guards against a rate that is stretched over time in which nothing was counted.
+#[test]
+fn what_had_gathered_does_not_count_and_what_comes_is_seen_soon() {
+    let text = r#"{"uid":"job-1","jobclass":"c","tenant":"red","shape":"ensemble","urgency":"urgent",
+        "shards":2,"vcpus":16.0,"accelerators":2.0,"memory_gb":1.0,"bundle":"i","size_gb":1.0,
+        "hosttypes":null,"hall":null,"together":false,"apart":false,"reclaimable":false,
+        "expected_s":10.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":null}"#;
+    let request = JobRequest::parse(text.as_bytes()).unwrap();
+    let spec = MachineSpec {
+        machine_type: "box".into(),
+        capacity: Resources::from_units(16.0, 2.0, 64.0),
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        boot: Micros::from_secs(25),
+        price: 4.0,
+        spot_price: 2.0,
+        zones: vec!["a".into()],
+    };
+    let specs: Specs = BTreeMap::from([("box".into(), Rc::new(spec))]);
+    let first = Micros::from_secs(3_600);
+    let mut arrivals = DemandForecast::new(first);
+    assert!(!arrivals.counts(first + Micros::from_secs(5)));
+    // Two hosts every five seconds, from when it counts.
+    for n in 0..4 {
+        let at = first + Micros::from_secs(15 + 5 * n);
+        assert!(arrivals.counts(at));
+        arrivals.record(0, &request, &specs, at);
+    }
+    let now = first + Micros::from_secs(35);
+    let boot = Micros::from_secs(25);
+    let within = |s| BTreeMap::from([(Name::from("c"), Micros::from_secs(s))]);
+    let expected = arrivals.expected(0, boot, &within(10), now);
+    assert!((10.0..30.0).contains(&expected), "{expected}");
+    // What may wait for a machine needs none in advance.
+    assert_eq!(arrivals.expected(0, boot, &within(200), now), 0.0);
+    assert_eq!(arrivals.expected(0, boot, &BTreeMap::new(), now), 0.0);
+    // And when nothing comes any more, nothing is kept.
+    let silent = now + Micros::from_secs(120);
+    assert_eq!(arrivals.expected(0, boot, &within(10), silent), 0.0);
+}
--- a/crates/jasperhill-scheduler/src/boot_times.rs
+++ b/crates/jasperhill-scheduler/src/boot_times.rs
@@ -27,29 +27,29 @@
 
 impl BootTimes {
     /// A machine has come up after so long.
-    pub fn record(&mut self, kind: &Name, zone: &Name, took: Micros, now: Micros) {
+    pub fn record(&mut self, kind: &Name, zone: &Name, elapsed: Micros, now: Micros) {
         let seen = self.seen.entry((kind.clone(), zone.clone())).or_default();
         if seen.len() >= SEEN_MAX {
             seen.pop_front();
         }
-        seen.push_back((now, took));
+        seen.push_back((now, elapsed));
     }
 
     /// How long a boot there usually takes at most.
     pub fn usual(&self, kind: &Name, zone: &Name, nominal: Micros, now: Micros) -> Micros {
-        let mut took: Vec<Micros> = self
+        let mut elapsed: Vec<Micros> = self
             .seen
             .get(&(kind.clone(), zone.clone()))
             .into_iter()
             .flatten()
             .filter(|(at, _)| now - *at < REMEMBERED)
-            .map(|(_, took)| *took)
+            .map(|(_, elapsed)| *elapsed)
             .collect();
-        while took.len() < ENOUGH {
-            took.push(nominal.scale(ORDINARY));
+        while elapsed.len() < ENOUGH {
+            elapsed.push(nominal.scale(ORDINARY));
         }
-        took.sort_unstable();
-        took[((took.len() - 1) as f64 * USUAL_SHARE) as usize]
+        elapsed.sort_unstable();
+        elapsed[((elapsed.len() - 1) as f64 * USUAL_SHARE) as usize]
     }
 
     /// A machine that has been booting for so long can't be counted on.
@@ -80,36 +80,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const NOMINAL: Micros = Micros::from_secs(30);
-
-    fn late(boots: &BootTimes, age: u64, now: Micros) -> bool {
-        let (kind, zone) = ("box".into(), "a".into());
-        boots.is_late(&kind, &zone, NOMINAL, Micros::from_secs(age), now)
-    }
-
-    /// Guards against machines that never come and count as supply for minutes.
-    #[test]
-    fn a_machine_is_late_by_what_others_take() {
-        let mut boots = BootTimes::default();
-        let now = Micros::from_secs(1_000);
-        assert!(!late(&boots, 45, now) && late(&boots, 60, now));
-        // Where all take three times as long none is late before, and elsewhere nothing changes.
-        for _ in 0..8 {
-            boots.record(&"box".into(), &"a".into(), Micros::from_secs(90), now);
-        }
-        assert!(!late(&boots, 100, now) && late(&boots, 120, now));
-        let elsewhere = boots.usual(&"box".into(), &"b".into(), NOMINAL, now);
-        assert_eq!(elsewhere, Micros::from_secs(45));
-        // What was seen is forgotten after a while.
-        assert!(late(&boots, 60, now + REMEMBERED));
-        // Boots that were quick for a while do not make ordinary ones late.
-        for _ in 0..SEEN_MAX {
-            boots.record(&"box".into(), &"a".into(), Micros::from_secs(1), now);
-        }
-        assert!(!late(&boots, 45, now));
-        assert!(BootTimes::never_comes(NOMINAL, Micros::from_secs(141)));
-    }
-}
+mod tests;
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -96,7 +96,7 @@
     pub fn lease_expiry(&self) -> Micros {
         self.lease + self.lease.scale(0.002) + Micros::from_millis(400)
     }
-    /// A host that has not been heard for so long may be lost: more than two reports.
+    /// A host that has not been heard for so long may be lost: more than two heartbeats.
     pub fn silence_limit(&self) -> Micros {
         self.report.scale(2.5) + Micros::from_secs(1)
     }
--- a/crates/jasperhill-scheduler/src/admission.rs
+++ b/crates/jasperhill-scheduler/src/cycle/admission.rs
@@ -1,13 +1,13 @@
-//! Admitted work with deadlines: the admission test, bookings in the hosts' queues by the
-//! forward run, and the starts of booked tasks.
+//! Admitted work with deadlines: the admission test, reservations in the hosts' queues by the
+//! schedule simulation, and the starts of reserved tasks.
 
 use crate::{
     config::fetch_time,
-    cycle::{Cycle, SimulationStart},
+    cycle::context::{Cycle, SimulationStart},
+    cycle::placement::start_delay,
     host::{Host, TaskState},
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
-    placement::start_delay,
     schedule_simulation::{
         Occupied, Reservation, count_missed, density, insert_by_deadline, insert_position,
         remaining,
@@ -20,13 +20,13 @@
     rc::Rc,
 };
 
-/// Tasks of one job that are booked in one pass; the rest follows in later ones.
+/// Tasks of one job that are reserved in one cycle; the rest follows in later ones.
 const RESERVATIONS_MAX: u64 = 256;
 
 /// The deadline of what has missed its own.
 pub(crate) const NO_DEADLINE: Micros = Micros::from_secs(86_400);
 
-/// What a host would make of one more booking: fewer new misses first, then the lower
+/// What a host would make of one more reservation: fewer new misses first, then the lower
 /// density, then the host's place.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rank {
@@ -81,15 +81,15 @@
                     }
                     (Some(j), None) if j.is_service() => Micros::MAX,
                     (Some(j), None) => {
-                        let (began, wait) = match (t.running, t.state) {
-                            (Some(began), _) => (began, Micros::ZERO),
+                        let (started, wait) = match (t.running, t.state) {
+                            (Some(started), _) => (started, Micros::ZERO),
                             (None, TaskState::Fetching | TaskState::Ordered) => {
                                 (now, start_delay(host, &j.request, now))
                             }
                             _ => (now, Micros::ZERO),
                         };
                         let estimate = self.estimate(&j.request).scale(host.slowness.max(1.0));
-                        now + wait + remaining(estimate, now - began)
+                        now + wait + remaining(estimate, now - started)
                     }
                     (None, _) => now + Micros::from_secs(2),
                 };
@@ -103,7 +103,7 @@
         occupied
     }
 
-    /// What the forward runs on a host begin with.
+    /// What the schedule simulations on a host begin with.
     pub(crate) fn begin(&self, host: &Host, now: Micros) -> SimulationStart {
         let running: Rc<[Occupied]> = self.occupied(host, now).into();
         SimulationStart {
@@ -112,23 +112,25 @@
         }
     }
 
-    /// The forward run on one host with one more booking: new misses, and the density.
-    fn rank(&self, pass: &Cycle, host: &Host, slot: usize, booking: &Reservation) -> Rank {
-        let now = pass.now;
+    /// The schedule simulation on one host with one more reservation: new misses, and the density.
+    fn rank(&self, cycle: &Cycle, host: &Host, slot: usize, reservation: &Reservation) -> Rank {
+        let now = cycle.now;
         let room = host.free_resources();
-        if host.queue.is_empty() && booking.each.fits(&room) {
+        if host.queue.is_empty() && reservation.each.fits(&room) {
             // Starts at once: nothing else bears on it.
-            let missed = usize::from(now + booking.estimate > booking.adjusted_deadline);
-            let dense = density(now, [booking]);
+            let missed = usize::from(now + reservation.estimate > reservation.adjusted_deadline);
+            let dense = density(now, [reservation]);
             return Rank {
                 missed,
                 dense,
                 slot,
             };
         }
-        let begin = pass.simulation_start(slot, || self.begin(host, now));
-        let (head, tail) = host.queue.split_at(insert_position(&host.queue, booking));
-        let with = || head.iter().chain([booking]).chain(tail);
+        let begin = cycle.simulation_start(slot, || self.begin(host, now));
+        let (head, tail) = host
+            .queue
+            .split_at(insert_position(&host.queue, reservation));
+        let with = || head.iter().chain([reservation]).chain(tail);
         Rank {
             missed: count_missed(now, room, &begin.running, with()).saturating_sub(begin.misses),
             dense: density(now, with()),
@@ -137,11 +139,11 @@
     }
 
     /// Books pending tasks of an admitted job, as far as the team's limit goes. The forward
-    /// run over all hosts is made once for the job: its tasks are equal, and a booking
+    /// run over all hosts is made once for the job: its tasks are equal, and a reservation
     /// changes the outcome only on the host that got it.
     ///
     /// An admitted task that would miss everywhere goes where the fewest do.
-    pub(crate) fn reserve(&mut self, pass: &Cycle, id: &JobId) {
+    pub(crate) fn reserve(&mut self, cycle: &Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.pending() == 0 {
             return;
@@ -149,18 +151,18 @@
         let request = job.request.clone();
         let Some(due) = job.due else { return };
         let due = if job.missed_deadline {
-            pass.now + NO_DEADLINE
+            cycle.now + NO_DEADLINE
         } else {
             due
         };
         let taken = job.reserved.len() as u64;
-        if !self.may_start(pass, &request, taken + 1) {
+        if !self.may_start(cycle, &request, taken + 1) {
             return;
         }
         let zones = self.zone_capacity(job);
         let any = TaskId::new(id, 0);
         let mut heap: BinaryHeap<Reverse<Rank>> = self
-            .with_slots(pass)
+            .with_slots(cycle)
             .filter(|(_, slot, host)| {
                 slot.usable
                     && Self::is_feasible(job, host)
@@ -168,12 +170,12 @@
                     && request.each.fits(&host.spec.capacity)
             })
             .map(|(i, _, host)| {
-                let booking = self.reservation(host, &any, &request, due, pass.now);
-                Reverse(self.rank(pass, host, i, &booking))
+                let reservation = self.reservation(host, &any, &request, due, cycle.now);
+                Reverse(self.rank(cycle, host, i, &reservation))
             })
             .collect();
         for more in 1..=RESERVATIONS_MAX {
-            if !self.may_start(pass, &request, taken + more) {
+            if !self.may_start(cycle, &request, taken + more) {
                 return;
             }
             let Some(i) = self.jobs.get_mut(id).and_then(Job::next_pending) else {
@@ -183,7 +185,7 @@
             let mut aside = Vec::new();
             let mut chosen = None;
             while let Some(Reverse(rank)) = heap.pop() {
-                let host = &pass.slots[rank.slot].id;
+                let host = &cycle.slots[rank.slot].id;
                 // A host that still lists this task as exited refuses it.
                 let listed = |h: &Host| h.tasks.contains_key(&task);
                 if self.hosts.get(host).is_some_and(listed) {
@@ -198,60 +200,61 @@
             let Some(host) = self.hosts.get(&id) else {
                 return;
             };
-            let booking = self.reservation(host, &task, &request, due, pass.now);
+            let reservation = self.reservation(host, &task, &request, due, cycle.now);
             if let Some(host) = self.hosts.get_mut(&id) {
-                insert_by_deadline(&mut host.queue, booking.clone());
+                insert_by_deadline(&mut host.queue, reservation.clone());
             }
             self.set_step(&task, TaskStep::Reserved(id.clone()));
-            pass.invalidate(slot);
+            cycle.invalidate(slot);
             if let Some(host) = self.hosts.get(&id) {
-                heap.push(Reverse(self.rank(pass, host, slot, &booking)));
+                heap.push(Reverse(self.rank(cycle, host, slot, &reservation)));
             }
         }
     }
 
-    /// Starts booked tasks: from the head of their hosts' queues, and on any host that has
+    /// Starts reserved tasks: from the head of their hosts' queues, and on any host that has
     /// room and no queue of its own.
-    pub(crate) fn start_reserved(&mut self, pass: &mut Cycle, id: &JobId) {
+    pub(crate) fn start_reserved(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
-        if job.reserved.is_empty() || pass.is_infeasible(&request.each) {
+        if job.reserved.is_empty() || cycle.is_infeasible(&request.each) {
             return;
         }
-        if !self.may_start(pass, &request, 1) {
+        if !self.may_start(cycle, &request, 1) {
             return;
         }
-        let mut spare = self.candidates(pass, job, true);
-        // Guards against a walk through thousands of bookings in every pass where all hosts are
+        let mut spare = self.candidates(cycle, job, true);
+        // Guards against a walk through thousands of reservations in every cycle where all hosts are
         // full: without spare hosts only those can start whose own host has room now.
-        let roomy: HashSet<&HostId> = pass
+        let with_capacity: HashSet<&HostId> = cycle
             .slots
             .iter()
             .enumerate()
-            .filter(|(i, _)| pass.fits(*i, id, &request.each))
+            .filter(|(i, _)| cycle.fits(*i, id, &request.each))
             .map(|(_, slot)| &slot.id)
             .collect();
-        let may = |home: &HostId| !spare.is_empty() || roomy.contains(home);
-        let booked: Vec<(u32, HostId)> = job
+        let may = |home: &HostId| !spare.is_empty() || with_capacity.contains(home);
+        let reserved: Vec<(u32, HostId)> = job
             .reserved
             .iter()
             .filter(|(_, home)| may(home))
             .map(|(i, home)| (*i, home.clone()))
             .collect();
-        if booked.is_empty() {
+        if reserved.is_empty() {
             return;
         }
         let mut zones = self.zone_capacity(job);
-        // The hosts of its own bookings that have room; few when the fleet is full.
+        // The hosts of its own reservations that have room; few when the fleet is full.
         let mut homes: BTreeMap<&HostId, Option<usize>> = BTreeMap::new();
-        for (i, home) in &booked {
+        for (i, home) in &reserved {
             let at = *homes.entry(home).or_insert_with(|| {
-                pass.slot(home)
-                    .filter(|at| pass.fits(*at, id, &request.each))
+                cycle
+                    .slot(home)
+                    .filter(|at| cycle.fits(*at, id, &request.each))
             });
             let Some(job) = self.jobs.get(id) else { return };
             let home_fits = at.filter(|at| {
-                pass.fits(*at, id, &request.each)
+                cycle.fits(*at, id, &request.each)
                     && self.hosts.get(home).is_some_and(|h| {
                         Self::is_feasible(job, h)
                             && zones.allows(&h.zone)
@@ -259,27 +262,27 @@
                     })
             });
             let target =
-                home_fits.or_else(|| self.best(pass, &mut spare, &zones, (id, &request.each), *i));
+                home_fits.or_else(|| self.best(cycle, &mut spare, &zones, (id, &request.each), *i));
             let Some(slot) = target else { continue };
-            self.start(pass, id, *i, slot, None);
+            self.start(cycle, id, *i, slot, None);
             // Only a start changes what the team may.
-            if !self.may_start(pass, &request, 1) {
+            if !self.may_start(cycle, &request, 1) {
                 return;
             }
-            if let Some(zone) = self.zone_of(&pass.slots[slot].id) {
+            if let Some(zone) = self.zone_of(&cycle.slots[slot].id) {
                 zones.add(&zone);
             }
-            self.rescore(pass, &mut spare, slot, &request, true);
+            self.rescore(cycle, &mut spare, slot, &request, true);
         }
     }
 
     /// The admission test for a job with a deadline that nobody has accepted yet.
     /// `elastic`: how many more machines can be had, after how long. `release`: how long until
-    /// the jobs that it needs are expected to be done. The forward run is then played from that
-    /// moment on: what ends before it holds no room, and what is booked has not begun.
+    /// the jobs that it needs are expected to be done. The schedule simulation is then played from that
+    /// moment on: what ends before it holds no room, and what is reserved has not begun.
     ///
     /// Its tasks are equal and those on one host do not bear on another, so that the job
-    /// passes if the hosts together can take as many as it has, whatever their order: each
+    /// cycles if the hosts together can take as many as it has, whatever their order: each
     /// is played until it would miss, and no further host once there is enough.
     pub fn admit(
         &self,
@@ -340,7 +343,7 @@
     }
 
     /// How many tasks of a job a host can take without a new miss, at most `most`, and how
-    /// many bookings miss there already.
+    /// many reservations miss there already.
     fn takes(
         &self,
         host: &Host,
@@ -351,12 +354,12 @@
     ) -> (u32, usize) {
         let (room, running) = (host.free_resources(), self.occupied(host, now));
         let before = count_missed(now, room, &running, &host.queue);
-        let booking = self.reservation(host, &TaskId::new(&request.id, 0), request, due, now);
-        let at = insert_position(&host.queue, &booking);
+        let reservation = self.reservation(host, &TaskId::new(&request.id, 0), request, due, now);
+        let at = insert_position(&host.queue, &reservation);
         let (head, tail) = host.queue.split_at(at);
         let mut can = 0;
         while can < most {
-            let more = std::iter::repeat_n(&booking, can as usize + 1);
+            let more = std::iter::repeat_n(&reservation, can as usize + 1);
             if count_missed(now, room, &running, head.iter().chain(more).chain(tail)) > before {
                 break;
             }
--- a/crates/jasperhill-scheduler/src/drain.rs
+++ b/crates/jasperhill-scheduler/src/cycle/drain.rs
@@ -2,10 +2,10 @@
 //! to where they can go on at once.
 
 use crate::{
+    cycle::placement::ZoneCapacity,
     host::Host,
     job::Job,
     partition::{Event, Partition},
-    placement::ZoneCapacity,
 };
 use jasperhill_wire::{HostId, Micros, TaskId};
 
@@ -18,32 +18,6 @@
 /// A host that could not be emptied in this time is used again; one that is not expected to be
 /// empty by then is not chosen.
 const DRAIN_FOR: Micros = Micros::from_secs(90);
-/// One in so many replicas is moved a second, and at most so many at a time. Each is away for
-/// about a second: what the users see of it is one in so many replicas missing.
-const MOVED: f64 = 500.0;
-const MOVES_MOST: f64 = 16.0;
-
-/// How many replicas may be moved by now.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct MoveBudget {
-    ready: f64,
-    at: Micros,
-}
-
-impl MoveBudget {
-    /// Counts up to now, and takes one if there is one.
-    pub fn take(&mut self, replicas: usize, now: Micros) -> bool {
-        self.ready += (now - self.at).as_secs_f64() * replicas as f64 / MOVED;
-        self.ready = self
-            .ready
-            .min(MOVES_MOST.min(1.0 + replicas as f64 / MOVED));
-        self.at = self.at.max(now);
-        let may = self.ready >= 1.0;
-        self.ready -= f64::from(u8::from(may));
-        may
-    }
-}
-
 impl Partition {
     /// Chooses hosts to be emptied, when there are more than are needed: those that are empty
     /// the soonest, if all their replicas can go on at once elsewhere. `surplus`: how many are
@@ -185,21 +159,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a consolidation that users see as replicas missing.
-    #[test]
-    fn few_of_the_replicas_move_at_a_time() {
-        let mut moves = MoveBudget::default();
-        let moved = |moves: &mut MoveBudget, replicas, seconds: u64| {
-            let tries = (0..seconds * 10).map(|t| Micros::from_millis(3_600_000 + t * 100));
-            tries.filter(|at| moves.take(replicas, *at)).count()
-        };
-        assert!((30..=33).contains(&moved(&mut moves, 500, 30)));
-        let mut few = MoveBudget::default();
-        assert!((1..=4).contains(&moved(&mut few, 50, 30)));
-    }
-}
--- a/crates/jasperhill-scheduler/src/gang.rs
+++ b/crates/jasperhill-scheduler/src/cycle/gang.rs
@@ -1,11 +1,11 @@
 //! Gangs: started whole or not at all, and hosts kept free for those that wait.
 
 use crate::{
-    cycle::Cycle,
+    cycle::context::Cycle,
+    cycle::placement::{ZoneCapacity, cost, unproven_penalty},
     host::{Host, LISTED_MAX},
     job::{HeldHosts, Job},
     partition::Partition,
-    placement::{ZoneCapacity, cost, unproven_penalty},
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, user::JobRequest};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,22 +19,22 @@
 
 impl Partition {
     /// Starts a gang whole or not at all.
-    pub(crate) fn start_gang(&mut self, pass: &mut Cycle, id: &JobId) {
+    pub(crate) fn start_gang(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
         if !job.live.is_empty() || !job.unsaved.is_empty() {
             return;
         }
-        if !self.may_start(pass, &request, u64::from(request.tasks)) {
+        if !self.may_start(cycle, &request, u64::from(request.tasks)) {
             return;
         }
         let mut best: Option<(u64, Vec<usize>)> = None;
         let priority = job.priority();
         let looked =
-            !pass.is_infeasible(&request.each) && !pass.is_gang_without_hosts(priority, &request);
+            !cycle.is_infeasible(&request.each) && !cycle.is_gang_without_hosts(priority, &request);
         if looked {
-            for zones in self.zone_sets(pass, &request) {
-                if let Some((cost, slots)) = self.find_hosts(pass, job, &request, &zones)
+            for zones in self.zone_sets(cycle, &request) {
+                if let Some((cost, slots)) = self.find_hosts(cycle, job, &request, &zones)
                     && best.as_ref().is_none_or(|(c, _)| cost < *c)
                 {
                     best = Some((cost, slots));
@@ -47,7 +47,7 @@
             && !job.failures.avoids_any()
             && !self.hosts.values().any(|h| h.lists_job(id))
         {
-            pass.note_gang_without_hosts(priority, &request);
+            cycle.note_gang_without_hosts(priority, &request);
         }
         match best {
             Some((_, slots)) => {
@@ -58,23 +58,23 @@
                     job.preempting.clear();
                 }
                 for (i, slot) in slots.into_iter().enumerate() {
-                    self.start(pass, id, i as u32, slot, Some(attempt));
+                    self.start(cycle, id, i as u32, slot, Some(attempt));
                 }
             }
-            // Nobody makes way for what fails wherever it runs.
+            // Nobody is preempted for what fails wherever it runs.
             None if job.failures.is_backing_off() => {}
             None => {
-                self.choose_hosts(pass, id, &request);
-                self.preempt_for_gang(pass, id);
-                self.hold_hosts(pass, id);
+                self.choose_hosts(cycle, id, &request);
+                self.preempt_for_gang(cycle, id);
+                self.hold_hosts(cycle, id);
             }
         }
     }
 
     /// The sets of zones that a gang may be spread over.
-    fn zone_sets(&self, pass: &Cycle, request: &JobRequest) -> Vec<BTreeSet<Name>> {
+    fn zone_sets(&self, cycle: &Cycle, request: &JobRequest) -> Vec<BTreeSet<Name>> {
         let zones: BTreeSet<Name> = self
-            .with_slots(pass)
+            .with_slots(cycle)
             .filter(|(_, slot, _)| slot.usable && request.each.fits(&slot.room))
             .map(|(_, _, h)| &h.zone)
             .filter(|z| request.zone.as_ref().is_none_or(|want| want == *z))
@@ -92,14 +92,14 @@
     /// Hosts for every task of a gang within these zones, with room now.
     fn find_hosts(
         &self,
-        pass: &Cycle,
+        cycle: &Cycle,
         job: &Job,
         request: &JobRequest,
         zones: &BTreeSet<Name>,
     ) -> Option<(u64, Vec<usize>)> {
         let fitting: Vec<(usize, Resources, &Host)> = self
-            .with_slots(pass)
-            .filter(|(i, _, _)| pass.fits(*i, &request.id, &request.each))
+            .with_slots(cycle)
+            .filter(|(i, _, _)| cycle.fits(*i, &request.id, &request.each))
             .filter(|(_, _, host)| zones.contains(&host.zone) && Self::is_feasible(job, host))
             .filter(|(_, _, host)| !host.lists_job(&request.id))
             .map(|(i, slot, host)| (i, slot.room, host))
@@ -116,7 +116,7 @@
             .into_iter()
             .map(|(i, room, host)| {
                 let cost =
-                    cost(host, &room, request, pass.now) + unproven_penalty(job, host, pass.now);
+                    cost(host, &room, request, cycle.now) + unproven_penalty(job, host, cycle.now);
                 (cost, i, host, room)
             })
             .collect();
@@ -125,7 +125,7 @@
         let mut by_zone: BTreeMap<&Name, u32> = BTreeMap::new();
         let mut worst = 0;
         for (cost, i, host, mut room) in candidates {
-            let mut more = LISTED_MAX.saturating_sub(pass.slots[i].listed);
+            let mut more = LISTED_MAX.saturating_sub(cycle.slots[i].listed);
             while slots.len() < request.tasks as usize && request.each.fits(&room) && more > 0 {
                 more -= 1;
                 let used = by_zone.entry(&host.zone).or_default();
@@ -143,25 +143,25 @@
 
     /// Chooses the hosts that are free the soonest for a waiting gang, so that small work does
     /// not hold it up for ever. Looked up again only now and then.
-    fn choose_hosts(&mut self, pass: &mut Cycle, id: &JobId, request: &JobRequest) {
+    fn choose_hosts(&mut self, cycle: &mut Cycle, id: &JobId, request: &JobRequest) {
         let Some(job) = self.jobs.get(id) else { return };
         let stands = job.held_hosts.as_ref().is_some_and(|k| {
-            pass.now < k.until
+            cycle.now < k.until
                 && k.hosts.iter().all(|h| {
-                    pass.slot(h).is_some_and(|i| {
-                        let slot = &pass.slots[i];
+                    cycle.slot(h).is_some_and(|i| {
+                        let slot = &cycle.slots[i];
                         slot.usable && slot.reserved.as_ref().is_none_or(|j| j == id)
                     })
                 })
         });
-        if stands || !self.may_hold_hosts(pass, request) {
+        if stands || !self.may_hold_hosts(cycle, request) {
             return;
         }
         let mut ready: Vec<(Micros, usize, &Host)> = self
-            .with_slots(pass)
+            .with_slots(cycle)
             .filter(|(_, slot, _)| slot.usable && slot.reserved.is_none())
             .filter(|(_, _, h)| Self::is_feasible(job, h))
-            .filter_map(|(i, _, h)| Some((self.free_at(pass, (i, h), &request.each)?, i, h)))
+            .filter_map(|(i, _, h)| Some((self.free_at(cycle, (i, h), &request.each)?, i, h)))
             .collect();
         ready.sort_by_key(|(t, i, _)| (*t, *i));
         let zone = request
@@ -169,7 +169,7 @@
             .then(|| self.soonest_zone(&ready, request.tasks as usize))
             .flatten();
         let mut zones = ZoneCapacity::of(job, |_| None);
-        let (mut hosts, mut at): (Vec<HostId>, Micros) = (Vec::new(), pass.now);
+        let (mut hosts, mut at): (Vec<HostId>, Micros) = (Vec::new(), cycle.now);
         for (t, _, h) in &ready {
             if hosts.len() == request.tasks as usize {
                 break;
@@ -184,7 +184,7 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.held_hosts = whole.then_some(HeldHosts {
                 hosts,
-                until: pass.now + KEPT_FOR,
+                until: cycle.now + KEPT_FOR,
                 ready: at,
             });
         }
@@ -203,25 +203,25 @@
         None
     }
 
-    fn may_hold_hosts(&self, pass: &Cycle, request: &JobRequest) -> bool {
-        let (gangs, hosts) = pass.held_for_gangs;
-        gangs < HOLDING_GANGS || hosts + request.tasks as usize <= pass.usable() / HELD_PART
+    fn may_hold_hosts(&self, cycle: &Cycle, request: &JobRequest) -> bool {
+        let (gangs, hosts) = cycle.held_for_gangs;
+        gangs < HOLDING_GANGS || hosts + request.tasks as usize <= cycle.usable() / HELD_PART
     }
 
-    /// Keeps the chosen hosts for the rest of the pass.
-    fn hold_hosts(&mut self, pass: &mut Cycle, id: &JobId) {
+    /// Keeps the chosen hosts for the rest of the cycle.
+    fn hold_hosts(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let Some(kept) = &job.held_hosts else { return };
-        if job.preempting.is_empty() && !self.may_hold_hosts(pass, &job.request) {
+        if job.preempting.is_empty() && !self.may_hold_hosts(cycle, &job.request) {
             return;
         }
-        pass.held_for_gangs.0 += 1;
-        pass.held_for_gangs.1 += kept.hosts.len();
+        cycle.held_for_gangs.0 += 1;
+        cycle.held_for_gangs.1 += kept.hosts.len();
         for host in &kept.hosts {
-            if let Some(i) = pass.slot(host)
-                && pass.slots[i].reserved.is_none()
+            if let Some(i) = cycle.slot(host)
+                && cycle.slots[i].reserved.is_none()
             {
-                pass.slots[i].reserved = Some(id.clone());
+                cycle.slots[i].reserved = Some(id.clone());
             }
         }
     }
@@ -229,17 +229,17 @@
     /// When the host is expected to have room for this, if ever.
     fn free_at(
         &self,
-        pass: &Cycle,
+        cycle: &Cycle,
         (slot, host): (usize, &Host),
         each: &Resources,
     ) -> Option<Micros> {
-        let now = pass.now;
+        let now = cycle.now;
         let mut room = host.free_resources();
         if each.fits(&room) {
             return Some(now);
         }
         let mut at = now;
-        let begin = pass.simulation_start(slot, || self.begin(host, now));
+        let begin = cycle.simulation_start(slot, || self.begin(host, now));
         for o in begin.running.iter().rev() {
             if each.fits(&room) {
                 return Some(at);
--- /dev/null
+++ b/crates/jasperhill-scheduler/src/cycle/mod.rs
@@ -0,0 +1,301 @@
+//! A cycle over a partition: admitted work is reserved and started, gangs are started whole,
+//! room is made for what outranks. Owns what a cycle keeps track of; the decisions themselves
+//! are in `suit`, `book`, `gang`, `room` and `drain`.
+
+pub(crate) mod admission;
+pub(crate) mod context;
+mod drain;
+mod gang;
+mod loss_recovery;
+pub(crate) mod placement;
+mod preemption;
+mod straggler_detection;
+#[cfg(test)]
+mod tests;
+
+use crate::{
+    cycle::context::{Cycle, HostSlot},
+    host::{Host, HostInput},
+    job::{Job, Readiness, TaskStep},
+    partition::{Event, Partition},
+    starvation::{self, WaitingJob},
+};
+use jasperhill_wire::{
+    Attempt, JobId, Micros, Name, Resources, TaskId,
+    user::{JobRequest, Priority, Shape},
+};
+use std::{cell::RefCell, collections::BTreeMap};
+
+/// Where a job stands in the order of a cycle: see [`Job::rank`].
+type Rank = (u8, u64, Priority, Micros);
+
+impl Partition {
+    /// The hosts as they are now.
+    pub(crate) fn begin_cycle(&self, now: Micros) -> Cycle {
+        let unconfirmed = self.unconfirmed_tasks();
+        let mut unconfirmed_use: BTreeMap<Name, Resources> = BTreeMap::new();
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| self.may_run_unconfirmed(j, &unconfirmed))
+        {
+            *unconfirmed_use.entry(job.request.team.clone()).or_default() += job.unconfirmed_use();
+        }
+        let slots = self
+            .hosts
+            .values()
+            .map(|h| HostSlot {
+                id: h.id.clone(),
+                usable: h.is_usable(now, &self.config),
+                room: h.free_resources(),
+                listed: h.listed(),
+                reserved: None,
+            })
+            .collect();
+        Cycle {
+            now,
+            unconfirmed,
+            simulation_starts: RefCell::new(vec![None; self.hosts.len()]),
+            victims: RefCell::default(),
+            slots,
+            unconfirmed_use: unconfirmed_use,
+            infeasible: Vec::new(),
+            gangs_without_hosts: Vec::new(),
+            gangs_without_victims: Vec::new(),
+            held_for_gangs: (0, 0),
+        }
+    }
+
+    /// Every host with its slot.
+    pub(crate) fn with_slots<'a>(
+        &'a self,
+        cycle: &'a Cycle,
+    ) -> impl Iterator<Item = (usize, &'a HostSlot, &'a Host)> {
+        cycle
+            .slots
+            .iter()
+            .zip(self.hosts.values())
+            .enumerate()
+            .map(|(i, (slot, host))| (i, slot, host))
+    }
+
+    /// Starts what can be started. Call when something has changed, and now and then.
+    pub fn run_cycle(&mut self, now: Micros) {
+        self.changed = false;
+        self.expire_leases(now);
+        self.note_confirmed(now);
+        self.stop_broken_gangs(now);
+        self.clear_outlived_failures(now);
+        self.check_overruns(now);
+        self.stop_before_termination(now);
+        self.move_replicas(now);
+        let mut cycle = self.begin_cycle(now);
+        self.release_unusable_reservations(&cycle);
+        self.mark_missed_deadlines(now);
+        let mut order: Vec<_> = self
+            .jobs
+            .values()
+            .filter(|j| {
+                j.termination.is_none()
+                    && j.readiness == Readiness::Open
+                    && (j.pending() > 0 || !j.reserved.is_empty())
+                    && !self.may_run_unconfirmed(j, &cycle.unconfirmed)
+                    && now >= j.not_before
+                    && j.failures.may_retry(now)
+            })
+            .map(|j| (j.rank(), j.request.id.clone()))
+            .collect();
+        self.update_starvation(&cycle, &order);
+        for (rank, id) in &mut order {
+            // Guards against a class or team that never gets its turn behind others' work.
+            if self.starvation.is_boosted(id) && rank.0 > 0 {
+                (rank.0, rank.1) = (1, 0);
+            }
+        }
+        order.sort();
+        self.backlog = order.len();
+        self.expire_preemptions(now);
+        self.update_recovery(now);
+        let mut kept = false;
+        for ((band, ..), id) in &order {
+            if *band > 0 && !kept {
+                kept = true;
+                self.hold_capacity_for_losses(&mut cycle);
+            }
+            let Some(job) = self.jobs.get(id) else {
+                continue;
+            };
+            match job.request.shape {
+                Shape::Gang => self.start_gang(&mut cycle, id),
+                // A suspect job is reserved nowhere: it would hold up others' schedule simulations.
+                Shape::Service | Shape::Array
+                    if job.due.is_none() || job.failures.is_backing_off() =>
+                {
+                    self.start_without_deadline(&mut cycle, id);
+                }
+                _ => {
+                    self.reserve(&cycle, id);
+                    self.start_reserved(&mut cycle, id);
+                }
+            }
+        }
+        self.events.truncate(256);
+    }
+
+    /// Looks who of those that could start has fallen behind.
+    fn update_starvation(&mut self, cycle: &Cycle, order: &[(Rank, JobId)]) {
+        if !self.starvation.is_due(cycle.now) {
+            return;
+        }
+        let jobs = order.iter().filter_map(|(_, id)| self.jobs.get(id));
+        // Who waits for its team's own limit is not behind others.
+        let could = |j: &&Job| {
+            let tasks = if j.is_gang() { j.request.tasks } else { 1 };
+            j.live.is_empty()
+                && !j.failures.is_backing_off()
+                && self.may_start(cycle, &j.request, u64::from(tasks))
+        };
+        let idle = jobs.filter(could);
+        let waiting: Vec<WaitingJob<'_>> = idle
+            .map(|j| WaitingJob {
+                id: &j.request.id,
+                class: &j.request.class,
+                team: &j.request.team,
+                since: j.submitted.max(j.last_started),
+                within: self.config.longest_start_delay(&j.request.class),
+            })
+            .collect();
+        let least = self.config.tuning.least_share;
+        let was = self.starvation.starved(least);
+        self.starvation
+            .apply(starvation::Input::Evaluate(&waiting), least, cycle.now);
+        let is = self.starvation.starved(least);
+        for group in is.difference(&was) {
+            let standing = self.starvation.shares().get(group).copied();
+            let note = Event::Starved(group.clone(), standing);
+            self.events.push(note);
+        }
+        let caught_up = was.difference(&is).cloned();
+        self.events
+            .extend(caught_up.map(|g| Event::Starved(g, None)));
+    }
+
+    /// A gang that has lost a task stops the rest; a new attempt waits for the last of them.
+    fn stop_broken_gangs(&mut self, now: Micros) {
+        let unconfirmed = self.unconfirmed_tasks();
+        let broken: Vec<JobId> = self
+            .jobs
+            .values()
+            .filter(|j| {
+                j.is_gang()
+                    && j.termination.is_none()
+                    && !j.live.is_empty()
+                    && j.unsaved.is_empty()
+                    && j.pending() > 0
+                    && !self.may_run_unconfirmed(j, &unconfirmed)
+            })
+            .map(|j| j.request.id.clone())
+            .collect();
+        for id in broken {
+            self.stop_all(&id, Micros::ZERO, now);
+        }
+    }
+
+    /// Jobs with tasks to start that can't end in time any more queue last from now on.
+    fn mark_missed_deadlines(&mut self, now: Micros) {
+        let missed: Vec<JobId> = self
+            .jobs
+            .values()
+            .filter(|j| !j.missed_deadline && (j.pending() > 0 || !j.reserved.is_empty()))
+            .filter(|j| {
+                j.due
+                    .is_some_and(|due| now + self.estimate(&j.request) > due)
+            })
+            .map(|j| j.request.id.clone())
+            .collect();
+        for id in missed {
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
+            job.missed_deadline = true;
+            let reserved: Vec<u32> = job.reserved.keys().copied().collect();
+            for i in reserved {
+                self.release_reservation(&id, i);
+            }
+        }
+    }
+
+    /// Reservations on hosts that can't be used any more are made anew.
+    fn release_unusable_reservations(&mut self, cycle: &Cycle) {
+        let lost: Vec<TaskId> = self
+            .with_slots(cycle)
+            .filter(|(_, slot, h)| !slot.usable && !h.queue.is_empty())
+            .flat_map(|(_, _, h)| h.queue.iter().map(|b| b.task.clone()))
+            .collect();
+        for task in lost {
+            self.release_reservation(&task.job, task.index);
+        }
+    }
+
+    /// So many more tasks may start or be reserved: all that the job needs is done, and its team
+    /// stays within its limit.
+    pub(crate) fn may_start(&self, cycle: &Cycle, request: &JobRequest, tasks: u64) -> bool {
+        let open = |j: &Job| j.readiness == Readiness::Open;
+        if !self.jobs.get(&request.id).is_some_and(open) {
+            return false;
+        }
+        let Some(team) = self.config.team(&request.team) else {
+            return false;
+        };
+        let used = self.used.get(&request.team).copied().unwrap_or_default();
+        let unseen = cycle
+            .unconfirmed_use
+            .get(&request.team)
+            .copied()
+            .unwrap_or_default();
+        team.allows(&(used + unseen + request.each.times(tasks)))
+    }
+
+    pub(crate) fn start(
+        &mut self,
+        cycle: &mut Cycle,
+        id: &JobId,
+        i: u32,
+        slot: usize,
+        attempt: Option<Attempt>,
+    ) {
+        let Some(host) = cycle.slots.get(slot).map(|s| s.id.clone()) else {
+            return;
+        };
+        let task = TaskId::new(id, i);
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if let Some(place) = job.preempting.iter().position(|(h, _)| h == &host) {
+            job.preempting.swap_remove(place);
+        }
+        let request = job.request.clone();
+        if job.live.is_empty() {
+            let (class, team) = (&request.class, &request.team);
+            let least = self.config.tuning.least_share;
+            let begun = starvation::Input::Begun { id, class, team };
+            self.starvation.apply(begun, least, cycle.now);
+        }
+        job.last_started = cycle.now;
+        let each = request.each;
+        let attempt = attempt.unwrap_or_else(|| self.next_attempt());
+        if let Some(home) = self.jobs.get(id).and_then(|j| j.reserved.get(&i)) {
+            cycle.invalidate_host(home);
+        }
+        self.release_reservation(id, i);
+        self.set_step(&task, TaskStep::Live(host.clone()));
+        let image = (request.image.clone(), request.image_gb);
+        self.apply(
+            &host,
+            HostInput::Start(task, attempt, each, image),
+            cycle.now,
+        );
+        cycle.take(slot, &each);
+        self.dirty.insert(host);
+    }
+}
--- a/crates/jasperhill-scheduler/src/placement.rs
+++ b/crates/jasperhill-scheduler/src/cycle/placement.rs
@@ -1,7 +1,7 @@
 //! Which hosts suit a task that starts now, and which suits best.
 
 use crate::{
-    cycle::{Cycle, is_urgent},
+    cycle::context::{Cycle, is_urgent},
     host::Host,
     job::Job,
     partition::Partition,
@@ -150,16 +150,16 @@
     }
 
     /// `behind_none`: only hosts where no admitted work waits.
-    pub(crate) fn candidates(&self, pass: &Cycle, job: &Job, behind_none: bool) -> Candidates {
+    pub(crate) fn candidates(&self, cycle: &Cycle, job: &Job, behind_none: bool) -> Candidates {
         let r = &job.request;
         let heap = self
-            .with_slots(pass)
-            .filter(|(i, _, _)| pass.fits(*i, &r.id, &r.each))
+            .with_slots(cycle)
+            .filter(|(i, _, _)| cycle.fits(*i, &r.id, &r.each))
             .filter(|(_, _, host)| !behind_none || host.queue.is_empty())
             .filter(|(_, _, host)| Self::is_feasible(job, host))
             .map(|(i, slot, host)| {
                 let cost =
-                    cost(host, &slot.room, r, pass.now) + unproven_penalty(job, host, pass.now);
+                    cost(host, &slot.room, r, cycle.now) + unproven_penalty(job, host, cycle.now);
                 Reverse((cost, i))
             })
             .collect();
@@ -169,7 +169,7 @@
     /// The best candidate for task `i`.
     pub(crate) fn best(
         &self,
-        pass: &Cycle,
+        cycle: &Cycle,
         candidates: &mut Candidates,
         zones: &ZoneCapacity,
         (id, each): (&JobId, &Resources),
@@ -178,11 +178,11 @@
         let mut aside = Vec::new();
         let mut found = None;
         while let Some(Reverse((cost, slot))) = candidates.heap.pop() {
-            let Some(host) = pass.slots.get(slot).and_then(|s| self.hosts.get(&s.id)) else {
+            let Some(host) = cycle.slots.get(slot).and_then(|s| self.hosts.get(&s.id)) else {
                 continue;
             };
-            // Full, or full for this job: it stays so while the pass goes on.
-            if !zones.allows(&host.zone) || !pass.fits(slot, id, each) {
+            // Full, or full for this job: it stays so while the cycle goes on.
+            if !zones.allows(&host.zone) || !cycle.fits(slot, id, each) {
                 continue;
             }
             aside.push(Reverse((cost, slot)));
@@ -198,7 +198,7 @@
     /// A task was started on this candidate: it is judged anew.
     pub(crate) fn rescore(
         &self,
-        pass: &Cycle,
+        cycle: &Cycle,
         candidates: &mut Candidates,
         slot: usize,
         request: &JobRequest,
@@ -213,32 +213,32 @@
         } else {
             candidates.heap.retain(|Reverse((_, s))| *s != slot);
         }
-        if !pass.fits(slot, &request.id, &request.each) {
+        if !cycle.fits(slot, &request.id, &request.each) {
             return;
         }
-        if let Some(host) = pass.slots.get(slot).and_then(|s| self.hosts.get(&s.id))
+        if let Some(host) = cycle.slots.get(slot).and_then(|s| self.hosts.get(&s.id))
             && (!behind_none || host.queue.is_empty())
         {
-            let room = &pass.slots[slot].room;
-            let cost = cost(host, room, request, pass.now);
+            let room = &cycle.slots[slot].room;
+            let cost = cost(host, room, request, cycle.now);
             candidates.heap.push(Reverse((cost, slot)));
         }
     }
 
     /// Deadline-free tasks that start alone: services and plain arrays.
-    pub(crate) fn start_without_deadline(&mut self, pass: &mut Cycle, id: &JobId) {
+    pub(crate) fn start_without_deadline(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
         let production = job.is_production();
         let suspect = job.failures.is_backing_off();
-        if pass.is_infeasible(&request.each) && !production {
+        if cycle.is_infeasible(&request.each) && !production {
             return;
         }
         // The rest queues last: never ahead of admitted work that waits there.
         let behind_none = !is_urgent(job);
-        let mut candidates = self.candidates(pass, job, behind_none);
+        let mut candidates = self.candidates(cycle, job, behind_none);
         let mut zones = self.zone_capacity(job);
-        let patience = self.longest_wait(job, pass.now);
+        let patience = self.longest_wait(job, cycle.now);
         loop {
             let Some(job) = self.jobs.get_mut(id) else {
                 return;
@@ -248,32 +248,32 @@
             }
             let Some(i) = job.next_pending() else { return };
             let (pending, making) = (job.pending() as usize, job.preempting.len());
-            if !self.may_start(pass, &request, 1) {
+            if !self.may_start(cycle, &request, 1) {
                 return;
             }
-            let best = self.best(pass, &mut candidates, &zones, (id, &request.each), i);
+            let best = self.best(cycle, &mut candidates, &zones, (id, &request.each), i);
             let wait = best
-                .and_then(|slot| self.hosts.get(&pass.slots[slot].id))
-                .map_or(Micros::MAX, |h| start_delay(h, &request, pass.now));
+                .and_then(|slot| self.hosts.get(&cycle.slots[slot].id))
+                .map_or(Micros::MAX, |h| start_delay(h, &request, cycle.now));
             // Production does not wait for an image where stopping lesser work elsewhere lets
             // it start at once; room is made for as many of its tasks as wait.
             if production && wait > patience && !suspect {
                 if best.is_none() {
-                    self.record_blocked_replica(pass, id, i);
+                    self.record_blocked_replica(cycle, id, i);
                 }
                 if making >= pending {
                     return;
                 }
-                if self.preempt_for_replica(pass, id, i, &zones, wait) {
+                if self.preempt_for_replica(cycle, id, i, &zones, wait) {
                     continue;
                 }
             }
             let Some(slot) = best else { return };
-            self.start(pass, id, i, slot, None);
-            if let Some(zone) = self.zone_of(&pass.slots[slot].id) {
+            self.start(cycle, id, i, slot, None);
+            if let Some(zone) = self.zone_of(&cycle.slots[slot].id) {
                 zones.add(&zone);
             }
-            self.rescore(pass, &mut candidates, slot, &request, behind_none);
+            self.rescore(cycle, &mut candidates, slot, &request, behind_none);
         }
     }
 }
--- a/crates/jasperhill-scheduler/src/reference_model.rs
+++ b/crates/jasperhill-scheduler/src/cycle/tests.rs
@@ -2,13 +2,13 @@
 //! indexed ones come to. Tests only.
 
 use crate::{
-    admission::NO_DEADLINE,
     config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, fetch_time},
-    cycle::Cycle,
+    cycle::admission::NO_DEADLINE,
+    cycle::context::Cycle,
+    cycle::placement::cost,
     host::HeartbeatSource,
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
-    placement::cost,
     schedule_simulation::{Occupied, Reservation, count_missed, density, insert_by_deadline},
 };
 use jasperhill_wire::{
@@ -27,8 +27,8 @@
 struct Setting {
     /// Per host: zone, spot, image held, tasks that run there, slowness in tenths.
     hosts: Vec<(bool, bool, u8, u8, u8)>,
-    /// Bookings that are there already: host, seconds to the deadline, estimate.
-    booked: Vec<(usize, u64, u64)>,
+    /// Reservations that are there already: host, seconds to the deadline, estimate.
+    reserved: Vec<(usize, u64, u64)>,
     request: JobRequest,
     submitted_ago: u64,
 }
@@ -69,16 +69,16 @@
         (any::<bool>(), any::<bool>(), 0u8..3, 0u8..9, 5u8..30),
         1..14,
     );
-    let booked = proptest::collection::vec((0usize..14, 5u64..200, 5u64..60), 0..30);
+    let reserved = proptest::collection::vec((0usize..14, 5u64..200, 5u64..60), 0..30);
     let flags = (1u8..4, any::<bool>(), any::<bool>(), any::<bool>());
     let times = (5u64..60, 10u64..200);
-    (hosts, booked, 1u32..40, 0u8..3, flags, times, 0u64..8).prop_map(
-        move |(hosts, booked, tasks, image, flags, (estimate, left), submitted_ago)| {
+    (hosts, reserved, 1u32..40, 0u8..3, flags, times, 0u64..8).prop_map(
+        move |(hosts, reserved, tasks, image, flags, (estimate, left), submitted_ago)| {
             let deadline = (shape == Shape::Array).then_some(left);
             let times = (estimate, deadline);
             Setting {
                 hosts,
-                booked,
+                reserved,
                 request: request("job-new", shape, tasks, image, flags, times),
                 submitted_ago,
             }
@@ -156,16 +156,16 @@
             host.slowness = f64::from(*slow) / 10.0;
         }
     }
-    for (i, (host, left, estimate)) in s.booked.iter().enumerate() {
+    for (i, (host, left, estimate)) in s.reserved.iter().enumerate() {
         let id = HostId::new(&format!("n-{:02}", host % s.hosts.len()));
-        let booking = Reservation {
+        let reservation = Reservation {
             task: TaskId::new(&JobId::new("job-other"), i as u32),
             each: Resources::from_units(1.0, 1.0, 4.0),
             adjusted_deadline: NOW + Micros::from_secs(*left),
             estimate: Micros::from_secs(*estimate),
         };
         if let Some(host) = part.hosts.get_mut(&id) {
-            insert_by_deadline(&mut host.queue, booking);
+            insert_by_deadline(&mut host.queue, reservation);
         }
     }
     let submitted = NOW - Micros::from_secs(s.submitted_ago);
@@ -179,11 +179,11 @@
     part
 }
 
-/// The forward run over all hosts for one task; among those with the fewest new misses the
+/// The schedule simulation over all hosts for one task; among those with the fewest new misses the
 /// lowest density, the first of equals.
 fn choose(
     part: &Partition,
-    pass: &Cycle,
+    cycle: &Cycle,
     task: &TaskId,
     due: Micros,
 ) -> Option<(HostId, Reservation)> {
@@ -195,40 +195,40 @@
         if !fits || !Partition::is_feasible(job, host) || !zones.allows(&host.zone) {
             continue;
         }
-        let booking = part.reservation(host, task, &job.request, due, pass.now);
-        let running = part.occupied(host, pass.now);
+        let reservation = part.reservation(host, task, &job.request, due, cycle.now);
+        let running = part.occupied(host, cycle.now);
         let mut queue = host.queue.clone();
-        let before = count_missed(pass.now, host.free_resources(), &running, &queue);
-        insert_by_deadline(&mut queue, booking.clone());
+        let before = count_missed(cycle.now, host.free_resources(), &running, &queue);
+        insert_by_deadline(&mut queue, reservation.clone());
         let missed =
-            count_missed(pass.now, host.free_resources(), &running, &queue).saturating_sub(before);
-        let dense = density(pass.now, &queue);
+            count_missed(cycle.now, host.free_resources(), &running, &queue).saturating_sub(before);
+        let dense = density(cycle.now, &queue);
         let better = |(m, d): (usize, f64)| {
             (missed, dense).partial_cmp(&(m, d)) == Some(std::cmp::Ordering::Less)
         };
         if best.as_ref().is_none_or(|(m, d, ..)| better((*m, *d))) {
-            best = Some((missed, dense, host.id.clone(), booking));
+            best = Some((missed, dense, host.id.clone(), reservation));
         }
     }
-    best.map(|(_, _, host, booking)| (host, booking))
+    best.map(|(_, _, host, reservation)| (host, reservation))
 }
 
-fn book(part: &mut Partition, pass: &Cycle, id: &JobId) {
+fn book(part: &mut Partition, cycle: &Cycle, id: &JobId) {
     let Some(job) = part.jobs.get(id) else { return };
     let (request, missed) = (job.request.clone(), job.missed_deadline);
     let Some(due) = job.due else { return };
-    let due = if missed { pass.now + NO_DEADLINE } else { due };
+    let due = if missed { cycle.now + NO_DEADLINE } else { due };
     let mut taken = 0;
-    while part.may_start(pass, &request, taken + 1) {
+    while part.may_start(cycle, &request, taken + 1) {
         let Some(i) = part.jobs.get_mut(id).and_then(Job::next_pending) else {
             return;
         };
         let task = TaskId::new(id, i);
-        let Some((host, booking)) = choose(part, pass, &task, due) else {
+        let Some((host, reservation)) = choose(part, cycle, &task, due) else {
             return;
         };
         if let Some(host) = part.hosts.get_mut(&host) {
-            insert_by_deadline(&mut host.queue, booking);
+            insert_by_deadline(&mut host.queue, reservation);
         }
         part.set_step(&task, TaskStep::Reserved(host));
         taken += 1;
@@ -299,27 +299,27 @@
 }
 
 /// Task after task on the cheapest host that has room and no queue.
-fn start_loose(part: &mut Partition, pass: &mut Cycle, id: &JobId) {
+fn start_loose(part: &mut Partition, cycle: &mut Cycle, id: &JobId) {
     loop {
         let Some(job) = part.jobs.get_mut(id) else {
             return;
         };
         let Some(i) = job.next_pending() else { return };
         let request = job.request.clone();
-        if !part.may_start(pass, &request, 1) {
+        if !part.may_start(cycle, &request, 1) {
             return;
         }
         let job = &part.jobs[id];
         let zones = part.zone_capacity(job);
         let best = part
-            .with_slots(pass)
-            .filter(|(i, _, _)| pass.fits(*i, id, &request.each))
+            .with_slots(cycle)
+            .filter(|(i, _, _)| cycle.fits(*i, id, &request.each))
             .filter(|(_, _, h)| h.queue.is_empty())
             .filter(|(_, _, h)| Partition::is_feasible(job, h) && zones.allows(&h.zone))
-            .min_by_key(|(i, slot, h)| (cost(h, &slot.room, &request, pass.now), *i))
+            .min_by_key(|(i, slot, h)| (cost(h, &slot.room, &request, cycle.now), *i))
             .map(|(i, _, _)| i);
         match best {
-            Some(slot) => part.start(pass, id, i, slot, None),
+            Some(slot) => part.start(cycle, id, i, slot, None),
             None => return,
         }
     }
@@ -350,9 +350,9 @@
     #[test]
     fn bookings_are_those_of_the_plain_forward_run(s in setting(Shape::Array)) {
         let (mut indexed, mut plainly) = (build(&s), build(&s));
-        let pass = indexed.begin_cycle(NOW);
-        indexed.reserve(&pass, &s.request.id);
-        book(&mut plainly, &pass, &s.request.id);
+        let cycle = indexed.begin_cycle(NOW);
+        indexed.reserve(&cycle, &s.request.id);
+        book(&mut plainly, &cycle, &s.request.id);
         prop_assert_eq!(placed(&indexed), placed(&plainly));
     }
 
@@ -370,10 +370,10 @@
     #[test]
     fn starts_are_those_of_the_plain_choice(s in setting(Shape::Service)) {
         let (mut indexed, mut plainly) = (build(&s), build(&s));
-        let mut pass = indexed.begin_cycle(NOW);
-        indexed.start_without_deadline(&mut pass, &s.request.id);
-        let mut pass = plainly.begin_cycle(NOW);
-        start_loose(&mut plainly, &mut pass, &s.request.id);
+        let mut cycle = indexed.begin_cycle(NOW);
+        indexed.start_without_deadline(&mut cycle, &s.request.id);
+        let mut cycle = plainly.begin_cycle(NOW);
+        start_loose(&mut plainly, &mut cycle, &s.request.id);
         prop_assert_eq!(placed(&indexed), placed(&plainly));
     }
 }
--- a/crates/jasperhill-scheduler/src/host.rs
+++ b/crates/jasperhill-scheduler/src/host/mod.rs
@@ -1,21 +1,24 @@
 //! The host machine: what a worker runs, may run and has been told. Every change of its
 //! state goes through [`Host::apply`].
 
+mod commands;
+mod heartbeat;
+
 use crate::{
     config::{MachineSpec, SchedulerConfig},
-    stragglers::Pace,
+    pace::Pace,
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, TaskId,
     record::{HostAssignment, HostRecord},
-    worker::{Command, ExitCause, Heartbeat, TaskPhase},
+    worker::{Command, ExitCause, Heartbeat},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
     rc::Rc,
 };
 
-/// Errors in a row after which a host is set aside, and for how long.
+/// Errors in a row after which a host is quarantined, and for how long.
 const QUARANTINE_AFTER: usize = 2;
 const QUARANTINE: Micros = Micros::from_secs(60);
 /// Errors remembered.
@@ -25,8 +28,8 @@
 /// A completed task proves a host for so long after its start.
 const PROVED_FOR: Micros = Micros::from_secs(120);
 
-/// Tasks that a worker may list, exited ones that are not cleared yet included: a report with
-/// more could outgrow the 64 KiB that a request body may have, and a host whose reports are
+/// Tasks that a worker may list, exited ones that are not cleared yet included: a heartbeat with
+/// more could outgrow the 64 KiB that a request body may have, and a host whose heartbeats are
 /// refused is lost with all that runs there.
 pub const LISTED_MAX: usize = 440;
 /// Commands in one message, which may not outgrow 64 KiB either; the rest follows.
@@ -35,9 +38,9 @@
 /// How well a host is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingState {
-    /// Has not shown our token yet. `ghosts`: a predecessor may have started anything there.
+    /// Has not shown our token yet. `unconfirmed tasks`: a predecessor may have started anything there.
     Unfenced { unconfirmed: bool },
-    /// Has shown our token: its reports say all that runs there.
+    /// Has shown our token: its heartbeats say all that runs there.
     Fenced,
     /// Its lease has surely lapsed: nothing runs there.
     Lapsed,
@@ -74,7 +77,7 @@
     pub stopping: Option<(Micros, Micros)>,
     /// The image it needs, with its size.
     pub image: Option<(Name, f64)>,
-    /// A `run` went out in the answer to a report that the worker has not followed up yet.
+    /// A `run` went out in the answer to a heartbeat that the worker has not followed up yet.
     answered: bool,
 }
 
@@ -113,9 +116,9 @@
 #[derive(Debug)]
 pub enum HostInput<'a> {
     Heartbeat(&'a Heartbeat, HeartbeatSource),
-    /// A report was answered 200 with these commands.
+    /// A heartbeat was answered 200 with these commands.
     Answered(&'a [Command]),
-    /// Another controller may answer its reports until then.
+    /// Another controller may answer its heartbeats until then.
     LeaseDelegated(Micros),
     /// Commands go out directly; what is known of the store, and so of cancellations, is as of then.
     DirectSent(Vec<Command>, Micros),
@@ -125,7 +128,7 @@
     DirectUnanswered,
     /// The record was rewritten.
     TokenRaised(FencingToken),
-    /// It has begun a new session although its reports were answered: it does not hear.
+    /// It has begun a new session although its heartbeats were answered: it does not hear.
     NotReceiving,
     /// The lease has surely lapsed, or the machine is gone.
     Gone,
@@ -160,7 +163,7 @@
     sequence: u64,
     pub tasks: BTreeMap<TaskId, HostTask>,
     /// What its tasks take together, and how many of them are on it or wait for an image:
-    /// running sums, so that a pass over many hosts need not look at every task.
+    /// running sums, so that a cycle over many hosts need not look at every task.
     used: Resources,
     tasks_holding: usize,
     fetching: usize,
@@ -172,23 +175,23 @@
     doubt_basis: Option<CommandBasis>,
     in_flight_commands: Option<InFlightCommands>,
     pub last_heard: Micros,
-    /// When a report last came from it here by its own doing, or may have, to an owner before. `None`:
+    /// When a heartbeat last came from it here by its own doing, or may have, to an owner before. `None`:
     /// it is new here, or known by direct answers alone to have begun a session: nobody may renew that.
     last_heartbeat: Option<Micros>,
     /// The last moment at which anyone can have renewed its lease.
     pub last_answer: Micros,
-    /// When a report of it was last answered here.
+    /// When a heartbeat of it was last answered here.
     pub answered: Option<Micros>,
     pub terminates_at: Option<Micros>,
     /// Images seen there, the most recent last.
     pub images: Vec<(Name, f64)>,
-    /// Admitted tasks booked here, in order of adjusted deadline.
+    /// Admitted tasks reserved here, in order of adjusted deadline.
     pub queue: Vec<crate::schedule_simulation::Reservation>,
     /// When it last became empty.
     pub idle_since: Option<Micros>,
     /// Being emptied so that it can be given up, since when.
     pub draining: Option<Micros>,
-    /// The jobs of its errors in a row, one for each error, and set aside until.
+    /// The jobs of its errors in a row, one for each error, and quarantined until.
     pub blame: Vec<JobId>,
     pub quarantined_until: Option<Micros>,
     /// When the last task that completed here was started.
@@ -262,7 +265,7 @@
     pub fn in_flight(&self) -> bool {
         self.in_flight_commands.is_some()
     }
-    /// A task of this job failed here. True if the host is set aside for it.
+    /// A task of this job failed here. True if the host is quarantined for it.
     pub fn blame(&mut self, job: &JobId, now: Micros) -> bool {
         if self.blame.len() < FAILURES_MAX {
             self.blame.push(job.clone());
@@ -299,7 +302,7 @@
             && self.blame.iter().all(|j| j == other_than)
     }
 
-    /// Nothing runs, may run or is booked there.
+    /// Nothing runs, may run or is reserved there.
     pub fn is_empty(&self) -> bool {
         self.tasks_holding == 0
             && self.command_doubt == CommandDoubt::None
@@ -348,7 +351,7 @@
         self.recount();
     }
 
-    /// Tasks in its reports, or soon in them.
+    /// Tasks in its heartbeats, or soon in them.
     pub fn listed(&self) -> usize {
         self.tasks.len() + self.stale.len()
     }
@@ -406,7 +409,7 @@
         present.map(|u| u.known).min()
     }
 
-    /// All outstanding commands. Level-triggered: repeated until the reports show the effect.
+    /// All outstanding commands. Level-triggered: repeated until the heartbeats show the effect.
     /// `durable` says whether a finished task's result is safe.
     pub fn commands(&self, durable: impl Fn(&TaskId, ExitCause) -> bool) -> Vec<Command> {
         let mut out = Vec::new();
@@ -436,294 +439,32 @@
 
     /// The one function that changes a host's state.
     pub fn apply(&mut self, input: HostInput<'_>, now: Micros) -> Vec<HostOutput> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         match input {
-            HostInput::Heartbeat(report, source) => {
-                self.on_heartbeat(report, source, now, &mut out)
-            }
-            HostInput::Answered(orders) => {
-                self.last_answer = self.last_answer.max(now);
-                self.answered = Some(now);
-                for order in orders {
-                    if let Command::Start(task, attempt) = order
-                        && let Some(t) = self.tasks.get_mut(task)
-                        && t.attempt == *attempt
-                    {
-                        t.answered = true;
-                    }
-                }
+            HostInput::Heartbeat(heartbeat, source) => {
+                self.on_heartbeat(heartbeat, source, now, &mut outputs);
             }
+            HostInput::Answered(commands) => self.on_answered(commands, now),
             HostInput::LeaseDelegated(until) => self.last_answer = self.last_answer.max(until),
-            HostInput::DirectSent(orders, known) => {
-                let starts = orders.into_iter().filter_map(|o| match o {
-                    Command::Start(task, attempt) => Some((task, attempt)),
-                    _ => None,
-                });
-                let token = self.token;
-                self.in_flight_commands = Some(InFlightCommands {
-                    starts: starts.collect(),
-                    basis: CommandBasis { token, known },
-                });
-            }
+            HostInput::DirectSent(commands, known) => self.on_direct_sent(commands, known),
             HostInput::DirectSettled => self.in_flight_commands = None,
-            HostInput::DirectUnanswered => {
-                if let Some(flight) = self.in_flight_commands.take()
-                    && !flight.starts.is_empty()
-                    && self.fencing != FencingState::Lapsed
-                {
-                    self.doubted_starts.extend(flight.starts);
-                    self.doubt_basis = Some(flight.basis);
-                    self.command_doubt = CommandDoubt::NeedsToken;
-                }
-            }
-            HostInput::TokenRaised(token) => {
-                if token > self.token {
-                    self.token = token;
-                    if self.command_doubt == CommandDoubt::NeedsToken {
-                        self.command_doubt = CommandDoubt::Until(token);
-                    }
-                }
-            }
-            // Guards against a machine that is given new work in each of its sessions and hears of
-            // none: it gets some again once it shows a token that it can only have heard now.
-            HostInput::NotReceiving if self.command_doubt == CommandDoubt::None => {
-                self.command_doubt = CommandDoubt::NeedsToken
-            }
-            HostInput::NotReceiving => {}
+            HostInput::DirectUnanswered => self.on_direct_unanswered(),
+            HostInput::TokenRaised(token) => self.on_token_raised(token),
+            HostInput::NotReceiving => self.on_not_receiving(),
             HostInput::Gone => {
-                self.drop_all(&mut out);
+                self.drop_all_tasks(&mut outputs);
                 self.fencing = FencingState::Lapsed;
             }
             HostInput::Start(task, attempt, each, image) => {
-                self.idle_since = None;
-                if let Some(old) = self.tasks.remove(&task) {
-                    self.stale.insert((task.clone(), old.attempt));
-                }
-                let state = HostTask {
-                    attempt,
-                    state: TaskState::Ordered,
-                    each,
-                    ordered: now,
-                    running: None,
-                    stopping: None,
-                    image: Some(image),
-                    answered: false,
-                };
-                self.tasks.insert(task, state);
-            }
-            HostInput::Stop(task, grace) => {
-                let flown = self.tasks.get(task).is_some_and(|t| {
-                    t.state == TaskState::Ordered
-                        && !t.answered
-                        && !self.may_start_later(task, t.attempt)
-                });
-                if flown {
-                    // Never sent: it can be taken back on the spot.
-                    self.tasks.remove(task);
-                    out.push(HostOutput::Ended(
-                        task.clone(),
-                        Some(ExitCause::Stopped { saved: false }),
-                    ));
-                } else if let Some(t) = self.tasks.get_mut(task) {
-                    match t.stopping {
-                        None => t.stopping = Some((grace, now)),
-                        Some((old, since)) if grace < old => t.stopping = Some((grace, since)),
-                        Some(_) => {}
-                    }
-                }
+                self.on_start(task, attempt, each, image, now);
             }
+            HostInput::Stop(task, grace) => self.on_stop(task, grace, now, &mut outputs),
         }
         self.recount();
         if self.idle_since.is_none() && self.tasks_holding == 0 {
             self.idle_since = Some(now);
         }
-        out
-    }
-
-    fn drop_all(&mut self, out: &mut Vec<HostOutput>) {
-        for (task, t) in std::mem::take(&mut self.tasks) {
-            if t.holds_resources() {
-                out.push(HostOutput::Ended(task, None));
-            }
-        }
-        self.stale.clear();
-        // Late direct commands carry the old incarnation and die at the worker.
-        self.command_doubt = CommandDoubt::None;
-        self.doubted_starts.clear();
-        self.doubt_basis = None;
-    }
-
-    fn on_heartbeat(
-        &mut self,
-        report: &Heartbeat,
-        source: HeartbeatSource,
-        now: Micros,
-        out: &mut Vec<HostOutput>,
-    ) {
-        let order = (report.incarnation, report.sequence);
-        if self
-            .incarnation
-            .is_some_and(|t| order <= (t, self.sequence))
-        {
-            // Late: as old as the moment it was sent.
-            return;
-        }
-        if self.incarnation.is_some_and(|t| report.incarnation > t) {
-            // A larger incarnation proves that all earlier tasks are gone.
-            self.drop_all(out);
-        }
-        let begun = self.incarnation.is_some_and(|t| t < report.incarnation);
-        match source {
-            HeartbeatSource::Heartbeat => self.last_heartbeat = Some(now),
-            HeartbeatSource::Direct if begun => self.last_heartbeat = None,
-            HeartbeatSource::Direct => {}
-        }
-        if self.incarnation != Some(report.incarnation) {
-            // The lease of a session that we did not know runs from its beginning, which may be
-            // long after our last answer. Guards against taking the new session for lapsed with
-            // the old one, while what was sent to it directly runs.
-            self.last_answer = self.last_answer.max(now);
-        }
-        self.incarnation = Some(report.incarnation);
-        self.sequence = report.sequence;
-        self.last_heard = now;
-        self.address.clone_from(&report.address);
-        self.terminates_at = report.termination_notice.map(|n| now + n);
-        if let CommandDoubt::Until(token) = self.command_doubt
-            && report.token >= token
-        {
-            self.command_doubt = CommandDoubt::None;
-            self.doubted_starts.clear();
-            self.doubt_basis = None;
-        }
-        if report.token > self.token && self.command_doubt == CommandDoubt::None {
-            // Commands with our token are dropped there, and our answers renew no lease: the
-            // record is rewritten, which raises the token above any that was ever shown.
-            self.command_doubt = CommandDoubt::NeedsToken;
-        }
-        if report.token >= self.token && self.fencing != FencingState::Fenced {
-            self.fencing = FencingState::Fenced;
-            out.push(HostOutput::Fenced);
-        }
-        let mut listed = BTreeSet::new();
-        for item in &report.tasks {
-            listed.insert((item.task.clone(), item.attempt));
-            self.on_task(item, now, out);
-        }
-        self.stale.retain(|key| listed.contains(key));
-        let missing: Vec<TaskId> = self
-            .tasks
-            .iter()
-            .filter(|(task, t)| !listed.contains(&((*task).clone(), t.attempt)))
-            .map(|(task, _)| task.clone())
-            .collect();
-        for task in missing {
-            let Some(t) = self.tasks.get(&task) else {
-                continue;
-            };
-            let late = self.may_start_later(&task, t.attempt);
-            match t.state {
-                // Cleared.
-                TaskState::Exited(_) => {
-                    self.tasks.remove(&task);
-                }
-                TaskState::Ordered => {
-                    // A report that follows an answer settles it: the worker has executed or
-                    // dropped it. A direct answer may overtake it, and settles nothing.
-                    let answered = t.answered && source == HeartbeatSource::Direct;
-                    if t.stopping.is_some() && !late && !answered {
-                        self.tasks.remove(&task);
-                        out.push(HostOutput::Ended(
-                            task,
-                            Some(ExitCause::Stopped { saved: false }),
-                        ));
-                    } else if source == HeartbeatSource::Heartbeat
-                        && let Some(t) = self.tasks.get_mut(&task)
-                    {
-                        t.answered = false;
-                    }
-                }
-                _ => {
-                    self.tasks.remove(&task);
-                    out.push(HostOutput::Ended(task, None));
-                }
-            }
-        }
-    }
-
-    fn on_task(
-        &mut self,
-        item: &jasperhill_wire::worker::TaskStatus,
-        now: Micros,
-        out: &mut Vec<HostOutput>,
-    ) {
-        let state = match item.phase {
-            TaskPhase::Fetching => TaskState::Fetching,
-            TaskPhase::Waiting => TaskState::Waiting,
-            TaskPhase::Running => TaskState::Running,
-            TaskPhase::Checkpointing => TaskState::Saving,
-            TaskPhase::Exited(cause) => TaskState::Exited(cause),
-        };
-        match self.tasks.get_mut(&item.task) {
-            Some(t) if t.attempt == item.attempt => {
-                let was_on = t.holds_resources();
-                let was = t.state;
-                t.state = state;
-                t.answered = false;
-                if state == TaskState::Running && t.running.is_none() {
-                    t.running = Some(now);
-                }
-                if !was_on && !matches!(state, TaskState::Exited(_)) {
-                    // Guards against a task that is back after its end, as by a late order, and that
-                    // nobody counts or stops.
-                    t.stopping = None;
-                    out.push(HostOutput::Found(item.task.clone(), item.attempt));
-                    self.idle_since = None;
-                } else if let (true, TaskState::Exited(cause)) = (was_on, state) {
-                    out.push(HostOutput::Ended(item.task.clone(), Some(cause)));
-                } else if state == TaskState::Running && was != state {
-                    out.push(HostOutput::Running(item.task.clone()));
-                }
-            }
-            known => {
-                if let TaskState::Exited(cause) = state {
-                    if known.is_some() {
-                        self.stale.insert((item.task.clone(), item.attempt));
-                        return;
-                    }
-                    // A result from before a takeover counts as well.
-                    self.tasks
-                        .insert(item.task.clone(), Self::found(item.attempt, state, now));
-                    out.push(HostOutput::Found(item.task.clone(), item.attempt));
-                    out.push(HostOutput::Ended(item.task.clone(), Some(cause)));
-                } else {
-                    if let Some(t) = known
-                        && t.holds_resources()
-                    {
-                        // Another attempt of what we ordered here: the order will be refused as
-                        // busy, so the one that is there is the one that counts.
-                        out.push(HostOutput::Ended(item.task.clone(), None));
-                    }
-                    self.tasks
-                        .insert(item.task.clone(), Self::found(item.attempt, state, now));
-                    out.push(HostOutput::Found(item.task.clone(), item.attempt));
-                    self.idle_since = None;
-                }
-            }
-        }
-    }
-
-    fn found(attempt: Attempt, state: TaskState, now: Micros) -> HostTask {
-        HostTask {
-            attempt,
-            state,
-            each: Resources::default(),
-            ordered: now,
-            running: (state == TaskState::Running).then_some(now),
-            stopping: None,
-            image: None,
-            answered: false,
-        }
+        outputs
     }
 
     /// The expected wait for an image here: nothing when it is cached, the rest when it is
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -1,7 +1,7 @@
-//! The job machine: which tasks of a job are finished, live, booked or pending. Every change
+//! The job machine: which tasks of a job are finished, live, reserved or pending. Every change
 //! of a task's state goes through [`Job::set`].
 
-use crate::{failures::FailureHistory, stragglers::SiblingRunTimes, task_set::TaskSet};
+use crate::{failures::FailureHistory, pace::SiblingRunTimes, task_set::TaskSet};
 use jasperhill_wire::{
     Attempt, HostId, Micros, Resources, Revision,
     user::{JobRequest, Priority, Shape},
@@ -61,12 +61,12 @@
 #[derive(Debug)]
 pub struct Job {
     pub request: Rc<JobRequest>,
-    /// Revision at which its record was created; jobs newer than a takeover have no ghosts.
+    /// Revision at which its record was created; jobs newer than a takeover have no unconfirmed tasks.
     pub created: Revision,
     /// Its age counts from here: its submission, or when the last job that it needs was done.
     pub submitted: Micros,
     pub due: Option<Micros>,
-    pub gate: Readiness,
+    pub readiness: Readiness,
     /// What the jobs after it leave it.
     inherited: (Option<Micros>, Option<Priority>),
     pub done: TaskSet,
@@ -80,7 +80,7 @@
     pub ran_whole: bool,
     /// How long its ended tasks ran.
     pub sibling_run_times: SiblingRunTimes,
-    /// Below this every task is done, live, booked or in `returned`.
+    /// Below this every task is done, live, reserved or in `returned`.
     cursor: u32,
     returned_to_pending: BTreeSet<u32>,
     /// Set when the record has become final: nothing starts any more.
@@ -119,7 +119,7 @@
             request,
             created,
             submitted,
-            gate: Readiness::Open,
+            readiness: Readiness::Open,
             inherited: (None, None),
             done,
             unsaved: BTreeSet::new(),
@@ -148,9 +148,9 @@
     /// changed.
     pub fn set_dependency_status(&mut self, place: DependencyStatus) -> bool {
         let left = (place.due, place.priority);
-        let moved = place.readiness != self.gate;
+        let moved = place.readiness != self.readiness;
         if moved {
-            self.gate = place.readiness;
+            self.readiness = place.readiness;
             self.submitted = place.since;
         }
         let changed = moved || left != self.inherited;
@@ -222,7 +222,7 @@
         }
     }
 
-    /// The first task that is neither finished, live nor booked.
+    /// The first task that is neither finished, live nor reserved.
     pub fn next_pending(&mut self) -> Option<u32> {
         if let Some(i) = self.returned_to_pending.first() {
             return Some(*i);
--- a/crates/jasperhill-scheduler/src/partition.rs
+++ b/crates/jasperhill-scheduler/src/partition/mod.rs
@@ -1,15 +1,20 @@
 //! A partition: the teams, jobs and hosts that one controller decides about. Owns the host
 //! and job machines and keeps them consistent with each other.
 
+mod events;
+mod task_outcomes;
+
+pub use events::{AdmissionDecision, Event};
+
 use crate::{
     config::{SchedulerConfig, Specs},
-    drain::MoveBudget,
-    failures::{self, FailureHistory},
-    host::{HeartbeatSource, Host, HostInput, HostOutput, TaskState},
+    failures::FailureHistory,
+    host::{HeartbeatSource, Host, HostInput, HostOutput},
     job::{DependencyStatus, Job, Readiness, TaskStep, Termination},
-    recovery::{self, Recovered, Recovery, ReplicaRecovery},
-    starvation::{Group, ServedShare, StarvationGuard},
-    stragglers::OverrunWatch,
+    move_budget::MoveBudget,
+    pace::OverrunWatch,
+    recovery::{self, Recovery, ReplicaRecovery},
+    starvation::StarvationGuard,
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
@@ -22,34 +27,6 @@
     rc::Rc,
 };
 
-/// The answer of the admission test.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmissionDecision {
-    Admit,
-    Refuse,
-}
-
-/// Something that operators want to read about.
-#[derive(Clone, Debug)]
-pub enum Event {
-    HostLost(HostId),
-    HostQuarantined(HostId),
-    JobBackingOff(JobId),
-    /// A task failed after running for so long.
-    Failed(TaskId, HostId, Micros),
-    Stopped(TaskId, HostId, &'static str),
-    UnexpectedTask(TaskId, HostId, &'static str),
-    /// Its tasks take so many times as long.
-    HostSlow(HostId, f64),
-    /// A class or team is behind its floor, or no more.
-    Starved(Group, Option<ServedShare>),
-    /// Production is whole again.
-    ProductionRecovered(Recovered),
-    /// After a takeover: no host can run what is not known any more. After how long, and on
-    /// how many hosts only because their leases lapsed.
-    AllHostsConfirmed(Micros, usize),
-}
-
 /// The kinds of hosts (type, zone, spot) that may run what a predecessor started.
 #[derive(Clone, Debug, Default)]
 pub struct UnconfirmedTasks(Vec<(Name, Name, bool)>);
@@ -79,9 +56,9 @@
     /// Jobs with results to be written.
     pub unsaved: BTreeSet<JobId>,
     pub events: Vec<Event>,
-    /// Something changed that a pass could make use of.
+    /// Something changed that a cycle could make use of.
     pub changed: bool,
-    /// Jobs that the last pass went through.
+    /// Jobs that the last cycle went through.
     pub backlog: usize,
     /// Since when hosts may run what is not known, until none does.
     unconfirmed_since: Option<Micros>,
@@ -150,7 +127,7 @@
     }
 
     /// How many hosts can't get new tasks, by reason: not known yet, lapsed, in doubt, not
-    /// heard, set aside or under notice, being emptied.
+    /// heard, quarantined or under notice, being emptied.
     pub fn unusable(&self, now: Micros) -> [usize; 6] {
         use crate::host::FencingState;
         let mut counts = [0; 6];
@@ -179,19 +156,19 @@
 
     /// The hosts that may run what a predecessor started.
     pub(crate) fn unconfirmed_tasks(&self) -> UnconfirmedTasks {
-        let mut ghosts = UnconfirmedTasks::default();
+        let mut unconfirmed = UnconfirmedTasks::default();
         for h in self.hosts.values().filter(|h| h.has_unconfirmed_tasks()) {
-            let known = ghosts
+            let known = unconfirmed
                 .0
                 .iter()
                 .any(|(k, z, s)| k == &h.spec.machine_type && z == &h.zone && *s == h.spot);
             if !known {
-                ghosts
+                unconfirmed
                     .0
                     .push((h.spec.machine_type.clone(), h.zone.clone(), h.spot));
             }
         }
-        ghosts
+        unconfirmed
     }
 
     /// A task of this job may be running unseen: it is older than the takeover, and some
@@ -199,8 +176,10 @@
     /// silently does not hold up work that never runs on such.
     ///
     /// Nor does it hold up a job that still waits for others: nobody has started that.
-    pub(crate) fn may_run_unconfirmed(&self, job: &Job, ghosts: &UnconfirmedTasks) -> bool {
-        job.gate == Readiness::Open && job.created <= self.since && ghosts.may_hold(&job.request)
+    pub(crate) fn may_run_unconfirmed(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
+        job.readiness == Readiness::Open
+            && job.created <= self.since
+            && unconfirmed.may_hold(&job.request)
     }
 
     /// How a job stands in its pipeline.
@@ -235,8 +214,8 @@
         };
         if job.termination.is_none() {
             job.termination = Some(ending);
-            let booked: Vec<u32> = job.reserved.keys().copied().collect();
-            for i in booked {
+            let reserved: Vec<u32> = job.reserved.keys().copied().collect();
+            for i in reserved {
                 self.release_reservation(id, i);
             }
             self.stop_all(id, Micros::ZERO, now);
@@ -279,26 +258,33 @@
     /// Forgets an ended job once nothing of it is left, nor can be unseen.
     fn remove_if_gone(&mut self, id: &JobId) {
         if self.jobs.get(id).is_some_and(|j| j.termination.is_some()) {
-            let ghosts = self.unconfirmed_tasks();
-            if self.jobs.get(id).is_some_and(|j| self.is_gone(j, &ghosts)) {
+            let unconfirmed = self.unconfirmed_tasks();
+            if self
+                .jobs
+                .get(id)
+                .is_some_and(|j| self.is_gone(j, &unconfirmed))
+            {
                 self.jobs.remove(id);
             }
         }
     }
 
-    fn is_gone(&self, job: &Job, ghosts: &UnconfirmedTasks) -> bool {
+    fn is_gone(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
         let unseen = match job.termination {
             None => return false,
             Some(Termination::Done) => false,
-            Some(Termination::Cancelled) => self.may_run_unconfirmed(job, ghosts),
+            Some(Termination::Cancelled) => self.may_run_unconfirmed(job, unconfirmed),
         };
         job.live.is_empty() && !unseen
     }
 
     /// The same for all of them.
     pub(crate) fn remove_ended(&mut self) {
-        let ghosts = self.unconfirmed_tasks();
-        let gone = self.jobs.iter().filter(|(_, j)| self.is_gone(j, &ghosts));
+        let unconfirmed = self.unconfirmed_tasks();
+        let gone = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| self.is_gone(j, &unconfirmed));
         for id in gone.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             self.jobs.remove(&id);
         }
@@ -335,8 +321,8 @@
     pub fn remove_host(&mut self, id: &HostId, now: Micros) {
         self.apply(id, HostInput::Gone, now);
         if let Some(host) = self.hosts.remove(id) {
-            for booking in host.queue {
-                self.set_step(&booking.task, TaskStep::Pending);
+            for reservation in host.queue {
+                self.set_step(&reservation.task, TaskStep::Pending);
             }
         }
         self.dirty.remove(id);
@@ -382,297 +368,6 @@
         }
     }
 
-    fn task_found(&mut self, id: &HostId, task: &TaskId, attempt: Attempt, now: Micros) {
-        let on = self
-            .hosts
-            .get(id)
-            .and_then(|h| h.tasks.get(task))
-            .is_some_and(|t| t.holds_resources());
-        if !on {
-            return;
-        }
-        let known = self
-            .jobs
-            .get(&task.job)
-            .map(|j| (j.step(task.index), j.termination, j.attempt));
-        match known {
-            Some((TaskStep::Pending | TaskStep::Reserved(_), None, gang))
-                if gang.is_none_or(|a| a == attempt)
-                    && self.jobs.get(&task.job).is_some_and(|j| {
-                        task.index < j.request.tasks && j.gate == Readiness::Open
-                    }) =>
-            {
-                self.release_reservation(&task.job, task.index);
-                self.set_step(task, TaskStep::Live(id.clone()));
-                let Some(job) = self.jobs.get_mut(&task.job) else {
-                    return;
-                };
-                if job.is_gang() {
-                    job.attempt = Some(attempt);
-                }
-                let request = job.request.clone();
-                if let Some(host) = self.hosts.get_mut(id) {
-                    host.touch_image(&request.image, request.image_gb);
-                    let image = (request.image.clone(), request.image_gb);
-                    host.describe(task, request.each, image);
-                    if host
-                        .tasks
-                        .get(task)
-                        .is_some_and(|t| t.state == TaskState::Running)
-                    {
-                        job.mark_running(task.index);
-                    }
-                }
-            }
-            // Cancelled, and still there: it counts until it is gone.
-            Some((TaskStep::Pending | TaskStep::Reserved(_), Some(Termination::Cancelled), _))
-                if self
-                    .jobs
-                    .get(&task.job)
-                    .is_some_and(|j| task.index < j.request.tasks) =>
-            {
-                self.set_step(task, TaskStep::Live(id.clone()));
-                if let (Some(job), Some(host)) = (self.jobs.get(&task.job), self.hosts.get_mut(id))
-                {
-                    let image = (job.request.image.clone(), job.request.image_gb);
-                    host.describe(task, job.request.each, image);
-                }
-                self.stop(id, task, Micros::ZERO, now);
-            }
-            _ => {
-                // Finished, cancelled, unknown, or of an attempt that is not the gang's.
-                self.events.push(Event::UnexpectedTask(
-                    task.clone(),
-                    id.clone(),
-                    "not expected there",
-                ));
-                self.stop(id, task, Micros::ZERO, now);
-            }
-        }
-    }
-
-    fn task_ended(&mut self, id: &HostId, task: &TaskId, cause: Option<ExitCause>, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        let here = job.live.get(&task.index) == Some(id);
-        if cause == Some(ExitCause::Done) && job.request.shape != Shape::Service {
-            // A kept result counts wherever it turns up. A gang completes as one.
-            let all = if job.is_gang() {
-                0..job.request.tasks
-            } else {
-                task.index..task.index + 1
-            };
-            self.learn_run_time(id, task, now);
-            for i in all {
-                let task = TaskId::new(&task.job, i);
-                self.release_reservation(&task.job, i);
-                let live = self
-                    .jobs
-                    .get(&task.job)
-                    .and_then(|j| j.live.get(&i))
-                    .cloned();
-                // Guards against a part that is dropped from the account while it is still there, and
-                // then neither counted nor stopped: its machine may be this one.
-                let still = |host: &HostId| {
-                    let there = self.hosts.get(host).and_then(|h| h.tasks.get(&task));
-                    host != id || there.is_some_and(|t| t.holds_resources())
-                };
-                match live {
-                    // Still on its machine until it says otherwise.
-                    Some(host) if still(&host) => {
-                        if let Some(job) = self.jobs.get_mut(&task.job) {
-                            job.unsaved.insert(i);
-                        }
-                    }
-                    _ => self.set_step(&task, TaskStep::Done),
-                }
-            }
-            self.finish_gang(&task.job);
-            self.unsaved.insert(task.job.clone());
-            if let Some(host) = self.hosts.get_mut(id) {
-                host.blame.clear();
-                let began = host.tasks.get(task).map(|t| t.ordered);
-                host.last_success_started = host.last_success_started.max(began);
-            }
-            self.reconsider_job(&task.job, failures::Input::Succeeded, now);
-            self.remove_if_gone(&task.job);
-            return;
-        }
-        if !here {
-            return;
-        }
-        if cause.is_none() {
-            self.record_lost_replica(task, now);
-        }
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        let over = job.unsaved.contains(&task.index);
-        if let Some(cause) = cause
-            && !over
-        {
-            match cause {
-                ExitCause::Error => {
-                    self.task_failed(id, task, now);
-                }
-                ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown => {
-                    job.not_before = now + Micros::from_secs(1);
-                }
-                _ => {}
-            }
-        }
-        self.set_step(
-            task,
-            if over {
-                TaskStep::Done
-            } else {
-                TaskStep::Pending
-            },
-        );
-        self.finish_gang(&task.job);
-        self.remove_if_gone(&task.job);
-    }
-
-    /// A task has failed: held against its host, or, once it has failed wherever it was tried,
-    /// against the job. Guards against a few arrays with a mistake that set aside and return a
-    /// large part of the fleet within seconds.
-    fn task_failed(&mut self, id: &HostId, task: &TaskId, now: Micros) {
-        let (Some(job), Some(host)) = (self.jobs.get_mut(&task.job), self.hosts.get_mut(id)) else {
-            return;
-        };
-        job.failed = true;
-        let ran = host
-            .tasks
-            .get(task)
-            .and_then(|t| t.running)
-            .map_or(Micros::ZERO, |began| now - began);
-        self.events
-            .push(Event::Failed(task.clone(), id.clone(), ran));
-        let (was, level) = (
-            job.failures.is_backing_off(),
-            job.failures.failed_attempts(),
-        );
-        let failed = failures::Input::Failed {
-            host: id,
-            serves: host.has_served_others(&task.job, now),
-            ran,
-        };
-        job.failures.apply(failed, now);
-        if job.failures.failed_attempts() != level {
-            self.unsaved.insert(task.job.clone());
-        }
-        if !job.failures.is_backing_off() {
-            if host.blame(&task.job, now) {
-                self.events.push(Event::HostQuarantined(id.clone()));
-            }
-        } else if !was {
-            let booked: Vec<u32> = job.reserved.keys().copied().collect();
-            job.preempting.clear();
-            job.held_hosts = None;
-            self.events.push(Event::JobBackingOff(task.job.clone()));
-            for i in booked {
-                self.release_reservation(&task.job, i);
-            }
-            for host in self.hosts.values_mut() {
-                host.forgive_failures(&task.job);
-            }
-        }
-    }
-
-    /// Something speaks for a job: it completes a task, or one runs. If that clears it, the
-    /// hosts on which it failed are blamed after all.
-    fn reconsider_job(&mut self, id: &JobId, input: failures::Input<'_>, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        let hosts = match &job.failures {
-            FailureHistory::BackingOff { hosts, .. } => hosts.clone(),
-            _ => BTreeSet::new(),
-        };
-        let was = job.failures.is_backing_off();
-        job.failures.apply(input, now);
-        if !was || job.failures.is_backing_off() {
-            return;
-        }
-        self.unsaved.insert(id.clone());
-        self.changed = true;
-        for host in hosts {
-            if let Some(h) = self.hosts.get_mut(&host)
-                && !h.has_served_others(id, now)
-            {
-                // Failures that nothing excuses, as many as set a host aside.
-                let news = h.blame(id, now) | h.blame(id, now);
-                if news {
-                    self.events.push(Event::HostQuarantined(host));
-                }
-            }
-        }
-    }
-
-    /// A try that outlives those that failed clears a suspect job.
-    pub(crate) fn clear_outlived_failures(&mut self, now: Micros) {
-        let mut outlived = Vec::new();
-        for (id, job) in self
-            .jobs
-            .iter()
-            .filter(|(_, j)| j.failures.is_backing_off())
-        {
-            let runs = job
-                .running
-                .iter()
-                .filter_map(|i| {
-                    let host = self.hosts.get(job.live.get(i)?)?;
-                    host.tasks.get(&TaskId::new(id, *i))?.running
-                })
-                .map(|began| now - began)
-                .max();
-            outlived.extend(runs.map(|time| (id.clone(), time)));
-        }
-        for (id, time) in outlived {
-            self.reconsider_job(&id, failures::Input::RunningFor(time), now);
-        }
-    }
-
-    /// A gang's attempt is over once nothing of it is left.
-    fn finish_gang(&mut self, id: &JobId) {
-        if let Some(job) = self.jobs.get_mut(id)
-            && job.live.is_empty()
-        {
-            job.attempt = None;
-            if job.is_gang() {
-                // Done as one, the unseen parts included.
-                let rest: Vec<u32> = job.unsaved.iter().copied().collect();
-                for i in rest {
-                    job.set(i, TaskStep::Done);
-                }
-            }
-        }
-    }
-
-    /// Compares a finished task's run time with what was expected.
-    fn learn_run_time(&mut self, id: &HostId, task: &TaskId, now: Micros) {
-        let Some(job) = self.jobs.get(&task.job) else {
-            return;
-        };
-        let Some(host) = self.hosts.get_mut(id) else {
-            return;
-        };
-        let Some(began) = host.tasks.get(task).and_then(|t| t.running) else {
-            return;
-        };
-        let estimate = job.request.estimate.as_secs_f64();
-        if estimate <= 0.0 || job.preempted > 0 || job.failed {
-            return;
-        }
-        let seen = ((now - began).as_secs_f64() / estimate).clamp(0.2, 5.0);
-        let ratio = self.ratios.entry(job.request.class.clone()).or_insert(1.0);
-        *ratio += 0.05 * (seen - *ratio);
-        let times = (seen / ratio.max(0.1)).clamp(0.2, 5.0);
-        host.slowness += 0.2 * (times - host.slowness);
-        self.learn_overrun(id, task, times, now);
-    }
-
     /// The estimate, corrected by what was observed of the class.
     pub fn estimate(&self, request: &JobRequest) -> Micros {
         request
@@ -724,9 +419,9 @@
     /// What the team uses, or may be using unseen.
     pub fn team_use(&self, team: &Name) -> Resources {
         let mut used = self.used.get(team).copied().unwrap_or_default();
-        let ghosts = self.unconfirmed_tasks();
+        let unconfirmed = self.unconfirmed_tasks();
         for job in self.jobs.values() {
-            if &job.request.team == team && self.may_run_unconfirmed(job, &ghosts) {
+            if &job.request.team == team && self.may_run_unconfirmed(job, &unconfirmed) {
                 used += job.unconfirmed_use();
             }
         }
--- a/crates/jasperhill-scheduler/src/schedule_simulation.rs
+++ b/crates/jasperhill-scheduler/src/schedule_simulation.rs
@@ -1,10 +1,10 @@
-//! The forward run: a copy of a host's queue is played in deadline order, filling the host's
+//! The schedule simulation: a copy of a host's queue is played in deadline order, filling the host's
 //! room, to see who would miss. The admission test of the paper's section 4.2, extended from
 //! one task at a time to as many as fit.
 
 use jasperhill_wire::{Micros, Resources, TaskId};
 
-/// A task booked on a host, not started yet.
+/// A task reserved on a host, not started yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
     pub task: TaskId,
@@ -40,8 +40,8 @@
     // Of those that run, and of those that have been started in the play.
     let mut left = running.len();
     let mut started: Vec<Occupied> = Vec::new();
-    for booking in queue {
-        while !booking.each.fits(&room) {
+    for reservation in queue {
+        while !reservation.each.fits(&room) {
             let next = match (left.checked_sub(1).map(|i| running[i]), started.last()) {
                 (Some(r), Some(s)) if s.until < r.until => started.pop(),
                 (Some(r), _) => {
@@ -60,13 +60,13 @@
                 _ => return missed + 1,
             }
         }
-        let until = at + booking.estimate;
-        if until > booking.adjusted_deadline {
+        let until = at + reservation.estimate;
+        if until > reservation.adjusted_deadline {
             missed += 1;
         }
-        room -= booking.each;
+        room -= reservation.each;
         let place = started.partition_point(|o| o.until > until);
-        let each = booking.each;
+        let each = reservation.each;
         started.insert(place, Occupied { until, each });
     }
     missed
@@ -80,72 +80,15 @@
         .sum()
 }
 
-/// Where a booking goes in a queue: by adjusted deadline, after its equals.
-pub fn insert_position(queue: &[Reservation], booking: &Reservation) -> usize {
-    queue.partition_point(|b| b.adjusted_deadline <= booking.adjusted_deadline)
+/// Where a reservation goes in a queue: by adjusted deadline, after its equals.
+pub fn insert_position(queue: &[Reservation], reservation: &Reservation) -> usize {
+    queue.partition_point(|b| b.adjusted_deadline <= reservation.adjusted_deadline)
 }
 
-pub fn insert_by_deadline(queue: &mut Vec<Reservation>, booking: Reservation) {
-    let place = insert_position(queue, &booking);
-    queue.insert(place, booking);
+pub fn insert_by_deadline(queue: &mut Vec<Reservation>, reservation: Reservation) {
+    let place = insert_position(queue, &reservation);
+    queue.insert(place, reservation);
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use jasperhill_wire::JobId;
-    use proptest::prelude::*;
-
-    fn booking(adjusted: u64, estimate: u64) -> Reservation {
-        Reservation {
-            task: TaskId::new(&JobId::new("job-1"), 0),
-            each: Resources::from_units(1.0, 1.0, 1.0),
-            adjusted_deadline: Micros::from_secs(adjusted),
-            estimate: Micros::from_secs(estimate),
-        }
-    }
-
-    #[test]
-    fn two_at_a_time_meet_what_one_at_a_time_misses() {
-        let queue = [booking(10, 10), booking(10, 10)];
-        let one = Resources::from_units(1.0, 1.0, 1.0);
-        assert_eq!(count_missed(Micros::ZERO, one, &[], &queue), 1);
-        assert_eq!(count_missed(Micros::ZERO, one.times(2), &[], &queue), 0);
-    }
-
-    #[test]
-    fn what_never_ends_is_never_waited_for() {
-        let held = Occupied {
-            until: Micros::MAX,
-            each: Resources::from_units(1.0, 1.0, 1.0),
-        };
-        assert_eq!(
-            count_missed(
-                Micros::ZERO,
-                Resources::default(),
-                &[held],
-                &[booking(1000, 1)]
-            ),
-            1
-        );
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig {
-            rng_seed: proptest::test_runner::RngSeed::Fixed(3),
-            failure_persistence: None,
-            ..ProptestConfig::default()
-        })]
-        #[test]
-        fn queues_stay_in_deadline_order_and_alone_nobody_waits(
-            items in proptest::collection::vec((1u64..300, 1u64..60), 1..30)
-        ) {
-            let mut queue = Vec::new();
-            for (d, e) in &items { insert_by_deadline(&mut queue, booking(*d, *e)); }
-            prop_assert!(queue.windows(2).all(|w| w[0].adjusted_deadline <= w[1].adjusted_deadline));
-            let wide = Resources::from_units(1.0, 1.0, 1.0).times(items.len() as u64);
-            let alone = items.iter().filter(|(d, e)| e > d).count();
-            prop_assert_eq!(count_missed(Micros::ZERO, wide, &[], &queue), alone);
-        }
-    }
-}
+mod tests;
--- a/crates/jasperhill-scheduler/tests/machines.rs
+++ b/crates/jasperhill-scheduler/tests/machines.rs
@@ -334,14 +334,14 @@
 #[test]
 fn a_machine_that_reaches_nobody_gets_no_work() {
     let (config, silence) = (config(), config().silence_limit());
-    let taken = |ghosts| {
+    let taken = |unconfirmed| {
         let now = NOW;
         Host::new(
             "n-1".into(),
             &record("a"),
             spec(),
             FencingToken(5),
-            ghosts,
+            unconfirmed,
             now,
         )
     };
@@ -669,7 +669,7 @@
     n
 }
 
-/// Guards against arrays submitted with a mistake that set aside a large part of the fleet.
+/// Guards against arrays submitted with a mistake that quarantined a large part of the fleet.
 #[test]
 fn an_array_that_fails_everywhere_sets_no_host_aside_and_tries_one_task_at_a_time() {
     let mut part = partition(6, false);
@@ -839,7 +839,7 @@
     }
 }
 
-/// Guards against reports that outgrow what a request body may have: a guest's tasks can be so
+/// Guards against heartbeats that outgrow what a request body may have: a guest's tasks can be so
 /// small that thousands would fit a machine.
 #[test]
 fn a_host_lists_no_more_tasks_than_a_report_may_hold() {
@@ -896,7 +896,7 @@
     );
 }
 
-/// A job that waits for others is not booked, started, or counted as running unseen, whatever
+/// A job that waits for others is not reserved, started, or counted as running unseen, whatever
 /// room there is; once it may, it starts, and ranks by what the jobs after it leave it.
 #[test]
 fn a_waiting_job_holds_nothing_until_it_is_released() {
@@ -969,7 +969,7 @@
     assert_eq!(drained(&part), Vec::<HostId>::new());
 }
 
-/// The host reports everything that it was told to run as running.
+/// The host heartbeats everything that it was told to run as running.
 fn all_runs(part: &mut Partition, host: &str, counter: u64, now: Micros) {
     let id = HostId::new(host);
     let tasks = part.hosts[&id]
@@ -1118,7 +1118,7 @@
     assert_eq!(slow(&[10, 10, 10], true), (false, false));
 }
 
-/// Guards against a machine whose reports arrive and that hears nothing: it would get new work in
+/// Guards against a machine whose heartbeats arrive and that hears nothing: it would get new work in
 /// each of its sessions, which a lease later would begin elsewhere.
 #[test]
 fn a_machine_that_does_not_hear_gets_no_work_until_it_does() {
@@ -1154,7 +1154,7 @@
 
 #[derive(Clone, Debug)]
 enum Word {
-    /// A report of one of two hosts: how much newer than its last one (none: a copy of an old one),
+    /// A heartbeat of one of two hosts: how much newer than its last one (none: a copy of an old one),
     /// whether in a new session, and what runs: job, task, attempt, phase.
     Report(usize, u64, bool, Vec<(usize, u32, u64, u8)>),
     End(usize, bool),
