--- a/crates/jasperhill-scheduler/src/cycle/admission.rs
+++ b/crates/jasperhill-scheduler/src/cycle/admission.rs
@@ -1,5 +1,5 @@
-//! Admitted work with deadlines: the admission test, reservations in the hosts' queues by the
-//! schedule simulation, and the starts of reserved tasks.
+//! Admission control for work with deadlines: the admission test, reservations in the hosts' queues
+//! by simulating their schedules, and the starts of reserved tasks.
 
 use crate::{
     config::fetch_time,
@@ -105,7 +105,7 @@
     }
 
     /// What the schedule simulations on a host begin with.
-    pub(crate) fn begin(&self, host: &Host, now: Micros) -> SimulationStart {
+    pub(crate) fn simulation_start_of(&self, host: &Host, now: Micros) -> SimulationStart {
         let running: Rc<[Occupied]> = self.occupied(host, now).into();
         SimulationStart {
             misses: count_missed(now, host.free_resources(), &running, &host.queue),
@@ -127,7 +127,7 @@
                 slot,
             };
         }
-        let begin = cycle.simulation_start(slot, || self.begin(host, now));
+        let begin = cycle.simulation_start(slot, || self.simulation_start_of(host, now));
         let (head, tail) = host
             .queue
             .split_at(insert_position(&host.queue, reservation));
@@ -139,9 +139,9 @@
         }
     }
 
-    /// Books pending tasks of an admitted job, as far as the team's limit goes. The forward
-    /// run over all hosts is made once for the job: its tasks are equal, and a reservation
-    /// changes the outcome only on the host that got it.
+    /// Reserves hosts for pending tasks of an admitted job, as far as the team's limit goes. The
+    /// schedule simulation over all hosts is made once for the job: its tasks are equal, and a
+    /// reservation changes the outcome only on the host that got it.
     ///
     /// An admitted task that would miss everywhere goes where the fewest do.
     pub(crate) fn reserve(&mut self, cycle: &Cycle, id: &JobId) {
@@ -160,57 +160,74 @@
         if !self.may_start(cycle, &request, taken + 1) {
             return;
         }
-        let zones = self.zone_capacity(job);
-        let any = TaskId::new(id, 0);
-        let mut heap: BinaryHeap<Reverse<Rank>> = self
-            .with_slots(cycle)
-            .filter(|(_, slot, host)| {
-                slot.usable
-                    && Self::is_feasible(job, host)
-                    && zones.allows(&host.zone)
-                    && request.each.fits(&host.spec.capacity)
-            })
-            .map(|(i, _, host)| {
-                let reservation = self.reservation(host, &any, &request, due, cycle.now);
-                Reverse(self.rank(cycle, host, i, &reservation))
-            })
-            .collect();
+        let mut hosts = self.ranked_hosts(cycle, job, due);
         for more in 1..=RESERVATIONS_MAX {
             if !self.may_start(cycle, &request, taken + more) {
                 return;
             }
-            let Some(i) = self.jobs.get_mut(id).and_then(Job::next_pending) else {
+            let Some(index) = self.jobs.get_mut(id).and_then(Job::next_pending) else {
                 return;
             };
-            let task = TaskId::new(id, i);
-            let mut aside = Vec::new();
-            let mut chosen = None;
-            while let Some(Reverse(rank)) = heap.pop() {
-                let host = &cycle.slots[rank.slot].id;
-                // A host that still lists this task as exited refuses it.
-                let listed = |h: &Host| h.tasks.contains_key(&task);
-                if self.hosts.get(host).is_some_and(listed) {
-                    aside.push(Reverse(rank));
-                } else {
-                    chosen = Some((rank.slot, host.clone()));
-                    break;
-                }
-            }
-            heap.extend(aside);
-            let Some((slot, id)) = chosen else { return };
-            let Some(host) = self.hosts.get(&id) else {
+            let task = TaskId::new(id, index);
+            let Some((slot, chosen)) = self.pop_best_for(cycle, &mut hosts, &task) else {
+                return;
+            };
+            let Some(host) = self.hosts.get(&chosen) else {
                 return;
             };
             let reservation = self.reservation(host, &task, &request, due, cycle.now);
-            if let Some(host) = self.hosts.get_mut(&id) {
+            if let Some(host) = self.hosts.get_mut(&chosen) {
                 insert_by_deadline(&mut host.queue, reservation.clone());
             }
-            self.set_step(&task, TaskStep::Reserved(id.clone()));
+            self.set_step(&task, TaskStep::Reserved(chosen.clone()));
             cycle.invalidate(slot);
-            if let Some(host) = self.hosts.get(&id) {
-                heap.push(Reverse(self.rank(cycle, host, slot, &reservation)));
+            if let Some(host) = self.hosts.get(&chosen) {
+                hosts.push(Reverse(self.rank(cycle, host, slot, &reservation)));
+            }
+        }
+    }
+
+    /// The hosts that could take a task of the job, the best first.
+    fn ranked_hosts(&self, cycle: &Cycle, job: &Job, due: Micros) -> BinaryHeap<Reverse<Rank>> {
+        let request = &job.request;
+        let zones = self.zone_capacity(job);
+        let any_task = TaskId::new(&request.id, 0);
+        self.with_slots(cycle)
+            .filter(|(_, slot, host)| {
+                slot.usable
+                    && Self::is_feasible(job, host)
+                    && zones.allows(&host.zone)
+                    && request.each.fits(&host.spec.capacity)
+            })
+            .map(|(slot, _, host)| {
+                let reservation = self.reservation(host, &any_task, request, due, cycle.now);
+                Reverse(self.rank(cycle, host, slot, &reservation))
+            })
+            .collect()
+    }
+
+    /// Takes the best host for this task out of the ranked ones; its slot and name.
+    fn pop_best_for(
+        &self,
+        cycle: &Cycle,
+        hosts: &mut BinaryHeap<Reverse<Rank>>,
+        task: &TaskId,
+    ) -> Option<(usize, HostId)> {
+        let mut passed_over = Vec::new();
+        let mut chosen = None;
+        while let Some(Reverse(rank)) = hosts.pop() {
+            let id = &cycle.slots[rank.slot].id;
+            // A host that still lists this task as exited refuses it.
+            let is_listed = |host: &Host| host.tasks.contains_key(task);
+            if self.hosts.get(id).is_some_and(is_listed) {
+                passed_over.push(Reverse(rank));
+            } else {
+                chosen = Some((rank.slot, id.clone()));
+                break;
             }
         }
+        hosts.extend(passed_over);
+        chosen
     }
 
     /// Starts reserved tasks: from the head of their hosts' queues, and on any host that has
@@ -225,22 +242,7 @@
             return;
         }
         let mut spare = self.candidates(cycle, job, true);
-        // Guards against a walk through thousands of reservations in every cycle where all hosts are
-        // full: without spare hosts only those can start whose own host has room now.
-        let with_capacity: HashSet<&HostId> = cycle
-            .slots
-            .iter()
-            .enumerate()
-            .filter(|(i, _)| cycle.fits(*i, id, &request.each))
-            .map(|(_, slot)| &slot.id)
-            .collect();
-        let may = |home: &HostId| !spare.is_empty() || with_capacity.contains(home);
-        let reserved: Vec<(u32, HostId)> = job
-            .reserved
-            .iter()
-            .filter(|(_, home)| may(home))
-            .map(|(i, home)| (*i, home.clone()))
-            .collect();
+        let reserved = Self::reserved_that_may_start(cycle, job, spare.is_empty());
         if reserved.is_empty() {
             return;
         }
@@ -277,13 +279,30 @@
         }
     }
 
+    /// The reserved tasks that could start now, with the hosts of their reservations. Guards against
+    /// a walk through thousands of reservations in every cycle where all hosts are full: without
+    /// spare hosts only those can start whose own host has capacity now.
+    fn reserved_that_may_start(cycle: &Cycle, job: &Job, has_no_spare: bool) -> Vec<(u32, HostId)> {
+        let request = &job.request;
+        let slots = cycle.slots.iter().enumerate();
+        let with_capacity: HashSet<&HostId> = slots
+            .filter(|(i, _)| cycle.fits(*i, &request.id, &request.each))
+            .map(|(_, slot)| &slot.id)
+            .collect();
+        job.reserved
+            .iter()
+            .filter(|(_, home)| !has_no_spare || with_capacity.contains(home))
+            .map(|(index, home)| (*index, home.clone()))
+            .collect()
+    }
+
     /// The admission test for a job with a deadline that nobody has accepted yet.
     /// `elastic`: how many more machines can be had, after how long. `release`: how long until
     /// the jobs that it needs are expected to be done. The schedule simulation is then played from that
     /// moment on: what ends before it holds no room, and what is reserved has not begun.
     ///
     /// Its tasks are equal and those on one host do not bear on another, so that the job
-    /// cycles if the hosts together can take as many as it has, whatever their order: each
+    /// passes if the hosts together can take as many as it has, whatever their order: each
     /// is played until it would miss, and no further host once there is enough.
     pub fn admit(
         &self,
--- a/crates/jasperhill-scheduler/src/cycle/context.rs
+++ b/crates/jasperhill-scheduler/src/cycle/context.rs
@@ -28,7 +28,7 @@
     /// It may get new tasks.
     pub usable: bool,
     /// Room left.
-    pub room: Resources,
+    pub free: Resources,
     /// Tasks that its worker lists.
     pub listed: usize,
     /// Kept free for a waiting gang.
@@ -90,7 +90,7 @@
     /// Gangs for which nothing that could be stopped suffices.
     pub(super) gangs_without_victims: Vec<InfeasibleGang>,
     /// Gangs that keep hosts free, and how many hosts.
-    pub held_for_gangs: (usize, usize),
+    pub reserved_for_gangs: (usize, usize),
 }
 
 impl Cycle {
@@ -103,7 +103,7 @@
         self.slots.get(i).is_some_and(|s| {
             s.usable
                 && s.listed < LISTED_MAX
-                && each.fits(&s.room)
+                && each.fits(&s.free)
                 && s.reserved.as_ref().is_none_or(|j| j == job)
         })
     }
@@ -111,7 +111,7 @@
     pub fn take(&mut self, i: usize, each: &Resources) {
         self.invalidate(i);
         if let Some(slot) = self.slots.get_mut(i) {
-            slot.room -= *each;
+            slot.free -= *each;
             slot.listed += 1;
         }
     }
@@ -193,7 +193,7 @@
         if self.infeasible.iter().any(|h| h.fits(each)) {
             return true;
         }
-        let none = !self.slots.iter().any(|s| s.usable && each.fits(&s.room));
+        let none = !self.slots.iter().any(|s| s.usable && each.fits(&s.free));
         if none {
             self.infeasible.push(*each);
         }
--- a/crates/jasperhill-scheduler/src/cycle/drain.rs
+++ b/crates/jasperhill-scheduler/src/cycle/drain.rs
@@ -147,7 +147,7 @@
         let services = self.jobs.values().filter(|j| j.is_service());
         let replicas = services.map(|j| j.live.len()).sum();
         for (host, task) in stops {
-            if !self.moves.take(replicas, now) {
+            if !self.move_budget.take(replicas, now) {
                 return;
             }
             self.events.push(Event::Stopped(
--- a/crates/jasperhill-scheduler/src/cycle/gang.rs
+++ b/crates/jasperhill-scheduler/src/cycle/gang.rs
@@ -4,18 +4,18 @@
     cycle::context::Cycle,
     cycle::placement::{ZoneCapacity, cost, unproven_penalty},
     host::{Host, LISTED_MAX},
-    job::{HeldHosts, Job},
+    job::{GangHosts, Job},
     partition::Partition,
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, user::JobRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long the choice of hosts kept for a waiting gang stands before it is made anew.
-const KEPT_FOR: Micros = Micros::from_secs(1);
+const CHOICE_LASTS: Micros = Micros::from_secs(1);
 /// Gangs that may keep hosts however few there are.
 const HOLDING_GANGS: usize = 2;
 /// Beyond these, no more than this part of the hosts is kept.
-const HELD_PART: usize = 8;
+const GANG_HOSTS_PART: usize = 8;
 
 impl Partition {
     /// Starts a gang whole or not at all.
@@ -54,7 +54,7 @@
                 let attempt = self.next_attempt();
                 if let Some(job) = self.jobs.get_mut(id) {
                     job.attempt = Some(attempt);
-                    job.held_hosts = None;
+                    job.gang_hosts = None;
                     job.preempting.clear();
                 }
                 for (i, slot) in slots.into_iter().enumerate() {
@@ -66,7 +66,7 @@
             None => {
                 self.choose_hosts(cycle, id, &request);
                 self.preempt_for_gang(cycle, id);
-                self.hold_hosts(cycle, id);
+                self.reserve_for_gang(cycle, id);
             }
         }
     }
@@ -75,7 +75,7 @@
     fn zone_sets(&self, cycle: &Cycle, request: &JobRequest) -> Vec<BTreeSet<Name>> {
         let zones: BTreeSet<Name> = self
             .with_slots(cycle)
-            .filter(|(_, slot, _)| slot.usable && request.each.fits(&slot.room))
+            .filter(|(_, slot, _)| slot.usable && request.each.fits(&slot.free))
             .map(|(_, _, h)| &h.zone)
             .filter(|z| request.zone.as_ref().is_none_or(|want| want == *z))
             .collect::<BTreeSet<&Name>>()
@@ -102,7 +102,7 @@
             .filter(|(i, _, _)| cycle.fits(*i, &request.id, &request.each))
             .filter(|(_, _, host)| zones.contains(&host.zone) && Self::is_feasible(job, host))
             .filter(|(_, _, host)| !host.lists_job(&request.id))
-            .map(|(i, slot, host)| (i, slot.room, host))
+            .map(|(i, slot, host)| (i, slot.free, host))
             .collect();
         // Most waiting gangs end here, before any host is judged.
         let places: u64 = fitting
@@ -145,7 +145,7 @@
     /// not hold it up for ever. Looked up again only now and then.
     fn choose_hosts(&mut self, cycle: &mut Cycle, id: &JobId, request: &JobRequest) {
         let Some(job) = self.jobs.get(id) else { return };
-        let stands = job.held_hosts.as_ref().is_some_and(|k| {
+        let stands = job.gang_hosts.as_ref().is_some_and(|k| {
             cycle.now < k.until
                 && k.hosts.iter().all(|h| {
                     cycle.slot(h).is_some_and(|i| {
@@ -154,7 +154,7 @@
                     })
                 })
         });
-        if stands || !self.may_hold_hosts(cycle, request) {
+        if stands || !self.may_reserve_for_gang(cycle, request) {
             return;
         }
         let mut ready: Vec<(Micros, usize, &Host)> = self
@@ -182,9 +182,9 @@
         }
         let whole = hosts.len() == request.tasks as usize;
         if let Some(job) = self.jobs.get_mut(id) {
-            job.held_hosts = whole.then_some(HeldHosts {
+            job.gang_hosts = whole.then_some(GangHosts {
                 hosts,
-                until: cycle.now + KEPT_FOR,
+                until: cycle.now + CHOICE_LASTS,
                 ready: at,
             });
         }
@@ -203,20 +203,20 @@
         None
     }
 
-    fn may_hold_hosts(&self, cycle: &Cycle, request: &JobRequest) -> bool {
-        let (gangs, hosts) = cycle.held_for_gangs;
-        gangs < HOLDING_GANGS || hosts + request.tasks as usize <= cycle.usable() / HELD_PART
+    fn may_reserve_for_gang(&self, cycle: &Cycle, request: &JobRequest) -> bool {
+        let (gangs, hosts) = cycle.reserved_for_gangs;
+        gangs < HOLDING_GANGS || hosts + request.tasks as usize <= cycle.usable() / GANG_HOSTS_PART
     }
 
     /// Keeps the chosen hosts for the rest of the cycle.
-    fn hold_hosts(&mut self, cycle: &mut Cycle, id: &JobId) {
+    fn reserve_for_gang(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        let Some(kept) = &job.held_hosts else { return };
-        if job.preempting.is_empty() && !self.may_hold_hosts(cycle, &job.request) {
+        let Some(kept) = &job.gang_hosts else { return };
+        if job.preempting.is_empty() && !self.may_reserve_for_gang(cycle, &job.request) {
             return;
         }
-        cycle.held_for_gangs.0 += 1;
-        cycle.held_for_gangs.1 += kept.hosts.len();
+        cycle.reserved_for_gangs.0 += 1;
+        cycle.reserved_for_gangs.1 += kept.hosts.len();
         for host in &kept.hosts {
             if let Some(i) = cycle.slot(host)
                 && cycle.slots[i].reserved.is_none()
@@ -239,7 +239,7 @@
             return Some(now);
         }
         let mut at = now;
-        let begin = cycle.simulation_start(slot, || self.begin(host, now));
+        let begin = cycle.simulation_start(slot, || self.simulation_start_of(host, now));
         for o in begin.running.iter().rev() {
             if each.fits(&room) {
                 return Some(at);
--- a/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
+++ b/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
@@ -8,7 +8,7 @@
     host::{FencingState, Host},
     job::{Job, Readiness},
     partition::{Event, Partition, UnconfirmedTasks},
-    recovery::{HeldCapacity, Input, Recovery},
+    recovery::{Input, Recovery, ReservedCapacity},
 };
 use jasperhill_wire::{HostId, JobId, Micros, TaskId, user::Priority};
 
@@ -71,7 +71,7 @@
             }
         }
         if let Some(recovered) = self.recovery.apply(Input::Missing(missing), now) {
-            self.returning.overtaken.clear();
+            self.replica_recovery.overtaken.clear();
             self.events.push(Event::ProductionRecovered(recovered));
         }
     }
@@ -99,8 +99,8 @@
                     .iter()
                     .any(|(t, on)| on.holds_resources() && on.ordered >= since && lesser(t))
         });
-        if taken && self.returning.overtaken.len() < OVERTAKEN_MAX {
-            let news = self.returning.overtaken.insert(task);
+        if taken && self.replica_recovery.overtaken.len() < OVERTAKEN_MAX {
+            let news = self.replica_recovery.overtaken.insert(task);
             if news {
                 self.recovery.apply(Input::Overtaken, cycle.now);
             }
@@ -125,33 +125,33 @@
 
     /// Keeps room for replicas that may be lost, for the rest of the cycle: production is
     /// served already, and what follows is lesser work.
-    pub(crate) fn hold_capacity_for_losses(&mut self, cycle: &mut Cycle) {
+    pub(crate) fn reserve_capacity_for_losses(&mut self, cycle: &mut Cycle) {
         let now = cycle.now;
-        if now >= self.returning.until {
-            self.returning.until = now + KEPT_FOR;
-            self.returning.kept.clear();
+        if now >= self.replica_recovery.until {
+            self.replica_recovery.until = now + KEPT_FOR;
+            self.replica_recovery.reserved.clear();
             let may_return = |h: &Host| {
                 self.is_silent(h, now) && (h.tasks_on() > 0 || h.has_unconfirmed_tasks())
             };
             if self.hosts.values().any(may_return) {
-                self.returning.kept = self.choose_capacity(cycle);
+                self.replica_recovery.reserved = self.choose_capacity(cycle);
             }
         } else {
-            let kept = std::mem::take(&mut self.returning.kept);
+            let kept = std::mem::take(&mut self.replica_recovery.reserved);
             for k in &kept {
                 if let Some(i) = cycle.slot(&k.host)
                     && cycle.slots[i].usable
-                    && k.each.fits(&cycle.slots[i].room)
+                    && k.each.fits(&cycle.slots[i].free)
                 {
                     cycle.take(i, &k.each);
                 }
             }
-            self.returning.kept = kept;
+            self.replica_recovery.reserved = kept;
         }
     }
 
     /// The rooms where the replicas at risk would start the soonest; they are taken.
-    fn choose_capacity(&self, cycle: &mut Cycle) -> Vec<HeldCapacity> {
+    fn choose_capacity(&self, cycle: &mut Cycle) -> Vec<ReservedCapacity> {
         let mut kept = Vec::new();
         for job in self.jobs.values().filter(|j| Self::is_recoverable(j)) {
             let many = self.at_risk(job, &cycle.unconfirmed, cycle.now);
@@ -178,7 +178,7 @@
                 if let Some(zone) = self.zone_of(&host) {
                     zones.add(&zone);
                 }
-                kept.push(HeldCapacity { host, each: r.each });
+                kept.push(ReservedCapacity { host, each: r.each });
                 self.rescore(cycle, &mut candidates, i, &r, false);
             }
         }
--- a/crates/jasperhill-scheduler/src/cycle/mod.rs
+++ b/crates/jasperhill-scheduler/src/cycle/mod.rs
@@ -1,6 +1,5 @@
-//! A cycle over a partition: admitted work is reserved and started, gangs are started whole,
-//! room is made for what outranks. Owns what a cycle keeps track of; the decisions themselves
-//! are in `suit`, `book`, `gang`, `room` and `drain`.
+//! A scheduling cycle over a partition: [`Partition::run_cycle`] goes through its stages in order.
+//! Each stage is a file here; [`context::Cycle`] is what they keep track of together.
 
 pub(crate) mod admission;
 pub(crate) mod context;
@@ -16,18 +15,18 @@
 use crate::{
     cycle::context::{Cycle, HostSlot},
     host::{Host, HostInput},
-    job::{Job, Readiness, TaskStep},
+    job::{Job, JobRank, Readiness, TaskStep},
     partition::{Event, Partition},
     starvation::{self, WaitingJob},
 };
 use jasperhill_wire::{
     Attempt, JobId, Micros, Name, Resources, TaskId,
-    user::{JobRequest, Priority, Shape},
+    user::{JobRequest, Shape},
 };
 use std::{cell::RefCell, collections::BTreeMap};
 
-/// Where a job stands in the order of a cycle: see [`Job::rank`].
-type Rank = (u8, u64, Priority, Micros);
+/// Events kept in one cycle; beyond, the log would say nothing more.
+const EVENTS_MAX: usize = 256;
 
 impl Partition {
     /// The hosts as they are now.
@@ -47,7 +46,7 @@
             .map(|h| HostSlot {
                 id: h.id.clone(),
                 usable: h.is_usable(now, &self.config),
-                room: h.free_resources(),
+                free: h.free_resources(),
                 listed: h.listed(),
                 reserved: None,
             })
@@ -62,7 +61,7 @@
             infeasible: Vec::new(),
             gangs_without_hosts: Vec::new(),
             gangs_without_victims: Vec::new(),
-            held_for_gangs: (0, 0),
+            reserved_for_gangs: (0, 0),
         }
     }
 
@@ -92,42 +91,22 @@
         let mut cycle = self.begin_cycle(now);
         self.release_unusable_reservations(&cycle);
         self.mark_missed_deadlines(now);
-        let mut order: Vec<_> = self
-            .jobs
-            .values()
-            .filter(|j| {
-                j.termination.is_none()
-                    && j.readiness == Readiness::Open
-                    && (j.pending() > 0 || !j.reserved.is_empty())
-                    && !self.may_run_unconfirmed(j, &cycle.unconfirmed)
-                    && now >= j.not_before
-                    && j.failures.may_retry(now)
-            })
-            .map(|j| (j.rank(), j.request.id.clone()))
-            .collect();
-        self.update_starvation(&cycle, &order);
-        for (rank, id) in &mut order {
-            // Guards against a class or team that never gets its turn behind others' work.
-            if self.starvation.is_boosted(id) && rank.0 > 0 {
-                (rank.0, rank.1) = (1, 0);
-            }
-        }
-        order.sort();
+        let order = self.jobs_in_order(&cycle);
         self.backlog = order.len();
         self.expire_preemptions(now);
         self.update_recovery(now);
-        let mut kept = false;
-        for ((band, ..), id) in &order {
-            if *band > 0 && !kept {
-                kept = true;
-                self.hold_capacity_for_losses(&mut cycle);
+        let mut has_reserved = false;
+        for (rank, id) in &order {
+            if !rank.is_production() && !has_reserved {
+                has_reserved = true;
+                self.reserve_capacity_for_losses(&mut cycle);
             }
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
             match job.request.shape {
                 Shape::Gang => self.start_gang(&mut cycle, id),
-                // A suspect job is reserved nowhere: it would hold up others' schedule simulations.
+                // A job that is backing off gets no reservation: it would hold up others' simulations.
                 Shape::Service | Shape::Array
                     if job.due.is_none() || job.failures.is_backing_off() =>
                 {
@@ -139,11 +118,38 @@
                 }
             }
         }
-        self.events.truncate(256);
+        self.events.truncate(EVENTS_MAX);
+    }
+
+    /// The jobs with tasks that may start, the most important first.
+    fn jobs_in_order(&mut self, cycle: &Cycle) -> Vec<(JobRank, JobId)> {
+        let now = cycle.now;
+        let mut order: Vec<(JobRank, JobId)> = self
+            .jobs
+            .values()
+            .filter(|job| {
+                job.termination.is_none()
+                    && job.readiness == Readiness::Open
+                    && (job.pending() > 0 || !job.reserved.is_empty())
+                    && !self.may_run_unconfirmed(job, &cycle.unconfirmed)
+                    && now >= job.not_before
+                    && job.failures.may_retry(now)
+            })
+            .map(|job| (job.rank(), job.request.id.clone()))
+            .collect();
+        self.update_starvation(cycle, &order);
+        for (rank, id) in &mut order {
+            // Guards against a class or team that never gets its turn behind others' work.
+            if self.starvation.is_boosted(id) {
+                rank.boost();
+            }
+        }
+        order.sort();
+        order
     }
 
     /// Looks who of those that could start has fallen behind.
-    fn update_starvation(&mut self, cycle: &Cycle, order: &[(Rank, JobId)]) {
+    fn update_starvation(&mut self, cycle: &Cycle, order: &[(JobRank, JobId)]) {
         if !self.starvation.is_due(cycle.now) {
             return;
         }
@@ -247,7 +253,11 @@
         let Some(team) = self.config.team(&request.team) else {
             return false;
         };
-        let used = self.used.get(&request.team).copied().unwrap_or_default();
+        let used = self
+            .used_by_team
+            .get(&request.team)
+            .copied()
+            .unwrap_or_default();
         let unseen = cycle
             .unconfirmed_use
             .get(&request.team)
--- a/crates/jasperhill-scheduler/src/cycle/placement.rs
+++ b/crates/jasperhill-scheduler/src/cycle/placement.rs
@@ -166,7 +166,7 @@
             .filter(|(_, _, host)| Self::is_feasible(job, host))
             .map(|(i, slot, host)| {
                 let cost =
-                    cost(host, &slot.room, r, cycle.now) + unproven_penalty(job, host, cycle.now);
+                    cost(host, &slot.free, r, cycle.now) + unproven_penalty(job, host, cycle.now);
                 Reverse((cost, i))
             })
             .collect();
@@ -226,7 +226,7 @@
         if let Some(host) = cycle.slots.get(slot).and_then(|s| self.hosts.get(&s.id))
             && (!behind_none || host.queue.is_empty())
         {
-            let room = &cycle.slots[slot].room;
+            let room = &cycle.slots[slot].free;
             let cost = cost(host, room, request, cycle.now);
             candidates.heap.push(Reverse((cost, slot)));
         }
--- a/crates/jasperhill-scheduler/src/cycle/preemption.rs
+++ b/crates/jasperhill-scheduler/src/cycle/preemption.rs
@@ -6,7 +6,7 @@
         placement::{ZoneCapacity, start_delay},
     },
     host::Host,
-    job::{HeldHosts, Job},
+    job::{GangHosts, Job},
     partition::Partition,
 };
 use jasperhill_wire::{HostId, JobId, Micros, Name, TaskId, user::Priority};
@@ -15,7 +15,7 @@
 /// Microseconds: delays are compared by whole seconds before the work that is lost.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 /// How long after the last victim must be gone the freed capacity is waited for.
-const FREED_HELD_FOR: Micros = Micros::from_secs(4);
+const FREED_CAPACITY_LASTS: Micros = Micros::from_secs(4);
 /// Capacity that comes by itself this soon is waited for.
 const SOON: Micros = Micros::from_secs(3);
 
@@ -168,7 +168,7 @@
         let host = cycle.slots[best.slot].id.clone();
         self.stop_victims(cycle, &host, &best.victims, "preempted for production");
         if let Some(job) = self.jobs.get_mut(id) {
-            let until = cycle.now + best.grace + FREED_HELD_FOR;
+            let until = cycle.now + best.grace + FREED_CAPACITY_LASTS;
             job.preempting.push((host, until));
         }
         cycle.take(best.slot, &each);
@@ -205,7 +205,7 @@
         let victims = cycle.victims(at, priority, has_nowhere, || {
             self.victims(host, priority, has_nowhere, cycle.now)
         });
-        let (mut free, mut chosen) = (slot.room, Vec::new());
+        let (mut free, mut chosen) = (slot.free, Vec::new());
         let (mut lost_work, mut grace) = (Micros::ZERO, Micros::ZERO);
         for victim in victims.iter() {
             if request.each.fits(&free) {
@@ -231,7 +231,7 @@
     pub(crate) fn preempt_for_gang(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let (request, priority) = (job.request.clone(), job.priority());
-        let held = job.held_hosts.as_ref();
+        let held = job.gang_hosts.as_ref();
         let has_hosts_soon = held.is_some_and(|held| held.ready <= cycle.now + SOON);
         if !job.preempting.is_empty()
             || has_hosts_soon
@@ -285,7 +285,7 @@
         let (request, priority) = (&job.request, job.priority());
         let wanted = request.tasks as usize;
         let delay = start_delay(host, request, cycle.now).0;
-        let mut free = slot.room;
+        let mut free = slot.free;
         let mut places = Vec::new();
         while places.len() < wanted && request.each.fits(&free) {
             free -= request.each;
@@ -355,7 +355,7 @@
     fn clear_for_gang(&mut self, cycle: &mut Cycle, id: &JobId, chosen: &[CandidatePlacement]) {
         let grace = chosen.iter().map(|place| place.grace).max();
         let grace = grace.unwrap_or_default();
-        let until = cycle.now + grace + FREED_HELD_FOR;
+        let until = cycle.now + grace + FREED_CAPACITY_LASTS;
         let slots: BTreeSet<usize> = chosen.iter().map(|place| place.at).collect();
         for place in chosen {
             let host = cycle.slots[place.at].id.clone();
@@ -364,7 +364,7 @@
         let hosts: Vec<HostId> = slots.iter().map(|at| cycle.slots[*at].id.clone()).collect();
         if let Some(job) = self.jobs.get_mut(id) {
             job.preempting = hosts.iter().map(|host| (host.clone(), until)).collect();
-            job.held_hosts = Some(HeldHosts {
+            job.gang_hosts = Some(GangHosts {
                 hosts,
                 until,
                 ready: cycle.now + grace,
--- a/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
+++ b/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
@@ -46,7 +46,7 @@
             .and_then(|j| self.expected_run(j, host));
         if let (Some((started, attempt)), Some((expected, _))) = (started, expected) {
             let at = started + expected.scale(OVER);
-            self.watched
+            self.overrun_watch
                 .due
                 .insert((at, host.clone(), task.clone(), attempt));
         }
@@ -74,15 +74,20 @@
                 h.pace.apply(Input::EndedInTime);
             }
         }
-        let tail = self.watched.tails.entry(class).or_insert(TAIL_FIRST);
+        let tail = self.overrun_watch.tails.entry(class).or_insert(TAIL_FIRST);
         *tail += LEARNS * (f64::from(u8::from(times >= OVER)) - *tail);
     }
 
     /// Looks at the machines where a task overruns by now.
     pub(crate) fn check_overruns(&mut self, now: Micros) {
         let mut hosts = BTreeSet::new();
-        while self.watched.due.first().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, host, task, attempt)) = self.watched.due.pop_first() else {
+        while self
+            .overrun_watch
+            .due
+            .first()
+            .is_some_and(|(at, ..)| *at <= now)
+        {
+            let Some((_, host, task, attempt)) = self.overrun_watch.due.pop_first() else {
                 break;
             };
             let running = self.hosts.get(&host).and_then(|h| {
@@ -99,7 +104,7 @@
             let at = started + expected.scale(OVER);
             if at > now {
                 // More is known by now, and more time is due to it.
-                self.watched.due.insert((at, host, task, attempt));
+                self.overrun_watch.due.insert((at, host, task, attempt));
             } else {
                 hosts.insert(host);
             }
@@ -133,7 +138,7 @@
             }
             times.push(over);
             if by_others || counted.insert(&task.job) {
-                odds += (SLOW_OVERRUNS / self.watched.tail(&job.request.class)).ln();
+                odds += (SLOW_OVERRUNS / self.overrun_watch.tail(&job.request.class)).ln();
             }
         }
         times.sort_by(f64::total_cmp);
--- a/crates/jasperhill-scheduler/src/cycle/tests.rs
+++ b/crates/jasperhill-scheduler/src/cycle/tests.rs
@@ -316,7 +316,7 @@
             .filter(|(i, _, _)| cycle.fits(*i, id, &request.each))
             .filter(|(_, _, h)| h.queue.is_empty())
             .filter(|(_, _, h)| Partition::is_feasible(job, h) && zones.allows(&h.zone))
-            .min_by_key(|(i, slot, h)| (cost(h, &slot.room, &request, cycle.now), *i))
+            .min_by_key(|(i, slot, h)| (cost(h, &slot.free, &request, cycle.now), *i))
             .map(|(i, _, _)| i);
         match best {
             Some(slot) => part.start(cycle, id, i, slot, None),
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -28,7 +28,7 @@
     Cancelled,
 }
 
-/// What of a job cycles backwards to those before it.
+/// What of a job passes backwards to those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobUrgency {
     /// By the time of day, which means the same to all controllers.
--- a/crates/jasperhill-scheduler/src/dependencies/tests.rs
+++ b/crates/jasperhill-scheduler/src/dependencies/tests.rs
@@ -196,7 +196,7 @@
             let over = plain.ended.keys().filter(|n| seen.chain.nodes.contains_key(&id(**n)));
             prop_assert_eq!(over.count(), 0);
         }
-        // Without cancellations, what cycles backwards is what the graph says.
+        // Without cancellations, what passes backwards is what the graph says.
         if plain.ended.values().all(|done| *done) {
             for n in plain.needs.keys().filter(|n| !plain.ended.contains_key(n)) {
                 prop_assert_eq!(in_order.chain.inherited_urgency(&id(*n)), plain.claim(*n), "{}", n);
--- a/crates/jasperhill-scheduler/src/host/mod.rs
+++ b/crates/jasperhill-scheduler/src/host/mod.rs
@@ -3,6 +3,8 @@
 
 mod commands;
 mod heartbeat;
+mod images;
+mod quarantine;
 
 use crate::{
     config::{MachineSpec, SchedulerConfig},
@@ -18,16 +20,6 @@
     rc::Rc,
 };
 
-/// Errors in a row after which a host is quarantined, and for how long.
-const QUARANTINE_AFTER: usize = 2;
-const QUARANTINE: Micros = Micros::from_secs(60);
-/// Errors remembered.
-const FAILURES_MAX: usize = 16;
-/// By then a job that fails everywhere is found out: no host is returned for its errors before.
-const FORGIVEN_WITHIN: Micros = Micros::from_secs(8);
-/// A completed task proves a host for so long after its start.
-const PROVED_FOR: Micros = Micros::from_secs(120);
-
 /// Tasks that a worker may list, exited ones that are not cleared yet included: a heartbeat with
 /// more could outgrow the 64 KiB that a request body may have, and a host whose heartbeats are
 /// refused is lost with all that runs there.
@@ -221,7 +213,7 @@
     /// Being emptied so that it can be given up, since when.
     pub draining: Option<Micros>,
     /// The jobs of its errors in a row, one for each error, and quarantined until.
-    pub blame: Vec<JobId>,
+    pub recent_failures: Vec<JobId>,
     /// It gets no new tasks until then, for its failures.
     pub quarantined_until: Option<Micros>,
     /// When the last task that completed here was started.
@@ -277,7 +269,7 @@
             queue: Vec::new(),
             idle_since: Some(now),
             draining: None,
-            blame: Vec::new(),
+            recent_failures: Vec::new(),
             quarantined_until: None,
             last_success_started: None,
             slowness: 1.0,
@@ -303,43 +295,6 @@
     pub fn in_flight(&self) -> bool {
         self.in_flight_commands.is_some()
     }
-    /// A task of this job failed here. True if the host is quarantined for it.
-    pub fn blame(&mut self, job: &JobId, now: Micros) -> bool {
-        if self.blame.len() < FAILURES_MAX {
-            self.blame.push(job.clone());
-        }
-        let aside = self.blame.len() >= QUARANTINE_AFTER;
-        let news = aside && self.quarantined_until.is_none_or(|t| now >= t);
-        if aside {
-            self.quarantined_until = Some(now + QUARANTINE);
-        }
-        news
-    }
-
-    /// The failures of this job turn out to be its own.
-    pub fn forgive_failures(&mut self, job: &JobId) {
-        let before = self.blame.len();
-        self.blame.retain(|j| j != job);
-        if before >= QUARANTINE_AFTER && self.blame.len() < QUARANTINE_AFTER {
-            self.quarantined_until = None;
-        }
-    }
-
-    /// Fails what it starts, by errors that no job has been found to be the cause of for a while.
-    pub fn is_faulty(&self, now: Micros) -> bool {
-        self.blame.len() >= QUARANTINE_AFTER
-            && self
-                .quarantined_until
-                .is_none_or(|t| now + QUARANTINE >= t + FORGIVEN_WITHIN)
-    }
-
-    /// Has served others lately, and nothing speaks against it.
-    pub fn has_served_others(&self, other_than: &JobId, now: Micros) -> bool {
-        self.last_success_started
-            .is_some_and(|t| now - t < PROVED_FOR)
-            && self.blame.iter().all(|j| j == other_than)
-    }
-
     /// Nothing runs, may run or is reserved there.
     pub fn is_empty(&self) -> bool {
         self.tasks_holding == 0
@@ -408,21 +363,6 @@
         room -= self.used;
         room
     }
-    /// Whether the image has been seen there.
-    pub fn has_image(&self, image: &Name) -> bool {
-        self.images.iter().any(|(name, _)| name == image)
-    }
-
-    /// Remembers an image as the most recently used and drops what no longer fits the cache.
-    pub fn touch_image(&mut self, image: &Name, gb: f64) {
-        self.images.retain(|(name, _)| name != image);
-        self.images.push((image.clone(), gb));
-        let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        while total > self.spec.cache_gb && self.images.len() > 1 {
-            total -= self.images.remove(0).1;
-        }
-    }
-
     /// Whether a direct `run` of this attempt may still be executed.
     fn may_start_later(&self, task: &TaskId, attempt: Attempt) -> bool {
         let key = (task.clone(), attempt);
@@ -507,42 +447,4 @@
         }
         outputs
     }
-
-    /// The expected wait for an image here: nothing when it is cached, the rest when it is
-    /// coming. Images fetched at the same time share the rate.
-    pub fn image_wait(&self, image: &Name, gb: f64, now: Micros) -> Micros {
-        if self.has_image(image) {
-            return Micros::ZERO;
-        }
-        if self.fetching == 0 {
-            return Micros::from_secs_f64(gb / self.spec.fetch_gb_per_s.max(1e-6));
-        }
-        // A handful of images at most: a list is quicker than a map, and this is asked for every
-        // job and host.
-        let mut coming: Vec<(&Name, f64, Micros)> = Vec::new();
-        for t in self.tasks.values() {
-            if let (TaskState::Ordered | TaskState::Fetching, Some((name, gb))) =
-                (t.state, &t.image)
-                && !self.has_image(name)
-            {
-                match coming.iter_mut().find(|(n, ..)| *n == name) {
-                    Some((.., since)) => *since = t.ordered.min(*since),
-                    None => coming.push((name, *gb, t.ordered)),
-                }
-            }
-        }
-        if coming.iter().all(|(n, ..)| *n != image) {
-            coming.push((image, gb, now));
-        }
-        let rate = self.spec.fetch_gb_per_s.max(1e-6) / coming.len() as f64;
-        let rest = |gb: f64, since: Micros| (gb - (now - since).as_secs_f64() * rate).max(0.0);
-        let mine = coming.iter().find(|(n, ..)| *n == image);
-        let mine = mine.map_or(gb, |(_, gb, since)| rest(*gb, *since));
-        // The others slow it down as long as they last.
-        let shared: f64 = coming
-            .iter()
-            .map(|(_, gb, since)| rest(*gb, *since).min(mine))
-            .sum();
-        Micros::from_secs_f64(shared / self.spec.fetch_gb_per_s.max(1e-6))
-    }
 }
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -36,7 +36,7 @@
 /// Hosts that a waiting gang keeps free, until the choice is made anew, and when they are
 /// expected to have room.
 #[derive(Clone, Debug)]
-pub struct HeldHosts {
+pub struct GangHosts {
     /// The hosts.
     pub hosts: Vec<HostId>,
     /// When the choice is made anew.
@@ -67,6 +67,40 @@
     pub priority: Option<Priority>,
 }
 
+/// The first order among jobs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Band {
+    Production,
+    Urgent,
+    ByDeadline,
+    /// Behind everything else.
+    BackingOff,
+}
+
+/// Where a job stands in the order of a scheduling cycle; the smaller goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct JobRank {
+    band: Band,
+    /// Its deadline in microseconds; the largest number if it has none.
+    due: u64,
+    priority: Priority,
+    submitted: Micros,
+}
+
+impl JobRank {
+    /// Before all but production.
+    pub(crate) fn boost(&mut self) {
+        if self.band > Band::Production {
+            (self.band, self.due) = (Band::Urgent, 0);
+        }
+    }
+
+    /// In the first band.
+    pub(crate) fn is_production(&self) -> bool {
+        self.band == Band::Production
+    }
+}
+
 /// The state machine of one unfinished job, or of one whose tasks are not gone yet.
 #[derive(Debug)]
 pub struct Job {
@@ -112,7 +146,7 @@
     /// Room is being made there, and is waited for until then.
     pub preempting: Vec<(HostId, Micros)>,
     /// Hosts kept free for this waiting gang.
-    pub held_hosts: Option<HeldHosts>,
+    pub gang_hosts: Option<GangHosts>,
     /// The attempt of a gang under way.
     pub attempt: Option<Attempt>,
     /// How often tasks of it were stopped for others.
@@ -154,7 +188,7 @@
             not_before: Micros::ZERO,
             failed: false,
             preempting: Vec::new(),
-            held_hosts: None,
+            gang_hosts: None,
             attempt: None,
             preempted: 0,
             missed_deadline: false,
@@ -283,18 +317,22 @@
     ///
     /// A deadline that can't be met any more (`missed`) is none: in deadline order it would
     /// go first and make those miss that still can be in time.
-    pub fn rank(&self) -> (u8, u64, Priority, Micros) {
+    pub fn rank(&self) -> JobRank {
         let p = self.priority();
         let band = match p {
-            // Behind everything else.
-            _ if self.failures.is_backing_off() => 3,
-            Priority::Production => 0,
-            Priority::High => 1,
-            Priority::Normal | Priority::Low => 2,
+            _ if self.failures.is_backing_off() => Band::BackingOff,
+            Priority::Production => Band::Production,
+            Priority::High => Band::Urgent,
+            Priority::Normal | Priority::Low => Band::ByDeadline,
         };
         let due = [self.due.filter(|_| !self.missed_deadline), self.inherited.0];
         let due = due.into_iter().flatten().min().map_or(u64::MAX, |d| d.0);
-        (band, due, p, self.submitted)
+        JobRank {
+            band,
+            due,
+            priority: p,
+            submitted: self.submitted,
+        }
     }
 
     /// Resources of what could be running unseen.
--- a/crates/jasperhill-scheduler/src/partition/mod.rs
+++ b/crates/jasperhill-scheduler/src/partition/mod.rs
@@ -2,6 +2,7 @@
 //! and job machines and keeps them consistent with each other.
 
 mod events;
+mod hosts;
 mod task_outcomes;
 
 pub use events::{AdmissionDecision, Event};
@@ -18,7 +19,7 @@
 };
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Micros, Name, Resources, Revision, TaskId,
-    record::{HostAssignment, HostRecord, ResidualUsage},
+    record::{HostRecord, ResidualUsage},
     user::{JobRequest, Priority, Shape},
     worker::{Command, ExitCause, Heartbeat},
 };
@@ -53,9 +54,9 @@
     pub jobs: BTreeMap<JobId, Job>,
     /// The hosts whose records name this partition.
     pub hosts: BTreeMap<HostId, Host>,
-    pub(crate) used: BTreeMap<Name, Resources>,
+    pub(crate) used_by_team: BTreeMap<Name, Resources>,
     /// Run time over estimate by class, smoothed.
-    pub(crate) ratios: BTreeMap<Name, f64>,
+    pub(crate) run_time_ratios: BTreeMap<Name, f64>,
     attempts: u64,
     /// Hosts with new commands to be sent directly.
     pub dirty: BTreeSet<HostId>,
@@ -72,11 +73,11 @@
     /// What production has lost, and the room kept for what it may be losing.
     pub recovery: Recovery,
     /// Replicas that may be lost.
-    pub(crate) returning: ReplicaRecovery,
+    pub(crate) replica_recovery: ReplicaRecovery,
     /// When tasks overrun.
-    pub(crate) watched: OverrunWatch,
+    pub(crate) overrun_watch: OverrunWatch,
     /// How many replicas may be moved.
-    pub(crate) moves: MoveBudget,
+    pub(crate) move_budget: MoveBudget,
     /// Who falls behind.
     pub starvation: StarvationGuard,
 }
@@ -94,8 +95,8 @@
             specs,
             jobs: BTreeMap::new(),
             hosts: BTreeMap::new(),
-            used: BTreeMap::new(),
-            ratios: BTreeMap::new(),
+            used_by_team: BTreeMap::new(),
+            run_time_ratios: BTreeMap::new(),
             attempts: 0,
             dirty: BTreeSet::new(),
             unsaved: BTreeSet::new(),
@@ -104,9 +105,9 @@
             backlog: 0,
             unconfirmed_since: None,
             recovery: Recovery::default(),
-            returning: ReplicaRecovery::default(),
-            watched: OverrunWatch::default(),
-            moves: MoveBudget::default(),
+            replica_recovery: ReplicaRecovery::default(),
+            overrun_watch: OverrunWatch::default(),
+            move_budget: MoveBudget::default(),
             starvation: StarvationGuard::default(),
         }
     }
@@ -137,29 +138,6 @@
         Attempt((self.since.0 << ATTEMPT_BITS) + self.attempts)
     }
 
-    /// How many hosts can't get new tasks, by reason: not known yet, lapsed, in doubt, not
-    /// heard, quarantined or under notice, being emptied.
-    pub fn unusable(&self, now: Micros) -> [usize; 6] {
-        use crate::host::FencingState;
-        let mut counts = [0; 6];
-        for h in self.hosts.values() {
-            if h.is_usable(now, &self.config) {
-                continue;
-            }
-            let reason = match h.fencing {
-                FencingState::Unfenced { .. } => 0,
-                FencingState::Lapsed => 1,
-                FencingState::Fenced if h.in_doubt() => 2,
-                FencingState::Fenced if h.draining.is_some() => 5,
-                FencingState::Fenced if h.terminates_at.is_some() => 4,
-                FencingState::Fenced if h.quarantined_until.is_some_and(|t| now < t) => 4,
-                FencingState::Fenced => 3,
-            };
-            counts[reason] += 1;
-        }
-        counts
-    }
-
     /// Some host may run what a predecessor started.
     pub fn has_unconfirmed_tasks(&self) -> bool {
         self.hosts.values().any(Host::has_unconfirmed_tasks)
@@ -384,9 +362,12 @@
 
     /// The estimate, corrected by what was observed of the class.
     pub fn estimate(&self, request: &JobRequest) -> Micros {
-        request
-            .estimate
-            .scale(self.ratios.get(&request.class).copied().unwrap_or(1.0))
+        request.estimate.scale(
+            self.run_time_ratios
+                .get(&request.class)
+                .copied()
+                .unwrap_or(1.0),
+        )
     }
 
     /// Changes a task's step and its team's use with it.
@@ -398,7 +379,7 @@
         job.set(task.index, to);
         let is = job.live.contains_key(&task.index);
         let (team, each) = (job.request.team.clone(), job.request.each);
-        let used = self.used.entry(team).or_default();
+        let used = self.used_by_team.entry(team).or_default();
         if is && !was {
             *used += each;
         } else if was && !is {
@@ -435,7 +416,7 @@
 
     /// What the team uses, or may be using unseen.
     pub fn team_use(&self, team: &Name) -> Resources {
-        let mut used = self.used.get(team).copied().unwrap_or_default();
+        let mut used = self.used_by_team.get(team).copied().unwrap_or_default();
         let unconfirmed = self.unconfirmed_tasks();
         for job in self.jobs.values() {
             if &job.request.team == team && self.may_run_unconfirmed(job, &unconfirmed) {
@@ -470,76 +451,4 @@
             _ => true,
         })
     }
-
-    /// Hosts whose leases have surely lapsed, and when the next one could.
-    pub fn expire_leases(&mut self, now: Micros) {
-        let lapse = self.config.lease_expiry();
-        let gone: Vec<HostId> = self
-            .hosts
-            .values()
-            .filter(|h| {
-                h.fencing != crate::host::FencingState::Lapsed && now >= h.last_answer + lapse
-            })
-            .map(|h| h.id.clone())
-            .collect();
-        for id in gone {
-            self.apply(&id, HostInput::Gone, now);
-            self.events.push(Event::HostLost(id));
-        }
-    }
-
-    /// Puts a host under notice aside: what can save is stopped while there is time.
-    pub(crate) fn stop_before_termination(&mut self, now: Micros) {
-        let mut stops = Vec::new();
-        for host in self.hosts.values().filter(|h| h.terminates_at.is_some()) {
-            for (task, t) in &host.tasks {
-                let Some(job) = self.jobs.get(&task.job) else {
-                    continue;
-                };
-                if t.holds_resources() && t.stopping.is_none() && job.checkpoints() {
-                    stops.push((host.id.clone(), task.clone()));
-                }
-            }
-        }
-        for (host, task) in stops {
-            self.stop_with_grace(&host, &task, "spot notice", now);
-        }
-    }
-
-    /// Stops a task, and its gang with it, with the time to save if it can.
-    pub(crate) fn stop_with_grace(
-        &mut self,
-        host: &HostId,
-        task: &TaskId,
-        why: &'static str,
-        now: Micros,
-    ) {
-        let Some(job) = self.jobs.get(&task.job) else {
-            return;
-        };
-        let grace = if job.checkpoints() {
-            job.request.checkpoint_time + Micros::from_secs(1)
-        } else {
-            Micros::ZERO
-        };
-        let gang = job.is_gang();
-        self.events
-            .push(Event::Stopped(task.clone(), host.clone(), why));
-        if gang {
-            self.stop_all(&task.job, grace, now);
-        } else {
-            self.stop(host, task, grace, now);
-        }
-    }
-
-    /// The host may be given up: empty, settled and long enough idle.
-    pub fn is_spare(&self, id: &HostId, now: Micros, keep: Micros) -> bool {
-        self.hosts.get(id).is_some_and(|h| {
-            matches!(h.assignment, HostAssignment::Partition(_))
-                && h.is_empty()
-                && h.queue.is_empty()
-                && h.fencing == crate::host::FencingState::Fenced
-                && h.idle_since.is_some_and(|t| now - t >= keep)
-        })
-    }
 }
--- a/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
+++ b/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
@@ -133,7 +133,7 @@
         self.finish_gang(&task.job);
         self.unsaved.insert(task.job.clone());
         if let Some(host) = self.hosts.get_mut(id) {
-            host.blame.clear();
+            host.recent_failures.clear();
             let started = host.tasks.get(task).map(|listed| listed.ordered);
             host.last_success_started = host.last_success_started.max(started);
         }
@@ -224,13 +224,13 @@
             self.unsaved.insert(task.job.clone());
         }
         if !job.failures.is_backing_off() {
-            if host.blame(&task.job, now) {
+            if host.record_failure(&task.job, now) {
                 self.events.push(Event::HostQuarantined(id.clone()));
             }
         } else if !was {
             let reserved: Vec<u32> = job.reserved.keys().copied().collect();
             job.preempting.clear();
-            job.held_hosts = None;
+            job.gang_hosts = None;
             self.events.push(Event::JobBackingOff(task.job.clone()));
             for i in reserved {
                 self.release_reservation(&task.job, i);
@@ -263,7 +263,7 @@
                 && !h.has_served_others(id, now)
             {
                 // Failures that nothing excuses, as many as set a host aside.
-                let news = h.blame(id, now) | h.blame(id, now);
+                let news = h.record_failure(id, now) | h.record_failure(id, now);
                 if news {
                     self.events.push(Event::HostQuarantined(host));
                 }
@@ -327,7 +327,10 @@
             return;
         }
         let seen = ((now - started).as_secs_f64() / estimate).clamp(0.2, 5.0);
-        let ratio = self.ratios.entry(job.request.class.clone()).or_insert(1.0);
+        let ratio = self
+            .run_time_ratios
+            .entry(job.request.class.clone())
+            .or_insert(1.0);
         *ratio += 0.05 * (seen - *ratio);
         let times = (seen / ratio.max(0.1)).clamp(0.2, 5.0);
         host.slowness += 0.2 * (times - host.slowness);
--- a/crates/jasperhill-scheduler/src/recovery.rs
+++ b/crates/jasperhill-scheduler/src/recovery.rs
@@ -90,7 +90,7 @@
 
 /// Room on a host that is kept for a replica that may be lost.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldCapacity {
+pub(crate) struct ReservedCapacity {
     /// Where.
     pub host: HostId,
     /// How much.
@@ -101,7 +101,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaRecovery {
     /// Capacity that lesser work does not get.
-    pub kept: Vec<HeldCapacity>,
+    pub reserved: Vec<ReservedCapacity>,
     /// When the choice is made anew.
     pub until: Micros,
     /// Replicas that have found no room because of lesser work started since.
