--- /dev/null
+++ b/crates/jasperhill-scheduler/tests/machines/support.rs
@@ -0,0 +1,202 @@
+//! What the tests of the state machines are made of.
+
+use jasperhill_scheduler::{
+    HeartbeatSource, Host, HostInput, MachineSpec, Partition, SchedulerConfig, TeamLimits, Tuning,
+};
+use jasperhill_wire::record::{HostAssignment, HostRecord};
+use jasperhill_wire::user::JobRequest;
+use jasperhill_wire::worker::{ExitCause, Heartbeat, TaskPhase, TaskStatus};
+use jasperhill_wire::{Attempt, FencingToken, HostId, JobId, Micros, Resources, Revision, TaskId};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// The time at which every test begins.
+pub const NOW: Micros = Micros::from_secs(10_000);
+
+/// A machine type with two accelerators.
+pub fn spec() -> Rc<MachineSpec> {
+    Rc::new(MachineSpec {
+        machine_type: "box".into(),
+        capacity: Resources::from_units(16.0, 2.0, 128.0),
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        boot: Micros::from_secs(20),
+        price: 4.0,
+        spot_price: 2.0,
+        zones: vec!["a".into(), "b".into()],
+    })
+}
+
+/// The record of a host in this zone.
+pub fn record(zone: &str) -> HostRecord {
+    HostRecord {
+        assignment: HostAssignment::Partition(0),
+        address: "10.1.0.1:9000".to_owned(),
+        machine_type: "box".into(),
+        zone: zone.into(),
+        spot: false,
+        rewrites: 0,
+    }
+}
+
+/// A heartbeat of a host, with the tasks that it lists.
+pub fn heartbeat(
+    host: &str,
+    incarnation: u64,
+    sequence: u64,
+    token: u64,
+    tasks: Vec<TaskStatus>,
+) -> Heartbeat {
+    Heartbeat {
+        host: host.into(),
+        address: "10.1.0.1:9000".to_owned(),
+        machine_type: "box".into(),
+        zone: "a".into(),
+        spot: false,
+        incarnation,
+        sequence,
+        token: FencingToken(token),
+        termination_notice: None,
+        tasks,
+    }
+}
+
+/// A task of the one job.
+pub fn task(i: u32) -> TaskId {
+    TaskId::new(&JobId::new("job-1"), i)
+}
+
+/// How a worker lists a task of the one job.
+pub fn listed(i: u32, attempt: u64, phase: TaskPhase) -> TaskStatus {
+    TaskStatus {
+        task: task(i),
+        attempt: Attempt(attempt),
+        phase,
+    }
+}
+
+/// A host that has shown its token.
+pub fn host() -> Host {
+    let mut host = Host::new(
+        "n-1".into(),
+        &record("a"),
+        spec(),
+        FencingToken(5),
+        false,
+        NOW,
+    );
+    host.apply(
+        HostInput::Heartbeat(
+            &heartbeat("n-1", 1, 1, 5, vec![]),
+            HeartbeatSource::Heartbeat,
+        ),
+        NOW,
+    );
+    host
+}
+
+/// Tells the host to start a task.
+pub fn start(host: &mut Host, i: u32, attempt: u64) {
+    let each = Resources::from_units(1.0, 1.0, 1.0);
+    host.apply(
+        HostInput::Start(task(i), Attempt(attempt), each, ("img".into(), 1.0)),
+        NOW,
+    );
+}
+
+/// One team with a guarantee and a limit.
+pub fn config() -> Rc<SchedulerConfig> {
+    Rc::new(SchedulerConfig {
+        partitions: 1,
+        teams: vec![TeamLimits {
+            name: "red".into(),
+            guaranteed: Resources::from_units(0.0, 2.0, 0.0),
+            limit: Resources::from_units(0.0, 4.0, 0.0),
+        }],
+        report: Micros::from_secs(3),
+        lease: Micros::from_secs(16),
+        gang_wait: Micros::from_secs(30),
+        gang_peer: Micros::from_secs(4),
+        start_within: BTreeMap::new(),
+        tuning: Tuning::default(),
+    })
+}
+
+/// A job of that team.
+pub fn request(id: &str, shape: &str, tasks: u32, gpus: f64, due: Option<f64>) -> Rc<JobRequest> {
+    let due = due.map_or("null".to_owned(), |d| d.to_string());
+    let text = format!(
+        r#"{{"uid":"{id}","jobclass":"c","tenant":"red","shape":"{shape}","urgency":"standard",
+        "shards":{tasks},"vcpus":1.0,"accelerators":{gpus:?},"memory_gb":1.0,"bundle":"i","size_gb":1.0,
+        "hosttypes":null,"hall":null,"together":false,"apart":false,"reclaimable":false,
+        "expected_s":10.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":{due}}}"#
+    );
+    Rc::new(JobRequest::parse(text.as_bytes()).unwrap())
+}
+
+/// A partition with so many hosts.
+pub fn partition(hosts: usize, at_takeover: bool) -> Partition {
+    let specs = Rc::new(BTreeMap::from([("box".into(), spec())]));
+    let mut part = Partition::new(0, Revision(5), config(), specs);
+    for n in 1..=hosts {
+        let id = HostId::new(&format!("n-{n}"));
+        part.upsert_host(&id, &record("a"), Revision(4), at_takeover, NOW);
+        if !at_takeover {
+            part.on_heartbeat(
+                &heartbeat(id.as_str(), 1, 1, 5, vec![]),
+                HeartbeatSource::Heartbeat,
+                NOW,
+            );
+        }
+    }
+    part
+}
+
+/// How many tasks of a job are on hosts.
+pub fn live(part: &Partition, id: &str) -> usize {
+    part.jobs.get(&JobId::new(id)).map_or(0, |j| j.live.len())
+}
+
+/// What a host says: all tasks that are on it have failed, or have completed.
+pub fn all_exit(
+    part: &mut Partition,
+    host: &str,
+    counter: u64,
+    cause: ExitCause,
+    now: Micros,
+) -> usize {
+    let exited = |(id, t): (&TaskId, &jasperhill_scheduler::host::HostTask)| TaskStatus {
+        task: id.clone(),
+        attempt: t.attempt,
+        phase: TaskPhase::Exited(cause),
+    };
+    let on = part.hosts[&HostId::new(host)].tasks.iter();
+    let tasks: Vec<TaskStatus> = on
+        .filter(|(_, t)| t.holds_resources())
+        .map(exited)
+        .collect();
+    let n = tasks.len();
+    part.on_heartbeat(
+        &heartbeat(host, 1, counter, 5, tasks),
+        HeartbeatSource::Heartbeat,
+        now,
+    );
+    n
+}
+
+/// The host heartbeats everything that it was told to run as running.
+pub fn all_runs(part: &mut Partition, host: &str, counter: u64, now: Micros) {
+    let id = HostId::new(host);
+    let tasks = part.hosts[&id]
+        .tasks
+        .iter()
+        .filter(|(_, t)| t.holds_resources());
+    let tasks = tasks.map(|(task, t)| TaskStatus {
+        task: task.clone(),
+        attempt: t.attempt,
+        phase: TaskPhase::Running,
+    });
+    let report = heartbeat(host, 1, counter, 5, tasks.collect());
+    part.on_heartbeat(&report, HeartbeatSource::Heartbeat, now);
+    part.apply(&id, HostInput::Answered(&[]), now);
+}
