--- a/crates/jasperhill-testkit/src/behaviour.rs
+++ b/crates/jasperhill-testkit/src/behaviour.rs
@@ -5,7 +5,7 @@
     days::behaviour_days,
     run_recorded,
     transcript::{CHECKPOINT_EVERY, DayDigest},
-    world::Plan,
+    world::Scenario,
 };
 use std::{
     collections::BTreeMap,
@@ -63,7 +63,7 @@
 
 /// Plays all days, side by side.
 pub fn play_days() -> Digests {
-    let days: Vec<(String, Plan)> = behaviour_days();
+    let days: Vec<(String, Scenario)> = behaviour_days();
     let next = AtomicUsize::new(0);
     let play_some = || {
         let mut played = Vec::new();
--- a/crates/jasperhill-testkit/src/days.rs
+++ b/crates/jasperhill-testkit/src/days.rs
@@ -2,8 +2,8 @@
 //! controllers are compared.
 
 use crate::{
-    faults::{Kind, Place, Trouble},
-    world::{Plan, Scale},
+    faults::{Endpoint, Fault, LinkFault},
+    world::{Scale, Scenario},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::time::Duration;
@@ -17,14 +17,14 @@
 }
 
 /// The controller loses its peers from then on.
-pub fn from_peers(node: usize, at: u64, time: u64) -> Vec<(u64, Trouble)> {
+pub fn cut_from_peers(node: usize, at: u64, time: u64) -> Vec<(u64, Fault)> {
     let others = (0..3).filter(|n| *n != node);
-    let cut = |n| Trouble::Cut(Place::Node(node), Place::Node(n), secs(time));
+    let cut = |n| Fault::Cut(Endpoint::Node(node), Endpoint::Node(n), secs(time));
     others.map(|n| (at, cut(n))).collect()
 }
 
 /// One of the meetings, drawn, to begin about then.
-fn drawn_meeting(rng: &mut StdRng, at: u64) -> Vec<(u64, Trouble)> {
+fn drawn_faults(rng: &mut StdRng, at: u64) -> Vec<(u64, Fault)> {
     let node = rng.random_range(0..3);
     let time = rng.random_range(8..50);
     let back = millis(
@@ -34,62 +34,62 @@
     );
     match rng.random_range(0..15) {
         9 => vec![
-            (at, Trouble::Mute(rng.random_range(20..90), secs(time))),
-            (at + 3, Trouble::Crash(node, back)),
+            (at, Fault::NotSending(rng.random_range(20..90), secs(time))),
+            (at + 3, Fault::Crash(node, back)),
         ],
-        10 => vec![(at, Trouble::CancelNow(8, secs(rng.random_range(0..20))))],
-        11 => vec![(at, Trouble::CancelAtEnd(80, secs(time)))],
-        12 => vec![(at, Trouble::OddRequests(secs(time)))],
+        10 => vec![(at, Fault::CancelNow(8, secs(rng.random_range(0..20))))],
+        11 => vec![(at, Fault::CancelAtEnd(80, secs(time)))],
+        12 => vec![(at, Fault::InvalidRequests(secs(time)))],
         13 => vec![
-            (
-                at,
-                Trouble::Hang(rng.random_range(1..6), secs(time.min(25))),
-            ),
-            (at + 1, Trouble::CancelNow(4, Duration::ZERO)),
+            (at, Fault::Hang(rng.random_range(1..6), secs(time.min(25)))),
+            (at + 1, Fault::CancelNow(4, Duration::ZERO)),
         ],
         0 => {
-            let mut cut = from_peers(node, at, time + 20);
+            let mut cut = cut_from_peers(node, at, time + 20);
             cut.push((
                 at,
-                Trouble::Cut(Place::Node(node), Place::State, secs(time + 20)),
+                Fault::Cut(Endpoint::Node(node), Endpoint::State, secs(time + 20)),
             ));
             cut
         }
         1 => vec![
-            (at, Trouble::Deaf(rng.random_range(20..90), secs(time))),
-            (at + 2, Trouble::Crash(node, back)),
+            (
+                at,
+                Fault::NotReceiving(rng.random_range(20..90), secs(time)),
+            ),
+            (at + 2, Fault::Crash(node, back)),
         ],
         2 => vec![(
             at,
-            Trouble::LateWrites(rng.random_range(10..70), secs(time + 20)),
+            Fault::LateWrites(rng.random_range(10..70), secs(time + 20)),
         )],
         3 => vec![(
             at,
-            Trouble::LateReports(rng.random_range(10..90), secs(time + 20)),
+            Fault::LateHeartbeats(rng.random_range(10..90), secs(time + 20)),
         )],
         4 => (0..3)
-            .map(|n| (at + n as u64 % 2, Trouble::Crash(n, back)))
+            .map(|n| (at + n as u64 % 2, Fault::Crash(n, back)))
             .collect(),
         5 => vec![(
             at,
-            Trouble::HeldOrders(rng.random_range(20..90), secs(time + 10)),
+            Fault::DelayedCommands(rng.random_range(20..90), secs(time + 10)),
         )],
         6 => vec![
-            (at, Trouble::Refused(node, secs(time + 70))),
+            (at, Fault::Refused(node, secs(time + 70))),
             (
                 at + time.min(20),
-                Trouble::StateOutage(secs(rng.random_range(10..70))),
+                Fault::StateOutage(secs(rng.random_range(10..70))),
             ),
         ],
-        7 => vec![(at, Trouble::Freeze(node, secs(time)))],
+        7 => vec![(at, Fault::Stall(node, secs(time)))],
         8 => {
-            let slow = Kind::Slow(rng.random_range(100..900));
-            let link = |n| Trouble::Link(Place::Node(n), Place::State, slow, secs(time));
+            let slow = LinkFault::Slow(rng.random_range(100..900));
+            let link = |n| Fault::Link(Endpoint::Node(n), Endpoint::State, slow, secs(time));
             (0..3).map(|n| (at, link(n))).collect()
         }
         _ => vec![(
             at,
-            Trouble::Loop {
+            Fault::CrashLoop {
                 node,
                 times: 4,
                 life: millis(rng.random_range(300..6_000)),
@@ -100,124 +100,124 @@
 }
 
 /// Two or three meetings that overlap, twice a day.
-pub fn drawn(seed: u64) -> Plan {
+pub fn drawn(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut troubles = Vec::new();
     for at in [50, 150] {
         for _ in 0..rng.random_range(2..4) {
             let begins = at + rng.random_range(0..15);
-            troubles.extend(drawn_meeting(&mut rng, begins));
+            troubles.extend(drawn_faults(&mut rng, begins));
         }
     }
-    Plan {
+    Scenario {
         uneven: 8,
         bound: 8,
         pipelines: (3, 40),
-        ..Plan::small(seed, 340, 60, troubles)
+        ..Scenario::small(seed, 340, 60, troubles)
     }
 }
 
 /// A rolling upgrade of all controllers with limits that fall after it, and faults in its midst.
-fn rolled(seed: u64) -> Plan {
+fn rolled(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let node = rng.random_range(0..3);
     let time = secs(rng.random_range(6..20));
     let mut troubles = vec![
-        (55, Trouble::Crash(2, secs(6))),
-        (70, Trouble::Refused(node, time)),
-        (95, Trouble::StateOutage(time / 2)),
-        (120, Trouble::Crash((node + 1) % 3, secs(6))),
-        (133, Trouble::Cut(Place::Node(node), Place::State, time)),
-        (150, Trouble::CrashLeader(millis(300))),
-        (165, Trouble::NoHostWrites(secs(12))),
+        (55, Fault::Crash(2, secs(6))),
+        (70, Fault::Refused(node, time)),
+        (95, Fault::StateOutage(time / 2)),
+        (120, Fault::Crash((node + 1) % 3, secs(6))),
+        (133, Fault::Cut(Endpoint::Node(node), Endpoint::State, time)),
+        (150, Fault::CrashLeader(millis(300))),
+        (165, Fault::NoHostWrites(secs(12))),
     ];
-    troubles.extend((0..3).map(|n| (60 + 12 * n as u64, Trouble::Upgrade(n, secs(5)))));
-    troubles.push((130, Trouble::LimitsFall));
-    Plan {
+    troubles.extend((0..3).map(|n| (60 + 12 * n as u64, Fault::Upgrade(n, secs(5)))));
+    troubles.push((130, Fault::LimitsFall));
+    Scenario {
         pipelines: (8, 105),
         limits: true,
-        old: true,
-        ..Plan::small(seed, 240, 60, troubles)
+        old_version: true,
+        ..Scenario::small(seed, 240, 60, troubles)
     }
 }
 
 /// The two zones can't reach each other for longer than a lease, and some other links fail.
-fn parted(seed: u64) -> Plan {
+fn parted(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
-    let zone = |z: &str| Place::Zone(z.to_owned());
+    let zone = |z: &str| Endpoint::Zone(z.to_owned());
     let cuts = [
-        (Place::Node(0), zone("b")),
-        (Place::Node(2), zone("b")),
-        (Place::Node(1), zone("a")),
-        (Place::Node(0), Place::Node(1)),
-        (Place::Node(2), Place::Node(1)),
+        (Endpoint::Node(0), zone("b")),
+        (Endpoint::Node(2), zone("b")),
+        (Endpoint::Node(1), zone("a")),
+        (Endpoint::Node(0), Endpoint::Node(1)),
+        (Endpoint::Node(2), Endpoint::Node(1)),
     ];
-    let mut troubles: Vec<(u64, Trouble)> = cuts
+    let mut troubles: Vec<(u64, Fault)> = cuts
         .into_iter()
-        .map(|(a, b)| (60, Trouble::Cut(a, b, secs(40))))
+        .map(|(a, b)| (60, Fault::Cut(a, b, secs(40))))
         .collect();
-    troubles.push((80, Trouble::Crash(rng.random_range(0..3), secs(8))));
-    troubles.push((95, Trouble::CloudOutage(secs(20))));
-    troubles.push((115, Trouble::Die));
-    let kinds = [Kind::Slow(700), Kind::Lossy(40)];
-    let kinds: Vec<Kind> = Kind::CUTS.into_iter().chain(kinds).collect();
+    troubles.push((80, Fault::Crash(rng.random_range(0..3), secs(8))));
+    troubles.push((95, Fault::CloudOutage(secs(20))));
+    troubles.push((115, Fault::MachineLoss));
+    let kinds = [LinkFault::Slow(700), LinkFault::Lossy(40)];
+    let kinds: Vec<LinkFault> = LinkFault::CUTTING.into_iter().chain(kinds).collect();
     for at in [125, 130, 180] {
         let node = rng.random_range(0..3);
         let other = match rng.random_range(0..4) {
-            0 => Place::Node((node + 1) % 3),
-            1 => Place::State,
+            0 => Endpoint::Node((node + 1) % 3),
+            1 => Endpoint::State,
             2 => zone("a"),
             _ => zone("b"),
         };
         let kind = kinds[rng.random_range(0..kinds.len())];
-        let node = Place::Node(node);
+        let node = Endpoint::Node(node);
         let (from, to) = match (&other, rng.random()) {
-            (Place::Zone(_), true) => (other, node),
+            (Endpoint::Zone(_), true) => (other, node),
             _ => (node, other),
         };
-        troubles.push((at, Trouble::Link(from, to, kind, secs(35))));
+        troubles.push((at, Fault::Link(from, to, kind, secs(35))));
     }
-    Plan::small(seed, 260, 60, troubles)
+    Scenario::small(seed, 260, 60, troubles)
 }
 
 /// More work than room, broken arrays, a huge one, and machines that come up late or never.
-fn crowded(seed: u64) -> Plan {
+fn crowded(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let troubles = vec![
-        (20, Trouble::BadBoots(secs(100))),
-        (70, Trouble::Crash(rng.random_range(0..3), secs(6))),
-        (100, Trouble::Die),
-        (110, Trouble::Freeze(rng.random_range(0..3), secs(20))),
+        (20, Fault::BadBoots(secs(100))),
+        (70, Fault::Crash(rng.random_range(0..3), secs(6))),
+        (100, Fault::MachineLoss),
+        (110, Fault::Stall(rng.random_range(0..3), secs(20))),
     ];
-    Plan {
+    Scenario {
         broken: 3,
-        guests: true,
+        huge_guest_array: true,
         flood: (60, 40),
-        flood_of_one: seed.is_multiple_of(2),
-        ..Plan::small(seed, 220, 40, troubles)
+        flood_of_one_team: seed.is_multiple_of(2),
+        ..Scenario::small(seed, 220, 40, troubles)
     }
 }
 
 /// A few hundred machines, large records, and a rolling upgrade.
-fn large(seed: u64) -> Plan {
-    let mut troubles: Vec<(u64, Trouble)> = (0..3)
-        .map(|n| (40 + 12 * n as u64, Trouble::Upgrade(n, secs(5))))
+fn large(seed: u64) -> Scenario {
+    let mut troubles: Vec<(u64, Fault)> = (0..3)
+        .map(|n| (40 + 12 * n as u64, Fault::Upgrade(n, secs(5))))
         .collect();
-    troubles.push((90, Trouble::LimitsFall));
-    troubles.push((100, Trouble::Crash(0, secs(6))));
-    troubles.extend((0..8).map(|n| (60 + 5 * n, Trouble::Die)));
-    Plan {
+    troubles.push((90, Fault::LimitsFall));
+    troubles.push((100, Fault::Crash(0, secs(6))));
+    troubles.extend((0..8).map(|n| (60 + 5 * n, Fault::MachineLoss)));
+    Scenario {
         scale: Scale::Large,
         limits: true,
-        old: true,
-        ..Plan::small(seed, 140, 100, troubles)
+        old_version: true,
+        ..Scenario::small(seed, 140, 100, troubles)
     }
 }
 
 /// The days on which two versions of the controllers are compared.
-pub fn behaviour_days() -> Vec<(String, Plan)> {
+pub fn behaviour_days() -> Vec<(String, Scenario)> {
     let drawn = (2_000..2_060).map(drawn);
-    let named = |kind: &'static str, plan: fn(u64) -> Plan| {
+    let named = |kind: &'static str, plan: fn(u64) -> Scenario| {
         move |seed: u64| (format!("{kind}-{seed}"), plan(seed))
     };
     drawn
--- a/crates/jasperhill-testkit/src/faults.rs
+++ b/crates/jasperhill-testkit/src/faults.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum Endpoint {
     Node(usize),
     State,
     Cloud,
@@ -15,7 +15,7 @@
 
 /// What becomes of requests on a link, from the one who asks to the one who answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum LinkFault {
     /// Held back, and delivered afterwards although nobody waits any more.
     Held,
     /// Connections end: some requests are executed, no answer comes.
@@ -32,9 +32,9 @@
     Lossy(u64),
 }
 
-impl Kind {
+impl LinkFault {
     /// Each that makes a link useless.
-    pub const CUTS: [Self; 5] = [
+    pub const CUTTING: [Self; 5] = [
         Self::Held,
         Self::Reset,
         Self::Refused,
@@ -44,35 +44,35 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// Requests from one place to another, in this direction alone.
-    Link(Place, Place, Kind, Duration),
+    Link(Endpoint, Endpoint, LinkFault, Duration),
     /// The controller ends and is back after this long.
     Crash(usize, Duration),
     /// Whoever leads the fleet by the store ends and is back after this long.
     CrashLeader(Duration),
     /// The controller ends so many times: each life lasts so long, and the next one begins so soon.
-    Loop {
+    CrashLoop {
         node: usize,
         times: usize,
         life: Duration,
         back: Duration,
     },
     /// No packets between two places; some are held back and delivered afterwards.
-    Cut(Place, Place, Duration),
+    Cut(Endpoint, Endpoint, Duration),
     StateOutage(Duration),
     /// One controller alone is answered 503.
     Refused(usize, Duration),
     CloudOutage(Duration),
     /// A machine stops with all that is on it.
-    Die,
+    MachineLoss,
     /// A controller is ended and comes back with the new version.
     Upgrade(usize, Duration),
     /// The state service has its coming limits from now on.
     LimitsFall,
     /// The controller stands still while its clocks run on: nothing goes out or comes in, and
     /// what was decided before goes out afterwards.
-    Freeze(usize, Duration),
+    Stall(usize, Duration),
     /// Machines rented meanwhile come up at once, late, or never.
     BadBoots(Duration),
     /// So many of a hundred transactions of any controller get no answer and are carried out 2 to 12
@@ -80,12 +80,12 @@
     LateWrites(u64, Duration),
     /// Of so many of a hundred reports a copy comes again, 2 seconds to two leases later, at any
     /// controller.
-    LateReports(u64, Duration),
+    LateHeartbeats(u64, Duration),
     /// So many of a hundred workers are not reached: their reports arrive, answers and direct
     /// commands are lost.
-    Deaf(u64, Duration),
+    NotReceiving(u64, Duration),
     /// So many of a hundred workers reach no controller, while direct commands reach them.
-    Mute(u64, Duration),
+    NotSending(u64, Duration),
     /// So many machines stand still, with all that is on them, and go on.
     Hang(usize, Duration),
     /// Users call off so many jobs that run and have long to go, within a fifth of a second; up to
@@ -96,14 +96,14 @@
     CancelAtEnd(u64, Duration),
     /// Users repeat submissions of unfinished jobs, cancel what is over, and send jobs that can't run
     /// or lack a field.
-    OddRequests(Duration),
+    InvalidRequests(Duration),
     /// So many of a hundred direct commands, or their answers, are held up for 2 to 90 seconds.
-    HeldOrders(u64, Duration),
+    DelayedCommands(u64, Duration),
     /// Records of hosts can't be written, as when a block has outgrown what a value may hold.
     NoHostWrites(Duration),
 }
 
-impl Trouble {
+impl Fault {
     /// How long it takes until nothing of it is left but its consequences.
     pub fn lasts(&self) -> Duration {
         match self {
@@ -115,56 +115,56 @@
             | Self::Refused(_, time)
             | Self::CloudOutage(time)
             | Self::Upgrade(_, time)
-            | Self::Freeze(_, time)
+            | Self::Stall(_, time)
             | Self::BadBoots(time)
             | Self::LateWrites(_, time)
-            | Self::LateReports(_, time)
-            | Self::Deaf(_, time)
-            | Self::HeldOrders(_, time)
-            | Self::Mute(_, time)
+            | Self::LateHeartbeats(_, time)
+            | Self::NotReceiving(_, time)
+            | Self::DelayedCommands(_, time)
+            | Self::NotSending(_, time)
             | Self::Hang(_, time)
             | Self::CancelNow(_, time)
             | Self::CancelAtEnd(_, time)
-            | Self::OddRequests(time)
+            | Self::InvalidRequests(time)
             | Self::NoHostWrites(time) => *time,
-            Self::Loop {
+            Self::CrashLoop {
                 times, life, back, ..
             } => (*life + *back) * *times as u32,
-            Self::Die | Self::LimitsFall => Duration::ZERO,
+            Self::MachineLoss | Self::LimitsFall => Duration::ZERO,
         }
     }
 }
 
 #[derive(Default)]
-pub struct Faults {
-    cuts: Vec<(Place, Place, Instant)>,
-    links: Vec<(Place, Place, Kind, Instant)>,
+pub struct ActiveFaults {
+    cuts: Vec<(Endpoint, Endpoint, Instant)>,
+    links: Vec<(Endpoint, Endpoint, LinkFault, Instant)>,
     refused: Vec<(usize, Instant)>,
     pub state_until: Option<Instant>,
     pub cloud_until: Option<Instant>,
     pub bad_boots_until: Option<Instant>,
     frozen: Vec<(usize, Instant)>,
     /// What some part of the messages meets, until when.
-    pub late_writes: Part,
-    pub late_reports: Part,
-    pub held_orders: Part,
+    pub late_writes: Fraction,
+    pub late_reports: Fraction,
+    pub held_orders: Fraction,
     pub no_host_writes_until: Option<Instant>,
     /// Workers that hear nothing, that reach nobody, and that stand still.
     deaf: Vec<(String, Instant)>,
     mute: Vec<(String, Instant, Instant)>,
     hung: Vec<(String, Instant)>,
-    pub cancel_at_end: Part,
+    pub cancel_at_end: Fraction,
     /// How often each of these was met with.
-    pub met: Met,
+    pub met: FaultCounts,
     /// Luck of its own: what is drawn here changes nothing that is drawn elsewhere.
-    luck: Option<StdRng>,
+    rng: Option<StdRng>,
 }
 
 /// So many of a hundred, until then.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Part(Option<(u64, Instant)>);
+pub struct Fraction(Option<(u64, Instant)>);
 
-impl Part {
+impl Fraction {
     pub fn begin(&mut self, percent: u64, until: Instant) {
         self.0 = Some((percent, until));
     }
@@ -175,7 +175,7 @@
 
 /// A test that never met what it is about would prove nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Met {
+pub struct FaultCounts {
     /// Transactions carried out late.
     pub late_writes: usize,
     /// Of those, after a newer one of the same controller, and such as changed something then.
@@ -209,17 +209,17 @@
     pub answered_refused: usize,
 }
 
-impl Faults {
+impl ActiveFaults {
     /// Draws from its own luck whether this message is among so many of a hundred.
     fn is_hit(&mut self, percent: u64) -> bool {
         percent > 0 && self.draw(100) < percent
     }
     pub fn draw(&mut self, n: u64) -> u64 {
-        let luck = self.luck.get_or_insert_with(|| StdRng::seed_from_u64(1));
+        let luck = self.rng.get_or_insert_with(|| StdRng::seed_from_u64(1));
         luck.random_range(0..n)
     }
     pub fn seed(&mut self, seed: u64) {
-        self.luck = Some(StdRng::seed_from_u64(seed));
+        self.rng = Some(StdRng::seed_from_u64(seed));
     }
     /// How late a transaction, an order or a copy of a report is, if it is.
     pub fn late_write(&mut self, now: Instant) -> Option<Duration> {
@@ -272,14 +272,19 @@
         self.is_hit(percent)
     }
 
-    pub fn cut(&mut self, a: Place, b: Place, until: Instant) {
+    pub fn cut(&mut self, a: Endpoint, b: Endpoint, until: Instant) {
         self.cuts.push((a, b, until));
     }
-    pub fn link(&mut self, from: Place, to: Place, kind: Kind, until: Instant) {
+    pub fn link(&mut self, from: Endpoint, to: Endpoint, kind: LinkFault, until: Instant) {
         self.links.push((from, to, kind, until));
     }
     /// What becomes of requests from one place to another, and until when.
-    pub fn on_link(&self, from: &Place, to: &Place, now: Instant) -> Option<(Kind, Instant)> {
+    pub fn on_link(
+        &self,
+        from: &Endpoint,
+        to: &Endpoint,
+        now: Instant,
+    ) -> Option<(LinkFault, Instant)> {
         self.links
             .iter()
             .filter(|(a, b, _, until)| now < *until && a == from && b == to)
@@ -287,7 +292,7 @@
             .max_by_key(|(_, until)| *until)
     }
     /// Nothing speaks against requests from one place to another.
-    pub fn is_whole(&self, from: &Place, to: &Place, now: Instant) -> bool {
+    pub fn is_whole(&self, from: &Endpoint, to: &Endpoint, now: Instant) -> bool {
         self.on_link(from, to, now).is_none() && self.cut_until(from, to, now).is_none()
     }
     pub fn refuse(&mut self, node: usize, until: Instant) {
@@ -305,7 +310,7 @@
             .max()
     }
     /// Until when these two can't reach each other.
-    pub fn cut_until(&self, a: &Place, b: &Place, now: Instant) -> Option<Instant> {
+    pub fn cut_until(&self, a: &Endpoint, b: &Endpoint, now: Instant) -> Option<Instant> {
         self.cuts
             .iter()
             .filter(|(x, y, until)| now < *until && ((x == a && y == b) || (x == b && y == a)))
--- a/crates/jasperhill-testkit/src/lib.rs
+++ b/crates/jasperhill-testkit/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod workers;
 pub mod world;
 
-pub use world::{Plan, World, run, run_recorded};
+pub use world::{Scenario, SimulatedCluster, run, run_recorded};
--- a/crates/jasperhill-testkit/src/lines.rs
+++ b/crates/jasperhill-testkit/src/lines.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// What the platform sees of one life of a process.
-pub struct Platform {
+pub struct SocketLimit {
     limit: usize,
     open: Cell<usize>,
     pub peak: Cell<usize>,
@@ -23,9 +23,9 @@
 }
 
 /// One open socket.
-pub struct Socket(Rc<Platform>);
+pub struct Socket(Rc<SocketLimit>);
 
-impl Platform {
+impl SocketLimit {
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             limit,
@@ -58,18 +58,18 @@
 type Idle = HashMap<SocketAddr, Vec<(Ends, Instant)>>;
 
 /// A connection of a user or worker into a controller. Open as long as both sides hold it.
-pub struct Line {
+pub struct InboundConnection {
     pub node: usize,
     pub life: u64,
     ends: RefCell<Option<Ends>>,
 }
 
-impl Line {
+impl InboundConnection {
     /// Accepted, if there is room by the platform's and by the process's own account.
     pub fn open(
         node: usize,
         life: u64,
-        platform: &Rc<Platform>,
+        platform: &Rc<SocketLimit>,
         own: &ConnectionTracker,
     ) -> Option<Rc<Self>> {
         let socket = platform.socket()?;
@@ -116,8 +116,8 @@
 }
 
 /// Connections of a controller to others, kept for a while.
-pub struct Outgoing {
-    platform: Rc<Platform>,
+pub struct OutboundConnections {
+    platform: Rc<SocketLimit>,
     pub own: ConnectionTracker,
     idle: Rc<RefCell<Idle>>,
 }
@@ -126,15 +126,15 @@
 const IDLE_PER_ADDRESS: usize = 4;
 
 /// Why there is no connection.
-pub enum NoLine {
+pub enum NoConnection {
     /// By the process's own account.
     Own,
     /// The platform gave none.
     Platform,
 }
 
-impl Outgoing {
-    pub fn new(platform: Rc<Platform>, own: ConnectionTracker) -> Self {
+impl OutboundConnections {
+    pub fn new(platform: Rc<SocketLimit>, own: ConnectionTracker) -> Self {
         Self {
             platform,
             own,
@@ -142,7 +142,7 @@
         }
     }
 
-    pub fn take(&self, to: SocketAddr, class: Class) -> Result<Ends, NoLine> {
+    pub fn take(&self, to: SocketAddr, class: Class) -> Result<Ends, NoConnection> {
         self.idle.borrow_mut().retain(|_, list| {
             list.retain(|(_, since)| since.elapsed() < IDLE);
             !list.is_empty()
@@ -153,8 +153,8 @@
         {
             return Ok(ends);
         }
-        let ticket = self.own.open(class).ok_or(NoLine::Own)?;
-        let socket = self.platform.socket().ok_or(NoLine::Platform)?;
+        let ticket = self.own.open(class).ok_or(NoConnection::Own)?;
+        let socket = self.platform.socket().ok_or(NoConnection::Platform)?;
         Ok((socket, ticket))
     }
 
--- a/crates/jasperhill-testkit/src/rules.rs
+++ b/crates/jasperhill-testkit/src/rules.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 #[derive(Default)]
-pub struct Rules {
+pub struct InvariantChecker {
     /// What broke, first to last.
     pub broken: Vec<String>,
     done: BTreeSet<TaskId>,
@@ -34,7 +34,7 @@
     /// Jobs of which some task has started, and when first.
     pub begun: BTreeMap<String, Instant>,
     /// What became of the jobs whose users were told that they are cancelled.
-    pub cancels: BTreeMap<String, Cancelled>,
+    pub cancels: BTreeMap<String, CancelledJob>,
     /// When a question about each job was last answered, of those that are asked about.
     answered: BTreeMap<String, Instant>,
     /// The questions of the last while, and whether they were answered.
@@ -66,11 +66,11 @@
 }
 
 /// Once the troubles are over, no job waits that long beside room that fits.
-const WAITS: Duration = Duration::from_secs(90);
+const WAIT_MAX: Duration = Duration::from_secs(90);
 
 /// A cancellation that was confirmed.
 #[derive(Clone, Debug)]
-pub struct Cancelled {
+pub struct CancelledJob {
     pub at: Instant,
     /// Who confirmed it.
     pub node: usize,
@@ -85,11 +85,11 @@
 const FORGOTTEN: Duration = Duration::from_secs(90);
 const FORGOTTEN_IN_CALM: Duration = Duration::from_secs(75);
 
-impl Rules {
+impl InvariantChecker {
     /// A question about a job was answered, or not.
     /// `over`: its user knows already what became of it; what is final is answered in any outage,
     /// and says nothing of how others fare.
-    pub fn asked_about(&mut self, id: &str, answered: bool, over: bool, now: Instant) {
+    pub fn record_query(&mut self, id: &str, answered: bool, over: bool, now: Instant) {
         if !over {
             self.asked_lately.push_back((now, answered));
         }
@@ -116,11 +116,11 @@
         let others = self.asked_lately.iter().filter(|(_, ok)| *ok).count();
         let most = others * 2 > self.asked_lately.len();
         if silence >= FORGOTTEN && most {
-            self.breaks(format!(
+            self.record_violation(format!(
                 "forgotten: {id}: no answer for {silence:?}, others are answered"
             ));
         } else if calm.is_some_and(|t| t >= FORGOTTEN_IN_CALM) {
-            self.breaks(format!(
+            self.record_violation(format!(
                 "forgotten: {id}: no answer for {calm:?} after the troubles"
             ));
         }
@@ -132,7 +132,7 @@
         match self.told.get(id) {
             Some((was, at)) if was != phase && (*at <= sent || is_final(phase)) => {
                 let was = was.clone();
-                self.breaks(format!("went_back: {id} was {was}, is {phase}"));
+                self.record_violation(format!("went_back: {id} was {was}, is {phase}"));
             }
             None if is_final(phase) => {
                 self.told.insert(id.to_owned(), (phase.to_owned(), now));
@@ -156,7 +156,7 @@
 
     /// A job that waits although a machine that fits has room and its team is under its limit: since
     /// when, once the troubles are over.
-    pub(crate) fn judge_waits(
+    pub(crate) fn check_waiting_jobs(
         &mut self,
         workers: &BTreeMap<String, Worker>,
         jobs: &BTreeMap<String, JobRequest>,
@@ -232,14 +232,14 @@
             let id = job.id.to_string();
             let from = *self.waits.get(&id).unwrap_or(&now);
             self.longest_wait = self.longest_wait.max(now - from);
-            if now - from >= WAITS {
+            if now - from >= WAIT_MAX {
                 late.push(format!("waited: {id} {:?} beside room", now - from));
             }
             since.insert(id, from);
         }
         self.waits = since;
         for what in late {
-            self.breaks(what);
+            self.record_violation(what);
         }
     }
 
@@ -253,7 +253,7 @@
     ) {
         let tasks = workers.values().flat_map(|w| &w.tasks);
         let alive = tasks.filter(|((task, _), t)| task.job.as_str() == id && !t.is_over());
-        let cancelled = Cancelled {
+        let cancelled = CancelledJob {
             at: now,
             node,
             alive: alive.count(),
@@ -272,7 +272,7 @@
     pub fn all_done(&self, job: &JobRequest) -> bool {
         (0..job.tasks).all(|i| self.done.contains(&TaskId::new(&job.id, i)))
     }
-    pub fn breaks(&mut self, what: String) {
+    pub fn record_violation(&mut self, what: String) {
         if self.broken.len() < 50 {
             self.broken.push(what);
         }
@@ -286,7 +286,7 @@
     }
 
     /// Judges this tick's starts and what is on all machines.
-    pub fn judge(
+    pub fn check(
         &mut self,
         workers: &BTreeMap<String, Worker>,
         jobs: &BTreeMap<String, JobRequest>,
@@ -318,19 +318,19 @@
                 continue;
             };
             if on.iter().any(|(w, t, _)| *t == &task && w.id != host) {
-                self.breaks(format!("ran_twice: {task} try {attempt} starts on {host}"));
+                self.record_violation(format!("ran_twice: {task} try {attempt} starts on {host}"));
             }
             if let Some(told) = self.cancelled.get(job.id.as_str()) {
                 let after = now - *told;
                 self.started_after += 1;
                 self.latest_start = self.latest_start.max(after);
                 if after > cancel {
-                    self.breaks(format!("ran_cancelled: {task} starts on {host}"));
+                    self.record_violation(format!("ran_cancelled: {task} starts on {host}"));
                 }
             }
             let done = |n: &JobId| jobs.get(n.as_str()).is_some_and(|j| self.all_done(j));
             if let Some(need) = job.dependencies.iter().find(|n| !done(n)) {
-                self.breaks(format!("too_early: {task} starts before {need} is done"));
+                self.record_violation(format!("too_early: {task} starts before {need} is done"));
             }
             let siblings: Vec<&&Worker> = on
                 .iter()
@@ -342,7 +342,7 @@
                 || (job.one_zone && same < siblings.len())
                 || (job.spread && same as u32 > job.zone_cap());
             if wrong {
-                self.breaks(format!("wrong_place: {task} on {host} in {}", here.zone));
+                self.record_violation(format!("wrong_place: {task} on {host} in {}", here.zone));
             }
         }
         let mut used: BTreeMap<&str, u64> = BTreeMap::new();
@@ -363,7 +363,7 @@
             }
         }
         for what in late {
-            self.breaks(what);
+            self.record_violation(what);
         }
     }
 }
--- a/crates/jasperhill-testkit/src/users.rs
+++ b/crates/jasperhill-testkit/src/users.rs
@@ -1,6 +1,6 @@
 //! A stand-in for users: submits, polls, cancels, submits again, and minds every answer.
 
-use crate::world::{CANCEL, Scale, World};
+use crate::world::{CANCEL, Scale, SimulatedCluster};
 use jasperhill_http::{Method, Request};
 use jasperhill_wire::user::JobRequest;
 use serde_json::{Value, json};
@@ -8,8 +8,8 @@
 use tokio::time::{Instant, sleep};
 
 /// A job of some kind, by the world's luck.
-pub fn make(world: &World, number: usize) -> Value {
-    let pick = |n: u64| world.pick(n);
+pub fn random_job(world: &SimulatedCluster, number: usize) -> Value {
+    let pick = |n: u64| world.draw(n);
     // Tasks of a job, by its kind.
     let most: [u64; 4] = match world.scale {
         Scale::Small => [2, 2, 6, 4],
@@ -59,7 +59,7 @@
     } else {
         8.0 + pick(30) as f64
     };
-    if world.plan.long.is_some() {
+    if world.plan.long_tasks.is_some() {
         // Longer than the day.
         estimate *= 60.0;
         due = Value::Null;
@@ -85,7 +85,7 @@
 }
 
 /// An array of two or three tasks, each of which lasts longer than the one before.
-pub fn uneven(number: usize) -> Value {
+pub fn uneven_array(number: usize) -> Value {
     let (id, team) = (650_000 + number, number % 4);
     let tasks = 2 + number as u32 % 2;
     array(
@@ -103,7 +103,7 @@
 }
 
 /// A job of any shape that is bound to one zone: a named one, or one for all of its tasks.
-pub fn bound(number: usize) -> Value {
+pub fn zone_bound_job(number: usize) -> Value {
     let team = format!("team-{}", number % 4);
     let tasks = 1 + number as u32 % 3;
     let run = 10.0 + (number % 5) as f64 * 6.0;
@@ -129,7 +129,7 @@
 }
 
 /// An array that fails on every machine.
-pub fn broken(number: usize) -> Value {
+pub fn failing_array(number: usize) -> Value {
     let team = format!("team-{}", number % 4);
     array(
         format!("job-{:06}", 500_000 + number),
@@ -142,7 +142,7 @@
 }
 
 /// One of very many urgent jobs.
-pub fn flood(number: usize, team: usize) -> Value {
+pub fn flood_job(number: usize, team: usize) -> Value {
     let id = format!("job-{:06}", 400_000 + number);
     let mut job = array(id, "flood", &format!("team-{team}"), 40, 4.0, 20.0);
     job["urgency"] = json!("urgent");
@@ -151,24 +151,24 @@
 }
 
 /// A guest's huge array of short, tiny tasks.
-pub fn huge() -> Value {
+pub fn huge_array() -> Value {
     array("job-600000".to_owned(), "tiny", "guest", 4_000, 0.25, 3.0)
 }
 
 /// The jobs of a pipeline: one, two after it, a gang after these, a last one with a deadline.
-pub fn pipeline(world: &World, number: usize) -> Vec<Value> {
+pub fn dependent_jobs(world: &SimulatedCluster, number: usize) -> Vec<Value> {
     let needs: [&[usize]; 5] = [&[], &[0], &[0], &[1, 2], &[3, 0]];
     let id = |stage: usize| format!("job-{:06}", 700_000 + number * 10 + stage);
     let stage = |n: usize| {
-        let team = format!("team-{}", world.pick(4));
-        let tasks = 1 + world.pick(4) as u32;
+        let team = format!("team-{}", world.draw(4));
+        let tasks = 1 + world.draw(4) as u32;
         let mut job = array(
             id(n),
             "stage",
             &team,
             tasks,
             1.0,
-            4.0 + world.pick(8) as f64,
+            4.0 + world.draw(8) as f64,
         );
         if n == 3 {
             job["shape"] = json!("ensemble");
@@ -185,24 +185,24 @@
 }
 
 /// One user's life with a pipeline: each job is submitted as soon as those before it are accepted.
-pub async fn follow_pipeline(world: Rc<World>, stages: Vec<Value>) {
+pub async fn run_dependent_jobs(world: Rc<SimulatedCluster>, stages: Vec<Value>) {
     for body in stages {
         if !submit(&world, &body).await {
             return;
         }
-        tokio::task::spawn_local(attend(world.clone(), body));
+        tokio::task::spawn_local(watch_job(world.clone(), body));
     }
 }
 
 /// One user's life with one job.
-pub async fn follow(world: Rc<World>, body: Value) {
+pub async fn run_user(world: Rc<SimulatedCluster>, body: Value) {
     if submit(&world, &body).await {
-        attend(world, body).await;
+        watch_job(world, body).await;
     }
 }
 
 /// Submits until the job is accepted; false if that does not come about.
-async fn submit(world: &Rc<World>, body: &Value) -> bool {
+async fn submit(world: &Rc<SimulatedCluster>, body: &Value) -> bool {
     let request = JobRequest::parse(body.to_string().as_bytes()).unwrap();
     let id = request.id.to_string();
     {
@@ -214,11 +214,11 @@
     let began = Instant::now();
     let mut line = None;
     loop {
-        match world.ask(&submit, &mut line).await {
+        match world.user_request(&submit, &mut line).await {
             Some((200 | 201, _)) => break,
             Some((400 | 422, text)) => {
                 // Nothing that is made here is wrong.
-                world.breaks(format!("refused: {id} {text}"));
+                world.record_violation(format!("refused: {id} {text}"));
                 return false;
             }
             _ if began.elapsed() > Duration::from_secs(60) => return false,
@@ -237,7 +237,7 @@
 }
 
 /// Polls a job, cancels it now and then, submits it again, and minds the answers.
-async fn attend(world: Rc<World>, body: Value) {
+async fn watch_job(world: Rc<SimulatedCluster>, body: Value) {
     let id = body["uid"].as_str().unwrap().to_owned();
     let submit = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
     let class = body["jobclass"].as_str().unwrap_or_default();
@@ -245,14 +245,14 @@
         "tiny" | "uneven" => None,
         "broken" => Some(Instant::now() + Duration::from_secs(120)),
         "stage" => {
-            (world.pick(10) == 0).then(|| Instant::now() + Duration::from_secs(2 + world.pick(30)))
+            (world.draw(10) == 0).then(|| Instant::now() + Duration::from_secs(2 + world.draw(30)))
         }
-        _ => (world.pick(3) == 0 || body["shape"] == "daemon")
-            .then(|| Instant::now() + Duration::from_secs(5 + world.pick(80))),
+        _ => (world.draw(3) == 0 || body["shape"] == "daemon")
+            .then(|| Instant::now() + Duration::from_secs(5 + world.draw(80))),
     };
-    let cancel_at = match world.plan.long {
-        Some((from, to)) if class != "uneven" && world.pick(3) > 0 => {
-            let within = Duration::from_millis(world.pick((to - from) * 1_000));
+    let cancel_at = match world.plan.long_tasks {
+        Some((from, to)) if class != "uneven" && world.draw(3) > 0 => {
+            let within = Duration::from_millis(world.draw((to - from) * 1_000));
             Some(world.origin + Duration::from_secs(from) + within)
         }
         Some(_) => None,
@@ -261,12 +261,12 @@
     let (mut asked_to_cancel, mut over, mut line) = (false, false, None);
     let mut in_vain = false;
     loop {
-        sleep(Duration::from_millis(3_000 + world.pick(4_000))).await;
+        sleep(Duration::from_millis(3_000 + world.draw(4_000))).await;
         if !asked_to_cancel && cancel_at.is_some_and(|t| Instant::now() >= t) {
             asked_to_cancel = true;
             world.inner.borrow_mut().rules.asked.insert(id.clone());
         }
-        let again = world.pick(12) == 0;
+        let again = world.draw(12) == 0;
         // Whoever can't cancel asks in between how it stands.
         let cancelling = asked_to_cancel && !over && !in_vain;
         let ask = if cancelling {
@@ -277,10 +277,10 @@
             Request::new(Method::Get, format!("/v1/jobs/{id}"), Vec::new())
         };
         let sent = Instant::now();
-        let answer = world.ask_at(&ask, &mut line).await;
+        let answer = world.user_request_with_responder(&ask, &mut line).await;
         let answered = matches!(answer, Some((_, 200 | 201, _)));
         in_vain = cancelling && !answered;
-        mind(&world, &id, answer, sent);
+        check_answer(&world, &id, answer, sent);
         let inner = world.inner.borrow();
         over = inner.rules.final_phase(&id).is_some();
         asked_to_cancel |= inner.rules.asked.contains(&id);
@@ -288,18 +288,23 @@
 }
 
 /// Minds an answer about an accepted job to a question sent at that moment.
-fn mind(world: &Rc<World>, id: &str, answer: Option<(usize, u16, String)>, sent: Instant) {
+fn check_answer(
+    world: &Rc<SimulatedCluster>,
+    id: &str,
+    answer: Option<(usize, u16, String)>,
+    sent: Instant,
+) {
     let now = Instant::now();
     let answered = matches!(answer, Some((_, 200 | 201, _)));
     let mut guarded = world.inner.borrow_mut();
     let inner = &mut *guarded;
     let rules = &mut inner.rules;
     let over = rules.final_phase(id).is_some();
-    rules.asked_about(id, answered, over, now);
+    rules.record_query(id, answered, over, now);
     let (node, text) = match answer {
         Some((node, 200, text)) => (node, text),
         Some((_, status @ (201 | 400 | 404 | 422), _)) => {
-            rules.breaks(format!("forgotten: {id} {status}"));
+            rules.record_violation(format!("forgotten: {id} {status}"));
             return;
         }
         _ => return,
@@ -311,7 +316,7 @@
     match phase {
         "done" => {
             if !rules.all_done(job) {
-                rules.breaks(format!("not_done: {id}"));
+                rules.record_violation(format!("not_done: {id}"));
             }
             if !over {
                 inner.finished += 1;
@@ -322,12 +327,12 @@
         "aborted" => {
             let asked = rules.asked.contains(id);
             drop(guarded);
-            let before = world.inner.borrow().before(id);
+            let before = world.inner.borrow().upstream_jobs(id);
             let mut guarded = world.inner.borrow_mut();
             let inner = &mut *guarded;
             let rules = &mut inner.rules;
             if !asked && !before.iter().any(|b| rules.asked.contains(b.as_str())) {
-                rules.breaks(format!("went_back: {id} cancelled by nobody"));
+                rules.record_violation(format!("went_back: {id} cancelled by nobody"));
             }
             if !over && !asked {
                 rules.swept += 1;
@@ -341,24 +346,24 @@
                 let inner = world.inner.borrow();
                 let told = &inner.rules.cancelled;
                 let over = |b: &String| told.get(b).is_some_and(|t| t.elapsed() > CANCEL);
-                inner.before(id).iter().any(over)
+                inner.upstream_jobs(id).iter().any(over)
             };
             if orphaned {
-                world.breaks(format!("orphaned: {id} is still {phase}"));
+                world.record_violation(format!("orphaned: {id} is still {phase}"));
             }
         }
     }
 }
 
 /// Calls a job off, and asks again until it is told what became of it.
-pub async fn cancel(world: &Rc<World>, id: &str) {
+pub async fn cancel(world: &Rc<SimulatedCluster>, id: &str) {
     world.inner.borrow_mut().rules.asked.insert(id.to_owned());
     let abort = Request::new(Method::Post, format!("/v1/jobs/{id}/abort"), Vec::new());
     loop {
         let sent = Instant::now();
-        let answer = world.ask_at(&abort, &mut None).await;
+        let answer = world.user_request_with_responder(&abort, &mut None).await;
         let answered = matches!(answer, Some((_, 200, _)));
-        mind(world, id, answer, sent);
+        check_answer(world, id, answer, sent);
         if answered {
             return;
         }
@@ -367,7 +372,7 @@
 }
 
 /// A job whose last task has just ended is called off, asked about and submitted again, at once.
-pub fn at_end(world: &Rc<World>, id: String) {
+pub fn cancel_at_end(world: &Rc<SimulatedCluster>, id: String) {
     let body = {
         let inner = world.inner.borrow();
         let asked = inner.rules.asked.contains(&id) || !inner.accepted_at.contains_key(&id);
@@ -382,16 +387,16 @@
         let (world, id) = (world.clone(), id.clone());
         tokio::task::spawn_local(async move {
             for _ in 0..3 {
-                sleep(Duration::from_millis(world.pick(150))).await;
+                sleep(Duration::from_millis(world.draw(150))).await;
                 let sent = Instant::now();
-                let answer = world.ask_at(&request, &mut None).await;
-                mind(&world, &id, answer, sent);
+                let answer = world.user_request_with_responder(&request, &mut None).await;
+                check_answer(&world, &id, answer, sent);
             }
         });
     }
     let world = world.clone();
     tokio::task::spawn_local(async move {
-        sleep(Duration::from_millis(world.pick(700))).await;
+        sleep(Duration::from_millis(world.draw(700))).await;
         cancel(&world, &id).await;
         let mut inner = world.inner.borrow_mut();
         let done = inner.rules.final_phase(&id) == Some("done");
@@ -401,7 +406,7 @@
 
 /// What can never run, or lacks something, with the answer that it gets and the field that this
 /// names.
-fn wrong(number: usize) -> (Value, u16, &'static str) {
+fn invalid_job(number: usize) -> (Value, u16, &'static str) {
     let team = format!("team-{}", number % 4);
     let id = format!("job-{:06}", 820_000 + number);
     let mut body = array(id, "odd", &team, 3, 1.0, 5.0);
@@ -450,9 +455,9 @@
 
 /// Users who repeat submissions of unfinished jobs, some of them in part, cancel what is over, and send what can't run or
 /// lacks a field.
-pub async fn odd(world: Rc<World>, until: Instant) {
+pub async fn send_invalid_requests(world: Rc<SimulatedCluster>, until: Instant) {
     for number in 0.. {
-        sleep(Duration::from_millis(200 + world.pick(500))).await;
+        sleep(Duration::from_millis(200 + world.draw(500))).await;
         if Instant::now() >= until {
             return;
         }
@@ -460,7 +465,7 @@
             let inner = world.inner.borrow();
             let all: Vec<String> = inner.accepted_at.keys().cloned().collect();
             drop(inner);
-            (!all.is_empty()).then(|| all[world.pick(all.len() as u64) as usize].clone())
+            (!all.is_empty()).then(|| all[world.draw(all.len() as u64) as usize].clone())
         };
         if let Some(id) = known.filter(|_| number % 2 == 0) {
             let (over, body) = {
@@ -479,28 +484,28 @@
                 Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes())
             };
             let sent = Instant::now();
-            let answer = world.ask_at(&request, &mut None).await;
+            let answer = world.user_request_with_responder(&request, &mut None).await;
             let verdict = matches!(answer, Some((_, 200, _)));
-            mind(&world, &id, answer, sent);
+            check_answer(&world, &id, answer, sent);
             world.inner.borrow_mut().faults.met.odd += usize::from(verdict);
             continue;
         }
-        let (body, status, named) = wrong(number / 2);
+        let (body, status, named) = invalid_job(number / 2);
         let request = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
-        match world.ask(&request, &mut None).await {
+        match world.user_request(&request, &mut None).await {
             Some((got, text)) if got == status && text.contains(named) => {
                 world.inner.borrow_mut().faults.met.odd += 1;
             }
             // It can't decide yet.
             None | Some((503, _)) => {}
-            other => world.breaks(format!("odd: {body} got {other:?}")),
+            other => world.record_violation(format!("odd: {body} got {other:?}")),
         }
     }
 }
 
 /// Submits what no list of jobs to wait for may be, and names jobs that nobody has submitted or
 /// that never end: each is refused with the field's name, and never accepted.
-pub async fn picky(world: Rc<World>) {
+pub async fn send_bad_dependencies(world: Rc<SimulatedCluster>) {
     let body = |n: usize, waits: Value| {
         let mut body = array(format!("job-{n:06}"), "picky", "team-0", 1, 1.0, 2.0);
         body["waits_on"] = waits;
@@ -528,11 +533,11 @@
         let body = body(810_001 + n, waits);
         let ask = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
         loop {
-            match world.ask(&ask, &mut None).await {
+            match world.user_request(&ask, &mut None).await {
                 Some((got, text)) if got == status && text.contains("waits_on") => break,
                 None | Some((503, _)) => sleep(Duration::from_secs(1)).await,
                 other => {
-                    world.breaks(format!("picky: {} got {other:?}", body["uid"]));
+                    world.record_violation(format!("picky: {} got {other:?}", body["uid"]));
                     break;
                 }
             }
@@ -542,19 +547,19 @@
     for (n, waits) in [json!(null), json!([])].into_iter().enumerate() {
         let body = body(811_000 + n, waits);
         if submit(&world, &body).await {
-            tokio::task::spawn_local(attend(world.clone(), body));
+            tokio::task::spawn_local(watch_job(world.clone(), body));
         }
     }
     world.inner.borrow_mut().rules.picked = true;
 }
 
 /// Asks about jobs that nobody has submitted.
-pub async fn stranger(world: Rc<World>) {
+pub async fn ask_for_unknown_jobs(world: Rc<SimulatedCluster>) {
     for number in 900_000.. {
         sleep(Duration::from_secs(3)).await;
         let ask = Request::new(Method::Get, format!("/v1/jobs/job-{number}"), Vec::new());
-        if let Some((200, text)) = world.ask(&ask, &mut None).await {
-            world.breaks(format!("invented: {text}"));
+        if let Some((200, text)) = world.user_request(&ask, &mut None).await {
+            world.record_violation(format!("invented: {text}"));
         }
     }
 }
--- a/crates/jasperhill-testkit/src/workers.rs
+++ b/crates/jasperhill-testkit/src/workers.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for workers: leases, tokens, orders, tasks that fetch, wait, run and end.
 
-use crate::rules::Rules;
+use crate::rules::InvariantChecker;
 use jasperhill_wire::{Attempt, TaskId, user::JobRequest, user::Shape};
 use serde_json::{Value, json};
 use std::{
@@ -38,8 +38,8 @@
     pub id: String,
     pub zone: String,
     pub spot: bool,
-    pub tenure: u64,
-    pub counter: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     pub tasks: BTreeMap<(TaskId, u64), Task>,
     pub images: BTreeSet<String>,
@@ -54,7 +54,7 @@
     (crate::cloud::CPUS * 1e6) as u64,
 );
 
-pub struct Times {
+pub struct WorkerTimes {
     pub lease: Duration,
     pub gang_wait: Duration,
 }
@@ -65,8 +65,8 @@
             id: id.to_owned(),
             zone: zone.to_owned(),
             spot,
-            tenure: 1,
-            counter: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
@@ -76,8 +76,8 @@
         }
     }
 
-    pub fn report(&mut self) -> Value {
-        self.counter += 1;
+    pub fn heartbeat(&mut self) -> Value {
+        self.sequence += 1;
         let shards: Vec<Value> = self
             .tasks
             .iter()
@@ -97,12 +97,12 @@
             })
             .collect();
         json!({"host":self.id,"address":crate::cloud::address(&self.id),"hosttype":"box",
-            "hall":self.zone,"reclaimable":self.spot,"tenure":self.tenure,"counter":self.counter,
+            "hall":self.zone,"reclaimable":self.spot,"tenure":self.incarnation,"counter":self.sequence,
             "epoch":self.token,"warning_s":null,"shards":shards})
     }
 
     /// Orders from a `/do`: refused with a lower token or another session.
-    pub fn direct(
+    pub fn on_direct_commands(
         &mut self,
         body: &Value,
         jobs: &BTreeMap<String, JobRequest>,
@@ -112,15 +112,15 @@
             body["epoch"].as_u64().unwrap(),
             body["tenure"].as_u64().unwrap(),
         );
-        if token < self.token || tenure != self.tenure {
-            return (409, self.report());
+        if token < self.token || tenure != self.incarnation {
+            return (409, self.heartbeat());
         }
-        self.raise(token);
+        self.raise_token(token);
         self.execute(body["orders"].as_array().unwrap(), jobs, now);
-        (200, self.report())
+        (200, self.heartbeat())
     }
 
-    fn raise(&mut self, token: u64) {
+    fn raise_token(&mut self, token: u64) {
         if token > self.token {
             self.token = token;
             self.changed = true;
@@ -128,7 +128,7 @@
     }
 
     /// The answer to a report: dropped with a lower token or after the session has ended.
-    pub fn answered(
+    pub fn on_heartbeat_answer(
         &mut self,
         body: &Value,
         sent: Instant,
@@ -137,10 +137,10 @@
         now: Instant,
     ) {
         let token = body["epoch"].as_u64().unwrap();
-        if token < self.token || tenure != self.tenure {
+        if token < self.token || tenure != self.incarnation {
             return;
         }
-        self.raise(token);
+        self.raise_token(token);
         self.lease_from = sent;
         self.execute(body["orders"].as_array().unwrap(), jobs, now);
     }
@@ -211,8 +211,14 @@
 
     /// Lets time pass on a machine that stands still: it may go on within its lease, and no longer.
     /// Its tasks go no further meanwhile.
-    pub fn stand(&mut self, step: Duration, now: Instant, times: &Times, rules: &mut Rules) {
-        self.end_session(now, times, rules);
+    pub fn hang(
+        &mut self,
+        step: Duration,
+        now: Instant,
+        times: &WorkerTimes,
+        rules: &mut InvariantChecker,
+    ) {
+        self.expire_lease(now, times, rules);
         for t in self.tasks.values_mut() {
             match &mut t.phase {
                 Phase::Fetching(until) | Phase::Running { until: Some(until) } => *until += step,
@@ -222,7 +228,7 @@
     }
 
     /// If the lease has run out, its tasks are killed, and the next session begins.
-    fn end_session(&mut self, now: Instant, times: &Times, rules: &mut Rules) {
+    fn expire_lease(&mut self, now: Instant, times: &WorkerTimes, rules: &mut InvariantChecker) {
         if now - self.lease_from > times.lease {
             let lost = self.tasks.values().filter(|t| t.is_on()).count();
             rules.killed += lost;
@@ -231,7 +237,7 @@
                 rules.killed_in_reach += lost;
             }
             self.tasks.clear();
-            self.tenure += 1;
+            self.incarnation += 1;
             self.lease_from = now;
             self.changed = true;
         }
@@ -241,11 +247,11 @@
     pub fn tick(
         &mut self,
         now: Instant,
-        times: &Times,
+        times: &WorkerTimes,
         jobs: &BTreeMap<String, JobRequest>,
-        rules: &mut Rules,
+        rules: &mut InvariantChecker,
     ) {
-        self.end_session(now, times, rules);
+        self.expire_lease(now, times, rules);
         let mut started = Vec::new();
         for ((task, attempt), t) in &mut self.tasks {
             let Some(job) = jobs.get(task.job.as_str()) else {
--- a/crates/jasperhill-testkit/src/world.rs
+++ b/crates/jasperhill-testkit/src/world.rs
@@ -3,13 +3,13 @@
 
 use crate::{
     cloud::{Cloud, address},
-    faults::{Faults, Kind, Met, Place, Trouble},
-    lines::{Line, NoLine, Outgoing, Platform},
-    rules::Rules,
+    faults::{ActiveFaults, Endpoint, Fault, FaultCounts, LinkFault},
+    lines::{InboundConnection, NoConnection, OutboundConnections, SocketLimit},
+    rules::InvariantChecker,
     state::{Limits, Served, StateService},
     transcript::Transcript,
     users,
-    workers::{Times, Worker},
+    workers::{Worker, WorkerTimes},
 };
 use jasperhill_connections::{Class, PlanInputs};
 use jasperhill_controller::{
@@ -37,35 +37,35 @@
 
 /// What a run is made of.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub seed: u64,
     pub seconds: u64,
     pub jobs: usize,
     /// Troubles at set times.
-    pub troubles: Vec<(u64, Trouble)>,
+    pub faults: Vec<(u64, Fault)>,
     pub scale: Scale,
     /// Arrays that were submitted with a mistake: they fail on every machine.
     pub broken: usize,
     /// A team without a guarantee brings a huge array of short, tiny tasks.
-    pub guests: bool,
+    pub huge_guest_array: bool,
     /// Chains of jobs, from this second on.
     pub pipelines: (usize, u64),
     /// The state service has limits, and lower ones are announced.
     pub limits: bool,
     /// All controllers begin with the formats of the old version.
-    pub old: bool,
+    pub old_version: bool,
     /// What the platform allows each process, and whether processes keep account of it.
     pub sockets: usize,
-    pub unaccounted: bool,
+    pub without_connection_budget: bool,
     /// Controllers never leave their roles, however often they end.
-    pub never_restless: bool,
+    pub without_crash_loop_backoff: bool,
     /// Nobody gets a turn for having fallen behind.
-    pub no_floors: bool,
+    pub without_starvation_guard: bool,
     /// So many urgent jobs from this second on, of one team or of all.
     pub flood: (usize, u64),
-    pub flood_of_one: bool,
+    pub flood_of_one_team: bool,
     /// Tasks outlast the day, and two of three users cancel between these seconds.
-    pub long: Option<(u64, u64)>,
+    pub long_tasks: Option<(u64, u64)>,
     /// Arrays of two or three tasks that end far apart; nobody cancels them.
     pub uneven: usize,
     /// Arrays, gangs and services that are bound to one zone, or to all of their tasks in one.
@@ -73,34 +73,34 @@
     /// How long the operators let a session outlive its last renewal, in seconds.
     pub session: Option<u64>,
     /// The guard left out: leases are renewed however old the knowledge is that this rests on.
-    pub blind: bool,
+    pub without_freshness_bound: bool,
 }
 
-impl Plan {
+impl Scenario {
     /// A small deployment with nothing but jobs of its own and these troubles.
-    pub fn small(seed: u64, seconds: u64, jobs: usize, troubles: Vec<(u64, Trouble)>) -> Self {
+    pub fn small(seed: u64, seconds: u64, jobs: usize, troubles: Vec<(u64, Fault)>) -> Self {
         Self {
             seed,
             seconds,
             jobs,
-            troubles,
+            faults: troubles,
             scale: Scale::Small,
             broken: 0,
-            guests: false,
+            huge_guest_array: false,
             pipelines: (0, 0),
             limits: false,
-            old: false,
+            old_version: false,
             sockets: SOCKETS,
-            unaccounted: false,
-            never_restless: false,
-            no_floors: false,
+            without_connection_budget: false,
+            without_crash_loop_backoff: false,
+            without_starvation_guard: false,
             flood: (0, 0),
-            flood_of_one: false,
-            long: None,
+            flood_of_one_team: false,
+            long_tasks: None,
             uneven: 0,
             bound: 0,
             session: None,
-            blind: false,
+            without_freshness_bound: false,
         }
     }
 }
@@ -160,14 +160,14 @@
     pub killed_in_reach: usize,
     /// Submissions that got no verdict, and jobs put before their owners through the store.
     pub undecided: usize,
-    pub wants: usize,
+    pub proposals: usize,
     /// When roles got another owner, from the start: the second, the role and who.
-    pub moves: Vec<(f64, String, String)>,
+    pub role_moves: Vec<(f64, String, String)>,
     /// At the end: roles without a live owner, and workers whom nobody answers.
     pub unowned: Vec<String>,
     pub unanswered: Vec<String>,
     /// At the end: records of machines that are not there.
-    pub ghosts: Vec<String>,
+    pub stale_host_records: Vec<String>,
     /// Writes that were larger than the state service takes, and the longest value at the end.
     pub too_large: usize,
     pub longest: usize,
@@ -177,7 +177,7 @@
     pub picked: bool,
     /// The most sockets that a process had at once, and how many the platform refused it.
     pub sockets: usize,
-    pub no_socket: usize,
+    pub refused_sockets: usize,
     /// Of the jobs accepted a while before the end, and not cancelled, the part that has begun: the
     /// class and the team for which it is least.
     pub least_class: (String, f64),
@@ -187,10 +187,10 @@
     /// Of each class's largest jobs, the part that began within four minutes: the least class.
     pub least_largest: (String, f64),
     /// The cancellations that were confirmed, by when.
-    pub cancels: Vec<Gone>,
+    pub cancels: Vec<ConfirmedCancellation>,
     /// The longest that questions about a job went unanswered, in seconds: in all, and after the
     /// troubles.
-    pub silence: (f64, f64),
+    pub longest_silence: (f64, f64),
     /// Jobs of tasks that end far apart whose users were told that they are done, and tasks of all
     /// jobs that were started again after their results.
     pub uneven: usize,
@@ -203,14 +203,14 @@
     /// The longest that a job waited beside room that fits, after the troubles, in seconds.
     pub longest_wait: f64,
     /// What the troubles met with.
-    pub met: Met,
+    pub fault_counts: FaultCounts,
     /// Changes and requests that the state service counted in its busiest second.
     pub state_peak: usize,
 }
 
 /// A confirmed cancellation; times in seconds.
 #[derive(Clone, Debug)]
-pub struct Gone {
+pub struct ConfirmedCancellation {
     pub job: String,
     /// From the start of the day.
     pub at: f64,
@@ -221,20 +221,20 @@
     pub after: f64,
 }
 
-pub struct Inside {
+pub struct ClusterState {
     rng: StdRng,
     state: StateService,
     cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, JobRequest>,
-    pub rules: Rules,
+    pub rules: InvariantChecker,
     pub accepted: usize,
     pub finished: usize,
     nodes: Vec<Option<Rc<Controller>>>,
-    lives: Vec<u64>,
+    generations: Vec<u64>,
     /// The sockets of each one's present life, as the platform and as it counts them itself, and
     /// what came of those before.
-    sockets: Vec<Option<(Rc<Platform>, ConnectionTracker)>>,
+    sockets: Vec<Option<(Rc<SocketLimit>, ConnectionTracker)>>,
     past_peak: usize,
     past_refused: usize,
     /// What the balancer knows.
@@ -245,14 +245,14 @@
     pub accepted_at: BTreeMap<String, Instant>,
     /// Controllers with the formats of the old version.
     old: Vec<bool>,
-    pub faults: Faults,
+    pub faults: ActiveFaults,
     /// Transactions of each controller that the state service has seen.
     written: Vec<u64>,
     /// Since when the balancer has found controllers not ready.
     unready_since: Vec<Option<Instant>>,
 }
 
-impl Inside {
+impl ClusterState {
     /// Of the jobs of each class or team that were accepted a while ago and not cancelled, the part
     /// that has begun. Jobs of pipelines wait for others, and broken ones fail.
     fn shares(&self, of: impl Fn(&JobRequest) -> String) -> BTreeMap<String, f64> {
@@ -304,7 +304,7 @@
     }
 
     /// All jobs that one needs, directly or through others.
-    pub fn before(&self, id: &str) -> Vec<String> {
+    pub fn upstream_jobs(&self, id: &str) -> Vec<String> {
         let mut all: Vec<String> = Vec::new();
         let mut next = vec![id.to_owned()];
         while let Some(id) = next.pop() {
@@ -323,15 +323,15 @@
 const BEGUN_WITHIN: Duration = Duration::from_secs(90);
 const LARGEST_WITHIN: Duration = Duration::from_secs(240);
 
-pub struct World {
-    pub inner: RefCell<Inside>,
+pub struct SimulatedCluster {
+    pub inner: RefCell<ClusterState>,
     /// Itself, for what goes on when nobody waits.
-    me: RefCell<std::rc::Weak<World>>,
+    me: RefCell<std::rc::Weak<SimulatedCluster>>,
     /// As the old version reads them, and as the new one does.
     settings: [Vec<Settings>; 2],
     pub origin: Instant,
     pub scale: Scale,
-    pub plan: Plan,
+    pub plan: Scenario,
     /// What the controllers send and answer, where that is recorded.
     transcript: RefCell<Option<Transcript>>,
 }
@@ -358,7 +358,7 @@
     },
 ];
 
-fn settings(node: usize, plan: &Plan, announced: bool) -> Settings {
+fn settings(node: usize, plan: &Scenario, announced: bool) -> Settings {
     let scale = plan.scale;
     let mut text = format!(
         "member='worker-{node}'\nsite='{}'\nbind='10.0.0.{n}:8080'\nmesh_addr='10.0.0.{n}:8081'\n",
@@ -389,33 +389,33 @@
     }
     text += "[[params.teams]]\nname='guest'\n";
     let mut settings = Settings::parse(&text).unwrap();
-    if plan.no_floors {
+    if plan.without_starvation_guard {
         settings.operator.tuning.least_share = 0.0;
     }
     settings.operator.session = plan.session.map(Micros::from_secs);
-    if plan.blind {
+    if plan.without_freshness_bound {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
         settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
     }
-    if plan.never_restless {
+    if plan.without_crash_loop_backoff {
         settings.operator.crash_loop_threshold = Some(0);
     }
     settings
 }
 
 struct SimTransport {
-    world: Rc<World>,
+    world: Rc<SimulatedCluster>,
     node: usize,
-    lines: Outgoing,
+    lines: OutboundConnections,
 }
 
 impl SimTransport {
     fn class_of(&self, to: SocketAddr) -> Class {
         match self.world.place(to) {
-            Place::Node(_) => Class::Peers,
-            Place::State => Class::State,
-            Place::Cloud => Class::Cloud,
-            Place::Zone(_) => Class::Commands,
+            Endpoint::Node(_) => Class::Peers,
+            Endpoint::State => Class::State,
+            Endpoint::Cloud => Class::Cloud,
+            Endpoint::Zone(_) => Class::Commands,
         }
     }
 }
@@ -427,8 +427,8 @@
             world.transcribe(|t, at| t.request(at, node, to, &request));
             let ends = match self.lines.take(to, self.class_of(to)) {
                 Ok(ends) => ends,
-                Err(NoLine::Own) => return Err(ClientError::NoSocket),
-                Err(NoLine::Platform) => return Err(ClientError::NotSent),
+                Err(NoConnection::Own) => return Err(ClientError::NoSocket),
+                Err(NoConnection::Platform) => return Err(ClientError::NotSent),
             };
             match timeout(limit, world.clone().carry(node, to, request, limit)).await {
                 Ok(result) => match result {
@@ -448,8 +448,8 @@
     }
 }
 
-impl World {
-    pub fn pick(&self, n: u64) -> u64 {
+impl SimulatedCluster {
+    pub fn draw(&self, n: u64) -> u64 {
         self.inner.borrow_mut().rng.random_range(0..n)
     }
     /// Adds to the transcript, if there is one.
@@ -460,12 +460,12 @@
         }
     }
 
-    pub fn breaks(&self, what: String) {
-        self.inner.borrow_mut().rules.breaks(what);
+    pub fn record_violation(&self, what: String) {
+        self.inner.borrow_mut().rules.record_violation(what);
     }
 
     /// Waits until a controller no longer stands still.
-    async fn thaw(&self, node: usize) {
+    async fn wait_while_stalled(&self, node: usize) {
         loop {
             let now = Instant::now();
             let until = self.inner.borrow().faults.frozen_until(node, now);
@@ -477,28 +477,28 @@
     }
 
     async fn latency(&self) {
-        let ms = if self.pick(50) == 0 {
+        let ms = if self.draw(50) == 0 {
             300
         } else {
-            1 + self.pick(6)
+            1 + self.draw(6)
         };
         sleep(Duration::from_millis(ms)).await;
     }
 
-    fn place(&self, to: SocketAddr) -> Place {
+    fn place(&self, to: SocketAddr) -> Endpoint {
         let SocketAddr::V4(v4) = to else {
             panic!("not IPv4")
         };
         let o = v4.ip().octets();
         match o[1] {
-            0 => Place::Node(o[3] as usize - 1),
-            2 if o[3] == 1 => Place::State,
-            2 => Place::Cloud,
+            0 => Endpoint::Node(o[3] as usize - 1),
+            2 if o[3] == 1 => Endpoint::State,
+            2 => Endpoint::Cloud,
             _ => {
                 let inner = self.inner.borrow();
                 let id = worker_id(to);
                 let zone = inner.workers.get(&id).map_or("", |w| w.zone.as_str());
-                Place::Zone(zone.to_owned())
+                Endpoint::Zone(zone.to_owned())
             }
         }
     }
@@ -512,7 +512,7 @@
         limit: Duration,
     ) -> Result<Response, ClientError> {
         // A standstill between the decision and its way out.
-        self.thaw(node).await;
+        self.wait_while_stalled(node).await;
         self.latency().await;
         let place = self.place(to);
         let now = Instant::now();
@@ -520,16 +520,16 @@
             .inner
             .borrow()
             .faults
-            .cut_until(&Place::Node(node), &place, now);
+            .cut_until(&Endpoint::Node(node), &place, now);
         if let Some(until) = cut {
-            if self.pick(2) == 0 {
+            if self.draw(2) == 0 {
                 // A connection that does not come about: given up for good.
                 sleep(limit.min(Duration::from_millis(1_500))).await;
                 return Err(ClientError::NotSent);
             }
             // Held back, and delivered after the cut although nobody waits any more.
             let world = self.clone();
-            let late = until + Duration::from_millis(self.pick(2_000));
+            let late = until + Duration::from_millis(self.draw(2_000));
             spawn_local(async move {
                 sleep_until(late).await;
                 let _ = world.execute(node, to, request).await;
@@ -537,10 +537,12 @@
             sleep(limit * 2).await;
             return Err(ClientError::NoAnswer);
         }
-        let from = Place::Node(node);
+        let from = Endpoint::Node(node);
         let link = self.inner.borrow().faults.on_link(&from, &place, now);
         if let Some((kind, until)) = link {
-            return self.limp(kind, until, (node, to), request, limit).await;
+            return self
+                .carry_on_faulty_link(kind, until, (node, to), request, limit)
+                .await;
         }
         let answer = self.execute(node, to, request).await;
         let later = self
@@ -549,30 +551,30 @@
             .faults
             .on_link(&from, &place, Instant::now());
         match later.map(|(kind, _)| kind) {
-            Some(Kind::Reset | Kind::Refused) => return Err(ClientError::NoAnswer),
-            Some(Kind::Held | Kind::NoAnswers) => sleep(limit * 2).await,
+            Some(LinkFault::Reset | LinkFault::Refused) => return Err(ClientError::NoAnswer),
+            Some(LinkFault::Held | LinkFault::NoAnswers) => sleep(limit * 2).await,
             _ => {}
         }
-        if self.pick(300) == 0 {
+        if self.draw(300) == 0 {
             // The answer is lost.
             sleep(limit * 2).await;
         }
         self.latency().await;
-        self.thaw(node).await;
+        self.wait_while_stalled(node).await;
         answer
     }
 
     /// A request on a link that does not do what it should.
-    async fn limp(
+    async fn carry_on_faulty_link(
         self: &Rc<Self>,
-        kind: Kind,
+        kind: LinkFault,
         until: Instant,
         (node, to): (usize, SocketAddr),
         request: Request,
         limit: Duration,
     ) -> Result<Response, ClientError> {
         match kind {
-            Kind::Held => {
+            LinkFault::Held => {
                 let world = self.clone();
                 spawn_local(async move {
                     sleep_until(until).await;
@@ -581,34 +583,34 @@
                 sleep(limit * 2).await;
                 Err(ClientError::NoAnswer)
             }
-            Kind::Reset => {
-                if self.pick(2) == 0 {
+            LinkFault::Reset => {
+                if self.draw(2) == 0 {
                     let _ = self.execute(node, to, request).await;
                 }
                 Err(ClientError::NoAnswer)
             }
-            Kind::Refused => Err(ClientError::NotSent),
-            Kind::NoAnswers => {
+            LinkFault::Refused => Err(ClientError::NotSent),
+            LinkFault::NoAnswers => {
                 let _ = self.execute(node, to, request).await;
                 sleep(limit * 2).await;
                 Err(ClientError::NoAnswer)
             }
-            Kind::NoRequests => {
+            LinkFault::NoRequests => {
                 sleep(limit * 2).await;
                 Err(ClientError::NoAnswer)
             }
-            Kind::Slow(ms) => {
+            LinkFault::Slow(ms) => {
                 sleep(Duration::from_millis(ms)).await;
                 let answer = self.execute(node, to, request).await;
                 sleep(Duration::from_millis(ms)).await;
                 answer
             }
-            Kind::Lossy(percent) => {
-                if self.pick(100) < percent {
+            LinkFault::Lossy(percent) => {
+                if self.draw(100) < percent {
                     sleep(limit * 2).await;
                 }
                 let answer = self.execute(node, to, request).await;
-                if self.pick(100) < percent {
+                if self.draw(100) < percent {
                     sleep(limit * 2).await;
                 }
                 answer
@@ -624,41 +626,43 @@
     ) -> Result<Response, ClientError> {
         let now = Instant::now();
         match self.place(to) {
-            Place::Node(i) => {
+            Endpoint::Node(i) => {
                 let found = {
                     let inner = self.inner.borrow();
-                    inner.nodes[i].clone().map(|c| (c, inner.lives[i]))
+                    inner.nodes[i].clone().map(|c| (c, inner.generations[i]))
                 };
                 let Some((controller, life)) = found else {
                     return Err(ClientError::NotSent);
                 };
-                self.thaw(i).await;
+                self.wait_while_stalled(i).await;
                 let asked = asked(&request);
                 let future = controller.handle_mesh(request);
                 drop(controller);
                 let answer = future.await;
                 self.transcribe(|t, at| t.answer(at, i, &asked, &answer));
-                if self.inner.borrow().lives[i] != life {
+                if self.inner.borrow().generations[i] != life {
                     return Err(ClientError::NoAnswer);
                 }
                 Ok(answer)
             }
-            Place::State if request.path() == "/txn" && self.is_held_up(node, &request) => {
+            Endpoint::State
+                if request.path() == "/txn" && self.is_transaction_delayed(node, &request) =>
+            {
                 // No answer; whoever sent it gives up.
                 sleep(Duration::from_secs(60)).await;
                 Err(ClientError::NoAnswer)
             }
-            Place::State if self.inner.borrow().old[node] => {
+            Endpoint::State if self.inner.borrow().old[node] => {
                 let answer = self.state(node, as_old_writes(request)).await?;
                 Ok(as_old_reads(answer))
             }
-            Place::State => self.state(node, request).await,
-            Place::Cloud => {
+            Endpoint::State => self.state(node, request).await,
+            Endpoint::Cloud => {
                 let mut inner = self.inner.borrow_mut();
                 if inner.faults.cloud_until.is_some_and(|t| now < t) {
                     return Ok(Response::new(503, b"{\"error\":\"trouble\"}".to_vec()));
                 }
-                let Inside {
+                let ClusterState {
                     cloud,
                     rng,
                     workers,
@@ -675,7 +679,7 @@
                 }
                 Ok(answer)
             }
-            Place::Zone(_) => {
+            Endpoint::Zone(_) => {
                 let (held, deaf) = {
                     let faults = &mut self.inner.borrow_mut().faults;
                     let held = match request.method {
@@ -688,12 +692,12 @@
                     (held, deaf)
                 };
                 if let Some((by, answer_only)) = held {
-                    self.hold_up(to, request.clone(), by, answer_only);
+                    self.delay_command(to, request.clone(), by, answer_only);
                 }
                 let hangs = self.inner.borrow().faults.hangs_until(&worker_id(to), now);
                 if let (Some(until), None) = (hangs, held) {
                     // Carried out when the machine goes on, if token and session still match.
-                    self.hold_up(to, request.clone(), until - now, false);
+                    self.delay_command(to, request.clone(), until - now, false);
                 }
                 if held.is_some() || deaf || hangs.is_some() {
                     // Whoever sent it gives up.
@@ -709,7 +713,7 @@
     }
 
     /// A command that comes later, or is carried out now and whose answer comes too late.
-    fn hold_up(&self, to: SocketAddr, request: Request, by: Duration, answer_only: bool) {
+    fn delay_command(&self, to: SocketAddr, request: Request, by: Duration, answer_only: bool) {
         if answer_only {
             self.at_worker(to, &request);
         } else if let Some(world) = self.me.borrow().upgrade() {
@@ -725,7 +729,7 @@
     /// What a worker makes of a direct request.
     fn at_worker(&self, to: SocketAddr, request: &Request) -> Option<(u16, Value)> {
         let (now, mut inner) = (Instant::now(), self.inner.borrow_mut());
-        let Inside {
+        let ClusterState {
             workers,
             jobs,
             faults,
@@ -733,11 +737,11 @@
         } = &mut *inner;
         let worker = workers.get_mut(&worker_id(to))?;
         Some(if request.method == Method::Get {
-            (200, worker.report())
+            (200, worker.heartbeat())
         } else {
             let body: Value = serde_json::from_slice(&request.body).unwrap();
             let had = worker.tasks.len();
-            let told = worker.direct(&body, jobs, now);
+            let told = worker.on_direct_commands(&body, jobs, now);
             let mute = faults.mute_for(&worker.id, now).filter(|_| told.0 == 200);
             faults.met.mute_orders += usize::from(mute.is_some());
             // Longer than two reports and a half, and a second.
@@ -749,7 +753,7 @@
     }
 
     /// A transaction that is carried out later, after newer ones of the same controller.
-    fn is_held_up(&self, node: usize, request: &Request) -> bool {
+    fn is_transaction_delayed(&self, node: usize, request: &Request) -> bool {
         let now = Instant::now();
         let world = self.me.borrow().upgrade();
         let late = self.inner.borrow_mut().faults.late_write(now);
@@ -822,21 +826,21 @@
     /// A request of a user or worker to some controller.
     /// It is handled even if whoever sent it no longer waits.
     /// `line`: the connection that whoever sent it has from the last time.
-    async fn knock(
+    async fn send_to_controller(
         self: &Rc<Self>,
         node: usize,
         request: Request,
-        line: &mut Option<Rc<Line>>,
+        line: &mut Option<Rc<InboundConnection>>,
     ) -> Option<Response> {
         self.latency().await;
         let there = match line.take().filter(|l| self.is_open(l, node)) {
             Some(there) => there,
-            None => self.enter(node)?,
+            None => self.open_connection(node)?,
         };
         let (world, (reply, answer)) = (self.clone(), tokio::sync::oneshot::channel());
         let ours = there.clone();
         spawn_local(async move {
-            world.thaw(node).await;
+            world.wait_while_stalled(node).await;
             let asked = asked(&request);
             let (future, life) = {
                 let inner = world.inner.borrow();
@@ -848,13 +852,13 @@
                     let _ = reply.send(full);
                     return;
                 }
-                (controller.handle(request), inner.lives[node])
+                (controller.handle(request), inner.generations[node])
             };
             let answer = future.await;
             world.transcribe(|t, at| t.answer(at, node, &asked, &answer));
-            world.thaw(node).await;
+            world.wait_while_stalled(node).await;
             ours.rests();
-            if world.inner.borrow().lives[node] == life {
+            if world.inner.borrow().generations[node] == life {
                 let _ = reply.send(answer);
             }
         });
@@ -863,8 +867,8 @@
         Some(answer)
     }
 
-    fn is_open(&self, line: &Line, node: usize) -> bool {
-        line.node == node && line.is_open() && self.inner.borrow().lives[node] == line.life
+    fn is_open(&self, line: &InboundConnection, node: usize) -> bool {
+        line.node == node && line.is_open() && self.inner.borrow().generations[node] == line.life
     }
 
     /// The balancer resets the connections of a controller that has not been ready for a while.
@@ -874,24 +878,24 @@
     }
 
     /// A new connection into a controller.
-    fn enter(&self, node: usize) -> Option<Rc<Line>> {
+    fn open_connection(&self, node: usize) -> Option<Rc<InboundConnection>> {
         let (platform, own, life) = {
             let inner = self.inner.borrow();
             let (platform, own) = inner.sockets[node].clone()?;
-            (platform, own, inner.lives[node])
+            (platform, own, inner.generations[node])
         };
-        Line::open(node, life, &platform, &own)
+        InboundConnection::open(node, life, &platform, &own)
     }
 
     /// A worker gives its connection up. Beyond a cut the controller does not hear of it.
-    fn leave(self: &Rc<Self>, line: Option<Rc<Line>>, from: &Place) {
+    fn abandon_connection(self: &Rc<Self>, line: Option<Rc<InboundConnection>>, from: &Endpoint) {
         let Some(line) = line else { return };
         let now = Instant::now();
         let whole = self
             .inner
             .borrow()
             .faults
-            .is_whole(from, &Place::Node(line.node), now);
+            .is_whole(from, &Endpoint::Node(line.node), now);
         if !whole {
             spawn_local(async move {
                 sleep(HALF_OPEN).await;
@@ -901,22 +905,22 @@
     }
 
     /// What a user gets: from whom it has a connection to, or from a healthy controller.
-    pub async fn ask(
+    pub async fn user_request(
         self: &Rc<Self>,
         request: &Request,
-        line: &mut Option<Rc<Line>>,
+        line: &mut Option<Rc<InboundConnection>>,
     ) -> Option<(u16, String)> {
-        let (_, status, text) = self.ask_at(request, line).await?;
+        let (_, status, text) = self.user_request_with_responder(request, line).await?;
         Some((status, text))
     }
 
     /// With who answered.
-    pub async fn ask_at(
+    pub async fn user_request_with_responder(
         self: &Rc<Self>,
         request: &Request,
-        line: &mut Option<Rc<Line>>,
+        line: &mut Option<Rc<InboundConnection>>,
     ) -> Option<(usize, u16, String)> {
-        let mut node = self.pick(NODES as u64) as usize;
+        let mut node = self.draw(NODES as u64) as usize;
         if line.as_ref().is_some_and(|l| self.is_reset(l.node)) {
             *line = None;
         }
@@ -927,7 +931,7 @@
             let well = (0..NODES).map(|n| (node + n) % NODES).find(|n| healthy[*n]);
             node = well.unwrap_or(node);
         }
-        let answer = self.knock(node, request.clone(), line).await?;
+        let answer = self.send_to_controller(node, request.clone(), line).await?;
         let text = String::from_utf8(answer.body).unwrap();
         Some((node, answer.status, text))
     }
@@ -939,7 +943,10 @@
             for node in 0..NODES {
                 let ask = Request::new(Method::Get, "/ready", Vec::new());
                 let mut line = None;
-                let answer = timeout(Duration::from_secs(1), self.knock(node, ask, &mut line));
+                let answer = timeout(
+                    Duration::from_secs(1),
+                    self.send_to_controller(node, ask, &mut line),
+                );
                 let ready = matches!(answer.await, Ok(Some(a)) if a.status == 200);
                 let now = Instant::now();
                 let mut inner = self.inner.borrow_mut();
@@ -951,7 +958,7 @@
     }
 
     fn start_node(self: &Rc<Self>, node: usize) {
-        let skew = self.pick(100) * 1_000;
+        let skew = self.draw(100) * 1_000;
         let origin = self.origin;
         let clock = Clock::new(move || {
             let since = (Instant::now() - origin).as_micros() as u64;
@@ -959,8 +966,8 @@
         });
         let announced = usize::from(!self.inner.borrow().old[node]);
         let settings = self.settings[announced][node].clone();
-        let platform = Platform::new(self.plan.sockets);
-        let own = if self.plan.unaccounted {
+        let platform = SocketLimit::new(self.plan.sockets);
+        let own = if self.plan.without_connection_budget {
             let sizes = PlanInputs {
                 most: 1_000_000,
                 peers: NODES - 1,
@@ -973,7 +980,7 @@
         let net = Rc::new(SimTransport {
             world: self.clone(),
             node,
-            lines: Outgoing::new(platform.clone(), own.clone()),
+            lines: OutboundConnections::new(platform.clone(), own.clone()),
         });
         let controller = Rc::new(Controller::start(settings, clock, net));
         let mut inner = self.inner.borrow_mut();
@@ -983,7 +990,7 @@
 
     fn kill_node(&self, node: usize) {
         let mut inner = self.inner.borrow_mut();
-        inner.lives[node] += 1;
+        inner.generations[node] += 1;
         if let Some((platform, _)) = inner.sockets[node].take() {
             inner.past_peak = inner.past_peak.max(platform.peak.get());
             inner.past_refused += platform.refused.get();
@@ -993,10 +1000,10 @@
         drop(old);
     }
 
-    fn trouble(self: &Rc<Self>, trouble: Trouble) {
+    fn inject(self: &Rc<Self>, trouble: Fault) {
         let now = Instant::now();
         match trouble {
-            Trouble::Crash(node, back) => {
+            Fault::Crash(node, back) => {
                 self.kill_node(node);
                 let world = self.clone();
                 spawn_local(async move {
@@ -1004,15 +1011,15 @@
                     world.start_node(node);
                 });
             }
-            Trouble::CrashLeader(back) => {
+            Fault::CrashLeader(back) => {
                 let leads = self.inner.borrow().state.field("jh/leader", "o");
                 let name = leads.as_ref().and_then(Value::as_str);
                 let node = name.and_then(|n| n.strip_prefix("worker-")?.parse().ok());
                 if let Some(node) = node {
-                    self.trouble(Trouble::Crash(node, back));
+                    self.inject(Fault::Crash(node, back));
                 }
             }
-            Trouble::Loop {
+            Fault::CrashLoop {
                 node,
                 times,
                 life,
@@ -1028,7 +1035,7 @@
                     }
                 });
             }
-            Trouble::Upgrade(node, back) => {
+            Fault::Upgrade(node, back) => {
                 self.kill_node(node);
                 let world = self.clone();
                 spawn_local(async move {
@@ -1039,15 +1046,15 @@
                     world.start_node(node);
                 });
             }
-            Trouble::LimitsFall => {
+            Fault::LimitsFall => {
                 self.inner.borrow_mut().state.limits = Some(LIMITS[1]);
             }
-            Trouble::Link(from, to, kind, time) => {
+            Fault::Link(from, to, kind, time) => {
                 let mut inner = self.inner.borrow_mut();
                 inner.faults.link(from, to, kind, now + time);
             }
-            Trouble::Cut(a, b, time) => self.inner.borrow_mut().faults.cut(a, b, now + time),
-            Trouble::StateOutage(time) => {
+            Fault::Cut(a, b, time) => self.inner.borrow_mut().faults.cut(a, b, now + time),
+            Fault::StateOutage(time) => {
                 self.inner.borrow_mut().faults.state_until = Some(now + time);
                 let world = self.clone();
                 spawn_local(async move {
@@ -1055,29 +1062,29 @@
                     world.inner.borrow_mut().state.refill(Instant::now());
                 });
             }
-            Trouble::Refused(node, time) => {
+            Fault::Refused(node, time) => {
                 self.inner.borrow_mut().faults.refuse(node, now + time);
             }
-            Trouble::CloudOutage(time) => {
+            Fault::CloudOutage(time) => {
                 self.inner.borrow_mut().faults.cloud_until = Some(now + time);
             }
-            Trouble::Freeze(node, time) => self.inner.borrow_mut().faults.freeze(node, now + time),
-            Trouble::LateWrites(percent, time) => {
+            Fault::Stall(node, time) => self.inner.borrow_mut().faults.freeze(node, now + time),
+            Fault::LateWrites(percent, time) => {
                 let mut inner = self.inner.borrow_mut();
                 inner.faults.late_writes.begin(percent, now + time);
             }
-            Trouble::LateReports(percent, time) => {
+            Fault::LateHeartbeats(percent, time) => {
                 let mut inner = self.inner.borrow_mut();
                 inner.faults.late_reports.begin(percent, now + time);
             }
-            Trouble::HeldOrders(percent, time) => {
+            Fault::DelayedCommands(percent, time) => {
                 let mut inner = self.inner.borrow_mut();
                 inner.faults.held_orders.begin(percent, now + time);
             }
-            Trouble::NoHostWrites(time) => {
+            Fault::NoHostWrites(time) => {
                 self.inner.borrow_mut().faults.no_host_writes_until = Some(now + time);
             }
-            Trouble::Deaf(percent, time) => {
+            Fault::NotReceiving(percent, time) => {
                 let mut inner = self.inner.borrow_mut();
                 let ids: Vec<String> = inner.workers.keys().cloned().collect();
                 for id in ids {
@@ -1086,7 +1093,7 @@
                     }
                 }
             }
-            Trouble::Mute(percent, time) => {
+            Fault::NotSending(percent, time) => {
                 let mut inner = self.inner.borrow_mut();
                 let ids: Vec<String> = inner.workers.keys().cloned().collect();
                 for id in ids {
@@ -1095,7 +1102,7 @@
                     }
                 }
             }
-            Trouble::Hang(count, time) => {
+            Fault::Hang(count, time) => {
                 let mut inner = self.inner.borrow_mut();
                 let mut ids: Vec<String> = inner.workers.keys().cloned().collect();
                 while ids.len() > count {
@@ -1105,18 +1112,18 @@
                 drop(inner);
                 self.hang(ids, time);
             }
-            Trouble::CancelNow(count, hang) => self.call_off(count, hang),
-            Trouble::CancelAtEnd(percent, time) => {
+            Fault::CancelNow(count, hang) => self.cancel_running_jobs(count, hang),
+            Fault::CancelAtEnd(percent, time) => {
                 let mut inner = self.inner.borrow_mut();
                 inner.faults.cancel_at_end.begin(percent, now + time);
             }
-            Trouble::OddRequests(time) => {
-                spawn_local(users::odd(self.clone(), now + time));
+            Fault::InvalidRequests(time) => {
+                spawn_local(users::send_invalid_requests(self.clone(), now + time));
             }
-            Trouble::BadBoots(time) => {
+            Fault::BadBoots(time) => {
                 self.inner.borrow_mut().faults.bad_boots_until = Some(now + time);
             }
-            Trouble::Die => {
+            Fault::MachineLoss => {
                 let mut inner = self.inner.borrow_mut();
                 let ids: Vec<String> = inner.workers.keys().cloned().collect();
                 if !ids.is_empty() {
@@ -1137,7 +1144,7 @@
     }
 
     /// The roles without a live owner, and the workers whom nobody has answered for some reports.
-    fn left_alone(&self) -> (Vec<String>, Vec<String>) {
+    fn unowned_and_unanswered(&self) -> (Vec<String>, Vec<String>) {
         let now = Instant::now();
         let inner = self.inner.borrow();
         let roles = (0..NODES).map(|n| format!("jh/part/{n}"));
@@ -1156,7 +1163,7 @@
     }
 
     /// Waits until a machine no longer stands still; whether it did.
-    async fn hangs(&self, id: &str) -> bool {
+    async fn wait_while_hung(&self, id: &str) -> bool {
         let mut hung = false;
         loop {
             let until = self.inner.borrow().faults.hangs_until(id, Instant::now());
@@ -1172,7 +1179,7 @@
         let now = Instant::now();
         for id in ids {
             let mut inner = self.inner.borrow_mut();
-            let before = inner.workers.get(&id).map(|w| w.tenure);
+            let before = inner.workers.get(&id).map(|w| w.incarnation);
             inner.faults.hang(id.clone(), now + time);
             inner.faults.met.hung += 1;
             drop(inner);
@@ -1182,14 +1189,14 @@
                 let mut inner = world.inner.borrow_mut();
                 let after = inner.workers.get(&id);
                 let went_on =
-                    after.is_some_and(|w| Some(w.tenure) == before && !w.tasks.is_empty());
+                    after.is_some_and(|w| Some(w.incarnation) == before && !w.tasks.is_empty());
                 inner.faults.met.went_on += usize::from(went_on);
             });
         }
     }
 
     /// Users call off so many jobs that run and have long to go, and machines of theirs hang.
-    fn call_off(self: &Rc<Self>, count: usize, hang: Duration) {
+    fn cancel_running_jobs(self: &Rc<Self>, count: usize, hang: Duration) {
         let now = Instant::now();
         let far = now + hang.max(Duration::from_secs(10));
         let mut found: BTreeMap<String, Vec<String>> = BTreeMap::new();
@@ -1211,7 +1218,7 @@
         let mut machines = BTreeSet::new();
         for (id, hosts) in found.into_iter().take(count) {
             machines.extend(hosts);
-            let (world, wait) = (self.clone(), Duration::from_millis(self.pick(200)));
+            let (world, wait) = (self.clone(), Duration::from_millis(self.draw(200)));
             self.inner.borrow_mut().faults.met.called_off += 1;
             spawn_local(async move {
                 sleep(wait).await;
@@ -1223,7 +1230,7 @@
             let world = self.clone();
             spawn_local(async move {
                 // Orders may just be on their way.
-                sleep(Duration::from_millis(world.pick(400))).await;
+                sleep(Duration::from_millis(world.draw(400))).await;
                 world.hang(machines, hang);
             });
         }
@@ -1232,9 +1239,9 @@
     /// Reports as the protocol says: regularly, and soon after a change.
     async fn worker_loop(self: Rc<Self>, id: String) {
         let mut last = Instant::now();
-        let mut line: Option<Rc<Line>> = None;
+        let mut line: Option<Rc<InboundConnection>> = None;
         loop {
-            let wait = Duration::from_millis(1_875 + self.pick(1_250));
+            let wait = Duration::from_millis(1_875 + self.draw(1_250));
             let due = last + wait;
             loop {
                 sleep(Duration::from_millis(100)).await;
@@ -1247,7 +1254,7 @@
                     break;
                 }
             }
-            self.hangs(&id).await;
+            self.wait_while_hung(&id).await;
             last = Instant::now();
             let (report, node, tenure, place) = {
                 let mut inner = self.inner.borrow_mut();
@@ -1255,53 +1262,54 @@
                     return;
                 };
                 worker.changed = false;
-                let report = worker.report().to_string().into_bytes();
+                let report = worker.heartbeat().to_string().into_bytes();
                 (
                     report,
                     worker.node,
-                    worker.tenure,
-                    Place::Zone(worker.zone.clone()),
+                    worker.incarnation,
+                    Endpoint::Zone(worker.zone.clone()),
                 )
             };
             let request = Request::new(Method::Post, "/hello", report);
-            self.come_again(&id, node, &request, last);
+            self.repeat_heartbeat_late(&id, node, &request, last);
             let cut = self
                 .inner
                 .borrow()
                 .faults
-                .cut_until(&Place::Node(node), &place, last);
+                .cut_until(&Endpoint::Node(node), &place, last);
             let link = self
                 .inner
                 .borrow()
                 .faults
-                .on_link(&place, &Place::Node(node), last);
+                .on_link(&place, &Endpoint::Node(node), last);
             if line.as_ref().is_some_and(|l| l.node != node) {
-                self.leave(line.take(), &place);
+                self.abandon_connection(line.take(), &place);
             }
             let mute = self.inner.borrow().faults.is_mute(&id, last);
             let answer = if mute {
                 // No connection comes about.
-                self.leave(line.take(), &place);
+                self.abandon_connection(line.take(), &place);
                 self.inner.borrow_mut().faults.met.mute_reports += 1;
                 sleep(Duration::from_millis(500)).await;
                 None
             } else if let Some((kind, until)) = link {
-                self.leave(line.take(), &place);
-                self.limping_report(kind, until, node, request).await
+                self.abandon_connection(line.take(), &place);
+                self.heartbeat_on_faulty_link(kind, until, node, request)
+                    .await
             } else if let Some(until) = cut {
                 // The report is delivered late; nobody waits for the answer.
-                self.leave(line.take(), &place);
+                self.abandon_connection(line.take(), &place);
                 let world = self.clone();
                 spawn_local(async move {
                     sleep_until(until).await;
-                    world.knock(node, request, &mut None).await;
+                    world.send_to_controller(node, request, &mut None).await;
                 });
                 sleep(Duration::from_secs(4)).await;
                 None
             } else {
-                self.knock(node, request, &mut line).await
+                self.send_to_controller(node, request, &mut line).await
             };
-            let answer = match self.hangs(&id).await {
+            let answer = match self.wait_while_hung(&id).await {
                 // It came while the machine stood still.
                 true if last.elapsed() > Duration::from_secs(4) => None,
                 _ => answer,
@@ -1323,14 +1331,14 @@
                 {
                     inner.faults.met.answered_refused += 1;
                 }
-                let Inside { workers, jobs, .. } = &mut *inner;
+                let ClusterState { workers, jobs, .. } = &mut *inner;
                 let Some(worker) = workers.get_mut(&id) else {
                     return;
                 };
                 match answer {
                     Some(a) if a.status == 200 => {
                         let body: Value = serde_json::from_slice(&a.body).unwrap();
-                        worker.answered(&body, last, tenure, jobs, now);
+                        worker.on_heartbeat_answer(&body, last, tenure, jobs, now);
                         None
                     }
                     Some(a) if a.status == 421 => {
@@ -1364,7 +1372,13 @@
     }
 
     /// A copy of a report may come once more, much later, perhaps elsewhere.
-    fn come_again(self: &Rc<Self>, id: &str, node: usize, request: &Request, now: Instant) {
+    fn repeat_heartbeat_late(
+        self: &Rc<Self>,
+        id: &str,
+        node: usize,
+        request: &Request,
+        now: Instant,
+    ) {
         let (late, node) = {
             let faults = &mut self.inner.borrow_mut().faults;
             let Some(late) = faults.late_report(now, LEASE) else {
@@ -1376,7 +1390,7 @@
         let (world, request, id) = (self.clone(), request.clone(), id.to_owned());
         spawn_local(async move {
             sleep(late).await;
-            let recorded = |inner: &Inside| inner.state.recorded().contains(&id);
+            let recorded = |inner: &ClusterState| inner.state.recorded().contains(&id);
             let gone = {
                 let mut inner = world.inner.borrow_mut();
                 inner.faults.met.late_reports += 1;
@@ -1385,7 +1399,7 @@
                 gone
             };
             // Nobody waits for the answer.
-            world.knock(node, request, &mut None).await;
+            world.send_to_controller(node, request, &mut None).await;
             if gone {
                 sleep(Duration::from_secs(3)).await;
                 let mut inner = world.inner.borrow_mut();
@@ -1395,56 +1409,56 @@
     }
 
     /// A report on a link that does not do what it should.
-    async fn limping_report(
+    async fn heartbeat_on_faulty_link(
         self: &Rc<Self>,
-        kind: Kind,
+        kind: LinkFault,
         until: Instant,
         node: usize,
         request: Request,
     ) -> Option<Response> {
         const WAIT: Duration = Duration::from_secs(4);
         match kind {
-            Kind::Held => {
+            LinkFault::Held => {
                 let world = self.clone();
                 spawn_local(async move {
                     sleep_until(until).await;
-                    world.knock(node, request, &mut None).await;
+                    world.send_to_controller(node, request, &mut None).await;
                 });
                 sleep(WAIT).await;
                 None
             }
-            Kind::Refused => None,
-            Kind::Reset => {
-                if self.pick(2) == 0 {
-                    self.knock(node, request, &mut None).await;
+            LinkFault::Refused => None,
+            LinkFault::Reset => {
+                if self.draw(2) == 0 {
+                    self.send_to_controller(node, request, &mut None).await;
                 }
                 None
             }
-            Kind::NoAnswers => {
-                let _ = timeout(WAIT, self.knock(node, request, &mut None)).await;
+            LinkFault::NoAnswers => {
+                let _ = timeout(WAIT, self.send_to_controller(node, request, &mut None)).await;
                 sleep(WAIT).await;
                 None
             }
-            Kind::NoRequests => {
+            LinkFault::NoRequests => {
                 sleep(WAIT).await;
                 None
             }
-            Kind::Slow(ms) => {
+            LinkFault::Slow(ms) => {
                 let slow = async {
                     sleep(Duration::from_millis(ms)).await;
-                    let answer = self.knock(node, request, &mut None).await;
+                    let answer = self.send_to_controller(node, request, &mut None).await;
                     sleep(Duration::from_millis(ms)).await;
                     answer
                 };
                 timeout(WAIT, slow).await.ok().flatten()
             }
-            Kind::Lossy(percent) => {
-                if self.pick(100) < percent {
+            LinkFault::Lossy(percent) => {
+                if self.draw(100) < percent {
                     sleep(WAIT).await;
                     return None;
                 }
-                let answer = self.knock(node, request, &mut None).await;
-                if self.pick(100) < percent {
+                let answer = self.send_to_controller(node, request, &mut None).await;
+                if self.draw(100) < percent {
                     sleep(WAIT).await;
                     return None;
                 }
@@ -1454,16 +1468,16 @@
     }
 
     /// Notes the zones whose workers no controller reaches that the state service answers.
-    fn note_reach(inner: &mut Inside, now: Instant) {
+    fn note_unreachable_zones(inner: &mut ClusterState, now: Instant) {
         for zone in ["a", "b"] {
-            let there = Place::Zone(zone.to_owned());
+            let there = Endpoint::Zone(zone.to_owned());
             let reached = (0..NODES).any(|n| {
-                let (here, faults) = (Place::Node(n), &inner.faults);
+                let (here, faults) = (Endpoint::Node(n), &inner.faults);
                 inner.nodes[n].is_some()
                     && faults.frozen_until(n, now).is_none()
                     && !faults.is_refused(n, now)
                     && faults.state_until.is_none_or(|t| now >= t)
-                    && faults.is_whole(&here, &Place::State, now)
+                    && faults.is_whole(&here, &Endpoint::State, now)
                     && faults.is_whole(&here, &there, now)
                     && faults.is_whole(&there, &here, now)
             });
@@ -1477,7 +1491,7 @@
         let limits: BTreeMap<String, u64> = (0..4)
             .map(|t| (format!("team-{t}"), (self.scale.gpu_limit() * 1e6) as u64))
             .collect();
-        let times = Times {
+        let times = WorkerTimes {
             lease: LEASE,
             gang_wait: Duration::from_secs(30),
         };
@@ -1489,8 +1503,8 @@
             let ends;
             {
                 let mut inner = self.inner.borrow_mut();
-                Self::note_reach(&mut inner, now);
-                let Inside {
+                Self::note_unreachable_zones(&mut inner, now);
+                let ClusterState {
                     cloud,
                     workers,
                     rules,
@@ -1519,23 +1533,23 @@
                 let mut hung = BTreeSet::new();
                 for worker in workers.values_mut() {
                     if faults.hangs_until(&worker.id, now).is_some() {
-                        worker.stand(TICK, now, &times, rules);
+                        worker.hang(TICK, now, &times, rules);
                         hung.insert(worker.id.clone());
                     } else {
                         worker.tick(now, &times, jobs, rules);
                     }
                 }
-                gangs(workers, jobs, rules, &hung, now);
-                rules.judge(workers, jobs, &limits, CANCEL, now);
+                advance_gangs(workers, jobs, rules, &hung, now);
+                rules.check(workers, jobs, &limits, CANCEL, now);
                 ticks += 1;
                 if ticks.is_multiple_of(10) {
-                    rules.judge_waits(workers, jobs, accepted_at, &limits, now);
+                    rules.check_waiting_jobs(workers, jobs, accepted_at, &limits, now);
                 }
                 let at_end = rules.just_ended(jobs).into_iter();
                 ends = at_end.filter(|_| faults.at_end(now)).collect::<Vec<_>>();
             }
             for id in ends {
-                users::at_end(&self, id);
+                users::cancel_at_end(&self, id);
             }
             for id in fresh {
                 spawn_local(self.clone().worker_loop(id));
@@ -1551,10 +1565,10 @@
 }
 
 /// Gangs start together, complete together and fail together.
-fn gangs(
+fn advance_gangs(
     workers: &mut BTreeMap<String, Worker>,
     jobs: &BTreeMap<String, JobRequest>,
-    rules: &mut Rules,
+    rules: &mut InvariantChecker,
     hung: &BTreeSet<String>,
     now: Instant,
 ) {
@@ -1628,7 +1642,7 @@
         if let Some(changes) = body["then"].as_array_mut() {
             changes.retain_mut(|c| {
                 let key = c["write"].as_str().unwrap_or_default().to_owned();
-                !forget(&key, &mut c["data"])
+                !strip_unknown_fields(&key, &mut c["data"])
             });
         }
         request.body = body.to_string().into_bytes();
@@ -1645,7 +1659,7 @@
         if let Some(items) = body[list].as_array_mut() {
             items.retain_mut(|i| {
                 let key = i[name].as_str().unwrap_or_default().to_owned();
-                !forget(&key, &mut i["data"])
+                !strip_unknown_fields(&key, &mut i["data"])
             });
         }
     }
@@ -1665,7 +1679,7 @@
 }
 
 /// Takes from a record what the old version does not know; true if it knows nothing of it.
-fn forget(key: &str, value: &mut Value) -> bool {
+fn strip_unknown_fields(key: &str, value: &mut Value) -> bool {
     if let Some(fields) = value.as_object_mut() {
         if key.starts_with("jh/session/") {
             fields.remove("f");
@@ -1693,17 +1707,17 @@
 }
 
 /// Plays a plan and says what came of it.
-pub fn run(plan: Plan) -> Outcome {
+pub fn run(plan: Scenario) -> Outcome {
     play(plan, None).0
 }
 
 /// As `run`, and records all that the controllers sent and answered.
-pub fn run_recorded(plan: Plan) -> (Outcome, Transcript) {
+pub fn run_recorded(plan: Scenario) -> (Outcome, Transcript) {
     let (outcome, transcript) = play(plan, Some(Transcript::default()));
     (outcome, transcript.unwrap_or_default())
 }
 
-fn play(plan: Plan, transcript: Option<Transcript>) -> (Outcome, Option<Transcript>) {
+fn play(plan: Scenario, transcript: Option<Transcript>) -> (Outcome, Option<Transcript>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -1723,28 +1737,28 @@
             );
         }
         cloud.remember(now);
-        let mut faults = Faults::default();
+        let mut faults = ActiveFaults::default();
         faults.seed(plan.seed);
-        let world = Rc::new(World {
+        let world = Rc::new(SimulatedCluster {
             me: RefCell::new(std::rc::Weak::new()),
-            inner: RefCell::new(Inside {
+            inner: RefCell::new(ClusterState {
                 rng: StdRng::seed_from_u64(plan.seed),
                 state: StateService::new(plan.limits.then_some(LIMITS[0])),
                 cloud,
                 workers: BTreeMap::new(),
                 jobs: BTreeMap::new(),
-                rules: Rules::default(),
+                rules: InvariantChecker::default(),
                 accepted: 0,
                 finished: 0,
                 nodes: vec![None; NODES],
-                lives: vec![0; NODES],
+                generations: vec![0; NODES],
                 sockets: vec![None; NODES],
                 past_peak: 0,
                 past_refused: 0,
                 healthy: vec![true; NODES],
                 accepted_at: BTreeMap::new(),
                 bodies: BTreeMap::new(),
-                old: vec![plan.old; NODES],
+                old: vec![plan.old_version; NODES],
                 faults,
                 written: vec![0; NODES],
                 unready_since: vec![None; NODES],
@@ -1758,7 +1772,7 @@
         });
         *world.me.borrow_mut() = Rc::downgrade(&world);
         let ends = plan
-            .troubles
+            .faults
             .iter()
             .map(|(at, t)| *at + t.lasts().as_secs() + 1);
         // More work than room is a trouble too.
@@ -1771,28 +1785,28 @@
         }
         spawn_local(world.clone().tick_loop());
         spawn_local(world.clone().balancer_loop());
-        spawn_local(users::stranger(world.clone()));
+        spawn_local(users::ask_for_unknown_jobs(world.clone()));
         for number in 0..plan.jobs {
             let world = world.clone();
-            let at = now + Duration::from_millis(world.pick(plan.seconds * 700));
+            let at = now + Duration::from_millis(world.draw(plan.seconds * 700));
             spawn_local(async move {
                 sleep_until(at).await;
-                let body = users::make(&world, number);
-                users::follow(world, body).await;
+                let body = users::random_job(&world, number);
+                users::run_user(world, body).await;
             });
         }
         let (flood, from) = plan.flood;
         for number in 0..flood {
             let world = world.clone();
-            let at = now + Duration::from_secs(from) + Duration::from_millis(world.pick(20_000));
+            let at = now + Duration::from_secs(from) + Duration::from_millis(world.draw(20_000));
             spawn_local(async move {
                 sleep_until(at).await;
-                let team = if world.plan.flood_of_one {
+                let team = if world.plan.flood_of_one_team {
                     0
                 } else {
                     number % 4
                 };
-                users::follow(world, users::flood(number, team)).await;
+                users::run_user(world, users::flood_job(number, team)).await;
             });
         }
         let (pipelines, from) = plan.pipelines;
@@ -1800,25 +1814,25 @@
             let world = world.clone();
             spawn_local(async move {
                 sleep(Duration::from_secs(from)).await;
-                users::picky(world).await;
+                users::send_bad_dependencies(world).await;
             });
         }
         for number in 0..pipelines {
             let world = world.clone();
-            let at = now + Duration::from_secs(from) + Duration::from_millis(world.pick(60_000));
+            let at = now + Duration::from_secs(from) + Duration::from_millis(world.draw(60_000));
             spawn_local(async move {
                 sleep_until(at).await;
-                let stages = users::pipeline(&world, number);
-                users::follow_pipeline(world, stages).await;
+                let stages = users::dependent_jobs(&world, number);
+                users::run_dependent_jobs(world, stages).await;
             });
         }
-        let extra = (0..plan.broken).map(users::broken);
+        let extra = (0..plan.broken).map(users::failing_array);
         for number in 0..plan.uneven {
             let world = world.clone();
             let at = now + Duration::from_secs(20) + Duration::from_secs(4 * number as u64);
             spawn_local(async move {
                 sleep_until(at).await;
-                users::follow(world, users::uneven(number)).await;
+                users::run_user(world, users::uneven_array(number)).await;
             });
         }
         for number in 0..plan.bound {
@@ -1826,25 +1840,25 @@
             let at = now + Duration::from_secs(15) + Duration::from_millis(2_500 * number as u64);
             spawn_local(async move {
                 sleep_until(at).await;
-                users::follow(world, users::bound(number)).await;
+                users::run_user(world, users::zone_bound_job(number)).await;
             });
         }
-        let extra = extra.chain(plan.guests.then(users::huge));
+        let extra = extra.chain(plan.huge_guest_array.then(users::huge_array));
         for (n, body) in extra.enumerate() {
             let world = world.clone();
             spawn_local(async move {
                 sleep(Duration::from_secs(30 + 7 * n as u64)).await;
-                users::follow(world, body).await;
+                users::run_user(world, body).await;
             });
         }
-        let mut troubles = plan.troubles.clone();
+        let mut troubles = plan.faults.clone();
         troubles.sort_by_key(|(at, _)| *at);
         for (at, trouble) in troubles {
             sleep_until(now + Duration::from_secs(at)).await;
-            world.trouble(trouble);
+            world.inject(trouble);
         }
         sleep_until(now + Duration::from_secs(plan.seconds)).await;
-        let (unowned, unanswered) = world.left_alone();
+        let (unowned, unanswered) = world.unowned_and_unanswered();
         let ghosts = world.ghosts();
         for node in 0..NODES {
             world.kill_node(node);
@@ -1859,30 +1873,30 @@
             most_at_once: inner.rules.most_at_once,
             killed: inner.rules.killed,
             killed_in_reach: inner.rules.killed_in_reach,
-            moves: inner
+            role_moves: inner
                 .state
                 .moves
                 .iter()
                 .map(|(at, role, who)| ((*at - now).as_secs_f64(), role.clone(), who.clone()))
                 .collect(),
             undecided: inner.rules.undecided,
-            wants: inner.state.wants,
+            proposals: inner.state.wants,
             unowned,
             unanswered,
-            ghosts,
+            stale_host_records: ghosts,
             too_large: inner.state.too_large,
             longest: inner.state.longest(),
             staged: inner.rules.staged,
             swept: inner.rules.swept,
             picked: inner.rules.picked,
             sockets: inner.past_peak,
-            no_socket: inner.past_refused,
+            refused_sockets: inner.past_refused,
             least_largest: least(inner.largest()),
             cancels: inner
                 .rules
                 .cancels
                 .iter()
-                .map(|(id, c)| Gone {
+                .map(|(id, c)| ConfirmedCancellation {
                     job: id.clone(),
                     at: (c.at - now).as_secs_f64(),
                     node: c.node,
@@ -1890,7 +1904,7 @@
                     after: c.last_seen.map_or(0.0, |t| (t - c.at).as_secs_f64()),
                 })
                 .collect(),
-            silence: (
+            longest_silence: (
                 inner.rules.longest_silence.as_secs_f64(),
                 inner.rules.longest_silence_in_calm.as_secs_f64(),
             ),
@@ -1902,7 +1916,7 @@
             started_after: inner.rules.started_after,
             latest_start: inner.rules.latest_start.as_secs_f64(),
             longest_wait: inner.rules.longest_wait.as_secs_f64(),
-            met: inner.faults.met,
+            fault_counts: inner.faults.met,
             least_class: least(inner.shares(|j| j.class.to_string())),
             least_team: least(inner.shares(|j| j.team.to_string())),
             served: inner
--- a/crates/jasperhill-testkit/tests/cluster.rs
+++ b/crates/jasperhill-testkit/tests/cluster.rs
@@ -2,8 +2,8 @@
 //! rule of the protocol checked at every step. Seeded: a failure repeats.
 
 use jasperhill_testkit::{
-    Plan,
-    faults::{Place, Trouble},
+    Scenario,
+    faults::{Endpoint, Fault},
     run,
     world::{Outcome, Scale},
 };
@@ -15,11 +15,11 @@
 }
 
 /// A small deployment for five minutes.
-fn small(seed: u64, troubles: Vec<(u64, Trouble)>) -> Plan {
-    Plan::small(seed, 300, 60, troubles)
+fn small(seed: u64, troubles: Vec<(u64, Fault)>) -> Scenario {
+    Scenario::small(seed, 300, 60, troubles)
 }
 
-fn play(seed: u64, troubles: Vec<(u64, Trouble)>) -> Outcome {
+fn play(seed: u64, troubles: Vec<(u64, Fault)>) -> Outcome {
     let outcome = run(small(seed, troubles));
     assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
     // A run that does nothing would prove nothing.
@@ -41,8 +41,8 @@
 #[test]
 fn all_controllers_end_within_a_state_outage() {
     for seed in [2, 3] {
-        let mut troubles = vec![(80, Trouble::StateOutage(secs(12)))];
-        troubles.extend((0..3).map(|n| (86, Trouble::Crash(n, secs(6)))));
+        let mut troubles = vec![(80, Fault::StateOutage(secs(12)))];
+        troubles.extend((0..3).map(|n| (86, Fault::Crash(n, secs(6)))));
         play(seed, troubles);
     }
 }
@@ -50,15 +50,18 @@
 #[test]
 fn a_takeover_while_packets_are_held() {
     for seed in [4, 5] {
-        let zone = |z: &str| Place::Zone(z.to_owned());
+        let zone = |z: &str| Endpoint::Zone(z.to_owned());
         play(
             seed,
             vec![
-                (60, Trouble::Cut(Place::Node(0), zone("b"), secs(50))),
-                (62, Trouble::Cut(Place::Node(0), Place::State, secs(40))),
-                (64, Trouble::Cut(Place::Node(0), Place::Node(1), secs(45))),
-                (130, Trouble::Cut(Place::Node(1), zone("a"), secs(25))),
-                (132, Trouble::Crash(1, secs(30))),
+                (60, Fault::Cut(Endpoint::Node(0), zone("b"), secs(50))),
+                (62, Fault::Cut(Endpoint::Node(0), Endpoint::State, secs(40))),
+                (
+                    64,
+                    Fault::Cut(Endpoint::Node(0), Endpoint::Node(1), secs(45)),
+                ),
+                (130, Fault::Cut(Endpoint::Node(1), zone("a"), secs(25))),
+                (132, Fault::Crash(1, secs(30))),
             ],
         );
     }
@@ -70,8 +73,8 @@
         play(
             seed,
             vec![
-                (50, Trouble::Refused(1, secs(40))),
-                (140, Trouble::Refused(2, secs(9))),
+                (50, Fault::Refused(1, secs(40))),
+                (140, Fault::Refused(2, secs(9))),
             ],
         );
     }
@@ -79,9 +82,9 @@
 
 #[test]
 fn rolling_restarts_while_the_cloud_is_down_and_machines_die() {
-    let mut troubles = vec![(60, Trouble::CloudOutage(secs(60)))];
-    troubles.extend((0..3).map(|n| (70 + 12 * n as u64, Trouble::Crash(n, secs(6)))));
-    troubles.extend((0..4).map(|n| (75 + 9 * n, Trouble::Die)));
+    let mut troubles = vec![(60, Fault::CloudOutage(secs(60)))];
+    troubles.extend((0..3).map(|n| (70 + 12 * n as u64, Fault::Crash(n, secs(6)))));
+    troubles.extend((0..4).map(|n| (75 + 9 * n, Fault::MachineLoss)));
     play(8, troubles);
 }
 
@@ -94,17 +97,17 @@
             let at = rng.random_range(30..230);
             let time = secs(rng.random_range(2..35));
             let node = rng.random_range(0..3);
-            let zone = Place::Zone(if rng.random() { "a" } else { "b" }.to_owned());
+            let zone = Endpoint::Zone(if rng.random() { "a" } else { "b" }.to_owned());
             troubles.push((
                 at,
                 match rng.random_range(0..8) {
-                    0 | 1 => Trouble::Crash(node, time),
-                    2 => Trouble::Cut(Place::Node(node), zone, time),
-                    3 => Trouble::Cut(Place::Node(node), Place::State, time),
-                    4 => Trouble::Cut(Place::Node(node), Place::Node((node + 1) % 3), time),
-                    5 => Trouble::StateOutage(time / 2),
-                    6 => Trouble::Refused(node, time),
-                    _ => Trouble::Die,
+                    0 | 1 => Fault::Crash(node, time),
+                    2 => Fault::Cut(Endpoint::Node(node), zone, time),
+                    3 => Fault::Cut(Endpoint::Node(node), Endpoint::State, time),
+                    4 => Fault::Cut(Endpoint::Node(node), Endpoint::Node((node + 1) % 3), time),
+                    5 => Fault::StateOutage(time / 2),
+                    6 => Fault::Refused(node, time),
+                    _ => Fault::MachineLoss,
                 },
             ));
         }
@@ -115,17 +118,17 @@
 }
 
 /// The two zones can't reach each other for longer than a lease: node 1 is alone in zone b.
-fn zones_apart(at: u64, time: Duration) -> Vec<(u64, Trouble)> {
-    let zone = |z: &str| Place::Zone(z.to_owned());
+fn zones_apart(at: u64, time: Duration) -> Vec<(u64, Fault)> {
+    let zone = |z: &str| Endpoint::Zone(z.to_owned());
     [
-        (Place::Node(0), zone("b")),
-        (Place::Node(2), zone("b")),
-        (Place::Node(1), zone("a")),
-        (Place::Node(0), Place::Node(1)),
-        (Place::Node(2), Place::Node(1)),
+        (Endpoint::Node(0), zone("b")),
+        (Endpoint::Node(2), zone("b")),
+        (Endpoint::Node(1), zone("a")),
+        (Endpoint::Node(0), Endpoint::Node(1)),
+        (Endpoint::Node(2), Endpoint::Node(1)),
     ]
     .into_iter()
-    .map(|(a, b)| (at, Trouble::Cut(a, b, time)))
+    .map(|(a, b)| (at, Fault::Cut(a, b, time)))
     .collect()
 }
 
@@ -143,9 +146,9 @@
 fn owners_end_while_their_hosts_are_kept_by_others() {
     for seed in [43, 44] {
         let mut troubles = zones_apart(100, secs(45));
-        troubles.push((112, Trouble::Crash(0, secs(6))));
-        troubles.push((120, Trouble::Crash(1, secs(20))));
-        troubles.push((125, Trouble::Refused(2, secs(12))));
+        troubles.push((112, Fault::Crash(0, secs(6))));
+        troubles.push((120, Fault::Crash(1, secs(20))));
+        troubles.push((125, Fault::Refused(2, secs(12))));
         play(seed, troubles);
     }
 }
@@ -153,12 +156,12 @@
 #[test]
 fn a_large_deployment_through_restarts_cuts_and_dying_machines() {
     let mut troubles = zones_apart(60, secs(25));
-    troubles.push((35, Trouble::Crash(0, secs(6))));
-    troubles.extend((0..3).map(|n| (100, Trouble::Crash(n, secs(5)))));
-    troubles.extend((0..12).map(|n| (40 + 5 * n, Trouble::Die)));
-    let outcome = run(Plan {
+    troubles.push((35, Fault::Crash(0, secs(6))));
+    troubles.extend((0..3).map(|n| (100, Fault::Crash(n, secs(5)))));
+    troubles.extend((0..12).map(|n| (40 + 5 * n, Fault::MachineLoss)));
+    let outcome = run(Scenario {
         scale: Scale::Large,
-        ..Plan::small(50, 150, 120, troubles)
+        ..Scenario::small(50, 150, 120, troubles)
     });
     assert_eq!(outcome.broken, Vec::<String>::new());
     assert!(outcome.accepted > 70, "{outcome:?}");
@@ -170,24 +173,24 @@
 /// decided before goes out after.
 #[test]
 fn controllers_stand_still_and_go_on_as_if_nothing_had_happened() {
-    let zone = |z: &str| Place::Zone(z.to_owned());
+    let zone = |z: &str| Endpoint::Zone(z.to_owned());
     for seed in 60..65 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut troubles = Vec::new();
         for at in [45, 80, 120, 160, 200, 235] {
             let node = rng.random_range(0..3);
             let time = secs(rng.random_range(2..40));
-            troubles.push((at, Trouble::Freeze(node, time)));
-            troubles.push((at + 9, Trouble::Freeze((node + 1) % 3, time / 2)));
+            troubles.push((at, Fault::Stall(node, time)));
+            troubles.push((at + 9, Fault::Stall((node + 1) % 3, time / 2)));
             let side = zone(if rng.random() { "a" } else { "b" });
             match rng.random_range(0..4) {
-                0 => troubles.push((at + 3, Trouble::Crash((node + 2) % 3, secs(6)))),
-                1 => troubles.push((at + 3, Trouble::Cut(Place::Node(node), side, secs(20)))),
-                2 => troubles.push((at + 12, Trouble::Refused((node + 1) % 3, secs(15)))),
-                _ => troubles.push((at + 5, Trouble::StateOutage(secs(8)))),
+                0 => troubles.push((at + 3, Fault::Crash((node + 2) % 3, secs(6)))),
+                1 => troubles.push((at + 3, Fault::Cut(Endpoint::Node(node), side, secs(20)))),
+                2 => troubles.push((at + 12, Fault::Refused((node + 1) % 3, secs(15)))),
+                _ => troubles.push((at + 5, Fault::StateOutage(secs(8)))),
             }
         }
-        let outcome = run(Plan {
+        let outcome = run(Scenario {
             broken: 2,
             ..small(seed, troubles)
         });
@@ -200,11 +203,11 @@
 /// lost.
 #[test]
 fn a_controller_that_loses_its_workers_alone_keeps_their_tasks() {
-    let zone = |z: &str| Place::Zone(z.to_owned());
+    let zone = |z: &str| Endpoint::Zone(z.to_owned());
     let mut killed = 0;
     for seed in [70, 71] {
         let troubles = ["a", "b"]
-            .map(|z| (100, Trouble::Cut(Place::Node(1), zone(z), secs(40))))
+            .map(|z| (100, Fault::Cut(Endpoint::Node(1), zone(z), secs(40))))
             .to_vec();
         killed += play(seed, troubles).killed;
     }
@@ -217,10 +220,10 @@
         play(
             seed,
             vec![
-                (20, Trouble::BadBoots(secs(120))),
-                (70, Trouble::Crash(0, secs(6))),
-                (90, Trouble::Die),
-                (130, Trouble::Die),
+                (20, Fault::BadBoots(secs(120))),
+                (70, Fault::Crash(0, secs(6))),
+                (90, Fault::MachineLoss),
+                (130, Fault::MachineLoss),
             ],
         );
     }
@@ -230,11 +233,11 @@
 /// nothing of it is run again in bulk, and the others are served.
 #[test]
 fn broken_arrays_and_a_guests_huge_one_across_restarts() {
-    let mut troubles: Vec<_> = (0..3).map(|n| (75, Trouble::Crash(n, secs(6)))).collect();
-    troubles.push((110, Trouble::Freeze(0, secs(20))));
-    let outcome = run(Plan {
+    let mut troubles: Vec<_> = (0..3).map(|n| (75, Fault::Crash(n, secs(6)))).collect();
+    troubles.push((110, Fault::Stall(0, secs(20))));
+    let outcome = run(Scenario {
         broken: 4,
-        guests: true,
+        huge_guest_array: true,
         ..small(90, troubles)
     });
     assert_eq!(outcome.broken, Vec::<String>::new());
@@ -248,7 +251,7 @@
 /// cancellation reaches all that comes after.
 #[test]
 fn pipelines_through_troubles() {
-    let zone = |z: &str| Place::Zone(z.to_owned());
+    let zone = |z: &str| Endpoint::Zone(z.to_owned());
     let (mut staged, mut swept) = (0, 0);
     for seed in 100..105 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -259,16 +262,16 @@
             troubles.push((
                 at,
                 match rng.random_range(0..6) {
-                    0 => Trouble::Crash(node, time),
-                    1 => Trouble::Cut(Place::Node(node), Place::State, time),
-                    2 => Trouble::StateOutage(time),
-                    3 => Trouble::Refused(node, time),
-                    4 => Trouble::Freeze(node, time),
-                    _ => Trouble::Cut(Place::Node(node), zone("b"), time),
+                    0 => Fault::Crash(node, time),
+                    1 => Fault::Cut(Endpoint::Node(node), Endpoint::State, time),
+                    2 => Fault::StateOutage(time),
+                    3 => Fault::Refused(node, time),
+                    4 => Fault::Stall(node, time),
+                    _ => Fault::Cut(Endpoint::Node(node), zone("b"), time),
                 },
             ));
         }
-        let outcome = run(Plan {
+        let outcome = run(Scenario {
             pipelines: (14, 40),
             ..small(seed, troubles)
         });
@@ -283,13 +286,13 @@
 
 /// The upgrade, one controller after the other, in a deployment whose records are large; then
 /// the limits fall.
-fn upgrade(seed: u64, scale: Scale, mut troubles: Vec<(u64, Trouble)>) -> Outcome {
-    troubles.extend((0..3).map(|n| (60 + 12 * n as u64, Trouble::Upgrade(n, secs(5)))));
-    troubles.push((130, Trouble::LimitsFall));
-    let outcome = run(Plan {
+fn upgrade(seed: u64, scale: Scale, mut troubles: Vec<(u64, Fault)>) -> Outcome {
+    troubles.extend((0..3).map(|n| (60 + 12 * n as u64, Fault::Upgrade(n, secs(5)))));
+    troubles.push((130, Fault::LimitsFall));
+    let outcome = run(Scenario {
         pipelines: (8, 105),
         limits: true,
-        old: true,
+        old_version: true,
         scale,
         seconds: 240,
         ..small(seed, troubles)
@@ -320,18 +323,18 @@
     for seed in [120, 121, 122] {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut troubles = vec![
-            (55, Trouble::Crash(2, secs(6))),
-            (66, Trouble::Crash(1, secs(4))),
+            (55, Fault::Crash(2, secs(6))),
+            (66, Fault::Crash(1, secs(4))),
         ];
         let node = rng.random_range(0..3);
         let time = secs(rng.random_range(6..20));
-        troubles.push((70, Trouble::Refused(node, time)));
-        troubles.push((95, Trouble::StateOutage(time / 2)));
-        troubles.push((120, Trouble::Crash((node + 1) % 3, secs(6))));
-        troubles.push((133, Trouble::Cut(Place::Node(node), Place::State, time)));
+        troubles.push((70, Fault::Refused(node, time)));
+        troubles.push((95, Fault::StateOutage(time / 2)));
+        troubles.push((120, Fault::Crash((node + 1) % 3, secs(6))));
+        troubles.push((133, Fault::Cut(Endpoint::Node(node), Endpoint::State, time)));
         upgrade(seed, Scale::Small, troubles);
     }
-    let early = vec![(50, Trouble::LimitsFall)];
+    let early = vec![(50, Fault::LimitsFall)];
     let outcome = upgrade(123, Scale::Large, early);
     assert!(outcome.longest <= 2 * 1024, "{outcome:?}");
 }
--- a/crates/jasperhill-testkit/tests/limits.rs
+++ b/crates/jasperhill-testkit/tests/limits.rs
@@ -2,8 +2,8 @@
 //! guard is shown to be needed by leaving it out.
 
 use jasperhill_testkit::{
-    Plan,
-    faults::{Place, Trouble},
+    Scenario,
+    faults::{Endpoint, Fault},
     run,
     world::{Outcome, Scale},
 };
@@ -21,24 +21,27 @@
 /// as they were planned for: 1.64 for each.
 const TIGHT: usize = 985;
 
-fn fleet(seed: u64, seconds: u64, troubles: Vec<(u64, Trouble)>) -> Plan {
-    Plan {
+fn fleet(seed: u64, seconds: u64, troubles: Vec<(u64, Fault)>) -> Scenario {
+    Scenario {
         scale: Scale::Fleet,
         sockets: TIGHT,
-        ..Plan::small(seed, seconds, 150, troubles)
+        ..Scenario::small(seed, seconds, 150, troubles)
     }
 }
 
 /// Two of three controllers lose everything: the one left has all workers and users.
-fn one_left() -> Vec<(u64, Trouble)> {
+fn one_left() -> Vec<(u64, Fault)> {
     let mut cuts = Vec::new();
     for n in [0, 1] {
         for zone in ["a", "b"] {
-            let zone = Place::Zone(zone.to_owned());
-            cuts.push((40, Trouble::Cut(Place::Node(n), zone, secs(30))));
+            let zone = Endpoint::Zone(zone.to_owned());
+            cuts.push((40, Fault::Cut(Endpoint::Node(n), zone, secs(30))));
         }
-        cuts.push((40, Trouble::Cut(Place::Node(n), Place::State, secs(30))));
-        cuts.push((40, Trouble::Cut(Place::Node(n), Place::Node(2), secs(30))));
+        cuts.push((40, Fault::Cut(Endpoint::Node(n), Endpoint::State, secs(30))));
+        cuts.push((
+            40,
+            Fault::Cut(Endpoint::Node(n), Endpoint::Node(2), secs(30)),
+        ));
     }
     cuts
 }
@@ -53,22 +56,22 @@
     let outcome = run(fleet(1, 90, one_left()));
     rules_hold(&outcome);
     assert!(outcome.sockets * 10 <= TIGHT * 8, "{outcome:?}");
-    assert_eq!(outcome.no_socket, 0, "{outcome:?}");
+    assert_eq!(outcome.refused_sockets, 0, "{outcome:?}");
     // Workers are kept waiting for a takeover: 31 and 38 were lost where they were sent away.
     assert!(outcome.killed <= 8, "{outcome:?}");
 }
 
 #[test]
 fn a_process_that_keeps_no_account_runs_out_of_sockets() {
-    let outcome = run(Plan {
-        unaccounted: true,
+    let outcome = run(Scenario {
+        without_connection_budget: true,
         ..fleet(1, 90, one_left())
     });
     assert!(outcome.sockets * 10 > TIGHT * 8, "{outcome:?}");
 }
 
-fn looping(nodes: usize, times: usize) -> Vec<(u64, Trouble)> {
-    let again = |node| Trouble::Loop {
+fn looping(nodes: usize, times: usize) -> Vec<(u64, Fault)> {
+    let again = |node| Fault::CrashLoop {
         node,
         times,
         life: ms(900),
@@ -80,13 +83,13 @@
 /// A process that ends again and again leaves its roles to those who live on, where there are any.
 #[test]
 fn a_controller_that_ends_again_and_again_leaves_its_roles() {
-    let outcome = run(Plan::small(3, 100, 40, looping(1, 35)));
+    let outcome = run(Scenario::small(3, 100, 40, looping(1, 35)));
     assert_eq!(outcome.broken, Vec::<String>::new());
     assert_eq!(outcome.killed, 0, "{outcome:?}");
     // Within a few lives, and home again only after the last one.
     let left = |role: &str| {
         let moved = outcome
-            .moves
+            .role_moves
             .iter()
             .filter(|(at, r, _)| r == role && *at > 40.0);
         moved
@@ -96,11 +99,14 @@
     let away = left("jh/part/0");
     assert!(away[0].0 < 46.0 && away[0].1 != "worker-0", "{away:?}");
     assert!(away[1..].iter().all(|(at, _)| *at > 73.0), "{away:?}");
-    let stays = run(Plan {
-        never_restless: true,
-        ..Plan::small(3, 100, 40, looping(1, 35))
+    let stays = run(Scenario {
+        without_crash_loop_backoff: true,
+        ..Scenario::small(3, 100, 40, looping(1, 35))
     });
-    assert!(stays.moves.iter().all(|(at, ..)| *at < 40.0), "{stays:?}");
+    assert!(
+        stays.role_moves.iter().all(|(at, ..)| *at < 40.0),
+        "{stays:?}"
+    );
     assert!(stays.undecided > outcome.undecided, "{stays:?}");
 }
 
@@ -119,11 +125,11 @@
 
 /// Urgent work without end, more than there is room for.
 fn burst(seed: u64, no_floors: bool) -> Outcome {
-    let outcome = run(Plan {
+    let outcome = run(Scenario {
         scale: Scale::Large,
         flood: (320, 15),
-        no_floors,
-        ..Plan::small(seed, 220, 140, Vec::new())
+        without_starvation_guard: no_floors,
+        ..Scenario::small(seed, 220, 140, Vec::new())
     });
     assert_eq!(outcome.broken, Vec::<String>::new());
     println!("{} {:?}", outcome.started, outcome.served);
@@ -140,11 +146,11 @@
 /// One team's flood beside the others: they don't notice.
 #[test]
 fn a_flood_of_one_team_is_its_own_affair() {
-    let outcome = run(Plan {
+    let outcome = run(Scenario {
         scale: Scale::Large,
         flood: (400, 15),
-        flood_of_one: true,
-        ..Plan::small(6, 180, 120, vec![(60, Trouble::Crash(0, secs(6)))])
+        flood_of_one_team: true,
+        ..Scenario::small(6, 180, 120, vec![(60, Fault::Crash(0, secs(6)))])
     });
     assert_eq!(outcome.broken, Vec::<String>::new());
     println!("{:?}", outcome.served);
--- a/crates/jasperhill-testkit/tests/links.rs
+++ b/crates/jasperhill-testkit/tests/links.rs
@@ -6,8 +6,8 @@
 //! both, in some minutes: `cargo test --release -p jasperhill-testkit --test links -- --ignored`.
 
 use jasperhill_testkit::{
-    Plan,
-    faults::{Kind, Place, Trouble},
+    Scenario,
+    faults::{Endpoint, Fault, LinkFault},
     run,
     world::Outcome,
 };
@@ -17,7 +17,7 @@
     time::Duration,
 };
 
-type Link = (Place, Place);
+type Link = (Endpoint, Endpoint);
 
 /// When the cuts begin, how long they last, and how long after them all must be well.
 const AT: u64 = 45;
@@ -28,28 +28,28 @@
     Duration::from_secs(s)
 }
 
-fn zone(name: &str) -> Place {
-    Place::Zone(name.to_owned())
+fn zone(name: &str) -> Endpoint {
+    Endpoint::Zone(name.to_owned())
 }
 
 /// Every link of a deployment of three controllers and two zones, from the one who asks.
 fn links() -> Vec<Link> {
     let mut links = Vec::new();
     for n in 0..3 {
-        links.push((Place::Node(n), Place::State));
+        links.push((Endpoint::Node(n), Endpoint::State));
         for other in (0..3).filter(|o| *o != n) {
-            links.push((Place::Node(n), Place::Node(other)));
+            links.push((Endpoint::Node(n), Endpoint::Node(other)));
         }
         for z in ["a", "b"] {
-            links.push((Place::Node(n), zone(z)));
-            links.push((zone(z), Place::Node(n)));
+            links.push((Endpoint::Node(n), zone(z)));
+            links.push((zone(z), Endpoint::Node(n)));
         }
     }
     links
 }
 
-fn plan(seed: u64, seconds: u64, troubles: Vec<(u64, Trouble)>) -> Plan {
-    Plan::small(seed, seconds, 30, troubles)
+fn plan(seed: u64, seconds: u64, troubles: Vec<(u64, Fault)>) -> Scenario {
+    Scenario::small(seed, seconds, 30, troubles)
 }
 
 fn judge(name: &str, outcome: &Outcome) -> Option<String> {
@@ -62,7 +62,7 @@
 
 /// Plays all of these side by side; what went wrong, which of them lost tasks to leases, and what
 /// came of each.
-fn play_all(cases: Vec<(String, Plan)>) -> (Vec<String>, Vec<String>, Vec<(String, Outcome)>) {
+fn play_all(cases: Vec<(String, Scenario)>) -> (Vec<String>, Vec<String>, Vec<(String, Outcome)>) {
     let next = AtomicUsize::new(0);
     let one = || {
         let mut played = Vec::new();
@@ -84,7 +84,7 @@
 
 /// What went wrong in any of these, and how many tasks were lost to leases although somebody could
 /// have helped.
-fn play(cases: Vec<(String, Plan)>) -> (Vec<String>, usize) {
+fn play(cases: Vec<(String, Scenario)>) -> (Vec<String>, usize) {
     let (wrong, _, played) = play_all(cases);
     for (name, outcome) in &played {
         if outcome.killed_in_reach > 0 {
@@ -95,12 +95,9 @@
     (wrong, lost)
 }
 
-fn cut(cuts: &[(&Link, Kind)], seed: u64) -> (String, Plan) {
-    let trouble = |((from, to), kind): &(&Link, Kind)| {
-        (
-            AT,
-            Trouble::Link(from.clone(), to.clone(), *kind, secs(FOR)),
-        )
+fn cut(cuts: &[(&Link, LinkFault)], seed: u64) -> (String, Scenario) {
+    let trouble = |((from, to), kind): &(&Link, LinkFault)| {
+        (AT, Fault::Link(from.clone(), to.clone(), *kind, secs(FOR)))
     };
     let plan = plan(seed, AT + FOR + BOUND, cuts.iter().map(trouble).collect());
     (format!("{cuts:?}"), plan)
@@ -111,7 +108,7 @@
     let cases = links()
         .iter()
         .enumerate()
-        .map(|(n, link)| cut(&[(link, Kind::CUTS[n % 5])], n as u64))
+        .map(|(n, link)| cut(&[(link, LinkFault::CUTTING[n % 5])], n as u64))
         .collect();
     let (wrong, lost) = play(cases);
     assert_eq!(wrong, Vec::<String>::new());
@@ -121,10 +118,10 @@
 #[test]
 #[ignore = "minutes: every single link in every way"]
 fn every_single_link_fails_in_every_way() {
-    let limp = [Kind::Slow(1_500), Kind::Lossy(40)];
+    let limp = [LinkFault::Slow(1_500), LinkFault::Lossy(40)];
     let mut cases = Vec::new();
     for link in &links() {
-        for kind in Kind::CUTS.into_iter().chain(limp) {
+        for kind in LinkFault::CUTTING.into_iter().chain(limp) {
             cases.push(cut(&[(link, kind)], cases.len() as u64));
         }
     }
@@ -134,12 +131,15 @@
 }
 
 /// All pairs of links, each with kinds by turns.
-fn pairs() -> Vec<(String, Plan)> {
+fn pairs() -> Vec<(String, Scenario)> {
     let links = links();
     let mut cases = Vec::new();
     for (i, one) in links.iter().enumerate() {
         for (j, two) in links[..i].iter().enumerate() {
-            let kinds = (Kind::CUTS[(i + j) % 5], Kind::CUTS[(i * 3 + j) % 5]);
+            let kinds = (
+                LinkFault::CUTTING[(i + j) % 5],
+                LinkFault::CUTTING[(i * 3 + j) % 5],
+            );
             cases.push(cut(&[(one, kinds.0), (two, kinds.1)], cases.len() as u64));
         }
     }
@@ -165,14 +165,14 @@
 }
 
 /// A controller and all workers, in both directions.
-fn workers_of(node: usize, time: u64) -> Vec<Trouble> {
-    let place = Place::Node(node);
+fn workers_of(node: usize, time: u64) -> Vec<Fault> {
+    let place = Endpoint::Node(node);
     ["a", "b"]
         .iter()
         .flat_map(|z| {
             [
-                Trouble::Link(place.clone(), zone(z), Kind::Held, secs(time)),
-                Trouble::Link(zone(z), place.clone(), Kind::Held, secs(time)),
+                Fault::Link(place.clone(), zone(z), LinkFault::Held, secs(time)),
+                Fault::Link(zone(z), place.clone(), LinkFault::Held, secs(time)),
             ]
         })
         .collect()
@@ -183,10 +183,10 @@
 #[test]
 fn nobody_reaches_both_sides() {
     let case = |seed| {
-        let mut troubles = vec![Trouble::Link(
-            Place::Node(0),
-            Place::State,
-            Kind::Held,
+        let mut troubles = vec![Fault::Link(
+            Endpoint::Node(0),
+            Endpoint::State,
+            LinkFault::Held,
             secs(60),
         )];
         troubles.extend(workers_of(1, 60));
@@ -197,7 +197,11 @@
     let (wrong, killed, played) = play_all((1..25).map(case).collect());
     assert_eq!(wrong, Vec::<String>::new());
     for (name, outcome) in &played {
-        let from: Vec<_> = outcome.moves.iter().filter(|(at, ..)| *at > 60.0).collect();
+        let from: Vec<_> = outcome
+            .role_moves
+            .iter()
+            .filter(|(at, ..)| *at > 60.0)
+            .collect();
         // By word: long before the session of eight seconds has ended.
         let soon = from
             .iter()
@@ -217,7 +221,7 @@
         let mut troubles: Vec<_> = [workers_of(0, 40), workers_of(1, 40)].concat();
         let mut troubles: Vec<_> = troubles.drain(..).map(|t| (60, t)).collect();
         for (n, node) in [2, 0, 1].into_iter().enumerate() {
-            troubles.push((74 + 10 * n as u64, Trouble::Crash(node, secs(3))));
+            troubles.push((74 + 10 * n as u64, Fault::Crash(node, secs(3))));
         }
         let outcome = run(plan(seed, 150, troubles));
         assert_eq!(judge("then roll", &outcome), None);
@@ -227,11 +231,11 @@
 }
 
 /// Controllers refuse one another.
-fn peers_refuse(at: u64, time: u64) -> Vec<(u64, Trouble)> {
-    let peers = |(from, to): &Link| matches!((from, to), (Place::Node(_), Place::Node(_)));
+fn peers_refuse(at: u64, time: u64) -> Vec<(u64, Fault)> {
+    let peers = |(from, to): &Link| matches!((from, to), (Endpoint::Node(_), Endpoint::Node(_)));
     let links = links().into_iter().filter(peers);
     links
-        .map(|(from, to)| (at, Trouble::Link(from, to, Kind::Refused, secs(time))))
+        .map(|(from, to)| (at, Fault::Link(from, to, LinkFault::Refused, secs(time))))
         .collect()
 }
 
@@ -246,7 +250,7 @@
         let outcome = run(plan(seed, 150, troubles.clone()));
         assert_eq!(judge("peers", &outcome), None);
         assert_eq!(outcome.killed, 0);
-        wants += outcome.wants;
+        wants += outcome.proposals;
         undecided += outcome.undecided;
     }
     assert!(wants > 8 && undecided <= 4, "{wants} {undecided}");
@@ -283,7 +287,7 @@
         for role in 0..3 {
             let role = format!("jh/part/{role}");
             let at: Vec<f64> = outcome
-                .moves
+                .role_moves
                 .iter()
                 .filter(|(at, r, _)| *r == role && *at > 45.0)
                 .map(|(at, ..)| *at)
@@ -306,19 +310,17 @@
             let mut troubles = Vec::new();
             for _ in 0..5 {
                 let (from, to) = links.choose(&mut rng).unwrap().clone();
-                let kind = *Kind::CUTS.choose(&mut rng).unwrap();
+                let kind = *LinkFault::CUTTING.choose(&mut rng).unwrap();
                 let at = rng.random_range(45..80);
                 let time = secs(rng.random_range(3..40));
-                troubles.push((at, Trouble::Link(from, to, kind, time)));
+                troubles.push((at, Fault::Link(from, to, kind, time)));
             }
             let node = rng.random_range(0..3);
             match seed % 4 {
-                0 => troubles.push((60, Trouble::Crash(node, secs(6)))),
-                1 => {
-                    troubles.extend((0..3).map(|n| (55 + 9 * n as u64, Trouble::Crash(n, secs(4)))))
-                }
-                2 => troubles.push((62, Trouble::Freeze(node, secs(12)))),
-                _ => troubles.push((58, Trouble::Refused(node, secs(15)))),
+                0 => troubles.push((60, Fault::Crash(node, secs(6)))),
+                1 => troubles.extend((0..3).map(|n| (55 + 9 * n as u64, Fault::Crash(n, secs(4))))),
+                2 => troubles.push((62, Fault::Stall(node, secs(12)))),
+                _ => troubles.push((58, Fault::Refused(node, secs(15)))),
             }
             (format!("seed {seed}"), plan(seed, 155, troubles))
         })
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -7,13 +7,13 @@
 use jasperhill_membership::LeaseTerms;
 use jasperhill_scheduler::{HeartbeatSource, Host, HostInput, MachineSpec};
 use jasperhill_testkit::{
-    Plan,
-    days::{drawn, from_peers},
-    faults::{Kind, Met, Place, Trouble},
-    rules::Rules,
+    Scenario,
+    days::{cut_from_peers, drawn},
+    faults::{Endpoint, Fault, FaultCounts, LinkFault},
+    rules::InvariantChecker,
     run,
-    workers::{Times, Worker},
-    world::{Gone, Outcome, Scale},
+    workers::{Worker, WorkerTimes},
+    world::{ConfirmedCancellation, Outcome, Scale},
 };
 use jasperhill_wire::{
     Attempt, FencingToken, Micros, Resources, TaskId,
@@ -46,7 +46,7 @@
 const AT: u64 = 80;
 
 /// Plays all of these side by side.
-fn play(plans: Vec<(String, Plan)>) -> Vec<(String, Outcome)> {
+fn play(plans: Vec<(String, Scenario)>) -> Vec<(String, Outcome)> {
     let next = AtomicUsize::new(0);
     let one = || {
         let mut played = Vec::new();
@@ -72,29 +72,30 @@
     assert_eq!(wrong, Vec::<String>::new());
 }
 
-fn met(played: &[(String, Outcome)], what: impl Fn(&Met) -> usize) -> usize {
-    played.iter().map(|(_, o)| what(&o.met)).sum()
+fn met(played: &[(String, Outcome)], what: impl Fn(&FaultCounts) -> usize) -> usize {
+    played.iter().map(|(_, o)| what(&o.fault_counts)).sum()
 }
 
 /// Tasks that outlast the day; two of three users cancel from some seconds before the refusal on
 /// until the outage.
-fn refused(seed: u64, node: usize, lead: u64, more: Vec<(u64, Trouble)>) -> Plan {
+fn refused(seed: u64, node: usize, lead: u64, more: Vec<(u64, Fault)>) -> Scenario {
     let from = OUTAGE_AT - lead;
     let mut troubles = vec![
-        (from, Trouble::Refused(node, secs(lead + OUTAGE + 20))),
-        (OUTAGE_AT, Trouble::StateOutage(secs(OUTAGE))),
+        (from, Fault::Refused(node, secs(lead + OUTAGE + 20))),
+        (OUTAGE_AT, Fault::StateOutage(secs(OUTAGE))),
     ];
     troubles.extend(more);
-    Plan {
-        long: Some((from - 4, OUTAGE_AT)),
-        ..Plan::small(seed, 290, 60, troubles)
+    Scenario {
+        long_tasks: Some((from - 4, OUTAGE_AT)),
+        ..Scenario::small(seed, 290, 60, troubles)
     }
 }
 
 /// Cancellations that others confirmed between the refusal and the outage, with tasks alive then.
-fn between(outcome: &Outcome, node: usize, lead: u64) -> Vec<&Gone> {
+fn between(outcome: &Outcome, node: usize, lead: u64) -> Vec<&ConfirmedCancellation> {
     let window = (OUTAGE_AT - lead) as f64..OUTAGE_AT as f64;
-    let within = |c: &&Gone| window.contains(&c.at) && c.node != node && c.alive > 0;
+    let within =
+        |c: &&ConfirmedCancellation| window.contains(&c.at) && c.node != node && c.alive > 0;
     outcome.cancels.iter().filter(within).collect()
 }
 
@@ -102,8 +103,8 @@
 /// longest until the last task of one was gone.
 fn refused_days(
     lead: u64,
-    more: impl Fn(usize) -> Vec<(u64, Trouble)>,
-    change: impl Fn(&mut Plan),
+    more: impl Fn(usize) -> Vec<(u64, Fault)>,
+    change: impl Fn(&mut Scenario),
 ) -> (usize, f64, Vec<(String, Outcome)>) {
     let plans = (0..9).map(|n| {
         let node = n % 3;
@@ -136,7 +137,7 @@
 #[test]
 fn the_refused_owner_loses_its_peers_as_well() {
     for lead in [5, 12] {
-        let cut = |node| from_peers(node, OUTAGE_AT - lead, lead + OUTAGE);
+        let cut = |node| cut_from_peers(node, OUTAGE_AT - lead, lead + OUTAGE);
         let (fell, latest, played) = refused_days(lead, cut, |_| {});
         judge(&played);
         assert!(fell > 0 && latest < CANCEL, "{lead}: {fell} {latest}");
@@ -148,7 +149,7 @@
 /// breaks, by its name.
 #[test]
 fn a_long_session_does_not_lengthen_what_unheard_of_cancellations_have() {
-    let cut = |node| from_peers(node, OUTAGE_AT - 5, 5 + OUTAGE);
+    let cut = |node| cut_from_peers(node, OUTAGE_AT - 5, 5 + OUTAGE);
     let (fell, latest, played) = refused_days(5, cut, |plan| plan.session = Some(60));
     judge(&played);
     assert!(
@@ -157,7 +158,7 @@
     );
     let (_, _, blind) = refused_days(5, cut, |plan| {
         plan.session = Some(60);
-        plan.blind = true;
+        plan.without_freshness_bound = true;
     });
     let broken = blind.iter().flat_map(|(_, o)| &o.broken);
     assert!(broken.into_iter().any(|b| b.starts_with("ran_cancelled")));
@@ -167,13 +168,13 @@
 #[test]
 fn a_refusal_and_an_outage_with_a_third_trouble() {
     let others = |node| (0..3).filter(move |n| *n != node);
-    let stands = |node| vec![(OUTAGE_AT - 2, Trouble::Freeze(node, secs(20)))];
+    let stands = |node| vec![(OUTAGE_AT - 2, Fault::Stall(node, secs(20)))];
     let end = |node| {
-        let crash = |n| (OUTAGE_AT + 2, Trouble::Crash(n, millis(300)));
+        let crash = |n| (OUTAGE_AT + 2, Fault::Crash(n, millis(300)));
         others(node).map(crash).collect()
     };
-    let deaf = |_| vec![(OUTAGE_AT - 14, Trouble::Deaf(40, secs(20)))];
-    let more: [&dyn Fn(usize) -> Vec<(u64, Trouble)>; 3] = [&stands, &end, &deaf];
+    let deaf = |_| vec![(OUTAGE_AT - 14, Fault::NotReceiving(40, secs(20)))];
+    let more: [&dyn Fn(usize) -> Vec<(u64, Fault)>; 3] = [&stands, &end, &deaf];
     for more in more {
         let (fell, latest, played) = refused_days(12, more, |_| {});
         judge(&played);
@@ -186,17 +187,28 @@
 #[test]
 fn users_leave_a_controller_that_has_lost_everybody_else() {
     let plans = (0..3).map(|node| {
-        let mut troubles = from_peers(node, AT, 130);
-        troubles.push((AT, Trouble::Cut(Place::Node(node), Place::State, secs(130))));
-        (format!("node {node}"), Plan::small(5, 300, 60, troubles))
+        let mut troubles = cut_from_peers(node, AT, 130);
+        troubles.push((
+            AT,
+            Fault::Cut(Endpoint::Node(node), Endpoint::State, secs(130)),
+        ));
+        (
+            format!("node {node}"),
+            Scenario::small(5, 300, 60, troubles),
+        )
     });
     let played = play(plans.collect());
     judge(&played);
     for (name, o) in &played {
-        assert!(o.silence.0 < 60.0, "{name}: {:?}", o.silence);
+        assert!(
+            o.longest_silence.0 < 60.0,
+            "{name}: {:?}",
+            o.longest_silence
+        );
         // Jobs were cancelled meanwhile, through others.
         let node: usize = name[5..].parse().unwrap();
-        let while_apart = |c: &&Gone| (80.0..210.0).contains(&c.at) && c.node != node;
+        let while_apart =
+            |c: &&ConfirmedCancellation| (80.0..210.0).contains(&c.at) && c.node != node;
         assert!(o.cancels.iter().filter(while_apart).count() > 3, "{name}");
     }
 }
@@ -205,14 +217,14 @@
 fn a_leader_ends_while_machines_hear_nothing() {
     let plans = (0..3).map(|node| {
         let troubles = vec![
-            (AT, Trouble::Deaf(50, secs(14 + 12 * node as u64))),
-            (AT + 3, Trouble::Crash(node, secs(4))),
-            (AT + 60, Trouble::Deaf(50, secs(40))),
-            (AT + 62, Trouble::Crash((node + 1) % 3, millis(300))),
+            (AT, Fault::NotReceiving(50, secs(14 + 12 * node as u64))),
+            (AT + 3, Fault::Crash(node, secs(4))),
+            (AT + 60, Fault::NotReceiving(50, secs(40))),
+            (AT + 62, Fault::Crash((node + 1) % 3, millis(300))),
         ];
         (
             format!("node {node}"),
-            Plan::small(10 + node as u64, 260, 60, troubles),
+            Scenario::small(10 + node as u64, 260, 60, troubles),
         )
     });
     let played = play(plans.collect());
@@ -224,14 +236,14 @@
 fn transactions_are_carried_out_late_after_newer_ones() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
-            (AT - 30, Trouble::LateWrites(40, secs(120))),
-            (AT, Trouble::Crash(n % 3, millis(300))),
-            (AT + 20, Trouble::Crash((n + 1) % 3, secs(12))),
-            (AT + 45, Trouble::Refused((n + 2) % 3, secs(12))),
+            (AT - 30, Fault::LateWrites(40, secs(120))),
+            (AT, Fault::Crash(n % 3, millis(300))),
+            (AT + 20, Fault::Crash((n + 1) % 3, secs(12))),
+            (AT + 45, Fault::Refused((n + 2) % 3, secs(12))),
         ];
         (
             format!("day {n}"),
-            Plan::small(20 + n as u64, 260, 60, troubles),
+            Scenario::small(20 + n as u64, 260, 60, troubles),
         )
     });
     let played = play(plans.collect());
@@ -244,14 +256,14 @@
 fn old_reports_come_after_newer_ones_and_after_new_sessions() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
-            (AT - 30, Trouble::LateReports(50, secs(150))),
-            (AT, Trouble::Crash(n % 3, secs(6))),
-            (AT + 15, Trouble::Deaf(40, secs(22))),
-            (AT + 45, Trouble::Crash((n + 1) % 3, millis(300))),
+            (AT - 30, Fault::LateHeartbeats(50, secs(150))),
+            (AT, Fault::Crash(n % 3, secs(6))),
+            (AT + 15, Fault::NotReceiving(40, secs(22))),
+            (AT + 45, Fault::Crash((n + 1) % 3, millis(300))),
         ];
         (
             format!("day {n}"),
-            Plan::small(30 + n as u64, 260, 60, troubles),
+            Scenario::small(30 + n as u64, 260, 60, troubles),
         )
     });
     let played = play(plans.collect());
@@ -264,12 +276,12 @@
 fn tasks_of_a_job_end_far_apart_across_changes_of_leader() {
     let plans = (0..3).map(|n| {
         let mut troubles: Vec<_> = (0..7)
-            .map(|i| (50 + 18 * i, Trouble::Crash((i as usize + n) % 3, secs(10))))
+            .map(|i| (50 + 18 * i, Fault::Crash((i as usize + n) % 3, secs(10))))
             .collect();
-        troubles.push((60, Trouble::LateWrites(20, secs(100))));
-        let plan = Plan {
+        troubles.push((60, Fault::LateWrites(20, secs(100))));
+        let plan = Scenario {
             uneven: 30,
-            ..Plan::small(40 + n as u64, 300, 20, troubles)
+            ..Scenario::small(40 + n as u64, 300, 20, troubles)
         };
         (format!("day {n}"), plan)
     });
@@ -283,14 +295,14 @@
             "{name}: {} finished tasks were started again",
             o.again
         );
-        assert!(o.moves.len() > 12, "{name}: {:?}", o.moves);
+        assert!(o.role_moves.len() > 12, "{name}: {:?}", o.role_moves);
     }
 }
 
 #[test]
 fn all_end_and_come_back_within_a_second() {
     let plans = (0..3).map(|n| {
-        let times = |node, times, life, back| Trouble::Loop {
+        let times = |node, times, life, back| Fault::CrashLoop {
             node,
             times,
             life: millis(life),
@@ -301,14 +313,14 @@
             (AT, times(1, 4, 1_300, 300)),
             (AT, times(2, 4, 1_700, 250)),
             (AT + 30, times(n, 5, 4_000, 300)),
-            (AT + 30, Trouble::LateWrites(30, secs(40))),
-            (AT + 60, Trouble::Crash(0, millis(200))),
-            (AT + 60, Trouble::Crash(1, millis(400))),
-            (AT + 60, Trouble::Crash(2, secs(15))),
+            (AT + 30, Fault::LateWrites(30, secs(40))),
+            (AT + 60, Fault::Crash(0, millis(200))),
+            (AT + 60, Fault::Crash(1, millis(400))),
+            (AT + 60, Fault::Crash(2, secs(15))),
         ];
         (
             format!("day {n}"),
-            Plan::small(50 + n as u64, 260, 60, troubles),
+            Scenario::small(50 + n as u64, 260, 60, troubles),
         )
     });
     let played = play(plans.collect());
@@ -325,13 +337,13 @@
 fn commands_or_their_answers_are_held_up() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
-            (AT - 30, Trouble::HeldOrders(70, secs(140))),
-            (AT, Trouble::Crash(n % 3, millis(300))),
-            (AT + 30, Trouble::Refused((n + 1) % 3, secs(15))),
+            (AT - 30, Fault::DelayedCommands(70, secs(140))),
+            (AT, Fault::Crash(n % 3, millis(300))),
+            (AT + 30, Fault::Refused((n + 1) % 3, secs(15))),
         ];
         (
             format!("day {n}"),
-            Plan::small(60 + n as u64, 260, 70, troubles),
+            Scenario::small(60 + n as u64, 260, 70, troubles),
         )
     });
     let played = play(plans.collect());
@@ -344,10 +356,17 @@
 #[test]
 fn the_state_service_is_slow_then_refuses_one_then_everybody() {
     let plans = (0..3).map(|node| {
-        let slow = |n| Trouble::Link(Place::Node(n), Place::State, Kind::Slow(300), secs(35));
+        let slow = |n| {
+            Fault::Link(
+                Endpoint::Node(n),
+                Endpoint::State,
+                LinkFault::Slow(300),
+                secs(35),
+            )
+        };
         let more = (0..3).map(|n| (OUTAGE_AT - 40, slow(n))).collect();
         let mut plan = refused(70 + node as u64, node, 5, more);
-        plan.long = None;
+        plan.long_tasks = None;
         (format!("node {node}"), plan)
     });
     let played = play(plans.collect());
@@ -364,7 +383,7 @@
     }
     .bounds()
     .unwrap();
-    let times = Times {
+    let times = WorkerTimes {
         lease: secs(16),
         gang_wait: secs(30),
     };
@@ -379,7 +398,7 @@
     let jobs = BTreeMap::from([(job.id.to_string(), job)]);
     let origin = Instant::now();
     let mut worker = Worker::new("n-000001", "a", false, 0, origin);
-    let mut rules = Rules::default();
+    let mut rules = InvariantChecker::default();
     let record = HostRecord {
         assignment: HostAssignment::Partition(0),
         address: "10.1.0.1:9000".to_owned(),
@@ -412,7 +431,7 @@
         let now = start + Micros::from_millis(500 * half);
         let at = origin + millis(500 * half);
         if half % 5 == 0 {
-            let report = Heartbeat::parse(worker.report().to_string().as_bytes()).unwrap();
+            let report = Heartbeat::parse(worker.heartbeat().to_string().as_bytes()).unwrap();
             host.apply(
                 HostInput::Heartbeat(&report, HeartbeatSource::Heartbeat),
                 now,
@@ -424,7 +443,7 @@
             if !(guarded && withheld) {
                 host.apply(HostInput::Answered(&orders), now);
                 let answer = serde_json::from_slice(&commands_body(host.token, None, &orders));
-                worker.answered(&answer.unwrap(), at, worker.tenure, &jobs, at);
+                worker.on_heartbeat_answer(&answer.unwrap(), at, worker.incarnation, &jobs, at);
             }
         }
         match half {
@@ -447,7 +466,7 @@
     }
     let late = origin + secs(120);
     worker
-        .direct(&serde_json::from_slice(&sent).unwrap(), &jobs, late)
+        .on_direct_commands(&serde_json::from_slice(&sent).unwrap(), &jobs, late)
         .0
 }
 
@@ -465,11 +484,11 @@
 fn reports_of_returned_machines_come_late() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
-            (AT - 40, Trouble::LateReports(90, secs(170))),
-            (AT + 10, Trouble::Crash(0, millis(300))),
-            (AT + 60, Trouble::Crash(1, secs(9))),
+            (AT - 40, Fault::LateHeartbeats(90, secs(170))),
+            (AT + 10, Fault::Crash(0, millis(300))),
+            (AT + 60, Fault::Crash(1, secs(9))),
         ];
-        let plan = Plan::small(80 + n as u64, 280, 40, troubles);
+        let plan = Scenario::small(80 + n as u64, 280, 40, troubles);
         (format!("day {n}"), plan)
     });
     let played = play(plans.collect());
@@ -478,8 +497,8 @@
     // Copies of reports from machines that were gone by then, which came to somebody.
     assert!(met(&played, |m| m.late_of_gone) > 20);
     for (name, o) in &played {
-        assert_eq!(o.ghosts, Vec::<String>::new(), "{name}");
-        assert_eq!(o.met.taken_on_gone, 0, "{name}");
+        assert_eq!(o.stale_host_records, Vec::<String>::new(), "{name}");
+        assert_eq!(o.fault_counts.taken_on_gone, 0, "{name}");
     }
 }
 
@@ -487,15 +506,15 @@
 /// nothing new is begun there, unless a new owner can't know better yet.
 #[test]
 fn machines_reach_nobody_while_orders_reach_them() {
-    let plan = |n: usize, more: Vec<(u64, Trouble)>| {
+    let plan = |n: usize, more: Vec<(u64, Fault)>| {
         let mut troubles = vec![
-            (AT, Trouble::Mute(50, secs(20 + 15 * n as u64))),
-            (AT + 80, Trouble::Mute(60, secs(50))),
+            (AT, Fault::NotSending(50, secs(20 + 15 * n as u64))),
+            (AT + 80, Fault::NotSending(60, secs(50))),
         ];
         troubles.extend(more);
-        let plan = Plan {
+        let plan = Scenario {
             uneven: 8,
-            ..Plan::small(90 + n as u64, 330, 60, troubles)
+            ..Scenario::small(90 + n as u64, 330, 60, troubles)
         };
         (format!("day {n}"), plan)
     };
@@ -507,10 +526,10 @@
     assert!(met(&alone, |m| m.mute_starts) < 40);
     let changes = |n: usize| {
         vec![
-            (AT + 4, Trouble::Crash(n % 3, secs(3))),
-            (AT + 30, Trouble::Crash((n + 1) % 3, millis(300))),
-            (AT + 82, Trouble::LateWrites(40, secs(40))),
-            (AT + 90, Trouble::Refused((n + 2) % 3, secs(15))),
+            (AT + 4, Fault::Crash(n % 3, secs(3))),
+            (AT + 30, Fault::Crash((n + 1) % 3, millis(300))),
+            (AT + 82, Fault::LateWrites(40, secs(40))),
+            (AT + 90, Fault::Refused((n + 2) % 3, secs(15))),
         ]
     };
     let played = play((0..4).map(|n| plan(n, changes(n))).collect());
@@ -525,9 +544,9 @@
     for (hang, lead) in [(6, 1), (13, 1), (13, 12), (25, 5)] {
         let plans = (0..3).map(|node| {
             let mut plan = refused(100 + node as u64, node, lead, Vec::new());
-            let off = Trouble::CancelNow(12, secs(hang));
-            plan.troubles.push((OUTAGE_AT - lead, off.clone()));
-            plan.troubles.push((OUTAGE_AT - 1, off));
+            let off = Fault::CancelNow(12, secs(hang));
+            plan.faults.push((OUTAGE_AT - lead, off.clone()));
+            plan.faults.push((OUTAGE_AT - 1, off));
             (format!("node {node}"), plan)
         });
         let played = play(plans.collect());
@@ -550,20 +569,26 @@
 #[test]
 fn called_off_through_the_new_leader_while_the_old_one_is_cut() {
     let plans = (0..3).map(|node| {
-        let mut troubles = from_peers(node, AT, 90);
-        troubles.push((AT, Trouble::Cut(Place::Node(node), Place::State, secs(90))));
+        let mut troubles = cut_from_peers(node, AT, 90);
+        troubles.push((
+            AT,
+            Fault::Cut(Endpoint::Node(node), Endpoint::State, secs(90)),
+        ));
         for at in [1, 4, 12, 30] {
-            troubles.push((AT + at, Trouble::CancelNow(6, secs(at % 10))));
+            troubles.push((AT + at, Fault::CancelNow(6, secs(at % 10))));
         }
-        let mut plan = Plan::small(110 + node as u64, 290, 60, troubles);
-        plan.long = Some((AT - 4, AT + 60));
+        let mut plan = Scenario::small(110 + node as u64, 290, 60, troubles);
+        plan.long_tasks = Some((AT - 4, AT + 60));
         (format!("node {node}"), plan)
     });
     let played = play(plans.collect());
     judge(&played);
     assert!(met(&played, |m| m.called_off) > 30);
     for (name, o) in &played {
-        assert!(o.latest_start < CANCEL && o.silence.0 < 75.0, "{name}");
+        assert!(
+            o.latest_start < CANCEL && o.longest_silence.0 < 75.0,
+            "{name}"
+        );
     }
 }
 
@@ -572,18 +597,18 @@
 #[test]
 fn called_off_at_the_moment_of_the_end() {
     let plans = (0..6).map(|n| {
-        let mut troubles = vec![(20, Trouble::CancelAtEnd(90, secs(180)))];
+        let mut troubles = vec![(20, Fault::CancelAtEnd(90, secs(180)))];
         if n % 3 > 0 {
-            troubles.push((40, Trouble::LateWrites(25, secs(120))));
+            troubles.push((40, Fault::LateWrites(25, secs(120))));
         }
         if n % 3 > 1 {
-            troubles.push((70, Trouble::Crash(n % 2, millis(300))));
-            troubles.push((100, Trouble::Refused(2, secs(14))));
+            troubles.push((70, Fault::Crash(n % 2, millis(300))));
+            troubles.push((100, Fault::Refused(2, secs(14))));
         }
-        let plan = Plan {
+        let plan = Scenario {
             uneven: 12,
             pipelines: (3, 30),
-            ..Plan::small(120 + n as u64, 260, 60, troubles)
+            ..Scenario::small(120 + n as u64, 260, 60, troubles)
         };
         (format!("day {n}"), plan)
     });
@@ -598,26 +623,26 @@
 /// that spell: their room is given out again when their tasks are surely gone, and then it is.
 #[test]
 fn a_team_at_its_limit_while_machines_cannot_be_asked() {
-    let silent: [fn(u64) -> Trouble; 3] = [
-        |time| Trouble::Mute(60, secs(time)),
-        |time| Trouble::Deaf(60, secs(time)),
-        |time| Trouble::Hang(4, secs(time)),
+    let silent: [fn(u64) -> Fault; 3] = [
+        |time| Fault::NotSending(60, secs(time)),
+        |time| Fault::NotReceiving(60, secs(time)),
+        |time| Fault::Hang(4, secs(time)),
     ];
     let plans = (0..6).map(|n| {
         let spell = silent[n % 3];
         let troubles = vec![
             (AT, spell(13 + 6 * n as u64)),
-            (AT + 2, Trouble::Crash(n % 3, millis(300))),
-            (AT + 3, Trouble::CancelNow(8, Duration::ZERO)),
-            (AT + 9, Trouble::Crash((n + 1) % 3, secs(8))),
-            (AT + 11, Trouble::CancelNow(8, Duration::ZERO)),
-            (AT + 70, Trouble::HeldOrders(60, secs(30))),
-            (AT + 72, Trouble::Crash(n % 3, secs(4))),
+            (AT + 2, Fault::Crash(n % 3, millis(300))),
+            (AT + 3, Fault::CancelNow(8, Duration::ZERO)),
+            (AT + 9, Fault::Crash((n + 1) % 3, secs(8))),
+            (AT + 11, Fault::CancelNow(8, Duration::ZERO)),
+            (AT + 70, Fault::DelayedCommands(60, secs(30))),
+            (AT + 72, Fault::Crash(n % 3, secs(4))),
         ];
-        let plan = Plan {
+        let plan = Scenario {
             // More than the limits allow at any time.
             flood: (24, 40),
-            ..Plan::small(130 + n as u64, 330, 60, troubles)
+            ..Scenario::small(130 + n as u64, 330, 60, troubles)
         };
         (format!("day {n}"), plan)
     });
@@ -636,25 +661,25 @@
 fn a_zone_with_a_controller_is_cut_off() {
     let plans = (0..4).map(|n| {
         let time = [20, 35, 60, 90][n];
-        let b = || Place::Zone("b".to_owned());
-        let (a, one) = (Place::Zone("a".to_owned()), Place::Node(1));
+        let b = || Endpoint::Zone("b".to_owned());
+        let (a, one) = (Endpoint::Zone("a".to_owned()), Endpoint::Node(1));
         let mut troubles: Vec<_> = [
-            (one.clone(), Place::State),
-            (one.clone(), Place::Cloud),
-            (one.clone(), Place::Node(0)),
-            (one.clone(), Place::Node(2)),
+            (one.clone(), Endpoint::State),
+            (one.clone(), Endpoint::Cloud),
+            (one.clone(), Endpoint::Node(0)),
+            (one.clone(), Endpoint::Node(2)),
             (one, a),
-            (Place::Node(0), b()),
-            (Place::Node(2), b()),
+            (Endpoint::Node(0), b()),
+            (Endpoint::Node(2), b()),
         ]
         .into_iter()
-        .map(|(from, to)| (AT, Trouble::Cut(from, to, secs(time))))
+        .map(|(from, to)| (AT, Fault::Cut(from, to, secs(time))))
         .collect();
-        troubles.push((AT + 3, Trouble::CancelNow(8, Duration::ZERO)));
-        troubles.push((AT + 18, Trouble::CancelNow(8, secs(10))));
-        let plan = Plan {
+        troubles.push((AT + 3, Fault::CancelNow(8, Duration::ZERO)));
+        troubles.push((AT + 18, Fault::CancelNow(8, secs(10))));
+        let plan = Scenario {
             bound: 25,
-            ..Plan::small(140 + n as u64, 300, 60, troubles)
+            ..Scenario::small(140 + n as u64, 300, 60, troubles)
         };
         (format!("{time} s"), plan)
     });
@@ -671,15 +696,15 @@
 #[test]
 fn jobs_bound_to_one_zone_lose_machines() {
     let plans = (0..4).map(|n| {
-        let mut troubles: Vec<_> = (0..10).map(|i| (45 + 11 * i, Trouble::Die)).collect();
-        troubles.push((60, Trouble::Hang(3, secs(13))));
-        troubles.push((66, Trouble::Crash(n % 3, millis(300))));
-        troubles.push((90, Trouble::Mute(40, secs(25))));
-        troubles.push((97, Trouble::Crash((n + 1) % 3, secs(5))));
-        troubles.push((120, Trouble::Deaf(40, secs(25))));
-        let plan = Plan {
+        let mut troubles: Vec<_> = (0..10).map(|i| (45 + 11 * i, Fault::MachineLoss)).collect();
+        troubles.push((60, Fault::Hang(3, secs(13))));
+        troubles.push((66, Fault::Crash(n % 3, millis(300))));
+        troubles.push((90, Fault::NotSending(40, secs(25))));
+        troubles.push((97, Fault::Crash((n + 1) % 3, secs(5))));
+        troubles.push((120, Fault::NotReceiving(40, secs(25))));
+        let plan = Scenario {
             bound: 50,
-            ..Plan::small(150 + n as u64, 320, 30, troubles)
+            ..Scenario::small(150 + n as u64, 320, 30, troubles)
         };
         (format!("day {n}"), plan)
     });
@@ -701,17 +726,17 @@
             .map(|node| {
                 (
                     AT,
-                    Trouble::Crash(node, secs(away) + millis(200 * node as u64)),
+                    Fault::Crash(node, secs(away) + millis(200 * node as u64)),
                 )
             })
             .collect();
-        troubles.push((AT - 12, Trouble::LateWrites(60, secs(12))));
-        troubles.push((AT - 2, Trouble::CancelNow(8, Duration::ZERO)));
-        troubles.push((AT + 4, Trouble::Hang(3, secs(10))));
-        troubles.push((AT + away - 3, Trouble::Mute(50, secs(20))));
-        let plan = Plan {
+        troubles.push((AT - 12, Fault::LateWrites(60, secs(12))));
+        troubles.push((AT - 2, Fault::CancelNow(8, Duration::ZERO)));
+        troubles.push((AT + 4, Fault::Hang(3, secs(10))));
+        troubles.push((AT + away - 3, Fault::NotSending(50, secs(20))));
+        let plan = Scenario {
             uneven: 10,
-            ..Plan::small(160 + n as u64, 300, 60, troubles)
+            ..Scenario::small(160 + n as u64, 300, 60, troubles)
         };
         (format!("{away} s"), plan)
     });
@@ -731,25 +756,31 @@
         // Away for longer than a session lasts, so that somebody else leads; now and then less.
         let back = |i: u64| millis(if i % 4 == 3 { 300 } else { 9_500 });
         let mut troubles: Vec<_> = (0..10)
-            .map(|i| (60 + 12 * i, Trouble::CrashLeader(back(i))))
+            .map(|i| (60 + 12 * i, Fault::CrashLeader(back(i))))
             .collect();
-        troubles.push((100, Trouble::StateOutage(secs(50))));
-        troubles.push((58, Trouble::LateWrites(30, secs(120))));
-        troubles.push((75, Trouble::HeldOrders(50, secs(60))));
-        troubles.push((90, Trouble::Mute(30, secs(30))));
-        troubles.push((96, Trouble::CancelNow(6, secs(9))));
-        let plan = Plan {
+        troubles.push((100, Fault::StateOutage(secs(50))));
+        troubles.push((58, Fault::LateWrites(30, secs(120))));
+        troubles.push((75, Fault::DelayedCommands(50, secs(60))));
+        troubles.push((90, Fault::NotSending(30, secs(30))));
+        troubles.push((96, Fault::CancelNow(6, secs(9))));
+        let plan = Scenario {
             uneven: 10,
-            ..Plan::small(170 + n as u64, 340, 60, troubles)
+            ..Scenario::small(170 + n as u64, 340, 60, troubles)
         };
         (format!("day {n}"), plan)
     });
     let played = play(plans.collect());
     judge(&played);
     for (name, o) in &played {
-        let leads = o.moves.iter().filter(|(_, role, _)| role == "jh/leader");
-        assert!(leads.count() > 4, "{name}: {:?}", o.moves);
-        assert!(o.unowned.is_empty() && o.ghosts.is_empty(), "{name}: {o:?}");
+        let leads = o
+            .role_moves
+            .iter()
+            .filter(|(_, role, _)| role == "jh/leader");
+        assert!(leads.count() > 4, "{name}: {:?}", o.role_moves);
+        assert!(
+            o.unowned.is_empty() && o.stale_host_records.is_empty(),
+            "{name}: {o:?}"
+        );
     }
 }
 
@@ -758,13 +789,13 @@
 fn odd_requests_get_their_answers() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
-            (30, Trouble::OddRequests(secs(170))),
-            (70, Trouble::StateOutage(secs(20))),
-            (110, Trouble::Crash(n % 3, millis(300))),
-            (130, Trouble::Refused((n + 1) % 3, secs(15))),
-            (150, Trouble::LateWrites(40, secs(30))),
+            (30, Fault::InvalidRequests(secs(170))),
+            (70, Fault::StateOutage(secs(20))),
+            (110, Fault::Crash(n % 3, millis(300))),
+            (130, Fault::Refused((n + 1) % 3, secs(15))),
+            (150, Fault::LateWrites(40, secs(30))),
         ];
-        let plan = Plan::small(180 + n as u64, 260, 60, troubles);
+        let plan = Scenario::small(180 + n as u64, 260, 60, troubles);
         (format!("day {n}"), plan)
     });
     let played = play(plans.collect());
@@ -775,25 +806,25 @@
 /// More work than room, urgent and not, over slow links, while a leader changes: everybody is served.
 #[test]
 fn more_work_than_room_over_slow_links() {
-    let slow = Kind::Slow(250);
-    let nodes = || (0..3).map(Place::Node);
+    let slow = LinkFault::Slow(250);
+    let nodes = || (0..3).map(Endpoint::Node);
     let links = nodes().flat_map(|from| {
         let to = [
-            Place::State,
-            Place::Zone("a".into()),
-            Place::Zone("b".into()),
+            Endpoint::State,
+            Endpoint::Zone("a".into()),
+            Endpoint::Zone("b".into()),
         ];
         to.into_iter().map(move |to| (from.clone(), to))
     });
-    let slow = |(from, to)| (30, Trouble::Link(from, to, slow, secs(70)));
+    let slow = |(from, to)| (30, Fault::Link(from, to, slow, secs(70)));
     let mut troubles: Vec<_> = links.map(slow).collect();
-    troubles.push((50, Trouble::Crash(1, millis(300))));
+    troubles.push((50, Fault::Crash(1, millis(300))));
     let played = play(vec![(
         "day".to_owned(),
-        Plan {
+        Scenario {
             scale: Scale::Large,
             flood: (480, 15),
-            ..Plan::small(5, 300, 140, troubles)
+            ..Scenario::small(5, 300, 140, troubles)
         },
     )]);
     judge(&played);
@@ -809,7 +840,7 @@
     }
 }
 
-fn day(seed: u64) -> (String, Plan) {
+fn day(seed: u64) -> (String, Scenario) {
     (format!("seed {seed}"), drawn(seed))
 }
 
