--- a/crates/jasperhill-testkit/src/behaviour.rs
+++ b/crates/jasperhill-testkit/src/behaviour.rs
@@ -3,14 +3,11 @@
 
 use crate::{
     days::behaviour_days,
-    run_recorded,
+    runner::{play_all, run_recorded},
+    scenario::Scenario,
     transcript::{CHECKPOINT_EVERY, DayDigest},
-    world::Scenario,
-};
-use std::{
-    collections::BTreeMap,
-    sync::atomic::{AtomicUsize, Ordering},
 };
+use std::collections::BTreeMap;
 
 /// The digests of some days, by their names.
 pub type Digests = BTreeMap<String, DayDigest>;
@@ -63,23 +60,8 @@
 
 /// Plays all days, side by side.
 pub fn play_days() -> Digests {
-    let days: Vec<(String, Scenario)> = behaviour_days();
-    let next = AtomicUsize::new(0);
-    let play_some = || {
-        let mut played = Vec::new();
-        while let Some((name, plan)) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let (_, transcript) = run_recorded(plan.clone());
-            played.push((name.clone(), transcript.digest()));
-        }
-        played
-    };
-    let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
-    std::thread::scope(|scope| {
-        let all: Vec<_> = (0..threads).map(|_| scope.spawn(play_some)).collect();
-        all.into_iter()
-            .flat_map(|thread| thread.join().expect("a day panicked"))
-            .collect()
-    })
+    let digest = |scenario: &Scenario| run_recorded(scenario.clone()).1.digest();
+    play_all(&behaviour_days(), digest).into_iter().collect()
 }
 
 /// All messages of one day; `None` if there is no such day.
--- /dev/null
+++ b/crates/jasperhill-testkit/src/cluster/old_version.rs
@@ -0,0 +1,60 @@
+//! What a controller of the old version writes and understands.
+
+use jasperhill_http::{Request, Response};
+use serde_json::Value;
+
+/// What the old version writes: nothing that it does not know.
+pub(crate) fn as_old_writes(mut request: Request) -> Request {
+    if request.path() == "/txn" {
+        let mut body: Value = serde_json::from_slice(&request.body).unwrap();
+        if let Some(changes) = body["then"].as_array_mut() {
+            changes.retain_mut(|c| {
+                let key = c["write"].as_str().unwrap_or_default().to_owned();
+                !strip_unknown_fields(&key, &mut c["data"])
+            });
+        }
+        request.body = body.to_string().into_bytes();
+    }
+    request
+}
+
+/// What the old version understands of what it reads.
+pub(crate) fn as_old_reads(mut answer: Response) -> Response {
+    let Ok(mut body) = serde_json::from_slice::<Value>(&answer.body) else {
+        return answer;
+    };
+    for (list, name) in [("pairs", "k"), ("news", "write")] {
+        if let Some(items) = body[list].as_array_mut() {
+            items.retain_mut(|i| {
+                let key = i[name].as_str().unwrap_or_default().to_owned();
+                !strip_unknown_fields(&key, &mut i["data"])
+            });
+        }
+    }
+    if body.is_object() {
+        let empty = |v: &mut Value, k: &str| {
+            v.as_object_mut()
+                .is_some_and(|o| o.get(k).is_some_and(Value::is_null))
+        };
+        for k in ["pairs", "news"] {
+            if empty(&mut body, k) {
+                body.as_object_mut().unwrap().remove(k);
+            }
+        }
+        answer.body = body.to_string().into_bytes();
+    }
+    answer
+}
+
+/// Takes from a record what the old version does not know; true if it knows nothing of it.
+fn strip_unknown_fields(key: &str, value: &mut Value) -> bool {
+    if let Some(fields) = value.as_object_mut() {
+        if key.starts_with("jh/session/") {
+            fields.remove("f");
+        }
+        if let Some(request) = fields.get_mut("r").and_then(Value::as_object_mut) {
+            request.remove("w");
+        }
+    }
+    key.starts_with("jh/format/") || key.starts_with("jh/types/")
+}
--- a/crates/jasperhill-testkit/src/days.rs
+++ b/crates/jasperhill-testkit/src/days.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     faults::{Endpoint, Fault, LinkFault},
-    world::{Scale, Scenario},
+    scenario::{Scale, Scenario},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::time::Duration;
--- a/crates/jasperhill-testkit/src/rules.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -1,6 +1,6 @@
 //! The protocol's rules, asserted at every step.
 
-use crate::workers::Worker;
+use crate::worker::{Worker, WorkerObserver};
 use jasperhill_wire::{
     JobId, TaskId,
     user::{JobRequest, Shape},
@@ -171,7 +171,7 @@
         let (mut used, mut there) = (BTreeMap::<&str, u64>::new(), BTreeSet::<&str>::new());
         let mut rooms = Vec::new();
         for worker in workers.values() {
-            let (mut gpus, mut cpus) = crate::workers::CAPACITY;
+            let (mut gpus, mut cpus) = crate::worker::CAPACITY;
             for ((task, _), _) in worker.tasks.iter().filter(|(_, t)| !t.is_over()) {
                 let Some(job) = jobs.get(task.job.as_str()) else {
                     continue;
@@ -261,14 +261,6 @@
         };
         self.cancels.entry(id.to_owned()).or_insert(cancelled);
     }
-    pub fn has_result(&self, task: &TaskId) -> bool {
-        self.done.contains(task)
-    }
-    pub fn finished(&mut self, task: &TaskId) {
-        if self.done.insert(task.clone()) {
-            self.ended.insert(task.job.clone());
-        }
-    }
     pub fn all_done(&self, job: &JobRequest) -> bool {
         (0..job.tasks).all(|i| self.done.contains(&TaskId::new(&job.id, i)))
     }
@@ -277,14 +269,6 @@
             self.broken.push(what);
         }
     }
-    pub(crate) fn started(&mut self, worker: &Worker, task: &TaskId, attempt: u64) {
-        self.started += 1;
-        self.again += usize::from(self.done.contains(task));
-        let first = self.begun.entry(task.job.to_string());
-        first.or_insert_with(Instant::now);
-        self.starts.push((worker.id.clone(), task.clone(), attempt));
-    }
-
     /// Judges this tick's starts and what is on all machines.
     pub fn check(
         &mut self,
@@ -367,3 +351,30 @@
         }
     }
 }
+
+impl WorkerObserver for InvariantChecker {
+    fn has_result(&self, task: &TaskId) -> bool {
+        self.done.contains(task)
+    }
+    fn finished(&mut self, task: &TaskId) {
+        if self.done.insert(task.clone()) {
+            self.ended.insert(task.job.clone());
+        }
+    }
+
+    fn started(&mut self, worker: &Worker, task: &TaskId, attempt: u64) {
+        self.started += 1;
+        self.again += usize::from(self.done.contains(task));
+        let first = self.begun.entry(task.job.to_string());
+        first.or_insert_with(Instant::now);
+        self.starts.push((worker.id.clone(), task.clone(), attempt));
+    }
+
+    fn lease_expired(&mut self, zone: &str, killed: usize, lease: Duration, now: Instant) {
+        self.killed += killed;
+        let unreachable = self.out_of_reach.get(zone);
+        if unreachable.is_none_or(|t| now - *t > lease + lease / 4) {
+            self.killed_in_reach += killed;
+        }
+    }
+}
--- a/crates/jasperhill-testkit/src/lib.rs
+++ b/crates/jasperhill-testkit/src/lib.rs
@@ -5,14 +5,20 @@
 
 pub mod behaviour;
 pub mod cloud;
+pub mod cluster;
+pub mod connections;
 pub mod days;
 pub mod faults;
-pub mod lines;
-pub mod rules;
+pub mod invariants;
+pub mod outcome;
+pub mod runner;
+pub mod scenario;
 pub mod state;
 pub mod transcript;
 pub mod users;
-pub mod workers;
-pub mod world;
+pub mod worker;
 
-pub use world::{Scenario, SimulatedCluster, run, run_recorded};
+pub use cluster::SimulatedCluster;
+pub use outcome::Outcome;
+pub use runner::{run, run_all, run_recorded};
+pub use scenario::{Scale, Scenario};
--- a/crates/jasperhill-testkit/src/workers.rs
+++ b/crates/jasperhill-testkit/src/worker.rs
@@ -1,6 +1,5 @@
 //! Stand-ins for workers: leases, tokens, orders, tasks that fetch, wait, run and end.
 
-use crate::rules::InvariantChecker;
 use jasperhill_wire::{Attempt, TaskId, user::JobRequest, user::Shape};
 use serde_json::{Value, json};
 use std::{
@@ -48,6 +47,18 @@
     pub changed: bool,
 }
 
+/// Who is told what becomes of tasks.
+pub trait WorkerObserver {
+    /// The task has a result already.
+    fn has_result(&self, task: &TaskId) -> bool;
+    /// A task has started on this worker.
+    fn started(&mut self, worker: &Worker, task: &TaskId, attempt: u64);
+    /// A task has completed.
+    fn finished(&mut self, task: &TaskId);
+    /// The lease of a worker in this zone has expired, which killed so many tasks.
+    fn lease_expired(&mut self, zone: &str, killed: usize, lease: Duration, now: Instant);
+}
+
 /// What a machine has, in millionths: GPUs and CPUs.
 pub const CAPACITY: (u64, u64) = (
     (crate::cloud::GPUS * 1e6) as u64,
@@ -216,9 +227,9 @@
         step: Duration,
         now: Instant,
         times: &WorkerTimes,
-        rules: &mut InvariantChecker,
+        observer: &mut impl WorkerObserver,
     ) {
-        self.expire_lease(now, times, rules);
+        self.expire_lease(now, times, observer);
         for t in self.tasks.values_mut() {
             match &mut t.phase {
                 Phase::Fetching(until) | Phase::Running { until: Some(until) } => *until += step,
@@ -228,14 +239,15 @@
     }
 
     /// If the lease has run out, its tasks are killed, and the next session begins.
-    fn expire_lease(&mut self, now: Instant, times: &WorkerTimes, rules: &mut InvariantChecker) {
+    fn expire_lease(
+        &mut self,
+        now: Instant,
+        times: &WorkerTimes,
+        observer: &mut impl WorkerObserver,
+    ) {
         if now - self.lease_from > times.lease {
             let lost = self.tasks.values().filter(|t| t.is_on()).count();
-            rules.killed += lost;
-            let out = rules.out_of_reach.get(&self.zone);
-            if out.is_none_or(|t| now - *t > times.lease + times.lease / 4) {
-                rules.killed_in_reach += lost;
-            }
+            observer.lease_expired(&self.zone, lost, times.lease, now);
             self.tasks.clear();
             self.incarnation += 1;
             self.lease_from = now;
@@ -249,9 +261,9 @@
         now: Instant,
         times: &WorkerTimes,
         jobs: &BTreeMap<String, JobRequest>,
-        rules: &mut InvariantChecker,
+        observer: &mut impl WorkerObserver,
     ) {
-        self.expire_lease(now, times, rules);
+        self.expire_lease(now, times, observer);
         let mut started = Vec::new();
         for ((task, attempt), t) in &mut self.tasks {
             let Some(job) = jobs.get(task.job.as_str()) else {
@@ -267,7 +279,7 @@
                         continue;
                     }
                     started.push((task.clone(), *attempt));
-                    t.phase = if rules.has_result(task) {
+                    t.phase = if observer.has_result(task) {
                         // The result is kept.
                         Phase::Exited("done")
                     } else if job.shape == Shape::Gang {
@@ -290,14 +302,14 @@
                     if now >= until && job.shape != Shape::Gang =>
                 {
                     t.phase = Phase::Exited("done");
-                    rules.finished(task);
+                    observer.finished(task);
                 }
                 _ => {}
             }
             self.changed |= t.phase != before;
         }
         for (task, attempt) in started {
-            rules.started(self, &task, attempt);
+            observer.started(self, &task, attempt);
         }
     }
 }
--- a/crates/jasperhill-testkit/tests/imports.rs
+++ b/crates/jasperhill-testkit/tests/imports.rs
@@ -133,12 +133,13 @@
 }
 
 /// Packages whose files are in one direction already; those missing stand in docs/ROADMAP.md.
-const PACKAGES: [&str; 5] = [
+const PACKAGES: [&str; 6] = [
     "jasperhill-wire",
     "jasperhill-http",
     "jasperhill-connections",
     "jasperhill-membership",
     "jasperhill-scheduler",
+    "jasperhill-testkit",
 ];
 
 #[test]
--- a/crates/jasperhill-testkit/tests/limits.rs
+++ b/crates/jasperhill-testkit/tests/limits.rs
@@ -4,8 +4,9 @@
 use jasperhill_testkit::{
     Scenario,
     faults::{Endpoint, Fault},
+    outcome::Outcome,
     run,
-    world::{Outcome, Scale},
+    scenario::Scale,
 };
 use std::time::Duration;
 
--- a/crates/jasperhill-testkit/tests/links.rs
+++ b/crates/jasperhill-testkit/tests/links.rs
@@ -8,14 +8,11 @@
 use jasperhill_testkit::{
     Scenario,
     faults::{Endpoint, Fault, LinkFault},
-    run,
-    world::Outcome,
+    outcome::Outcome,
+    run, run_all,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
-use std::{
-    sync::atomic::{AtomicUsize, Ordering},
-    time::Duration,
-};
+use std::time::Duration;
 
 type Link = (Endpoint, Endpoint);
 
@@ -63,19 +60,7 @@
 /// Plays all of these side by side; what went wrong, which of them lost tasks to leases, and what
 /// came of each.
 fn play_all(cases: Vec<(String, Scenario)>) -> (Vec<String>, Vec<String>, Vec<(String, Outcome)>) {
-    let next = AtomicUsize::new(0);
-    let one = || {
-        let mut played = Vec::new();
-        while let Some((name, plan)) = cases.get(next.fetch_add(1, Ordering::Relaxed)) {
-            played.push((name.clone(), run(plan.clone())));
-        }
-        played
-    };
-    let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
-    let played: Vec<_> = std::thread::scope(|scope| {
-        let all: Vec<_> = (0..threads).map(|_| scope.spawn(one)).collect();
-        all.into_iter().flat_map(|t| t.join().unwrap()).collect()
-    });
+    let played = run_all(&cases);
     let wrong = played.iter().filter_map(|(n, o)| judge(n, o)).collect();
     let lost = played.iter().filter(|(_, o)| o.killed > 0);
     let killed = lost.map(|(n, o)| format!("{n}: {} killed", o.killed));
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/meetings.rs
@@ -10,10 +10,11 @@
     Scenario,
     days::{cut_from_peers, drawn},
     faults::{Endpoint, Fault, FaultCounts, LinkFault},
-    rules::InvariantChecker,
-    run,
-    workers::{Worker, WorkerTimes},
-    world::{ConfirmedCancellation, Outcome, Scale},
+    invariants::InvariantChecker,
+    outcome::{ConfirmedCancellation, Outcome},
+    run_all,
+    scenario::Scale,
+    worker::{Worker, WorkerTimes},
 };
 use jasperhill_wire::{
     Attempt, FencingToken, Micros, Resources, TaskId,
@@ -21,12 +22,7 @@
     user::JobRequest,
     worker::{Heartbeat, commands_body},
 };
-use std::{
-    collections::BTreeMap,
-    rc::Rc,
-    sync::atomic::{AtomicUsize, Ordering},
-    time::Duration,
-};
+use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::Instant;
 
 fn secs(s: u64) -> Duration {
@@ -46,20 +42,8 @@
 const AT: u64 = 80;
 
 /// Plays all of these side by side.
-fn play(plans: Vec<(String, Scenario)>) -> Vec<(String, Outcome)> {
-    let next = AtomicUsize::new(0);
-    let one = || {
-        let mut played = Vec::new();
-        while let Some((name, plan)) = plans.get(next.fetch_add(1, Ordering::Relaxed)) {
-            played.push((name.clone(), run(plan.clone())));
-        }
-        played
-    };
-    let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
-    std::thread::scope(|scope| {
-        let all: Vec<_> = (0..threads).map(|_| scope.spawn(one)).collect();
-        all.into_iter().flat_map(|t| t.join().unwrap()).collect()
-    })
+fn play(scenarios: Vec<(String, Scenario)>) -> Vec<(String, Outcome)> {
+    run_all(&scenarios)
 }
 
 /// No rule broken on any of these, and enough done to show it.
