--- a/crates/jasperhill-testkit/tests/cluster.rs
+++ b/crates/jasperhill-testkit/tests/cluster.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_takeover_while_packets_are_held() {
+fn failover_while_packets_are_delayed() {
     for seed in [4, 5] {
         let zone = |z: &str| Endpoint::Zone(z.to_owned());
         play(
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn one_controller_is_refused_by_the_state_service_alone() {
+fn the_store_refuses_one_controller() {
     for seed in [6, 7] {
         play(
             seed,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn troubles_drawn_by_lot() {
+fn random_faults() {
     for seed in 20..32 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut troubles = Vec::new();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn owners_end_while_their_hosts_are_kept_by_others() {
+fn owners_crash_while_leases_are_delegated() {
     for seed in [43, 44] {
         let mut troubles = zones_apart(100, secs(45));
         troubles.push((112, Fault::Crash(0, secs(6))));
@@ -173,7 +173,7 @@
 /// Standstills before, within and after a takeover, and silence in one direction: what was
 /// decided before goes out after.
 #[test]
-fn controllers_stand_still_and_go_on_as_if_nothing_had_happened() {
+fn stalled_controllers_resume() {
     let zone = |z: &str| Endpoint::Zone(z.to_owned());
     for seed in 60..65 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn machines_that_come_late_never_or_before_any_list() {
+fn machines_boot_late_never_or_before_any_list() {
     for seed in [80, 81] {
         play(
             seed,
@@ -233,7 +233,7 @@
 /// Arrays with a mistake beside a guest's huge array, across a restart of all controllers:
 /// nothing of it is run again in bulk, and the others are served.
 #[test]
-fn broken_arrays_and_a_guests_huge_one_across_restarts() {
+fn failing_arrays_and_a_huge_one_across_restarts() {
     let mut troubles: Vec<_> = (0..3).map(|n| (75, Fault::Crash(n, secs(6)))).collect();
     troubles.push((110, Fault::Stall(0, secs(20))));
     let outcome = run(Scenario {
@@ -251,7 +251,7 @@
 /// Pipelines through crashes, cuts, outages and refusals: nothing starts too early, and a
 /// cancellation reaches all that comes after.
 #[test]
-fn pipelines_through_troubles() {
+fn dependent_jobs_through_faults() {
     let zone = |z: &str| Endpoint::Zone(z.to_owned());
     let (mut staged, mut swept) = (0, 0);
     for seed in 100..105 {
@@ -320,7 +320,7 @@
 /// a state service that refuses one, a cut, an outage; and limits that fall before any block is
 /// split.
 #[test]
-fn an_upgrade_through_troubles() {
+fn a_rolling_update_through_faults() {
     for seed in [120, 121, 122] {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut troubles = vec![
--- a/crates/jasperhill-testkit/tests/meetings.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults.rs
@@ -2,7 +2,7 @@
 //! not happen. docs/meetings.md has a row for each.
 //!
 //! CI plays a bounded number of drawn days on which several meet. More of them:
-//! `MEETINGS=200 cargo test --release -p jasperhill-testkit --test meetings -- --ignored`.
+//! `FAULT_DAYS=200 cargo test --release -p jasperhill-testkit --test combined_faults -- --ignored`.
 
 use jasperhill_membership::LeaseTerms;
 use jasperhill_scheduler::{HeartbeatSource, Host, HostInput, MachineSpec};
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_others_cancel_while_its_owner_is_refused_is_gone_in_time() {
+fn jobs_cancelled_while_the_store_refuses_their_owner_end_in_time() {
     for lead in [1, 5, 12, 25] {
         let (fell, latest, played) = refused_days(lead, |_| Vec::new(), |_| {});
         judge(&played);
@@ -119,7 +119,7 @@
 
 /// Nobody hears that it would let go: it answers for as long as it may.
 #[test]
-fn the_refused_owner_loses_its_peers_as_well() {
+fn the_refused_owner_loses_its_peers() {
     for lead in [5, 12] {
         let cut = |node| cut_from_peers(node, OUTAGE_AT - lead, lead + OUTAGE);
         let (fell, latest, played) = refused_days(lead, cut, |_| {});
@@ -132,7 +132,7 @@
 /// A session that outlives the bound on knowledge: only that bound is left. Without it the rule
 /// breaks, by its name.
 #[test]
-fn a_long_session_does_not_lengthen_what_unheard_of_cancellations_have() {
+fn a_long_session_does_not_delay_cancellations() {
     let cut = |node| cut_from_peers(node, OUTAGE_AT - 5, 5 + OUTAGE);
     let (fell, latest, played) = refused_days(5, cut, |plan| plan.session = Some(60));
     judge(&played);
@@ -150,7 +150,7 @@
 
 /// The refused owner stands still, the confirming controllers end, and machines hear nothing.
 #[test]
-fn a_refusal_and_an_outage_with_a_third_trouble() {
+fn a_refusal_and_an_outage_with_a_third_fault() {
     let others = |node| (0..3).filter(move |n| *n != node);
     let stands = |node| vec![(OUTAGE_AT - 2, Fault::Stall(node, secs(20)))];
     let end = |node| {
@@ -169,7 +169,7 @@
 /// A controller that has lost the state service and all others, and whom users reach. Without the
 /// end of its readiness jobs are forgotten.
 #[test]
-fn users_leave_a_controller_that_has_lost_everybody_else() {
+fn users_leave_an_isolated_controller() {
     let plans = (0..3).map(|node| {
         let mut troubles = cut_from_peers(node, AT, 130);
         troubles.push((
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_leader_ends_while_machines_hear_nothing() {
+fn a_leader_crashes_while_machines_receive_nothing() {
     let plans = (0..3).map(|node| {
         let troubles = vec![
             (AT, Fault::NotReceiving(50, secs(14 + 12 * node as u64))),
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn old_reports_come_after_newer_ones_and_after_new_sessions() {
+fn late_heartbeats_after_newer_ones_and_new_incarnations() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
             (AT - 30, Fault::LateHeartbeats(50, secs(150))),
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn all_end_and_come_back_within_a_second() {
+fn all_controllers_restart_within_a_second() {
     let plans = (0..3).map(|n| {
         let times = |node, times, life, back| Fault::CrashLoop {
             node,
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn commands_or_their_answers_are_held_up() {
+fn commands_or_their_responses_are_delayed() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
             (AT - 30, Fault::DelayedCommands(70, secs(140))),
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn the_state_service_is_slow_then_refuses_one_then_everybody() {
+fn the_store_is_slow_then_refuses_one_then_everybody() {
     let plans = (0..3).map(|node| {
         let slow = |n| {
             Fault::Link(
@@ -465,7 +465,7 @@
 /// A machine is returned, and its last reports come later, also to a new leader. Without the question
 /// whether it is there it gets a record, counts as room and is never heard.
 #[test]
-fn reports_of_returned_machines_come_late() {
+fn late_heartbeats_of_returned_machines() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
             (AT - 40, Fault::LateHeartbeats(90, secs(170))),
@@ -489,7 +489,7 @@
 /// Machines that reach nobody while orders reach them. What runs there runs until its lease ends;
 /// nothing new is begun there, unless a new owner can't know better yet.
 #[test]
-fn machines_reach_nobody_while_orders_reach_them() {
+fn machines_send_nothing_while_commands_reach_them() {
     let plan = |n: usize, more: Vec<(u64, Fault)>| {
         let mut troubles = vec![
             (AT, Fault::NotSending(50, secs(20 + 15 * n as u64))),
@@ -524,7 +524,7 @@
 /// Jobs are called off, their machines hang at that moment and go on near the end of their lease,
 /// while the old leader is refused alone or cut off with them.
 #[test]
-fn called_off_while_its_machines_hang() {
+fn cancelled_while_its_machines_hang() {
     for (hang, lead) in [(6, 1), (13, 1), (13, 12), (25, 5)] {
         let plans = (0..3).map(|node| {
             let mut plan = refused(100 + node as u64, node, lead, Vec::new());
@@ -551,7 +551,7 @@
 /// The old leader has lost the state service and the others, workers and users reach it, and jobs are
 /// called off through the new one; some of their machines hang.
 #[test]
-fn called_off_through_the_new_leader_while_the_old_one_is_cut() {
+fn cancelled_through_the_new_leader_while_the_old_one_is_cut_off() {
     let plans = (0..3).map(|node| {
         let mut troubles = cut_from_peers(node, AT, 90);
         troubles.push((
@@ -579,7 +579,7 @@
 /// A cancellation, questions and repeated submissions meet the end of a job's last task: first with no
 /// other trouble, then with lost answers, late writes and a change of leader.
 #[test]
-fn called_off_at_the_moment_of_the_end() {
+fn cancelled_at_the_moment_of_the_end() {
     let plans = (0..6).map(|n| {
         let mut troubles = vec![(20, Fault::CancelAtEnd(90, secs(180)))];
         if n % 3 > 0 {
@@ -770,7 +770,7 @@
 
 /// Odd requests, also during an outage, a refusal and with a controller that has just begun.
 #[test]
-fn odd_requests_get_their_answers() {
+fn invalid_requests_get_their_answers() {
     let plans = (0..4).map(|n| {
         let troubles = vec![
             (30, Fault::InvalidRequests(secs(170))),
@@ -789,7 +789,7 @@
 
 /// More work than room, urgent and not, over slow links, while a leader changes: everybody is served.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn more_work_than_capacity_over_slow_links() {
     let slow = LinkFault::Slow(250);
     let nodes = || (0..3).map(Endpoint::Node);
     let links = nodes().flat_map(|from| {
@@ -829,14 +829,16 @@
 }
 
 #[test]
-fn drawn_meetings_overlap() {
+fn random_combined_faults() {
     judge(&play((1_000..1_024).map(day).collect()));
 }
 
 #[test]
-#[ignore = "minutes: as many drawn days as MEETINGS says"]
-fn many_drawn_meetings_overlap() {
-    let many = std::env::var("MEETINGS").ok().and_then(|n| n.parse().ok());
+#[ignore = "minutes: as many drawn days as FAULT_DAYS says"]
+fn many_random_combined_faults() {
+    let many = std::env::var("FAULT_DAYS")
+        .ok()
+        .and_then(|n| n.parse().ok());
     judge(&play(
         (2_000..2_000 + many.unwrap_or(100)).map(day).collect(),
     ));
--- a/crates/jasperhill-testkit/tests/links.rs
+++ b/crates/jasperhill-testkit/tests/network_partitions.rs
@@ -3,7 +3,7 @@
 //! controller reaches a zone's workers and the state service, none of them loses tasks to a lease.
 //!
 //! CI plays every single link with one kind of failure each and a drawn part of the pairs. All of
-//! both, in some minutes: `cargo test --release -p jasperhill-testkit --test links -- --ignored`.
+//! both, in some minutes: `cargo test --release -p jasperhill-testkit --test network_partitions -- --ignored`.
 
 use jasperhill_testkit::{
     Scenario,
@@ -287,7 +287,7 @@
 
 /// Cuts in the midst of takeovers, hand-overs, rolls, grants of keepers and standstills.
 #[test]
-fn cuts_meet_crashes_rolls_and_standstills() {
+fn cuts_with_crashes_rolling_updates_and_stalls() {
     let links = links();
     let cases = (200..216)
         .map(|seed| {
--- a/crates/jasperhill-testkit/tests/limits.rs
+++ b/crates/jasperhill-testkit/tests/resource_limits.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_process_that_keeps_no_account_runs_out_of_sockets() {
+fn without_a_connection_budget_sockets_run_out() {
     let outcome = run(Scenario {
         without_connection_budget: true,
         ..fleet(1, 90, one_left())
@@ -83,7 +83,7 @@
 
 /// A process that ends again and again leaves its roles to those who live on, where there are any.
 #[test]
-fn a_controller_that_ends_again_and_again_leaves_its_roles() {
+fn a_crash_looping_controller_leaves_its_roles() {
     let outcome = run(Scenario::small(3, 100, 40, looping(1, 35)));
     assert_eq!(outcome.broken, Vec::<String>::new());
     assert_eq!(outcome.killed, 0, "{outcome:?}");
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn controllers_that_all_end_again_and_again_serve_as_they_can() {
+fn all_controllers_crash_looping_serve_as_they_can() {
     for nodes in [2, 3] {
         let outcome = run(fleet(2, 90, looping(nodes, 25)));
         rules_hold(&outcome);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn nobody_starves_behind_more_important_work_without_end() {
+fn no_class_starves_behind_more_important_work() {
     let (with, without) = (burst(5, false), burst(5, true));
     assert!(with.least_class.1 >= 0.5, "{with:?}");
     assert!(without.least_class.1 < 0.5, "{without:?}");
@@ -146,7 +146,7 @@
 
 /// One team's flood beside the others: they don't notice.
 #[test]
-fn a_flood_of_one_team_is_its_own_affair() {
+fn a_flood_of_one_team_does_not_starve_others() {
     let outcome = run(Scenario {
         scale: Scale::Large,
         flood: (400, 15),
