--- a/crates/jasperhill-controller/src/clock.rs
+++ b/crates/jasperhill-controller/src/clock.rs
@@ -2,7 +2,7 @@
 //! the same to all controllers.
 
 use jasperhill_wire::Micros;
-use std::rc::Rc;
+use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
 #[derive(Clone)]
@@ -45,3 +45,8 @@
         }
     }
 }
+
+/// A length of time as timers take it.
+pub(crate) fn to_duration(length: Micros) -> Duration {
+    Duration::from_micros(length.0)
+}
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -6,15 +6,10 @@
 use jasperhill_membership::link::Observation;
 use jasperhill_scheduler::SchedulerConfig;
 use jasperhill_wire::{Member, Micros, Name};
-use std::{
-    cell::RefCell, collections::BTreeMap, future::Future, net::SocketAddr, rc::Rc, time::Duration,
-};
+use std::{cell::RefCell, collections::BTreeMap, future::Future, net::SocketAddr, rc::Rc};
 use tokio::sync::Notify;
 
-/// A duration for timers.
-pub(crate) fn to_duration(t: Micros) -> Duration {
-    Duration::from_micros(t.0)
-}
+pub(crate) use crate::clock::to_duration;
 
 /// What an answer of the only counterpart of a link, or its absence, says of the link.
 pub(crate) fn observation_of(answered: bool) -> Observation {
--- a/crates/jasperhill-controller/src/store/state.rs
+++ b/crates/jasperhill-controller/src/store/state.rs
@@ -1,6 +1,6 @@
 //! What the client of the state service keeps.
 
-use crate::{settings::Settings, store::CommitQueue, token_bucket::TokenBucket};
+use crate::{settings::Settings, store::commit_queue::CommitQueue, token_bucket::TokenBucket};
 use jasperhill_wire::Micros;
 use tokio::sync::oneshot;
 
--- a/crates/jasperhill-controller/src/transport.rs
+++ b/crates/jasperhill-controller/src/transport.rs
@@ -1,6 +1,6 @@
 //! How requests leave the process. Tests put stand-ins behind the same trait.
 
-use crate::settings::Settings;
+use crate::{clock::to_duration, settings::Settings};
 use jasperhill_connections::{Class, PlanInputs};
 use jasperhill_http::{Client, ClientError, ClientLimits, ConnectionTracker, Request, Response};
 use std::{collections::BTreeMap, future::Future, net::SocketAddr, pin::Pin, time::Duration};
@@ -23,8 +23,7 @@
     };
     // A worker reports after a report's time and a quarter at the latest, and waits four seconds
     // for an answer before it goes elsewhere.
-    let overdue = crate::shared::to_duration(settings.heartbeat_interval.scale(1.25))
-        + Duration::from_secs(4);
+    let overdue = to_duration(settings.heartbeat_interval.scale(1.25)) + Duration::from_secs(4);
     ConnectionTracker::new(sizes, overdue)
 }
 
