--- a/crates/jasperhill-controller/tests/mirror.rs
+++ b/crates/jasperhill-controller/tests/watch_cache.rs
@@ -1,4 +1,4 @@
-//! The mirror of the host records: blocks change as wholes, hosts one by one.
+//! The watch cache of the host records: blocks change as wholes, hosts one by one.
 
 use jasperhill_controller::watch_cache::{Change, Input, WatchCache};
 use jasperhill_wire::{
@@ -36,8 +36,8 @@
     /// a listing gives the same records and never a lower version.
     #[test]
     fn a_host_is_as_young_as_its_own_last_change(edits in edits()) {
-        let mut mirror = WatchCache::default();
-        mirror.apply(Input::Listed { items: vec![], first: Revision(0), last: Revision(0) });
+        let mut cache = WatchCache::default();
+        cache.apply(Input::Listed { items: vec![], first: Revision(0), last: Revision(0) });
         let mut model: BTreeMap<HostId, (u32, u64, HostRecord)> = BTreeMap::new();
         let mut blocks: BTreeMap<u32, u64> = BTreeMap::new();
         let value = |model: &BTreeMap<HostId, (u32, u64, HostRecord)>, n: u32| {
@@ -54,7 +54,7 @@
                 model.remove(&id);
             }
             blocks.insert(block, revision);
-            mirror.apply(Input::WatchEvents {
+            cache.apply(Input::WatchEvents {
                 after: Revision(revision - 1),
                 revision: Revision(revision),
                 events: vec![WatchEvent::Put {
@@ -64,7 +64,7 @@
                 }],
             });
         }
-        let seen: Vec<_> = mirror.hosts.iter().map(|(id, k)| (id.clone(), k.block, k.version.0)).collect();
+        let seen: Vec<_> = cache.hosts.iter().map(|(id, k)| (id.clone(), k.block, k.version.0)).collect();
         let meant: Vec<_> = model.iter().map(|(id, (b, v, _))| (id.clone(), *b, *v)).collect();
         prop_assert_eq!(seen, meant);
         let mut listed = WatchCache::default();
@@ -73,11 +73,11 @@
             key: block_key(*n), value: value(&model, *n), version: Revision(*v), lease: None,
         }).collect();
         listed.apply(Input::Listed { items, first: last, last });
-        for (id, kept) in &mirror.hosts {
+        for (id, kept) in &cache.hosts {
             prop_assert_eq!(&listed.hosts[id].value, &kept.value);
             prop_assert!(listed.hosts[id].version >= kept.version);
         }
-        prop_assert_eq!(listed.hosts.len(), mirror.hosts.len());
+        prop_assert_eq!(listed.hosts.len(), cache.hosts.len());
     }
 }
 
@@ -106,27 +106,27 @@
     }
 }
 
-/// A mirror of one block with three hosts, at revision 5.
+/// A cache of one block with three hosts, at revision 5.
 fn three_in_one() -> WatchCache {
-    let mut mirror = WatchCache::default();
-    mirror.apply(Input::Listed {
+    let mut cache = WatchCache::default();
+    cache.apply(Input::Listed {
         items: vec![item(block_key(0), block(&[1, 2, 3]), 5)],
         first: Revision(5),
         last: Revision(5),
     });
-    mirror
+    cache
 }
 
-fn blocks(mirror: &WatchCache) -> Vec<(&str, u32)> {
-    let hosts = mirror.hosts.iter();
+fn blocks(cache: &WatchCache) -> Vec<(&str, u32)> {
+    let hosts = cache.hosts.iter();
     hosts.map(|(id, k)| (id.as_str(), k.block)).collect()
 }
 
 /// Whether a host was ever taken for gone: its owner would start its tasks elsewhere.
-fn gone(mirror: &WatchCache, changes: &[Change]) -> bool {
+fn gone(cache: &WatchCache, changes: &[Change]) -> bool {
     changes
         .iter()
-        .any(|c| matches!(c, Change::Host(id) if !mirror.hosts.contains_key(id)))
+        .any(|c| matches!(c, Change::Host(id) if !cache.hosts.contains_key(id)))
 }
 
 /// What the version before makes of blocks, one after the other: a host that its block no longer
@@ -190,21 +190,21 @@
             }
             h
         };
-        let mut mirror = three_in_one();
-        let changes = mirror.apply(Input::WatchEvents {
+        let mut cache = three_in_one();
+        let changes = cache.apply(Input::WatchEvents {
             after: Revision(5),
             revision: Revision(6),
             events: order(halves()).map(|(k, v)| put(k, v, 6)).to_vec(),
         });
-        assert!(!gone(&mirror, &changes));
-        assert_eq!(blocks(&mirror), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
+        assert!(!gone(&cache, &changes));
+        assert_eq!(blocks(&cache), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
         let mut own = three_in_one();
         let changes = own.apply(Input::OwnWrite {
             changes: order(halves()).map(|(k, v)| (k, Some(v))).to_vec(),
             version: Revision(6),
         });
         assert!(!gone(&own, &changes));
-        assert_eq!(blocks(&own), blocks(&mirror));
+        assert_eq!(blocks(&own), blocks(&cache));
         assert_eq!(own.block(0).hosts.len(), 1);
     }
 }
@@ -219,20 +219,20 @@
         ([block(&[1, 2, 3]), block(&[2, 3])], [5, 6]),
     ] {
         let [old, new] = pages;
-        let mut mirror = three_in_one();
+        let mut cache = three_in_one();
         let mut items = vec![item(block_key(0), old, versions[0])];
         if versions[1] > 4 {
             items.push(item(block_key(3), new, versions[1]));
         }
-        let changes = mirror.apply(Input::Listed {
+        let changes = cache.apply(Input::Listed {
             items,
             first: Revision(5),
             last: Revision(6),
         });
-        assert!(!gone(&mirror, &changes) && mirror.hosts.len() == 3);
+        assert!(!gone(&cache, &changes) && cache.hosts.len() == 3);
         // What is between two blocks is written into neither.
-        assert!(mirror.block(0).hosts.len() + mirror.block(3).hosts.len() <= 3);
-        let changes = mirror.apply(Input::WatchEvents {
+        assert!(cache.block(0).hosts.len() + cache.block(3).hosts.len() <= 3);
+        let changes = cache.apply(Input::WatchEvents {
             after: Revision(5),
             revision: Revision(6),
             events: vec![
@@ -240,23 +240,23 @@
                 put(block_key(3), block(&[2, 3]), 6),
             ],
         });
-        assert!(!gone(&mirror, &changes));
-        assert_eq!(blocks(&mirror), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
+        assert!(!gone(&cache, &changes));
+        assert_eq!(blocks(&cache), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
     }
-    // One that really goes is gone once the mirror is whole.
-    let mut mirror = three_in_one();
-    mirror.apply(Input::Listed {
+    // One that really goes is gone once the cache is whole.
+    let mut cache = three_in_one();
+    cache.apply(Input::Listed {
         items: vec![item(block_key(0), block(&[1, 2]), 6)],
         first: Revision(5),
         last: Revision(6),
     });
-    assert_eq!(mirror.hosts.len(), 3);
-    let changes = mirror.apply(Input::WatchEvents {
+    assert_eq!(cache.hosts.len(), 3);
+    let changes = cache.apply(Input::WatchEvents {
         after: Revision(5),
         revision: Revision(6),
         events: vec![put(block_key(0), block(&[1, 2]), 6)],
     });
-    assert!(gone(&mirror, &changes) && mirror.hosts.len() == 2);
+    assert!(gone(&cache, &changes) && cache.hosts.len() == 2);
 }
 
 fn job(id: &str, waits_on: &[&str], version: u64) -> WatchEvent {
@@ -270,20 +270,20 @@
 /// stays so whatever is written afterwards.
 #[test]
 fn jobs_after_a_cancelled_one_are_cancelled_by_the_records_alone() {
-    let mut mirror = WatchCache::default();
-    mirror.apply(Input::Listed {
+    let mut cache = WatchCache::default();
+    cache.apply(Input::Listed {
         items: vec![],
         first: Revision(0),
         last: Revision(0),
     });
     let over = |p: &str| json!({"p":p,"n":1});
     let mut apply = |revision: u64, event: WatchEvent| {
-        mirror.apply(Input::WatchEvents {
+        cache.apply(Input::WatchEvents {
             after: Revision(revision - 1),
             revision: Revision(revision),
             events: vec![event],
         });
-        let phase = |id: &str| mirror.final_phase(&JobId::new(id)).map(|(p, _)| p);
+        let phase = |id: &str| cache.final_phase(&JobId::new(id)).map(|(p, _)| p);
         [phase("job-1"), phase("job-2"), phase("job-3")]
     };
     let cancelled = Some(RecordPhase::Cancelled);
@@ -296,5 +296,5 @@
     // A controller that knew nothing of it.
     let event = put("jh/job/job-2".to_owned(), over("d"), 5);
     assert_eq!(apply(5, event), [cancelled; 3]);
-    assert_eq!(mirror.active_jobs().count(), 0);
+    assert_eq!(cache.active_jobs().count(), 0);
 }
