--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -1,4 +1,5 @@
-//! A controller: starts its loops, and hands in the requests that come to it.
+//! A controller: starts its loops, and hands in the requests that come to it. The daemon and the
+//! simulated cluster of the test kit are its two users.
 
 use crate::{
     clock::Clock,
--- /dev/null
+++ b/crates/jasperhill-controller/src/feature_gate/tests.rs
@@ -0,0 +1,48 @@
+use super::*;
+use jasperhill_wire::Revision;
+
+fn versioned<T>(value: T) -> Versioned<T> {
+    Versioned {
+        value,
+        version: Revision(1),
+    }
+}
+
+/// Absent means old; a session of an earlier version outweighs what its member once knew.
+#[test]
+fn a_level_is_supported_only_while_every_member_is_known_to_have_it() {
+    let members: Vec<Member> = ["a", "b"].map(Member::new).to_vec();
+    let (mut sessions, mut levels) = (BTreeMap::new(), BTreeMap::new());
+    let mut gate = FeatureGate::default();
+    let session = |format| {
+        versioned(SessionRecord {
+            lease: 1,
+            format,
+            process_started: jasperhill_wire::Micros::ZERO,
+            quick_restarts: 0,
+        })
+    };
+    let mut apply = |sessions: &_, levels: &_, synced| {
+        gate.apply(&MemberVersions {
+            synced,
+            members: &members,
+            sessions,
+            levels,
+        });
+        gate
+    };
+    assert_eq!(apply(&sessions, &levels, false), FeatureGate::Unknown);
+    sessions.insert("a".into(), session(1));
+    assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(0));
+    sessions.insert("b".into(), session(0));
+    assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(0));
+    sessions.insert("b".into(), session(1));
+    assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(1));
+    // Its session ends: what it last was counts, if it said so.
+    sessions.remove(&Member::new("b"));
+    assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(0));
+    levels.insert("b".into(), versioned(FeatureLevelRecord { format: 1 }));
+    assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(1));
+    sessions.insert("b".into(), session(0));
+    assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(0));
+}
--- a/crates/jasperhill-controller/src/proposals/state.rs
+++ b/crates/jasperhill-controller/src/proposals/state.rs
@@ -1,4 +1,5 @@
-//! Jobs that are handed over to their owners through the store.
+//! The state of proposals. `open` is changed by `proposals`, `received` by changes of the watch cache and
+//! by the loop that decides on them.
 
 use jasperhill_wire::JobId;
 use std::collections::BTreeSet;
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -2,29 +2,23 @@
 //! more than a fair share.
 
 use crate::{
+    membership::process_run_of,
     shared::Shared,
     state::State,
     store::{WriteOutcome, WritePriority, guard, put},
 };
 use jasperhill_membership::{
-    restart_history::{self, Phase, ProcessRun},
+    restart_history::{self, Phase},
     roles::{self, Snapshot, Transition},
 };
 use jasperhill_scheduler::{Host, Partition, job::Readiness};
 use jasperhill_wire::{
     Member, Micros, Revision,
-    record::{DEPENDENCIES, Role, RoleRecord, SessionRecord, role_key, session_key},
+    record::{DEPENDENCIES, Role, RoleRecord, role_key, session_key},
 };
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
-    ProcessRun {
-        started: record.process_started,
-        quick_restarts: record.quick_restarts,
-    }
-}
-
 impl Shared {
     pub async fn roles_loop(self: Rc<Self>) {
         loop {
--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -1,4 +1,6 @@
-//! Carries changes of the watch cache over to all that depends on them.
+//! Carries changes of the watch cache over to all that depends on them: the scheduler's partitions, the
+//! demand forecast, the feature gate, and the loops that wait. Called by the store client with each
+//! listing, watch and own write. Owns no state.
 
 use crate::{
     feature_gate::MemberVersions,
@@ -13,118 +15,176 @@
 use jasperhill_wire::{JobId, Micros, user::JobRequest};
 use std::rc::Rc;
 
-/// Released jobs whose times are remembered; beyond, age counts from the submission.
+/// Released jobs whose release times are kept; beyond, waiting time counts from the submission.
 const RELEASED_MAX: usize = 20_000;
 
+/// What is to be woken once all changes are carried over.
+#[derive(Clone, Copy, Default)]
+struct FollowUp {
+    /// The loop that acquires and hands over roles.
+    roles: bool,
+    /// The scheduler.
+    scheduler: bool,
+}
+
+impl FollowUp {
+    const ROLES: Self = Self {
+        roles: true,
+        scheduler: false,
+    };
+    const SCHEDULER: Self = Self {
+        roles: false,
+        scheduler: true,
+    };
+
+    fn scheduler_if(needed: bool) -> Self {
+        Self {
+            roles: false,
+            scheduler: needed,
+        }
+    }
+
+    fn add(&mut self, other: Self) {
+        self.roles |= other.roles;
+        self.scheduler |= other.scheduler;
+    }
+}
+
 impl Shared {
     /// Applies an input to the watch cache and carries the changes over to all that depends on it.
     pub fn apply_to_cache(&self, input: watch_cache::Input) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let following = state.cache.is_synced();
+        let was_synced = state.cache.is_synced();
         let changes = state.cache.apply(input);
-        let began = !following && state.cache.is_synced();
-        if began {
+        let became_synced = !was_synced && state.cache.is_synced();
+        if became_synced {
             self.update_feature_gate(&mut state);
         }
         if changes.is_empty() {
             return;
         }
-        let (mut roles, mut pass) = (false, false);
+        let mut follow_up = FollowUp::default();
         for change in changes {
-            match change {
-                Change::Job(id) => {
-                    if state.proposals.open.contains(&id) {
-                        self.wake.proposals.notify_waiters();
-                    }
-                    if following && state.cache.dependencies.state_of(&id) == DependencyState::Ready
-                    {
-                        self.record_arrival(&mut state, &id, now);
-                    }
-                    pass |= self.job_changed(&mut state, &id, now);
-                }
-                Change::Released(id) => {
-                    // Its time counts from now on.
-                    if state.scheduling.released.len() < RELEASED_MAX {
-                        state.scheduling.released.insert(id.clone(), now);
-                    }
-                    self.record_arrival(&mut state, &id, now);
-                    pass |= self.job_changed(&mut state, &id, now);
-                }
-                Change::Related(id) => pass |= self.job_changed(&mut state, &id, now),
-                Change::Host(id) => {
-                    self.host_changed(&mut state, &id, now);
-                    self.wake.hosts_changed.notify_waiters();
-                    pass = true;
-                }
-                Change::Session(member) => {
-                    let there = state.cache.sessions.get(&member).map(|k| k.value.lease);
-                    state
-                        .membership
-                        .roles
-                        .apply(roles::Input::Session(&member, there), now);
-                    self.update_feature_gate(&mut state);
-                    roles = true;
-                }
-                Change::FeatureLevel(_) => self.update_feature_gate(&mut state),
-                Change::Role(_) => {
-                    // Reports that wait for it go where it went.
-                    self.wake.ownership_changed.notify_waiters();
-                    roles = true;
-                }
-                Change::DelegationRequest(keeper) => {
-                    state.delegation.changed_requests.insert(keeper);
-                    self.wake.delegation_grants.notify_one();
-                }
-                Change::Proposal(id) => {
-                    if state.proposals.open.contains(&id) {
-                        self.wake.proposals.notify_waiters();
-                    } else {
-                        state.proposals.received.insert(id);
-                        self.wake.delegation_grants.notify_one();
-                    }
-                }
-                Change::DelegationGrant => self.wake.grants_changed.notify_waiters(),
-                Change::Types => {
-                    if state.scheduling.specs.is_none()
-                        && let Some(types) = state.cache.types()
-                    {
-                        state.scheduling.specs = Some(Rc::new(specs(&types.types)));
-                        roles = true;
-                    }
-                }
-            }
+            follow_up.add(self.carry_over(&mut state, change, was_synced, now));
         }
-        if began {
+        if became_synced {
             self.restore_forecast(&mut state, now);
         }
         drop(state);
-        if roles {
+        if follow_up.roles {
             self.wake.roles.notify_one();
         }
-        if pass {
+        if follow_up.scheduler {
             self.wake.scheduler.notify_one();
         }
     }
 
-    /// Notes whether every member is of this version.
+    /// Carries one change over. `was_synced`: the watch cache was complete before it, so that a new
+    /// job is one that has just been submitted.
+    fn carry_over(
+        &self,
+        state: &mut State,
+        change: Change,
+        was_synced: bool,
+        now: Micros,
+    ) -> FollowUp {
+        match change {
+            Change::Job(id) => self.job_record_changed(state, &id, was_synced, now),
+            Change::Released(id) => self.job_released(state, id, now),
+            Change::Related(id) => FollowUp::scheduler_if(self.job_changed(state, &id, now)),
+            Change::Host(id) => {
+                self.host_changed(state, &id, now);
+                self.wake.hosts_changed.notify_waiters();
+                FollowUp::SCHEDULER
+            }
+            Change::Session(member) => {
+                let lease = state.cache.sessions.get(&member).map(|k| k.value.lease);
+                let session = roles::Input::Session(&member, lease);
+                state.membership.roles.apply(session, now);
+                self.update_feature_gate(state);
+                FollowUp::ROLES
+            }
+            Change::FeatureLevel(_) => {
+                self.update_feature_gate(state);
+                FollowUp::default()
+            }
+            Change::Role(_) => {
+                // Heartbeats that wait for the owner go where the role went.
+                self.wake.ownership_changed.notify_waiters();
+                FollowUp::ROLES
+            }
+            Change::DelegationRequest(delegate) => {
+                state.delegation.changed_requests.insert(delegate);
+                self.wake.delegation_grants.notify_one();
+                FollowUp::default()
+            }
+            Change::Proposal(id) => {
+                self.proposal_changed(state, id);
+                FollowUp::default()
+            }
+            Change::DelegationGrant => {
+                self.wake.grants_changed.notify_waiters();
+                FollowUp::default()
+            }
+            Change::Types => load_specs(state),
+        }
+    }
+
+    fn job_record_changed(
+        &self,
+        state: &mut State,
+        id: &JobId,
+        was_synced: bool,
+        now: Micros,
+    ) -> FollowUp {
+        if state.proposals.open.contains(id) {
+            self.wake.proposals.notify_waiters();
+        }
+        if was_synced && state.cache.dependencies.state_of(id) == DependencyState::Ready {
+            self.record_arrival(state, id, now);
+        }
+        FollowUp::scheduler_if(self.job_changed(state, id, now))
+    }
+
+    fn job_released(&self, state: &mut State, id: JobId, now: Micros) -> FollowUp {
+        // Its waiting time counts from now on.
+        if state.scheduling.released.len() < RELEASED_MAX {
+            state.scheduling.released.insert(id.clone(), now);
+        }
+        self.record_arrival(state, &id, now);
+        FollowUp::scheduler_if(self.job_changed(state, &id, now))
+    }
+
+    /// A proposal of this controller may have been answered; one of another is to be considered.
+    fn proposal_changed(&self, state: &mut State, id: JobId) {
+        if state.proposals.open.contains(&id) {
+            self.wake.proposals.notify_waiters();
+        } else {
+            state.proposals.received.insert(id);
+            self.wake.delegation_grants.notify_one();
+        }
+    }
+
+    /// Brings the feature gate up to what the watch cache says of the members.
     fn update_feature_gate(&self, state: &mut State) {
         let State {
             membership, cache, ..
         } = state;
-        let seen = MemberVersions {
+        let versions = MemberVersions {
             synced: cache.is_synced(),
             members: &self.members,
             sessions: &cache.sessions,
-            formats: &cache.feature_levels,
+            levels: &cache.feature_levels,
         };
-        if membership.features.apply(&seen) {
-            tracing::info!(state = ?membership.features, "versions of the members");
+        if membership.features.apply(&versions) {
+            tracing::info!(state = ?membership.features, "feature gate changed");
         }
     }
 
-    /// A controller that begins learns what has come lately from the records. Guards against a
-    /// fleet that shrinks when its leader has restarted and expects nothing any more.
+    /// Restores the demand forecast of a controller that has just started from the records of jobs that
+    /// came lately. Guards against a fleet that shrinks when its leader has restarted and expects
+    /// nothing any more.
     fn restore_forecast(&self, state: &mut State, now: Micros) {
         let Some(specs) = state.scheduling.specs.clone() else {
             return;
@@ -155,6 +215,7 @@
         }
     }
 
+    /// Counts a job that has become ready in the demand forecast.
     fn record_arrival(&self, state: &mut State, id: &JobId, now: Micros) {
         let Some(specs) = &state.scheduling.specs else {
             return;
@@ -171,3 +232,14 @@
         }
     }
 }
+
+/// Takes over the machine types once all their parts are known.
+fn load_specs(state: &mut State) -> FollowUp {
+    if state.scheduling.specs.is_none()
+        && let Some(types) = state.cache.types()
+    {
+        state.scheduling.specs = Some(Rc::new(specs(&types.types)));
+        return FollowUp::ROLES;
+    }
+    FollowUp::default()
+}
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -1,15 +1,18 @@
 //! Runs the scheduler: hands it what changes in the store, makes a pass after changes and every second,
-//! and sends out what it decides.
+//! and sends out what it decides. Owns [`state::SchedulingState`]; the decisions themselves are those of
+//! `jasperhill_scheduler`.
 
 mod cache_changes;
 pub mod state;
 
 use crate::{
+    clock::to_duration,
     shared::Shared,
     state::State,
     watch_cache::{ActiveJob, JobEntry},
 };
 use jasperhill_scheduler::{
+    FencingState, Host, Partition,
     dependencies::DependencyState,
     job::{DependencyStatus, Readiness, Termination},
     partition::Event,
@@ -18,16 +21,22 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// How long changes are gathered before a pass, and how much longer for each job that waits.
-const PASS_PAUSE: Duration = Duration::from_millis(10);
-const PASS_PER_JOB: Duration = Duration::from_micros(60);
-const PASS_PAUSE_MAX: Duration = Duration::from_millis(250);
+/// How long changes are gathered before a pass, at least.
+const GATHER_MIN: Duration = Duration::from_millis(10);
+/// How much longer changes are gathered for each job that waits.
+const GATHER_PER_JOB: Duration = Duration::from_micros(60);
+/// How much longer changes are gathered, at most: bounds how late a pass comes behind a long backlog.
+const GATHER_EXTRA_MAX: Duration = Duration::from_millis(250);
+/// Waiting jobs that count for the time to gather, at most; it reaches its maximum with fewer.
+const GATHER_JOBS_MAX: usize = 10_000;
+/// There is a pass at least this often, for what only time changes.
+const TICK: Micros = Micros::from_secs(1);
 
 impl Shared {
-    /// How a job stands in its pipeline, by the steady clock.
+    /// What the dependency graph says of a job, with times by the steady clock.
     pub fn dependency_status(&self, state: &State, job: &ActiveJob) -> DependencyStatus {
         let id = &job.request.id;
-        let claim = state.cache.dependencies.inherited_urgency(id);
+        let urgency = state.cache.dependencies.inherited_urgency(id);
         DependencyStatus {
             gate: match state.cache.dependencies.state_of(id) {
                 DependencyState::Ready => Readiness::Open,
@@ -37,21 +46,21 @@
                 Some(at) => *at,
                 None => self.clock.steady(job.submitted),
             },
-            due: claim.due.map(|due| self.clock.steady(due)),
-            priority: claim.priority,
+            due: urgency.due.map(|due| self.clock.steady(due)),
+            priority: urgency.priority,
         }
     }
 
-    /// A job's record has changed. True if a pass could make use of it.
+    /// A job's record or its dependency status has changed. Whether a pass could make use of it.
     fn job_changed(&self, state: &mut State, id: &JobId, now: Micros) -> bool {
         if let Some((phase, _)) = state.cache.final_phase(id) {
-            let ending = match phase {
+            let termination = match phase {
                 RecordPhase::Done => Termination::Done,
                 _ => Termination::Cancelled,
             };
             state.scheduling.released.remove(id);
             for partition in state.scheduling.partitions.values_mut() {
-                partition.end_job(id, ending, now);
+                partition.end_job(id, termination, now);
             }
             return true;
         }
@@ -61,32 +70,32 @@
         let Some(p) = self.partition_of(&job.request.team) else {
             return false;
         };
-        let place = self.dependency_status(state, job);
+        let status = self.dependency_status(state, job);
         let submitted = self.clock.steady(job.submitted);
         let Some(partition) = state.scheduling.partitions.get_mut(&p) else {
             return false;
         };
-        let trust = (job.failed_attempts, now);
+        let failures = (job.failed_attempts, now);
         let (request, version) = (&job.request, job.version);
-        partition.upsert_job(request, version, submitted, &job.finished, trust);
-        partition.set_dependency_status(id, place);
+        partition.upsert_job(request, version, submitted, &job.finished, failures);
+        partition.set_dependency_status(id, status);
         true
     }
 
     /// A host's record has changed.
     fn host_changed(&self, state: &mut State, id: &HostId, now: Micros) {
         let record = state.cache.hosts.get(id).cloned();
-        let home = record.as_ref().and_then(|k| k.value.partition());
+        let owner = record.as_ref().and_then(|k| k.value.partition());
         for (p, partition) in &mut state.scheduling.partitions {
             match &record {
-                Some(kept) if home == Some(*p) => {
-                    partition.upsert_host(id, &kept.value, kept.version, false, now);
+                Some(entry) if owner == Some(*p) => {
+                    partition.upsert_host(id, &entry.value, entry.version, false, now);
                 }
                 _ if partition.hosts.contains_key(id) => partition.remove_host(id, now),
                 _ => {}
             }
         }
-        if home.is_none() {
+        if owner.is_none() {
             state.provisioning.returning.remove(id);
         }
     }
@@ -94,7 +103,7 @@
     /// How long changes are gathered before the next pass. Guards against passes through a long
     /// backlog for every change: a pass costs as much as there are waiting jobs, and with more of
     /// them none has to start within milliseconds.
-    fn pass_pause(&self) -> Duration {
+    fn gather_period(&self) -> Duration {
         let state = self.state.borrow();
         let backlog: usize = state
             .scheduling
@@ -102,26 +111,24 @@
             .values()
             .map(|p| p.backlog)
             .sum();
-        let more = PASS_PER_JOB * backlog.min(10_000) as u32;
-        PASS_PAUSE + more.min(PASS_PAUSE_MAX)
+        let extra = GATHER_PER_JOB * backlog.min(GATHER_JOBS_MAX) as u32;
+        GATHER_MIN + extra.min(GATHER_EXTRA_MAX)
     }
 
     /// The loop that decides: after changes, and every second for what only time changes.
     pub async fn pass_loop(self: Rc<Self>) {
         let mut ticked = self.now();
         loop {
-            let woken = timeout(Duration::from_secs(1), self.wake.scheduler.notified())
-                .await
-                .is_ok();
-            if woken {
+            let changed = self.wake.scheduler.notified();
+            if timeout(to_duration(TICK), changed).await.is_ok() {
                 // Changes come in groups.
-                sleep(self.pass_pause()).await;
+                sleep(self.gather_period()).await;
             }
             // In a large deployment something changes all the time: the tick comes all the
-            // same, or hosts that did not answer after a takeover were never asked again.
+            // same, or hosts that did not answer after a failover were never asked again.
             self.note_activity();
             let now = self.now();
-            let tick = now - ticked >= Micros::from_secs(1);
+            let tick = now - ticked >= TICK;
             if tick {
                 ticked = now;
             }
@@ -129,68 +136,46 @@
         }
     }
 
+    /// One pass over all partitions, and the commands and writes that follow from it. Does nothing
+    /// without authority. `tick`: a second has passed since the last pass with it.
     pub fn scheduling_pass(self: Rc<Self>, tick: bool) {
         let now = self.now();
-        let mut directs = Vec::new();
+        let mut hosts_to_command = Vec::new();
         let mut state = self.state.borrow_mut();
         if !state.authority.holds(now) {
             return;
         }
         for (p, partition) in &mut state.scheduling.partitions {
             if tick {
-                // Hosts that have not shown the token yet are asked again.
-                let unfenced: Vec<HostId> = partition
-                    .hosts
-                    .values()
-                    .filter(|h| {
-                        matches!(
-                            h.fencing,
-                            jasperhill_scheduler::FencingState::Unfenced { .. }
-                        )
-                    })
-                    .map(|h| h.id.clone())
-                    .collect();
-                partition.dirty.extend(unfenced);
-                if tracing::enabled!(tracing::Level::DEBUG) {
-                    let [unknown, lapsed, doubt, silent, aside, draining] = partition.unusable(now);
-                    tracing::debug!(
-                        partition = *p,
-                        hosts = partition.hosts.len(),
-                        unknown,
-                        lapsed,
-                        doubt,
-                        silent,
-                        aside,
-                        draining,
-                        "hosts that get no tasks"
-                    );
-                }
+                mark_unfenced_hosts(partition);
+                log_unusable_hosts(*p, partition, now);
             }
             if tick || partition.changed {
                 partition.run_cycle(now);
             }
-            for note in partition.events.drain(..) {
-                log_note(&note);
+            for event in partition.events.drain(..) {
+                log_event(&event);
             }
             for host in std::mem::take(&mut partition.dirty) {
-                directs.push((*p, host));
+                hosts_to_command.push((*p, host));
             }
         }
         drop(state);
-        self.queue_commands(directs, tick);
+        self.queue_commands(hosts_to_command, tick);
         self.clone().save_results();
         self.clone().write_cancelled();
         self.raise_tokens();
     }
 
-    /// What must go at once when the session is gone: nothing is owned any more.
-    pub fn drop_ownership(&self, state: &mut State, why: &str) {
-        let parts: Vec<u32> = state.scheduling.partitions.keys().copied().collect();
-        if !parts.is_empty() || state.provisioning.leader.is_some() {
+    /// Drops all that this controller acts on as an owner, at once: the session is gone. `reason` is
+    /// for the log.
+    pub fn drop_ownership(&self, state: &mut State, reason: &str) {
+        let partitions: Vec<u32> = state.scheduling.partitions.keys().copied().collect();
+        if !partitions.is_empty() || state.provisioning.leader.is_some() {
             tracing::info!(
-                ?parts,
+                ?partitions,
                 leader = state.provisioning.leader.is_some(),
-                why,
+                reason,
                 "authority lost"
             );
         }
@@ -199,10 +184,38 @@
     }
 }
 
-fn log_note(note: &Event) {
-    match note {
-        Event::HostLost(host) => tracing::info!(%host, "host lost: its lease has lapsed"),
-        Event::HostAside(host) => tracing::info!(%host, "host set aside: it fails what it starts"),
+/// Has the hosts that have not shown the fencing token yet asked again.
+fn mark_unfenced_hosts(partition: &mut Partition) {
+    let unfenced = |host: &&Host| matches!(host.fencing, FencingState::Unfenced { .. });
+    let hosts = partition.hosts.values().filter(unfenced);
+    let hosts: Vec<HostId> = hosts.map(|host| host.id.clone()).collect();
+    partition.dirty.extend(hosts);
+}
+
+fn log_unusable_hosts(p: u32, partition: &Partition, now: Micros) {
+    if !tracing::enabled!(tracing::Level::DEBUG) {
+        return;
+    }
+    let [unknown, lapsed, doubt, silent, aside, draining] = partition.unusable(now);
+    tracing::debug!(
+        partition = p,
+        hosts = partition.hosts.len(),
+        unknown,
+        lease_expired = lapsed,
+        command_in_doubt = doubt,
+        silent,
+        quarantined = aside,
+        draining,
+        "hosts that get no tasks"
+    );
+}
+
+fn log_event(event: &Event) {
+    match event {
+        Event::HostLost(host) => tracing::info!(%host, "host lost: its lease has expired"),
+        Event::HostAside(host) => {
+            tracing::info!(%host, "host quarantined: it fails what it starts")
+        }
         Event::Failed(task, host, ran) => {
             tracing::debug!(%task, %host, ran_s = ran.as_secs_f64(), "task failed");
         }
@@ -215,9 +228,9 @@
             ?group,
             share = s.share,
             waiting = s.waiting,
-            "behind its floor"
+            "below its minimum share"
         ),
-        Event::Behind(group, None) => tracing::info!(?group, "no more behind its floor"),
+        Event::Behind(group, None) => tracing::info!(?group, "at its minimum share again"),
         Event::Whole(r) => tracing::info!(
             after_s = r.after.as_secs_f64(),
             lost = r.lost,
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -1,5 +1,6 @@
-//! What every part of a controller has at hand: settings, clocks, transport, the state, and how one
-//! part wakes another. The state lives in one cell that is never borrowed across an await.
+//! The context that every part of a controller shares: settings, clocks, transport, the state, and how
+//! one part wakes another. The state lives in one cell that is never borrowed across an await; each
+//! concern of it is changed only by its own module.
 
 use crate::{clock::Clock, settings::Settings, stall_detector, state::State, transport::Transport};
 use jasperhill_http::{ClientError, Request, Response};
@@ -11,7 +12,7 @@
 
 pub(crate) use crate::clock::to_duration;
 
-/// What an answer of the only counterpart of a link, or its absence, says of the link.
+/// What an answer of the only counterpart of a link, or its absence, shows of the link.
 pub(crate) fn observation_of(answered: bool) -> Observation {
     if answered {
         Observation::Success
@@ -49,22 +50,28 @@
     pub proposals: Notify,
 }
 
-/// What every part of a controller has at hand.
+/// The context that every part of a controller shares.
 pub(crate) struct Shared {
+    /// As the controller was started.
     pub settings: Settings,
+    /// What of the settings the scheduler needs.
     pub scheduler_config: Rc<SchedulerConfig>,
     /// The partition of each team.
     pub partition_by_team: BTreeMap<Name, u32>,
     /// All controllers, in the order that all agree on.
     pub members: Vec<Member>,
+    /// The steady clock and the time of day.
     pub clock: Clock,
+    /// How requests leave the process.
     pub transport: Rc<dyn Transport>,
+    /// All that changes.
     pub state: RefCell<State>,
+    /// How loops and waiting requests are woken.
     pub wake: Wakeups,
 }
 
 impl Shared {
-    /// The steady clock.
+    /// The time by the steady clock.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
@@ -76,8 +83,8 @@
         state.tasks.spawn_local(task);
     }
 
-    /// Tells the stall detector that the process runs. True if what is taken up now has queued up
-    /// while it did not.
+    /// Tells the stall detector that the process runs. Whether a request that is taken up now has waited
+    /// through a stall, and is not to be served.
     pub fn note_activity(&self) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -88,6 +95,9 @@
     }
 
     /// Sends a request and waits for the response until `limit` has passed.
+    ///
+    /// # Errors
+    /// Those of the transport; they say whether the request can have been executed.
     pub async fn call(
         &self,
         to: SocketAddr,
--- a/crates/jasperhill-controller/src/state.rs
+++ b/crates/jasperhill-controller/src/state.rs
@@ -1,5 +1,5 @@
 //! All that changes in a controller, by concern. Each concern's state is defined beside it, where its
-//! invariants are; here they are only put together.
+//! invariants are; here they are only put together. Lives in the one cell of `Shared`.
 
 use crate::{
     clock::Clock,
@@ -16,7 +16,7 @@
     settings::Settings,
     stall_detector::StallDetector,
     store::state::StoreState,
-    task_counts::TaskCountCache,
+    task_counts::cache::TaskCountCache,
     transport::Transport,
     watch_cache::WatchCache,
 };
@@ -30,21 +30,35 @@
     pub authority: Authority,
     /// The replica of the store.
     pub cache: WatchCache,
+    /// What the client of the store keeps.
     pub store: StoreState,
+    /// What is known of the other members.
     pub membership: MembershipState,
+    /// Whether this controller is cut off from the store.
     pub isolation: IsolationState,
+    /// The partitions and what the scheduler needs for them.
     pub scheduling: SchedulingState,
+    /// Heartbeats of workers.
     pub heartbeats: HeartbeatState,
+    /// Commands to workers.
     pub commands: CommandState,
+    /// Results that are being written.
     pub results: ResultState,
+    /// Heartbeats and commands that go by way of other controllers.
     pub relay: RelayState,
+    /// Leases of hosts that are delegated to other controllers.
     pub delegation: DelegationState,
+    /// Jobs handed over to their owners through the store.
     pub proposals: ProposalState,
+    /// Updates of host records.
     pub host_registry: HostRegistry,
+    /// Task counts of jobs that other controllers run.
     pub task_counts: TaskCountCache,
+    /// Machines that are rented and returned.
     pub provisioning: ProvisioningState,
+    /// Whether this process has stalled.
     pub stalls: StallDetector,
-    /// What runs for as long as the controller lives.
+    /// The tasks that run for as long as the controller lives.
     pub tasks: JoinSet<()>,
 }
 
@@ -52,7 +66,7 @@
     /// That of a process that has just started.
     pub fn new(settings: &Settings, clock: &Clock, transport: &dyn Transport) -> Self {
         let now = clock.now();
-        let commands = transport.connection_tracker().report(Class::Commands);
+        let command_connections = transport.connection_tracker().report(Class::Commands);
         Self {
             authority: Authority::new(settings.session(), settings.cache_age_max()),
             cache: WatchCache::default(),
@@ -61,7 +75,7 @@
             isolation: IsolationState::default(),
             scheduling: SchedulingState::default(),
             heartbeats: HeartbeatState::default(),
-            commands: CommandState::new(commands.guaranteed),
+            commands: CommandState::new(command_connections.guaranteed),
             results: ResultState::default(),
             relay: RelayState::default(),
             delegation: DelegationState::default(),
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     clock::to_duration,
-    roles::process_run_of,
+    membership::process_run_of,
     shared::{Shared, observation_of},
     stall_detector,
     state::State,
--- a/crates/jasperhill-controller/src/token_bucket.rs
+++ b/crates/jasperhill-controller/src/token_bucket.rs
@@ -1,82 +1,94 @@
-//! Token buckets that keep this controller's requests below its share of a service's limits.
+//! Token buckets, which keep this controller's requests below its share of a service's limits. Pure: the
+//! caller gives the time.
 
 use jasperhill_wire::Micros;
 
+/// What a computed wait is lengthened by. Guards against a wait that rounding makes a little too short,
+/// and a second one after it.
+const WAIT_MARGIN: Micros = Micros::from_millis(1);
+
+/// A token bucket that may go into debt.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
+    /// Tokens a second.
     rate: f64,
+    /// Tokens that it holds, at most; 1 or more.
     burst: f64,
+    /// Tokens that it holds as of `filled_at`; negative while in debt.
     level: f64,
-    at: Micros,
+    /// When it was last filled, by the steady clock.
+    filled_at: Micros,
 }
 
 impl TokenBucket {
+    /// A full bucket: `rate` tokens a second, `burst` tokens at once.
     pub fn new(rate: f64, burst: f64, now: Micros) -> Self {
         let burst = burst.max(1.0);
         Self {
             rate,
             burst,
             level: burst,
-            at: now,
+            filled_at: now,
         }
     }
-    /// As full as this part of the burst.
+
+    /// The same bucket, filled to this part (0 to 1) of the burst.
     pub fn filled_to(mut self, part: f64) -> Self {
         self.level = self.burst * part.clamp(0.0, 1.0);
         self
     }
+
     fn fill(&mut self, now: Micros) {
-        self.level = (self.level + (now - self.at).as_secs_f64() * self.rate).min(self.burst);
-        self.at = self.at.max(now);
+        let elapsed = (now - self.filled_at).as_secs_f64();
+        self.level = (self.level + elapsed * self.rate).min(self.burst);
+        self.filled_at = self.filled_at.max(now);
     }
-    /// Takes `n`, or says how long to wait for it.
-    pub fn take(&mut self, n: f64, now: Micros) -> Result<(), Micros> {
+
+    /// Takes `tokens`, or as many as the burst if that is less.
+    ///
+    /// # Errors
+    /// How long to wait for them, if there are not enough; none are taken then.
+    pub fn take(&mut self, tokens: f64, now: Micros) -> Result<(), Micros> {
         self.fill(now);
-        let n = n.min(self.burst);
-        if self.level >= n {
-            self.level -= n;
+        let tokens = tokens.min(self.burst);
+        if self.level >= tokens {
+            self.level -= tokens;
             Ok(())
         } else {
-            Err(Micros::from_secs_f64((n - self.level) / self.rate) + Micros::from_millis(1))
+            Err(self.time_to_gain(tokens - self.level))
         }
     }
-    /// Takes `n` even if that leaves a debt: for what must not wait.
-    pub fn take_into_debt(&mut self, n: f64, now: Micros) {
+
+    /// Takes `tokens` even if that leaves a debt, which is at most a burst: for what must not wait.
+    pub fn take_into_debt(&mut self, tokens: f64, now: Micros) {
         self.fill(now);
-        self.level = (self.level - n).max(-self.burst);
+        self.level = (self.level - tokens).max(-self.burst);
     }
+
+    /// Tokens a second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
+
+    /// Tokens that it holds, at most.
     pub fn burst(&self) -> f64 {
         self.burst
     }
-    /// How long until the level is at least `n`, if it is not.
-    pub fn wait_for(&mut self, n: f64, now: Micros) -> Option<Micros> {
+
+    /// How long until it holds `tokens`, if it does not.
+    pub fn wait_for(&mut self, tokens: f64, now: Micros) -> Option<Micros> {
         self.fill(now);
-        let lack = n.min(self.burst) - self.level;
-        (lack > 0.0).then(|| Micros::from_secs_f64(lack / self.rate) + Micros::from_millis(1))
+        let missing = tokens.min(self.burst) - self.level;
+        (missing > 0.0).then(|| self.time_to_gain(missing))
     }
+
+    /// Tokens that it holds; negative while in debt.
     pub fn level(&mut self, now: Micros) -> f64 {
         self.fill(now);
         self.level
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn a_bucket_never_lets_more_through_than_its_rate_and_burst() {
-        let mut bucket = TokenBucket::new(10.0, 5.0, Micros::ZERO);
-        let (mut now, mut taken) = (Micros::ZERO, 0);
-        while now < Micros::from_secs(10) {
-            match bucket.take(1.0, now) {
-                Ok(()) => taken += 1,
-                Err(wait) => now += wait,
-            }
-        }
-        assert!((100..=106).contains(&taken), "{taken}");
+    fn time_to_gain(&self, tokens: f64) -> Micros {
+        Micros::from_secs_f64(tokens / self.rate) + WAIT_MARGIN
     }
 }
