--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -34,22 +34,7 @@
             transport,
             wake: Wakeups::default(),
         });
-        shared.clone().spawn(shared.clone().watch_loop());
-        shared.clone().spawn(shared.clone().read_index_loop());
-        shared.clone().spawn(shared.clone().commit_loop());
-        shared.clone().spawn(shared.clone().session_loop());
-        shared.clone().spawn(shared.clone().roles_loop());
-        shared.clone().spawn(shared.clone().pass_loop());
-        shared.clone().spawn(shared.clone().provisioner_loop());
-        shared.clone().spawn(shared.clone().legacy_isolation_loop());
-        shared
-            .clone()
-            .spawn(shared.clone().delegation_request_loop());
-        shared.clone().spawn(shared.clone().delegation_grant_loop());
-        shared.clone().spawn(shared.clone().reachability_loop());
-        shared
-            .clone()
-            .spawn(shared.clone().connection_budget_loop());
+        spawn_loops(&shared);
         Self(shared)
     }
 
@@ -65,3 +50,23 @@
         async move { shared.serve_mesh(request).await }
     }
 }
+
+/// Spawns the loops that run for as long as the controller lives. They are polled first in this order.
+fn spawn_loops(shared: &Rc<Shared>) {
+    shared.clone().spawn(shared.clone().watch_loop());
+    shared.clone().spawn(shared.clone().read_index_loop());
+    shared.clone().spawn(shared.clone().commit_loop());
+    shared.clone().spawn(shared.clone().session_loop());
+    shared.clone().spawn(shared.clone().roles_loop());
+    shared.clone().spawn(shared.clone().pass_loop());
+    shared.clone().spawn(shared.clone().provisioner_loop());
+    shared.clone().spawn(shared.clone().legacy_isolation_loop());
+    shared
+        .clone()
+        .spawn(shared.clone().delegation_request_loop());
+    shared.clone().spawn(shared.clone().delegation_grant_loop());
+    shared.clone().spawn(shared.clone().reachability_loop());
+    shared
+        .clone()
+        .spawn(shared.clone().connection_budget_loop());
+}
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -1,4 +1,5 @@
-//! The mesh between controllers: CBOR over HTTP. One that can't be reached is no error.
+//! The mesh between controllers: CBOR over HTTP. A peer that can't be reached is no error. Owns no state,
+//! except that it decides on isolation while some members run a version without reachability.
 
 use crate::shared::Shared;
 use jasperhill_http::{ClientError, Method, Request, Response};
@@ -6,12 +7,21 @@
     Micros,
     mesh::{MeshRequest, MeshResponse, decode, encode},
 };
-use std::{net::SocketAddr, rc::Rc};
+use std::{net::SocketAddr, rc::Rc, time::Duration};
+use tokio::time::sleep;
 
-/// A watch cache heard from within this time is as good as the state service gives.
-pub(crate) const FRESH: Micros = Micros::from_secs(6);
+/// A watch cache that was up to date within this time is as good as the state service gives.
+const FRESH_PERIOD: Micros = Micros::from_secs(6);
+/// Where all messages of the mesh are sent.
+const MESH_PATH: &str = "/mesh";
+/// How often isolation is decided on.
+const ISOLATION_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a peer's answer about the store is waited for.
+const ISOLATION_CALL_LIMIT: Micros = Micros::from_secs(1);
+/// Rounds in a row after which this controller counts as isolated.
+const ISOLATION_ROUNDS: u32 = 2;
 
-/// What a worker is to be told, on its way back through another controller.
+/// The reply to a worker's heartbeat, on its way back through another controller.
 fn as_relayed(answer: Response) -> MeshResponse {
     MeshResponse::HeartbeatRelayed {
         status: answer.status,
@@ -20,74 +30,77 @@
 }
 
 impl Shared {
-    /// The state service has answered this controller lately.
+    /// Whether the state service has answered this controller lately.
     fn is_store_reachable(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
-        now - state.authority.fresh() < FRESH && !state.stalls.is_store_silent(now)
+        now - state.authority.fresh() < FRESH_PERIOD && !state.stalls.is_store_silent(now)
     }
 
-    /// Looks around while the state service is silent: if it answers the others, users are
-    /// better served there; if nobody gets an answer, there is no better place to go. Twice in
-    /// a row, since the others may notice an outage a little later.
+    /// Decides on isolation while some members do not take part in reachability yet. Asks the peers
+    /// while the state service is silent: if it answers the others, users are better served there; if
+    /// nobody gets an answer, there is no better place to go. Isolated only after several rounds in a
+    /// row, since the others may notice an outage a little later.
     pub async fn legacy_isolation_loop(self: Rc<Self>) {
         let mut rounds = 0u32;
         loop {
-            tokio::time::sleep(std::time::Duration::from_secs(1)).await;
+            sleep(ISOLATION_INTERVAL).await;
             if self.uses_reachability(&self.state.borrow()) {
-                // Told by the links.
+                // Decided by the reachability of the links.
                 continue;
             }
-            let stale = !self.is_store_reachable();
-            let mut alone = stale && !self.settings.peers.is_empty();
-            if stale {
-                for peer in &self.settings.peers {
-                    match self
-                        .mesh_call(
-                            peer.address,
-                            MeshRequest::IsStoreReachable,
-                            Micros::from_secs(1),
-                        )
-                        .await
-                    {
-                        Some(MeshResponse::StoreReachable(true)) => {
-                            alone = true;
-                            break;
-                        }
-                        Some(MeshResponse::StoreReachable(false)) => alone = false,
-                        _ => {}
-                    }
-                }
+            let isolated = !self.is_store_reachable() && self.is_isolated_from_store().await;
+            rounds = if isolated { rounds + 1 } else { 0 };
+            self.state.borrow_mut().isolation.isolated = rounds >= ISOLATION_ROUNDS;
+        }
+    }
+
+    /// Whether this controller alone seems to be cut off from the store: a peer reaches it, or none of
+    /// the peers answers.
+    async fn is_isolated_from_store(&self) -> bool {
+        let mut isolated = !self.settings.peers.is_empty();
+        for peer in &self.settings.peers {
+            let request = MeshRequest::IsStoreReachable;
+            match self
+                .mesh_call(peer.address, request, ISOLATION_CALL_LIMIT)
+                .await
+            {
+                Some(MeshResponse::StoreReachable(true)) => return true,
+                Some(MeshResponse::StoreReachable(false)) => isolated = false,
+                _ => {}
             }
-            rounds = if alone { rounds + 1 } else { 0 };
-            self.state.borrow_mut().isolation.isolated = rounds >= 2;
         }
+        isolated
     }
 
+    /// Sends a message to another controller; `None` if no answer came in time.
     pub async fn mesh_call(
         &self,
         to: SocketAddr,
-        ask: MeshRequest,
+        request: MeshRequest,
         limit: Micros,
     ) -> Option<MeshResponse> {
-        self.try_mesh_call(to, ask, limit).await.ok()
+        self.try_mesh_call(to, request, limit).await.ok()
     }
 
-    /// As `ask`; the error says whether the message can have been acted on.
+    /// Sends a message to another controller, and notes what that shows of the link.
+    ///
+    /// # Errors
+    /// [`ClientError::NotSent`] if the peer surely did not act on the message; otherwise it may have.
     pub async fn try_mesh_call(
         &self,
         to: SocketAddr,
-        ask: MeshRequest,
+        request: MeshRequest,
         limit: Micros,
     ) -> Result<MeshResponse, ClientError> {
         let short = matches!(
-            ask,
+            request,
             MeshRequest::Reachability(_) | MeshRequest::IsStoreReachable
         );
-        let body = encode(ask).map_err(|_| ClientError::NotSent)?;
-        let request = Request::new(Method::Post, "/mesh", body);
+        let body = encode(request).map_err(|_| ClientError::NotSent)?;
+        let request = Request::new(Method::Post, MESH_PATH, body);
         let answer = self.call(to, request, limit).await;
-        // What found no socket here says nothing of the peer.
+        // A request that found no free socket here says nothing of the peer.
         if !matches!(answer, Err(ClientError::NoSocket)) {
             self.record_peer_contact(to, answer.is_ok(), short);
         }
@@ -96,39 +109,55 @@
             return Err(ClientError::NotSent);
         }
         decode(&answer.body).map_err(|error| {
-            tracing::warn!(%error, "a mesh answer that is not understood");
+            tracing::warn!(%error, "malformed mesh response");
             ClientError::NoAnswer
         })
     }
 
+    /// Answers a message of another controller.
     pub async fn serve_mesh(self: Rc<Self>, request: Request) -> Response {
-        if request.method != Method::Post || request.path() != "/mesh" {
+        if request.method != Method::Post || request.path() != MESH_PATH {
             return Response::new(404, Vec::new());
         }
         if self.note_activity() {
             return Response::new(503, Vec::new());
         }
-        let answer = match decode::<MeshRequest>(&request.body) {
-            Ok(MeshRequest::Admit(job)) => self.admit(*job).await,
-            Ok(MeshRequest::TaskCounts(ids)) => self.local_task_counts(&ids),
-            Ok(MeshRequest::RelayHeartbeat(report)) => {
+        let message = match decode::<MeshRequest>(&request.body) {
+            Ok(message) => message,
+            Err(error) => {
+                tracing::warn!(%error, "malformed mesh request");
+                return Response::new(400, Vec::new());
+            }
+        };
+        let answer = self.handle_mesh_request(message).await;
+        let mut response = Response::new(200, encode(answer).unwrap_or_default());
+        response.cbor = true;
+        response
+    }
+
+    /// Does what a message asks for.
+    async fn handle_mesh_request(self: Rc<Self>, message: MeshRequest) -> MeshResponse {
+        match message {
+            MeshRequest::Admit(job) => self.admit(*job).await,
+            MeshRequest::TaskCounts(ids) => self.local_task_counts(&ids),
+            MeshRequest::RelayHeartbeat(report) => {
                 as_relayed(self.handle_relayed_heartbeat(report.as_bytes()).await)
             }
-            Ok(MeshRequest::RelayHeartbeatOnward(report)) => {
+            MeshRequest::RelayHeartbeatOnward(report) => {
                 as_relayed(self.relay_onward(report.as_bytes()).await)
             }
-            Ok(MeshRequest::SpareCapacity {
+            MeshRequest::SpareCapacity {
                 machines,
                 boot_time: ready,
-            }) => {
+            } => {
                 self.state.borrow_mut().provisioning.spare_capacity =
                     Some((machines, ready, self.now()));
                 MeshResponse::Acknowledged
             }
-            Ok(MeshRequest::UnmetDemand {
+            MeshRequest::UnmetDemand {
                 partition,
                 thousandths,
-            }) => {
+            } => {
                 if partition < self.settings.size {
                     let unmet = (f64::from(thousandths) / 1e3, self.now());
                     self.state
@@ -139,20 +168,13 @@
                 }
                 MeshResponse::Acknowledged
             }
-            Ok(MeshRequest::Reachability(theirs)) => {
+            MeshRequest::Reachability(theirs) => {
                 MeshResponse::Reachability(Box::new(self.receive_reachability(&theirs)))
             }
-            Ok(MeshRequest::RelayCommands { host, body }) => self.relay_commands(host, body).await,
-            Ok(MeshRequest::IsStoreReachable) => {
+            MeshRequest::RelayCommands { host, body } => self.relay_commands(host, body).await,
+            MeshRequest::IsStoreReachable => {
                 MeshResponse::StoreReachable(self.is_store_reachable())
             }
-            Err(error) => {
-                tracing::warn!(%error, "a mesh message that is not understood");
-                return Response::new(400, Vec::new());
-            }
-        };
-        let mut response = Response::new(200, encode(answer).unwrap_or_default());
-        response.cbor = true;
-        response
+        }
     }
 }
--- a/crates/jasperhill-controller/src/proposals/mod.rs
+++ b/crates/jasperhill-controller/src/proposals/mod.rs
@@ -37,7 +37,9 @@
 struct UndecidedProposal {
     /// Of the proposal's record.
     version: Revision,
+    /// Who waits for the decision.
     proposer: Member,
+    /// The job.
     request: JobRequest,
     /// The partition that would run the job, which this controller owns.
     partition: u32,
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Deletes a proposal that is decided on, or that nobody waits for any more.
     async fn delete_proposal(self: Rc<Self>, id: JobId) {
         let change = Change::Delete {
             key: proposal_key(&id),
--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -28,15 +28,18 @@
 }
 
 impl FollowUp {
+    /// Roles alone.
     const ROLES: Self = Self {
         roles: true,
         scheduler: false,
     };
+    /// The scheduler alone.
     const SCHEDULER: Self = Self {
         roles: false,
         scheduler: true,
     };
 
+    /// The scheduler, if it is needed.
     fn scheduler_if(needed: bool) -> Self {
         Self {
             roles: false,
@@ -44,6 +47,7 @@
         }
     }
 
+    /// Adds what another change needs.
     fn add(&mut self, other: Self) {
         self.roles |= other.roles;
         self.scheduler |= other.scheduler;
@@ -131,6 +135,7 @@
         }
     }
 
+    /// A job is new, or its record has changed.
     fn job_record_changed(
         &self,
         state: &mut State,
@@ -147,6 +152,7 @@
         FollowUp::scheduler_if(self.job_changed(state, id, now))
     }
 
+    /// The last dependency of a job is done.
     fn job_released(&self, state: &mut State, id: JobId, now: Micros) -> FollowUp {
         // Its waiting time counts from now on.
         if state.scheduling.released.len() < RELEASED_MAX {
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -192,6 +192,7 @@
     partition.dirty.extend(hosts);
 }
 
+/// Logs, at `debug`, how many hosts get no tasks, by reason.
 fn log_unusable_hosts(p: u32, partition: &Partition, now: Micros) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
@@ -210,6 +211,7 @@
     );
 }
 
+/// Logs what a pass has noticed.
 fn log_event(event: &Event) {
     match event {
         Event::HostLost(host) => tracing::info!(%host, "host lost: its lease has expired"),
--- a/crates/jasperhill-controller/src/stall_detector.rs
+++ b/crates/jasperhill-controller/src/stall_detector.rs
@@ -30,6 +30,7 @@
 /// clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
+    /// When the process last ran.
     last_activity: Micros,
     /// The end of the last stall.
     resumed: Option<Micros>,
--- a/crates/jasperhill-controller/src/store/commit_queue.rs
+++ b/crates/jasperhill-controller/src/store/commit_queue.rs
@@ -90,8 +90,11 @@
 
 /// A write that waits to be sent.
 pub(super) struct PendingWrite {
+    /// Before which others it goes.
     pub(super) priority: WritePriority,
+    /// What it compares: all must hold.
     pub(super) guards: Vec<Guard>,
+    /// What it changes, all or nothing.
     pub(super) changes: Vec<Change>,
     /// What it takes in a transaction, in bytes, nearly.
     pub(super) bytes: usize,
@@ -302,11 +305,17 @@
     burst: f64,
     /// Changes of one transaction, at most.
     changes_max: usize,
+    /// The writes that go along.
     writes: Vec<PendingWrite>,
+    /// Their changes.
     change_count: usize,
+    /// Their guards.
     guard_count: usize,
+    /// Their size, in bytes.
     bytes: usize,
+    /// The keys that they change.
     changed_keys: BTreeSet<String>,
+    /// The keys that they compare.
     guarded_keys: BTreeSet<String>,
     /// The first write has to wait for the limit.
     blocked: bool,
@@ -359,6 +368,7 @@
                 .all(|guard| !self.changed_keys.contains(&guard.key))
     }
 
+    /// Adds a write that was admitted.
     fn add(&mut self, write: PendingWrite) {
         self.change_count += write.changes.len();
         self.guard_count += write.guards.len();
--- a/crates/jasperhill-controller/src/store/committer.rs
+++ b/crates/jasperhill-controller/src/store/committer.rs
@@ -22,15 +22,18 @@
 
 /// What the service made of a transaction.
 enum TransactionOutcome {
+    /// Executed, at this revision.
     Committed(Revision),
     /// Executed, but the answer does not tell the revision.
     CommittedUnreadable,
     /// Not executed: the guards on these keys did not hold.
     Conflict {
+        /// The keys.
         failed: Vec<String>,
     },
     /// Not executed: the service takes no such transaction, and says why.
     Rejected {
+        /// The text of the answer.
         reason: String,
     },
     /// Not executed: the service is over its rate (429).
@@ -44,6 +47,7 @@
 }
 
 impl TransactionOutcome {
+    /// What an answer, or its absence, means.
     fn of(answer: Result<Response, ClientError>) -> Self {
         let response = match answer {
             Ok(response) => response,
@@ -132,6 +136,7 @@
         writes
     }
 
+    /// Sends one transaction and acts on its outcome.
     async fn commit(&self, batch: Vec<PendingWrite>) {
         match self.send_transaction(&batch).await {
             TransactionOutcome::Committed(revision) => {
@@ -156,6 +161,7 @@
         }
     }
 
+    /// Sends the writes as one transaction.
     async fn send_transaction(&self, batch: &[PendingWrite]) -> TransactionOutcome {
         let transaction = merge(batch);
         let now = self.now();
@@ -172,6 +178,7 @@
         TransactionOutcome::of(answer)
     }
 
+    /// The service executes transactions: the next refusal starts with the shortest pause.
     fn reset_retry_pause(&self) {
         let mut state = self.state.borrow_mut();
         state.store.commit_queue.reset_retry_pause();
@@ -266,6 +273,7 @@
     }
 }
 
+/// Tells the writers of all these writes the same outcome.
 fn finish_all(writes: Vec<PendingWrite>, outcome: WriteOutcome) {
     for write in writes {
         write.finish(outcome);
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -58,7 +58,9 @@
 
 /// A role that is owned by this controller, by its record.
 struct OwnedRole {
+    /// The role.
     role: Role,
+    /// The revision at which its record was written.
     version: Revision,
 }
 
--- a/crates/jasperhill-controller/src/store/transaction.rs
+++ b/crates/jasperhill-controller/src/store/transaction.rs
@@ -25,6 +25,7 @@
     put_record(key.into(), value, Some(lease))
 }
 
+/// Writes a record, with its lease if it has one.
 fn put_record(key: String, value: &impl Serialize, lease: Option<u64>) -> Change {
     Change::Put {
         key,
--- a/crates/jasperhill-controller/src/store/watch.rs
+++ b/crates/jasperhill-controller/src/store/watch.rs
@@ -45,6 +45,7 @@
 
 /// The answer to a watch.
 enum WatchAnswer {
+    /// What has changed.
     Events(WatchResponse),
     /// The service has compacted away revisions that this controller has not seen.
     Compacted,
@@ -55,6 +56,7 @@
 }
 
 impl WatchAnswer {
+    /// What an answer, or its absence, means.
     fn of(answer: Result<Response, ClientError>) -> Self {
         match answer {
             Ok(response) if response.status == 200 => {
@@ -76,6 +78,7 @@
 /// The pages of a listing that have been read so far.
 #[derive(Default)]
 struct PartialListing {
+    /// The records of all pages.
     items: Vec<KeyValue>,
     /// The revision of the first page.
     first: Option<Revision>,
@@ -214,6 +217,7 @@
         }
     }
 
+    /// Sends one watch; see [`Self::watch`] for the arguments.
     async fn send_watch(&self, after: Revision, block: Micros) -> WatchAnswer {
         let (after, block_ms) = (after.0, block.0 / 1_000);
         let target = format!("/watch?prefix={ROOT}&after={after}&block_ms={block_ms}");
--- a/crates/jasperhill-controller/src/task_counts/cache.rs
+++ b/crates/jasperhill-controller/src/task_counts/cache.rs
@@ -16,12 +16,14 @@
 
 /// Counts as they were given.
 struct ReceivedCounts {
+    /// The counts.
     counts: TaskCounts,
-    /// By the steady clock.
+    /// When they came, by the steady clock.
     received: Micros,
 }
 
 impl ReceivedCounts {
+    /// Whether they may still be shown.
     fn is_fresh(&self, now: Micros) -> bool {
         now - self.received < FRESH_PERIOD
     }
@@ -30,6 +32,7 @@
 /// The task counts that other controllers have given, and the requests for them.
 #[derive(Default)]
 pub(crate) struct TaskCountCache {
+    /// By job; at most [`COUNTS_MAX`].
     known: HashMap<JobId, ReceivedCounts>,
     /// The jobs of the next request to each owner.
     wanted: BTreeMap<Member, BTreeSet<JobId>>,
--- a/crates/jasperhill-controller/src/token_bucket.rs
+++ b/crates/jasperhill-controller/src/token_bucket.rs
@@ -38,6 +38,7 @@
         self
     }
 
+    /// Adds the tokens that have come since it was last filled.
     fn fill(&mut self, now: Micros) {
         let elapsed = (now - self.filled_at).as_secs_f64();
         self.level = (self.level + elapsed * self.rate).min(self.burst);
@@ -88,6 +89,7 @@
         self.level
     }
 
+    /// How long it takes until so many more tokens have come.
     fn time_to_gain(&self, tokens: f64) -> Micros {
         Micros::from_secs_f64(tokens / self.rate) + WAIT_MARGIN
     }
--- a/crates/jasperhill-controller/src/transport.rs
+++ b/crates/jasperhill-controller/src/transport.rs
@@ -47,7 +47,9 @@
 
 /// The transport of a real controller: HTTP with pooled connections.
 pub struct HttpTransport {
+    /// Pools the connections.
     client: Client,
+    /// The connection budget.
     connections: ConnectionTracker,
 }
 
--- a/crates/jasperhill-controller/src/watch_cache/jobs.rs
+++ b/crates/jasperhill-controller/src/watch_cache/jobs.rs
@@ -48,6 +48,7 @@
         }));
     }
 
+    /// Keeps what tasks of a cancelled job may still use.
     fn keep_residual_usage(&mut self, id: &JobId, usage: ResidualUsage) {
         self.residuals.insert((usage.cancelled, id.clone()), usage);
         while self.residuals.len() > RESIDUALS_MAX {
--- a/crates/jasperhill-controller/src/watch_cache/mod.rs
+++ b/crates/jasperhill-controller/src/watch_cache/mod.rs
@@ -50,6 +50,7 @@
     pub phase: Phase,
     /// The revision up to which all changes are known; the watch goes on from it.
     pub revision: Revision,
+    /// All jobs, also finished ones.
     jobs: HashMap<JobId, JobEntry>,
     /// The unfinished ones among the jobs.
     active: BTreeSet<JobId>,
@@ -167,6 +168,7 @@
         }
     }
 
+    /// Takes over one event of a watch.
     fn apply_event(&mut self, event: WatchEvent, changes: &mut Vec<Change>) {
         match event {
             WatchEvent::Put {
--- a/crates/jasperhill-controller/src/watch_cache/queries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/queries.rs
@@ -40,6 +40,7 @@
         }
     }
 
+    /// Whether a job that it depends on, directly or not, was cancelled.
     fn is_cancelled_upstream(&self, id: &JobId) -> bool {
         self.dependencies.state_of(id) == DependencyState::Doomed
     }
