--- a/crates/jasperhill-controller/src/lib.rs
+++ b/crates/jasperhill-controller/src/lib.rs
@@ -1,6 +1,12 @@
-//! A controller: sessions and authority, the store client, the watch cache and its linearizable read,
-//! the mesh, the user API, dealings with workers and the cloud. Thin I/O around the state
-//! machines here and in `jasperhill-scheduler`.
+//! A controller of the cluster scheduler: thin I/O around the state machines here, in
+//! `jasperhill-scheduler` and in `jasperhill-membership`.
+//!
+//! - `controller` starts the loops; `shared` is the context that they share, `state` all that changes.
+//! - `store` is the client of the state service; `watch_cache` the replica of the store that it feeds;
+//!   `scheduling` carries the changes over and runs the scheduler.
+//! - `users` answers users, `heartbeats` workers, `mesh` the other controllers; `relay`, `delegation`
+//!   and `proposals` go by way of those where a direct link is down.
+//! - `roles` and `membership`: which controller owns what. `provisioner`: machines of the cloud.
 
 pub mod clock;
 mod commands;
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -1,4 +1,4 @@
-//! This controller's session: a lease of the state service that its roles are tied to. Begins it,
+//! This controller's session: a lease of the state service that its roles are tied to. Starts it,
 //! renews it, and drops ownership when it has ended. What the session entitles to is decided by
 //! `jasperhill_membership::authority`, whose state changes only through its `apply`.
 
@@ -31,14 +31,14 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// The pause after the first failed try to begin a session, doubled with each further one.
-const BEGIN_PAUSE: Micros = Micros::from_millis(200);
-/// The longest pause between tries to begin a session: nothing is owned meanwhile.
-const BEGIN_PAUSE_MAX: Micros = Micros::from_millis(800);
-/// How long the write that begins a session may wait before it is sent.
-const BEGIN_WRITE_LIMIT: Micros = Micros::from_secs(1);
+/// The pause after the first failed try to start a session, doubled with each further one.
+const START_PAUSE: Micros = Micros::from_millis(200);
+/// The longest pause between tries to start a session: nothing is owned meanwhile.
+const START_PAUSE_MAX: Micros = Micros::from_millis(800);
+/// How long the write that starts a session may wait before it is sent.
+const START_WRITE_LIMIT: Micros = Micros::from_secs(1);
 /// Changes of that write besides those of roles: the session and the feature level.
-const BEGIN_CHANGES: usize = 2;
+const START_CHANGES: usize = 2;
 /// The pause after a renewal without an answer, or that was not tried.
 const RENEWAL_RETRY_PAUSE: Micros = Micros::from_millis(250);
 /// A lease is renewed after this part of its time to live, so that several tries fit into it.
@@ -46,8 +46,8 @@
 /// The longest pause between renewals, however long a lease lasts.
 const RENEWAL_PAUSE_MAX: Micros = Micros::from_secs(2);
 
-/// What the store says of this controller before its new session begins.
-struct FormerSession {
+/// What the store says of this controller before its new session starts.
+struct PreviousSession {
     /// The session of the earlier process, if its record is still there.
     record: Option<Versioned<SessionRecord>>,
     /// The feature level that an earlier process announced.
@@ -65,19 +65,19 @@
 }
 
 impl Shared {
-    /// Begins and renews the session. Runs for as long as the controller lives.
+    /// Starts and renews the session. Runs for as long as the controller lives.
     pub async fn session_loop(self: Rc<Self>) {
-        let mut begin_pause = BEGIN_PAUSE;
+        let mut start_pause = START_PAUSE;
         loop {
             let session = self.state.borrow().authority.session();
             let pause = match session {
                 Session::None => {
-                    if self.begin_session().await {
-                        begin_pause = BEGIN_PAUSE;
+                    if self.start_session().await {
+                        start_pause = START_PAUSE;
                         Micros::ZERO
                     } else {
-                        let pause = begin_pause;
-                        begin_pause = begin_pause.scale(2.0).min(BEGIN_PAUSE_MAX);
+                        let pause = start_pause;
+                        start_pause = start_pause.scale(2.0).min(START_PAUSE_MAX);
                         pause
                     }
                 }
@@ -127,8 +127,8 @@
 
     /// Asks for a lease and ties the session's key to it. A restarted controller takes over
     /// its own earlier session and what that owned in the same transaction: the earlier
-    /// process is gone, and nobody needs to wait for its lease. False if no session began.
-    async fn begin_session(&self) -> bool {
+    /// process is gone, and nobody needs to wait for its lease. False if no session started.
+    async fn start_session(&self) -> bool {
         if !self.read_index().await {
             return false;
         }
@@ -137,10 +137,11 @@
         let Some(lease) = self.grant_lease(time_to_live).await else {
             return false;
         };
-        let (former, process_run) = self.load_former_session();
-        let Transaction { guards, changes } = self.session_transaction(lease, &former, process_run);
+        let (previous, process_run) = self.load_previous_session();
+        let Transaction { guards, changes } =
+            self.session_transaction(lease, &previous, process_run);
         let outcome = self
-            .write(WritePriority::Role, guards, changes, BEGIN_WRITE_LIMIT)
+            .write(WritePriority::Role, guards, changes, START_WRITE_LIMIT)
             .await;
         let WriteOutcome::Committed(version) = outcome else {
             // Not used: revoked, so that the write fails if it arrives late.
@@ -153,17 +154,17 @@
             sent,
         };
         self.state.borrow_mut().authority.apply(begun);
-        tracing::info!(lease, "session begun");
-        if let Some(former) = former.record {
-            self.revoke_lease(former.value.lease).await;
+        tracing::info!(lease, "session started");
+        if let Some(previous) = previous.record {
+            self.revoke_lease(previous.value.lease).await;
         }
         self.wake.roles.notify_one();
         true
     }
 
-    /// Notes in the restart history that a session begins, and reads what the earlier process of this
+    /// Notes in the restart history that a session starts, and reads what the earlier process of this
     /// controller has left in the store.
-    fn load_former_session(&self) -> (FormerSession, ProcessRun) {
+    fn load_previous_session(&self) -> (PreviousSession, ProcessRun) {
         let own = &self.settings.member;
         let mut guarded = self.state.borrow_mut();
         let state = &mut *guarded;
@@ -195,24 +196,24 @@
             })
             .collect();
         let level = state.cache.feature_levels.get(own);
-        let former = FormerSession {
+        let previous = PreviousSession {
             record,
             announced_level: level.map(|entry| entry.value.format),
             roles,
         };
-        (former, process_run)
+        (previous, process_run)
     }
 
-    /// The write that begins a session under a lease, guarded by what it replaces.
+    /// The write that starts a session under a lease, guarded by what it replaces.
     fn session_transaction(
         &self,
         lease: u64,
-        former: &FormerSession,
+        previous: &PreviousSession,
         process_run: ProcessRun,
     ) -> Transaction {
         let own = &self.settings.member;
         let key = session_key(own);
-        let version = former.record.as_ref().map_or(Revision(0), |k| k.version);
+        let version = previous.record.as_ref().map_or(Revision(0), |k| k.version);
         let session = SessionRecord {
             lease,
             format: FEATURE_LEVEL,
@@ -223,14 +224,14 @@
         let mut changes = vec![put_with_lease(&key, &session, lease)];
         // Outlasts the session: an earlier version that comes back in its place writes a session
         // without a format, and counts by that.
-        if former.announced_level != Some(FEATURE_LEVEL) {
+        if previous.announced_level != Some(FEATURE_LEVEL) {
             let level = FeatureLevelRecord {
                 format: FEATURE_LEVEL,
             };
             changes.push(put(feature_level_key(own), &level));
         }
-        let roles_max = self.settings.txn_ops - BEGIN_CHANGES;
-        for OwnedRole { role, version } in former.roles.iter().take(roles_max) {
+        let roles_max = self.settings.txn_ops - START_CHANGES;
+        for OwnedRole { role, version } in previous.roles.iter().take(roles_max) {
             let record = RoleRecord {
                 owner: own.clone(),
                 lease,
--- a/crates/jasperhill-controller/src/task_counts/cache.rs
+++ b/crates/jasperhill-controller/src/task_counts/cache.rs
@@ -35,9 +35,9 @@
     /// By job; at most [`COUNTS_MAX`].
     known: HashMap<JobId, ReceivedCounts>,
     /// The jobs of the next request to each owner.
-    wanted: BTreeMap<Member, BTreeSet<JobId>>,
-    /// Owners that are being asked.
-    in_flight: BTreeSet<Member>,
+    pending: BTreeMap<Member, BTreeSet<JobId>>,
+    /// Owners that are being asked, so that nobody else has to begin.
+    outstanding: BTreeSet<Member>,
 }
 
 impl TaskCountCache {
@@ -65,21 +65,21 @@
     /// Notes that the counts of a job are wanted of its owner. True if nobody asks that owner yet: the
     /// caller has to begin.
     pub(super) fn request(&mut self, owner: &Member, id: &JobId) -> bool {
-        let wanted = self.wanted.entry(owner.clone()).or_default();
-        if wanted.len() < JOBS_PER_REQUEST_MAX {
-            wanted.insert(id.clone());
+        let jobs = self.pending.entry(owner.clone()).or_default();
+        if jobs.len() < JOBS_PER_REQUEST_MAX {
+            jobs.insert(id.clone());
         }
-        self.in_flight.insert(owner.clone())
+        self.outstanding.insert(owner.clone())
     }
 
     /// The jobs of the next request to an owner; `None`, and the owner is no longer being asked, if
     /// there are none.
     pub(super) fn next_request(&mut self, owner: &Member) -> Option<Vec<JobId>> {
-        let wanted = self.wanted.remove(owner).unwrap_or_default();
-        if wanted.is_empty() {
-            self.in_flight.remove(owner);
+        let jobs = self.pending.remove(owner).unwrap_or_default();
+        if jobs.is_empty() {
+            self.outstanding.remove(owner);
             return None;
         }
-        Some(wanted.into_iter().collect())
+        Some(jobs.into_iter().collect())
     }
 }
