--- a/crates/jasperhill-controller/src/commands.rs
+++ b/crates/jasperhill-controller/src/commands/state.rs
@@ -13,10 +13,10 @@
 }
 
 impl CommandState {
-    /// `at_a_time`: workers that are sent commands at a time.
-    pub fn new(at_a_time: usize) -> Self {
+    /// `concurrency`: workers that are sent commands at a time.
+    pub fn new(concurrency: usize) -> Self {
         Self {
-            limiter: ConcurrencyLimiter::new(at_a_time),
+            limiter: ConcurrencyLimiter::new(concurrency),
             token_updates: BTreeSet::new(),
         }
     }
--- /dev/null
+++ b/crates/jasperhill-controller/src/commands/tokens.rs
@@ -0,0 +1,51 @@
+//! Raising the fencing tokens of hosts with commands in doubt.
+
+use crate::{host_registry::HostUpdate, shared::Shared, store::WritePriority};
+use jasperhill_wire::{Micros, record::Role};
+use std::rc::Rc;
+
+/// How long the write of a host's record is tried.
+const WRITE_LIMIT: Micros = Micros::from_secs(5);
+
+impl Shared {
+    /// Rewrites the records of hosts with commands in doubt, which raises their fencing tokens: direct
+    /// commands that come late are then refused by the worker. Called by each scheduling pass.
+    pub fn raise_tokens(self: &Rc<Self>) {
+        let now = self.now();
+        let mut due = Vec::new();
+        {
+            let mut state_guard = self.state.borrow_mut();
+            let state = &mut *state_guard;
+            for (partition_id, partition) in &state.scheduling.partitions {
+                let role = (Role::Partition(*partition_id), partition.since);
+                for host in partition.hosts.values().filter(|host| host.needs_token()) {
+                    if let Some(cached) = state.cache.hosts.get(&host.id)
+                        && !state.host_registry.is_backing_off(cached.block, now)
+                        && state.commands.token_updates.insert(host.id.clone())
+                    {
+                        due.push((role, host.id.clone(), cached.clone()));
+                    }
+                }
+            }
+        }
+        for (role, host, cached) in due {
+            let shared = self.clone();
+            self.clone().spawn(async move {
+                let mut record = cached.value;
+                record.rewrites += 1;
+                let update = HostUpdate {
+                    urgency: WritePriority::Accept,
+                    role,
+                    host: host.clone(),
+                    expected_version: Some(cached.version),
+                    new_record: Some(record),
+                    deadline: shared.now() + WRITE_LIMIT,
+                };
+                // Once it is written, the watch cache hands the new revision to the partition.
+                shared.update_host(cached.block, update).await;
+                let mut state = shared.state.borrow_mut();
+                state.commands.token_updates.remove(&host);
+            });
+        }
+    }
+}
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -3,7 +3,7 @@
 
 use crate::shared::Shared;
 use jasperhill_connections::{Class, limiter::Input};
-use jasperhill_wire::{HostId, Micros};
+use jasperhill_wire::Micros;
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
@@ -13,36 +13,6 @@
 const TELL: Micros = Micros::from_secs(60);
 
 impl Shared {
-    /// Sends hosts what is outstanding there, as far as there is room; the rest waits its turn.
-    pub fn queue_commands(self: &Rc<Self>, hosts: Vec<(u32, HostId)>, tick: bool) {
-        let now = self.now();
-        let mut turns = Vec::new();
-        {
-            let window = &mut self.state.borrow_mut().commands.limiter;
-            for key in hosts {
-                turns.extend(window.apply(Input::Enqueue(key), now));
-            }
-            if tick {
-                turns.extend(window.apply(Input::Tick, now));
-            }
-        }
-        self.send_commands(turns);
-    }
-
-    /// Those whose turn it is.
-    pub fn send_commands(self: &Rc<Self>, turns: Vec<(u32, HostId)>) {
-        for (p, host) in turns {
-            let inner = self.clone();
-            self.clone().spawn(async move {
-                let answered = inner.send_commands_to(p, host.clone()).await;
-                let over = Input::Completed((p, host), answered);
-                let now = inner.now();
-                let turns = inner.state.borrow_mut().commands.limiter.apply(over, now);
-                inner.send_commands(turns);
-            });
-        }
-    }
-
     /// The classes of connections in which somebody was just refused.
     pub fn at_bound(&self) -> Vec<&'static str> {
         let at_bound = self.transport.connection_tracker().at_bound(LATELY);
--- /dev/null
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -0,0 +1,162 @@
+//! The response to a heartbeat: 200 with the fencing token and commands from the owner of the worker's
+//! partition, 421 with the owner elsewhere, 503 if nobody may answer now.
+
+use crate::{shared::Shared, state::State};
+use jasperhill_connections::limiter;
+use jasperhill_http::Response;
+use jasperhill_membership::reachability::LinkId;
+use jasperhill_scheduler::{HostInput, Source};
+use jasperhill_wire::{
+    HostId, Member, Micros,
+    mesh::LinkState,
+    record::Role,
+    worker::{Heartbeat, commands_body, redirect_body},
+};
+use std::rc::Rc;
+
+/// 503: this controller may not answer now; the worker is to try another.
+pub(super) fn unavailable() -> Response {
+    Response::new(503, b"{\"error\":\"not entitled to answer\"}".to_vec()).retry_after(1)
+}
+
+/// 421: the worker is to send its heartbeat to that controller; `None`: to any other, or, if the
+/// heartbeat was relayed, directly to the one that says so.
+pub(crate) fn redirect(to: Option<&Member>) -> Response {
+    Response::new(421, redirect_body(to))
+}
+
+/// Parses a heartbeat.
+///
+/// # Errors
+/// The 400 response for a body that is no heartbeat.
+pub(super) fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, Response> {
+    Heartbeat::parse(body).map_err(|error| {
+        tracing::warn!(%error, "malformed heartbeat");
+        let text = serde_json::Value::from(error.to_string());
+        Response::new(400, format!("{{\"error\":{text}}}").into_bytes())
+    })
+}
+
+/// What a worker is answered, and to whom it was redirected.
+pub(super) struct HeartbeatReply {
+    /// The response to the worker.
+    pub response: Response,
+    /// The owner elsewhere that the response names; `None` if this controller answers itself, or
+    /// nobody can.
+    pub owner: Option<Member>,
+}
+
+/// Who answers a heartbeat.
+enum Responder {
+    /// This controller, as the owner of this partition.
+    Partition(u32),
+    /// Another controller, or nobody at the moment.
+    Elsewhere(HeartbeatReply),
+}
+
+impl Shared {
+    /// The reply to a heartbeat as far as this controller can give it. With status 200 it has renewed
+    /// the worker's lease.
+    ///
+    /// # Errors
+    /// The response if neither this controller nor another that it knows of can answer.
+    pub(super) fn answer_heartbeat(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+    ) -> Result<HeartbeatReply, Response> {
+        let now = self.now();
+        let responder = self.responder(&self.state.borrow(), &heartbeat.host, now)?;
+        match responder {
+            Responder::Partition(partition_id) => self.renew_lease(heartbeat, partition_id, now),
+            Responder::Elsewhere(reply) => Ok(reply),
+        }
+    }
+
+    /// Who answers the heartbeats of a host.
+    fn responder(&self, state: &State, host: &HostId, now: Micros) -> Result<Responder, Response> {
+        let Some(record) = state.cache.hosts.get(host) else {
+            if state.provisioning.leader.is_some() && state.authority.holds(now) {
+                // Not registered yet.
+                return Err(unavailable());
+            }
+            let leader = self.latest_owner(state, Role::Leader);
+            return Ok(Responder::Elsewhere(self.redirect_to(leader)));
+        };
+        let Some(partition_id) = record.value.partition() else {
+            // The leader knows what has become of the host since a stale watch cache last heard of it.
+            let is_cache_stale =
+                state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
+            let leader = self
+                .latest_owner(state, Role::Leader)
+                .filter(|_| is_cache_stale);
+            return match self.redirect_to(leader) {
+                reply @ HeartbeatReply { owner: Some(_), .. } => Ok(Responder::Elsewhere(reply)),
+                _ => Err(redirect(None)),
+            };
+        };
+        if state.scheduling.partitions.contains_key(&partition_id) {
+            return Ok(Responder::Partition(partition_id));
+        }
+        let owner = self.latest_owner(state, Role::Partition(partition_id));
+        Ok(Responder::Elsewhere(self.redirect_to(owner)))
+    }
+
+    /// Answers a heartbeat as the owner of its partition, which renews the worker's lease.
+    fn renew_lease(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+        partition_id: u32,
+        received_at: Micros,
+    ) -> Result<HeartbeatReply, Response> {
+        let host_id = &heartbeat.host;
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
+        let Some(partition) = state.scheduling.partitions.get_mut(&partition_id) else {
+            return Err(unavailable());
+        };
+        if !state.authority.holds(received_at) {
+            return Err(unavailable());
+        }
+        partition.on_heartbeat(heartbeat, Source::Heartbeat, received_at);
+        let commands = partition.commands(host_id);
+        let Some(host) = partition.hosts.get(host_id) else {
+            return Err(unavailable());
+        };
+        let (token, known_as_of) = (host.token, host.in_flight_known_as_of());
+        // Checked again: this response renews a lease and carries commands.
+        let now = self.now();
+        let is_basis_too_old =
+            known_as_of.is_some_and(|known| now >= self.settings.bounds.until(known));
+        if !state.authority.holds(now) || is_basis_too_old {
+            return Err(unavailable());
+        }
+        partition.apply(host_id, HostInput::Answered(&commands), now);
+        if partition.changed {
+            self.wake.scheduler.notify_one();
+        }
+        let is_store_down =
+            state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
+        state.heartbeats.answered_without_store += u32::from(is_store_down);
+        let heard = limiter::Input::Heard((partition_id, host_id.clone()));
+        let ready_hosts = state.commands.limiter.apply(heard, now);
+        drop(state_guard);
+        self.send_commands(ready_hosts);
+        Ok(HeartbeatReply {
+            response: Response::new(200, commands_body(token, None, &commands)),
+            owner: None,
+        })
+    }
+
+    fn redirect_to(&self, owner: Option<Member>) -> HeartbeatReply {
+        match owner {
+            Some(owner) if owner != self.settings.member => HeartbeatReply {
+                response: redirect(Some(&owner)),
+                owner: Some(owner),
+            },
+            _ => HeartbeatReply {
+                response: unavailable(),
+                owner: None,
+            },
+        }
+    }
+}
--- /dev/null
+++ b/crates/jasperhill-controller/src/relay/eligibility.rs
@@ -0,0 +1,81 @@
+//! How eligible each member is for each role, by the hosts that it reaches.
+
+use crate::{shared::Shared, state::State};
+use jasperhill_membership::{reachability::LinkId, roles::Eligibility};
+use jasperhill_wire::{Member, Micros, Name, mesh::LinkState, record::Role};
+use std::collections::BTreeMap;
+
+/// How many hosts there are in each zone.
+type HostsByZone = BTreeMap<Name, u32>;
+
+/// How many hosts of each partition are in each zone.
+fn hosts_by_role_and_zone(state: &State) -> BTreeMap<Role, HostsByZone> {
+    let mut counts: BTreeMap<Role, HostsByZone> = BTreeMap::new();
+    for cached in state.cache.hosts.values() {
+        if let Some(partition_id) = cached.value.partition() {
+            let zones = counts.entry(Role::Partition(partition_id)).or_default();
+            *zones.entry(cached.value.zone.clone()).or_default() += 1;
+        }
+    }
+    counts
+}
+
+impl Shared {
+    /// How eligible each member is for each role, as far as is known here, and how many hosts each role
+    /// has. Called by the loop that decides on roles.
+    pub fn role_eligibility(
+        &self,
+        state: &State,
+        now: Micros,
+    ) -> (BTreeMap<(Role, Member), Eligibility>, BTreeMap<Role, u32>) {
+        let hosts_by_role = hosts_by_role_and_zone(state);
+        let roles = (0..self.settings.size).map(Role::Partition);
+        let (mut eligibility, mut host_counts) = (BTreeMap::new(), BTreeMap::new());
+        let no_hosts = HostsByZone::new();
+        for role in roles.chain([Role::Leader]) {
+            let hosts_by_zone = hosts_by_role.get(&role).unwrap_or(&no_hosts);
+            host_counts.insert(role, hosts_by_zone.values().sum());
+            for member in &self.members {
+                let of_member = self.eligibility_of(state, member, role, hosts_by_zone, now);
+                eligibility.insert((role, member.clone()), of_member);
+            }
+        }
+        (eligibility, host_counts)
+    }
+
+    fn eligibility_of(
+        &self,
+        state: &State,
+        member: &Member,
+        role: Role,
+        hosts_by_zone: &HostsByZone,
+        now: Micros,
+    ) -> Eligibility {
+        let reachability = &state.membership.reachability;
+        let is_self = member == &self.settings.member;
+        let mut eligibility = Eligibility {
+            state: reachability.store_link(member, now),
+            ..Eligibility::default()
+        };
+        for (zone, hosts) in hosts_by_zone {
+            let is_proven = is_self || reachability.has_recent_contact(member, zone, now);
+            match reachability.reaches(member, zone, now) {
+                LinkState::Up if is_proven => eligibility.reachable_hosts += hosts,
+                LinkState::Down => eligibility.unreachable_hosts += hosts,
+                _ => {}
+            }
+        }
+        if role == Role::Leader {
+            eligibility.other_link = if is_self {
+                reachability.own_link(&LinkId::Cloud)
+            } else {
+                let report = reachability.peer_report(member, now);
+                report.map_or(LinkState::Unknown, |report| report.cloud)
+            };
+        }
+        let roles = state.cache.roles.values();
+        let owned = roles.filter(|role| &role.value.owner == member);
+        eligibility.load = owned.count() as u32;
+        eligibility
+    }
+}
--- /dev/null
+++ b/crates/jasperhill-controller/src/relay/routing.rs
@@ -0,0 +1,68 @@
+//! Choosing the routes of heartbeats and commands by what is known of the links.
+
+use super::route::{CommandRoute, HeartbeatRoute};
+use crate::{shared::Shared, state::State};
+use jasperhill_membership::reachability::LinkId;
+use jasperhill_wire::{Member, Name, mesh::LinkState, record::Role, worker::Heartbeat};
+
+impl Shared {
+    /// The owner of a role by the latest version that is known: that of this controller's watch cache,
+    /// or what others have reported while this controller's cache may be stale.
+    pub fn latest_owner(&self, state: &State, role: Role) -> Option<Member> {
+        let now = self.now();
+        let cached_version = state.cache.roles.get(&role).map(|cached| cached.version);
+        match state.membership.reachability.owner(role, now) {
+            Some((owner, version))
+                if self.uses_reachability(state)
+                    && cached_version.is_none_or(|cached| cached < version) =>
+            {
+                Some(owner.clone())
+            }
+            _ => state.cache.owner(role).cloned(),
+        }
+    }
+
+    /// Where a heartbeat goes whose owner is elsewhere. `None` if nothing is known against redirecting
+    /// the worker.
+    pub fn heartbeat_route(&self, owner: &Member, heartbeat: &Heartbeat) -> Option<HeartbeatRoute> {
+        let now = self.now();
+        let state = self.state.borrow();
+        let zone = &heartbeat.zone;
+        if !self.uses_reachability(&state) {
+            return None;
+        }
+        let reachability = &state.membership.reachability;
+        if !reachability.hears_peer(owner, now) {
+            let peer = reachability.relay_to_owner(owner, zone, now)?.clone();
+            let came_back = state.relay.was_redirected(&heartbeat.host, now);
+            return Some(if came_back {
+                HeartbeatRoute::Through(peer)
+            } else {
+                HeartbeatRoute::Redirect(peer)
+            });
+        }
+        let (heartbeats_link, _) = reachability.zone_links(owner, zone, now);
+        // Redirected to its owner, the worker would lose ten seconds that its tasks may not have.
+        if matches!(heartbeats_link, LinkState::Down | LinkState::Suspect) {
+            return Some(HeartbeatRoute::RelayOnly);
+        }
+        let is_registered = state.cache.hosts.contains_key(&heartbeat.host);
+        is_registered.then_some(HeartbeatRoute::RelayFirst)
+    }
+
+    /// How commands get to a worker of this zone.
+    pub fn command_route(&self, zone: &Name) -> CommandRoute {
+        let now = self.now();
+        let state = self.state.borrow();
+        let reachability = &state.membership.reachability;
+        let commands_link = reachability.own_link(&LinkId::Commands(zone.clone()));
+        if commands_link != LinkState::Down || !self.uses_reachability(&state) {
+            return CommandRoute::Direct;
+        }
+        let peer = reachability.relay_to_zone(zone, now);
+        match peer.and_then(|member| self.address_of(member)) {
+            Some(address) => CommandRoute::Through(address),
+            None => CommandRoute::None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -0,0 +1,150 @@
+//! Writing results to the store.
+
+use super::record::result_record;
+use crate::{
+    shared::Shared,
+    store::{WriteOutcome, WritePriority, guard, put},
+    watch_cache::JobEntry,
+};
+use jasperhill_scheduler::Partition;
+use jasperhill_wire::{
+    JobId, Micros, Revision,
+    record::{RecordPhase, Role, job_key, role_key},
+    store::{Change, Guard},
+};
+use std::{collections::BTreeSet, rc::Rc};
+
+/// How long the write of a result is tried.
+const WRITE_LIMIT: Micros = Micros::from_secs(20);
+
+/// A write of a job's results.
+struct ResultWrite {
+    guards: Vec<Guard>,
+    change: Change,
+    phase: RecordPhase,
+    /// The tasks whose results are durable once it is written.
+    tasks: BTreeSet<u32>,
+    failed_attempts: u32,
+    /// The revision at which this controller became the partition's owner.
+    owned_since: Revision,
+}
+
+impl Shared {
+    /// Begins to write the results that are due. What is only partly done can wait a little, and then
+    /// goes together. Called by each scheduling pass.
+    pub fn save_results(self: Rc<Self>) {
+        for (partition_id, job) in self.take_due_results() {
+            self.clone()
+                .spawn(self.clone().save_result(partition_id, job));
+        }
+    }
+
+    /// The jobs, each with its partition, whose results are to be written now; they count as being
+    /// written from here on.
+    fn take_due_results(&self) -> Vec<(u32, JobId)> {
+        let now = self.now();
+        let mut due = Vec::new();
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
+        state.results.prune(now);
+        let write_rate = state.store.commit_queue.rate();
+        for partition in state.scheduling.partitions.values_mut() {
+            for id in std::mem::take(&mut partition.unsaved) {
+                if !has_result_to_save(partition, &id) {
+                    continue;
+                }
+                let is_done = partition
+                    .jobs
+                    .get(&id)
+                    .is_some_and(|job| job.done.is_full());
+                let needed = is_done && state.cache.dependencies.is_needed(&id);
+                let is_due = state.results.may_begin(&id, needed)
+                    && (is_done || state.results.is_partial_due(&id, write_rate, now));
+                if is_due {
+                    state.results.begin(id.clone());
+                    due.push((partition.id, id));
+                } else {
+                    partition.unsaved.insert(id);
+                }
+            }
+        }
+        due
+    }
+
+    /// Writes the results of a job.
+    async fn save_result(self: Rc<Self>, partition_id: u32, id: JobId) {
+        let needed = self.state.borrow().cache.dependencies.is_needed(&id);
+        let mut saved = true;
+        if let Some(write) = self.prepare_result_write(partition_id, &id) {
+            let priority = match write.phase {
+                RecordPhase::Done if needed => WritePriority::Release,
+                RecordPhase::Done => WritePriority::Finish,
+                _ => WritePriority::Background,
+            };
+            let outcome = self
+                .write(priority, write.guards, vec![write.change], WRITE_LIMIT)
+                .await;
+            saved = matches!(outcome, WriteOutcome::Committed(_));
+            if saved {
+                let mut state = self.state.borrow_mut();
+                if let Some(partition) = state.scheduling.partitions.get_mut(&partition_id)
+                    && partition.since == write.owned_since
+                {
+                    partition.saved(&id, &write.tasks, write.failed_attempts);
+                }
+            } else {
+                // The next attempt starts from what the watch cache then shows.
+                self.read_index().await;
+            }
+        }
+        let mut state = self.state.borrow_mut();
+        state.results.saving.remove(&id);
+        if let Some(partition) = state.scheduling.partitions.get_mut(&partition_id)
+            && has_unsaved_result(partition, &id)
+        {
+            partition.unsaved.insert(id);
+            if saved {
+                self.wake.scheduler.notify_one();
+            }
+        }
+    }
+
+    /// The write of a job's results; `None` if there is nothing to write.
+    fn prepare_result_write(&self, partition_id: u32, id: &JobId) -> Option<ResultWrite> {
+        let state = self.state.borrow();
+        let partition = state.scheduling.partitions.get(&partition_id)?;
+        let Some(JobEntry::Active(active)) = state.cache.job(id) else {
+            return None;
+        };
+        let result = result_record(partition, id, active, self.settings.value_bytes)?;
+        Some(ResultWrite {
+            guards: vec![
+                guard(role_key(Role::Partition(partition_id)), partition.since),
+                guard(job_key(id), active.version),
+            ],
+            change: put(job_key(id), &result.record),
+            phase: result.record.phase,
+            tasks: result.tasks,
+            failed_attempts: result.record.failed_attempts,
+            owned_since: partition.since,
+        })
+    }
+}
+
+/// Whether there is something of a job to be written: tasks of it, or failed attempts. Of a gang, tasks
+/// are written only when all are done.
+fn has_result_to_save(partition: &Partition, id: &JobId) -> bool {
+    partition.jobs.get(id).is_some_and(|job| {
+        let has_tasks = !job.unsaved.is_empty() && (!job.is_gang() || job.done.is_full());
+        let has_failures = job.failures.failing() != job.failed_attempts_saved;
+        job.termination.is_none() && (has_tasks || has_failures)
+    })
+}
+
+/// Whether something of a job is not durable yet.
+fn has_unsaved_result(partition: &Partition, id: &JobId) -> bool {
+    partition.jobs.get(id).is_some_and(|job| {
+        job.termination.is_none()
+            && (!job.unsaved.is_empty() || job.failures.failing() != job.failed_attempts_saved)
+    })
+}
