--- a/crates/jasperhill-controller/src/commands/mod.rs
+++ b/crates/jasperhill-controller/src/commands/mod.rs
@@ -10,4 +10,4 @@
 pub mod state;
 mod tokens;
 
-pub(crate) use state::CommandState;
+pub(crate) use self::state::CommandState;
--- a/crates/jasperhill-controller/src/relay/mod.rs
+++ b/crates/jasperhill-controller/src/relay/mod.rs
@@ -19,4 +19,4 @@
 pub mod state;
 mod zone_probes;
 
-pub(crate) use route::{CommandRoute, HeartbeatRoute, Worker};
+pub(crate) use self::route::{CommandRoute, HeartbeatRoute, Worker};
--- a/crates/jasperhill-controller/src/results/mod.rs
+++ b/crates/jasperhill-controller/src/results/mod.rs
@@ -10,4 +10,4 @@
 mod saving;
 pub mod state;
 
-pub(crate) use state::ResultState;
+pub(crate) use self::state::ResultState;
