--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -1,5 +1,8 @@
-//! The room that this process has for connections: what goes out to workers through the window,
-//! and what the log and `/ready` say of classes that have come to their bound.
+//! The connections that this process may have: the budget follows the number of machines, and the log and
+//! `/ready` say which classes of connections have come to their bound.
+//!
+//! The budget itself belongs to the transport's connection tracker; the concurrency limiter of commands,
+//! in `CommandState`, follows its size.
 
 use crate::shared::Shared;
 use jasperhill_connections::{Class, limiter::Input};
@@ -7,97 +10,113 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// A class is at its bound while somebody was refused within this time.
-const LATELY: Duration = Duration::from_secs(5);
-/// How often the log tells how many sockets there are.
-const TELL: Micros = Micros::from_secs(60);
+/// A class is at its bound while a connection of it was refused within this time.
+const REFUSAL_MEMORY: Duration = Duration::from_secs(5);
+/// How often the budget is divided anew.
+const RESIZE_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the log says how many connections there are.
+const LOG_INTERVAL: Micros = Micros::from_secs(60);
+/// The quantile of the waits for a turn that is logged.
+const LOGGED_QUANTILE: f64 = 0.99;
 
 impl Shared {
-    /// The classes of connections in which somebody was just refused.
+    /// The classes of connections in which one was just refused. Called by `/ready`.
     pub fn at_bound(&self) -> Vec<&'static str> {
-        let at_bound = self.transport.connection_tracker().at_bound(LATELY);
+        let at_bound = self.transport.connection_tracker().at_bound(REFUSAL_MEMORY);
         at_bound.into_iter().map(Class::as_str).collect()
     }
 
-    /// Divides the sockets by the machines that are known, and tells how they stand.
+    /// Divides the connection budget by the machines that are known, and logs its use, for as long as the
+    /// controller lives.
     pub async fn connection_budget_loop(self: Rc<Self>) {
-        let (mut told, mut said) = (Vec::new(), self.now());
+        let (mut logged_at_bound, mut usage_logged_at) = (Vec::new(), self.now());
         loop {
-            sleep(Duration::from_secs(1)).await;
-            let sockets = self.transport.connection_tracker();
-            let machines = self.state.borrow().cache.hosts.len();
-            sockets.resize(machines);
-            let size = sockets.report(Class::Commands).guaranteed;
+            sleep(RESIZE_INTERVAL).await;
+            self.resize_budget();
             let now = self.now();
-            let turns = self
-                .state
-                .borrow_mut()
-                .commands
-                .limiter
-                .apply(Input::Resize(size), now);
-            self.send_commands(turns);
             let at_bound = self.at_bound();
-            let (open, peak, most) = sockets.totals();
-            if at_bound != told {
-                for class in Class::ALL {
-                    let (was, is) = (
-                        told.contains(&class.as_str()),
-                        at_bound.contains(&class.as_str()),
-                    );
-                    let r = sockets.report(class);
-                    let name = class.as_str();
-                    match (was, is) {
-                        (false, true) => tracing::warn!(
-                            class = name,
-                            open = r.open,
-                            guaranteed = r.guaranteed,
-                            refused = r.refused,
-                            all = open,
-                            "sockets at their bound"
-                        ),
-                        (true, false) => tracing::info!(class = name, "sockets free again"),
-                        _ => {}
-                    }
-                }
-                told = at_bound;
+            if at_bound != logged_at_bound {
+                self.log_bound_changes(&logged_at_bound, &at_bound);
+                logged_at_bound = at_bound;
             }
-            if now - said >= TELL {
-                said = now;
-                self.log_connection_usage(open, peak, most);
+            if now - usage_logged_at >= LOG_INTERVAL {
+                usage_logged_at = now;
+                self.log_connection_usage();
+                self.log_starvation();
             }
         }
     }
 
-    fn log_connection_usage(&self, open: usize, peak: usize, most: usize) {
-        let sockets = self.transport.connection_tracker();
-        let [reports, users, orders] =
-            [Class::Heartbeats, Class::Users, Class::Commands].map(|c| sockets.report(c));
+    /// Divides the connection budget by the machines that are known now.
+    fn resize_budget(self: &Rc<Self>) {
+        let connections = self.transport.connection_tracker();
+        let machines = self.state.borrow().cache.hosts.len();
+        connections.resize(machines);
+        let size = connections.report(Class::Commands).guaranteed;
+        let now = self.now();
+        let ready_hosts = {
+            let limiter = &mut self.state.borrow_mut().commands.limiter;
+            limiter.apply(Input::Resize(size), now)
+        };
+        self.send_commands(ready_hosts);
+    }
+
+    /// Logs the classes that have come to their bound, or are below it again.
+    fn log_bound_changes(&self, before: &[&'static str], after: &[&'static str]) {
+        let connections = self.transport.connection_tracker();
+        let (open, ..) = connections.totals();
+        for class in Class::ALL {
+            let name = class.as_str();
+            let report = connections.report(class);
+            match (before.contains(&name), after.contains(&name)) {
+                (false, true) => tracing::warn!(
+                    class = name,
+                    open = report.open,
+                    guaranteed = report.guaranteed,
+                    refused = report.refused,
+                    all = open,
+                    "sockets at their bound"
+                ),
+                (true, false) => tracing::info!(class = name, "sockets free again"),
+                _ => {}
+            }
+        }
+    }
+
+    /// Logs how many connections there are, and how long commands wait for theirs.
+    fn log_connection_usage(&self) {
+        let connections = self.transport.connection_tracker();
+        let (open, peak, limit) = connections.totals();
+        let [heartbeats, users, commands] = [Class::Heartbeats, Class::Users, Class::Commands]
+            .map(|class| connections.report(class));
         let mut state = self.state.borrow_mut();
+        let limiter = &mut state.commands.limiter;
         tracing::info!(
             open,
             peak,
-            most,
-            reports = reports.open,
+            limit,
+            heartbeats = heartbeats.open,
             users = users.open,
-            orders = orders.open,
-            users_made_way = users.evicted,
-            orders_waiting = state.commands.limiter.waiting(),
-            order_waited_ms = state.commands.limiter.waited(0.99).0 / 1_000,
+            commands = commands.open,
+            users_evicted = users.evicted,
+            commands_waiting = limiter.waiting(),
+            command_wait_ms = limiter.waited(LOGGED_QUANTILE).0 / 1_000,
             "sockets"
         );
-        state.commands.limiter.forget_waits();
-        // The class or team of whose jobs the smallest part has begun, here.
-        let standings = state
-            .scheduling
-            .partitions
-            .values()
-            .flat_map(|p| p.starvation.standing());
-        let least = standings.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
-        match least {
-            Some((group, s)) => tracing::info!(
+        limiter.forget_waits();
+    }
+
+    /// Logs the class or team of whose jobs the smallest share has begun here.
+    fn log_starvation(&self) {
+        let state = self.state.borrow();
+        let partitions = state.scheduling.partitions.values();
+        let standings = partitions.flat_map(|partition| partition.starvation.standing());
+        let least_served = standings.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
+        match least_served {
+            Some((group, standing)) => tracing::info!(
                 least = ?group,
-                share = s.share,
-                waiting = s.waiting,
+                share = standing.share,
+                waiting = standing.waiting,
                 "served"
             ),
             None => tracing::info!("served: nobody waits for too long"),
--- /dev/null
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -0,0 +1,205 @@
+//! As an owner: granting the requests of delegates, and removing grants that are over.
+
+use super::grants::GrantKey;
+use crate::{
+    shared::Shared,
+    store::{WritePriority, guard, put},
+};
+use jasperhill_scheduler::{FencingState, HostInput, Partition};
+use jasperhill_wire::{
+    FencingToken, HostId, Member, Micros, Revision,
+    record::{
+        DelegationGrantRecord, DelegationRequestRecord, Role, delegation_grant_key, role_key,
+    },
+    store::Change,
+};
+use std::{collections::BTreeMap, rc::Rc, time::Duration};
+use tokio::time::timeout;
+
+/// How often grants are checked when nothing wakes the loop.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// A host that was not heard for so many intervals between heartbeats, and this time more, may be
+/// delegated.
+const QUIET_INTERVALS: f64 = 1.25;
+const QUIET_MARGIN: Micros = Micros::from_millis(500);
+/// A grant is removed after so many times the delegation time, and this time more: no delegate can use it
+/// then.
+const GRANT_LIFETIMES: f64 = 1.5;
+const GRANT_LIFETIME_MARGIN: Micros = Micros::from_secs(2);
+/// How long the write of a grant is tried.
+const WRITE_LIMIT: Micros = Micros::from_secs(1);
+
+/// A partition that this controller owns.
+#[derive(Clone, Copy)]
+struct OwnedPartition {
+    id: u32,
+    /// The revision at which this controller became the owner.
+    since: Revision,
+}
+
+/// A grant to be written.
+struct NewGrant {
+    partition: OwnedPartition,
+    hosts: BTreeMap<HostId, FencingToken>,
+}
+
+impl Shared {
+    /// Considers the requests of delegates and the jobs that other controllers propose, and removes
+    /// grants that are over, for as long as the controller lives.
+    pub async fn delegation_grant_loop(self: Rc<Self>) {
+        loop {
+            let woken = self.wake.delegation_grants.notified();
+            let _ = timeout(CHECK_INTERVAL, woken).await;
+            let (changed_requests, proposals) = {
+                let mut state = self.state.borrow_mut();
+                (
+                    std::mem::take(&mut state.delegation.changed_requests),
+                    std::mem::take(&mut state.proposals.received),
+                )
+            };
+            for id in proposals {
+                self.clone().spawn(self.clone().decide_proposal(id));
+            }
+            for delegate in changed_requests {
+                self.consider_delegation_request(&delegate);
+            }
+            self.remove_expired_grants();
+        }
+    }
+
+    /// Grants what a delegate requests, as far as the hosts are this controller's and have not been heard
+    /// here.
+    fn consider_delegation_request(self: &Rc<Self>, delegate: &Member) {
+        let now = self.now();
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
+        let Some(cached) = state.cache.delegation_requests.get(delegate) else {
+            return;
+        };
+        let request = cached.value.clone();
+        if self.is_own_request(delegate) || !state.authority.holds(now) {
+            return;
+        }
+        let granted_until = now + self.settings.delegation_time();
+        let mut grants = Vec::new();
+        for (partition_id, partition) in &mut state.scheduling.partitions {
+            let hosts = self.delegable_hosts(partition, &request, granted_until, now);
+            if hosts.is_empty() {
+                continue;
+            }
+            for id in hosts.keys() {
+                // Before the grant can be seen by anybody.
+                partition.apply(id, HostInput::LeaseDelegated(granted_until), now);
+            }
+            let key = GrantKey {
+                partition: *partition_id,
+                delegate: delegate.clone(),
+            };
+            state.delegation.grants.record(key, now);
+            let partition = OwnedPartition {
+                id: *partition_id,
+                since: partition.since,
+            };
+            grants.push(NewGrant { partition, hosts });
+        }
+        drop(state_guard);
+        for NewGrant { partition, hosts } in grants {
+            tracing::debug!(
+                partition = partition.id,
+                %delegate,
+                hosts = hosts.len(),
+                "leases delegated"
+            );
+            let record = DelegationGrantRecord {
+                number: request.number,
+                lease: request.lease,
+                hosts,
+            };
+            let change = put(delegation_grant_key(partition.id, delegate), &record);
+            self.write_delegation_grant(partition, change);
+        }
+    }
+
+    /// Whether a request is this controller's own, whatever the part.
+    fn is_own_request(&self, delegate: &Member) -> bool {
+        let own_member = self.settings.member.as_str();
+        let part = delegate.as_str().strip_prefix(own_member);
+        part.is_some_and(|part| part.is_empty() || part.starts_with('/'))
+    }
+
+    /// The hosts of a request that belong to a partition and have not been heard recently, with their
+    /// fencing tokens.
+    fn delegable_hosts(
+        &self,
+        partition: &Partition,
+        request: &DelegationRequestRecord,
+        granted_until: Micros,
+        now: Micros,
+    ) -> BTreeMap<HostId, FencingToken> {
+        let bounds = self.settings.bounds;
+        let quiet = self.settings.heartbeat_interval.scale(QUIET_INTERVALS) + QUIET_MARGIN;
+        request
+            .hosts
+            .iter()
+            .filter_map(|id| partition.hosts.get(id))
+            .filter(|host| host.fencing != FencingState::Lapsed && now - host.last_heard > quiet)
+            // The delegate renews under this token until then, whatever is under way to the host.
+            .filter(|host| {
+                let known_as_of = host.in_flight_known_as_of();
+                known_as_of.is_none_or(|known| granted_until <= bounds.until(known))
+            })
+            .map(|host| (host.id.clone(), host.token))
+            .collect()
+    }
+
+    fn write_delegation_grant(self: &Rc<Self>, partition: OwnedPartition, change: Change) {
+        let shared = self.clone();
+        self.clone().spawn(async move {
+            let guards = vec![guard(
+                role_key(Role::Partition(partition.id)),
+                partition.since,
+            )];
+            shared
+                .write(WritePriority::Accept, guards, vec![change], WRITE_LIMIT)
+                .await;
+        });
+    }
+
+    /// Removes grants that nobody can use any more.
+    fn remove_expired_grants(self: &Rc<Self>) {
+        for (key, partition) in self.take_expired_grants() {
+            let key = delegation_grant_key(key.partition, &key.delegate);
+            self.write_delegation_grant(partition, Change::Delete { key });
+        }
+    }
+
+    /// The expired grants of this controller's partitions, which it forgets here.
+    fn take_expired_grants(&self) -> Vec<(GrantKey, OwnedPartition)> {
+        let now = self.now();
+        let lifetime = self.settings.delegation_time().scale(GRANT_LIFETIMES);
+        let lifetime = lifetime + GRANT_LIFETIME_MARGIN;
+        let mut expired = Vec::new();
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
+        if !state.authority.holds(now) {
+            return expired;
+        }
+        for (id, partition) in &state.scheduling.partitions {
+            let grants = state.cache.delegation_grants.keys();
+            for (_, delegate) in grants.filter(|(granted, _)| granted == id) {
+                let key = GrantKey {
+                    partition: *id,
+                    delegate: delegate.clone(),
+                };
+                if state.delegation.grants.is_expired(&key, lifetime, now) {
+                    let since = partition.since;
+                    expired.push((key, OwnedPartition { id: *id, since }));
+                }
+            }
+        }
+        for (key, _) in &expired {
+            state.delegation.grants.remove(key);
+        }
+        expired
+    }
+}
