--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -17,11 +17,15 @@
 
 /// A host of a partition that this controller owns.
 struct CommandTarget {
+    /// The partition's number.
     partition_id: u32,
     /// The revision at which this controller became the owner.
     owned_since: Revision,
+    /// The host's id.
     host: HostId,
+    /// Where its worker listens.
     address: SocketAddr,
+    /// The host's zone.
     zone: Name,
     /// Whether the worker's incarnation is known; commands name it.
     is_incarnation_known: bool,
@@ -30,6 +34,7 @@
 }
 
 impl CommandTarget {
+    /// The host as the target of a request.
     fn worker(&self) -> Worker<'_> {
         Worker {
             host: &self.host,
@@ -42,7 +47,9 @@
 
 /// A request with commands.
 struct CommandRequest {
+    /// The body of the request.
     body: Vec<u8>,
+    /// How many commands it has.
     commands: usize,
 }
 
--- a/crates/jasperhill-controller/src/delegation/delegate.rs
+++ b/crates/jasperhill-controller/src/delegation/delegate.rs
@@ -30,12 +30,13 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The part of the delegation time after which a request is written again.
 const RENEWAL_SHARE: f64 = 0.25;
-/// A host that was not heard for so many intervals between heartbeats, and this time more, has left.
+/// A host that was not heard for so many intervals between heartbeats, and `SILENT_MARGIN`, has left.
 const SILENT_INTERVALS: f64 = 2.5;
+/// See `SILENT_INTERVALS`: lets one heartbeat be late.
 const SILENT_MARGIN: Micros = Micros::from_secs(5);
-/// By so much, and this part of the delegation time for clocks that run at different rates, a delegate
-/// stops answering before the grant ends.
+/// How long before the grant ends a delegate stops answering, for the way of the response.
 const GRANT_MARGIN: Micros = Micros::from_millis(200);
+/// The part of the delegation time that is added to `GRANT_MARGIN`, as clocks run at different rates.
 const CLOCK_DRIFT: f64 = 0.002;
 /// How long the write of a request is tried.
 const WRITE_LIMIT: Micros = Micros::from_secs(1);
@@ -45,6 +46,7 @@
 /// This controller's session with the store.
 #[derive(Clone, Copy)]
 struct OwnSession {
+    /// The lease of the session in the store.
     lease: u64,
     /// The version of the session's record.
     version: Revision,
--- a/crates/jasperhill-controller/src/delegation/grants.rs
+++ b/crates/jasperhill-controller/src/delegation/grants.rs
@@ -15,6 +15,7 @@
 /// When this controller gave its grants.
 #[derive(Default)]
 pub(super) struct DelegationGrants {
+    /// When each grant was given, by the steady clock.
     granted_at: BTreeMap<GrantKey, Micros>,
 }
 
@@ -36,3 +37,6 @@
         self.granted_at.remove(key);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/jasperhill-controller/src/delegation/owner.rs
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -18,13 +18,15 @@
 
 /// How often grants are checked when nothing wakes the loop.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A host that was not heard for so many intervals between heartbeats, and this time more, may be
+/// A host that was not heard for so many intervals between heartbeats, and `QUIET_MARGIN`, may be
 /// delegated.
 const QUIET_INTERVALS: f64 = 1.25;
+/// See `QUIET_INTERVALS`: lets a heartbeat be under way.
 const QUIET_MARGIN: Micros = Micros::from_millis(500);
-/// A grant is removed after so many times the delegation time, and this time more: no delegate can use it
-/// then.
+/// A grant is removed after so many times the delegation time, and `GRANT_LIFETIME_MARGIN`: no delegate can
+/// use it then.
 const GRANT_LIFETIMES: f64 = 1.5;
+/// See `GRANT_LIFETIMES`.
 const GRANT_LIFETIME_MARGIN: Micros = Micros::from_secs(2);
 /// How long the write of a grant is tried.
 const WRITE_LIMIT: Micros = Micros::from_secs(1);
@@ -32,6 +34,7 @@
 /// A partition that this controller owns.
 #[derive(Clone, Copy)]
 struct OwnedPartition {
+    /// The partition's number.
     id: u32,
     /// The revision at which this controller became the owner.
     since: Revision,
@@ -39,7 +42,9 @@
 
 /// A grant to be written.
 struct NewGrant {
+    /// The partition that the hosts belong to.
     partition: OwnedPartition,
+    /// The delegated hosts, with the fencing tokens that the delegate answers with.
     hosts: BTreeMap<HostId, FencingToken>,
 }
 
@@ -152,6 +157,7 @@
             .collect()
     }
 
+    /// Begins to write, or delete, a grant of a partition.
     fn write_delegation_grant(self: &Rc<Self>, partition: OwnedPartition, change: Change) {
         let shared = self.clone();
         self.clone().spawn(async move {
--- a/crates/jasperhill-controller/src/delegation/peer_contact.rs
+++ b/crates/jasperhill-controller/src/delegation/peer_contact.rs
@@ -38,6 +38,7 @@
         !self.is_unreached(&self.state.borrow(), member, self.now())
     }
 
+    /// Whether another controller does not answer, as far as is known here.
     fn is_unreached(&self, state: &State, member: &Member, now: Micros) -> bool {
         if self.uses_reachability(state) {
             // Guards against one lost message that is taken for a partition of the network.
--- a/crates/jasperhill-controller/src/delegation/requests.rs
+++ b/crates/jasperhill-controller/src/delegation/requests.rs
@@ -20,22 +20,26 @@
 /// One part of the requests.
 #[derive(Default)]
 struct RequestPart {
+    /// How many hosts it names.
     hosts: usize,
     /// Its hosts are others than those last written.
     changed: bool,
     /// The store may have a record of it.
     written: bool,
+    /// When its last write began.
     last_written_at: Micros,
 }
 
 /// The hosts that this controller asks to answer for.
 #[derive(Default)]
 pub(super) struct DelegationRequests {
+    /// The hosts that were heard here recently.
     hosts: BTreeMap<HostId, RequestedHost>,
     /// The parts: no value holds all hosts of a large zone.
     parts: BTreeMap<u32, RequestPart>,
     /// When the requests were sent, by number.
     sent_at: BTreeMap<u64, Micros>,
+    /// The number of the last request.
     last_number: u64,
 }
 
--- a/crates/jasperhill-controller/src/heartbeats/mod.rs
+++ b/crates/jasperhill-controller/src/heartbeats/mod.rs
@@ -25,6 +25,7 @@
 
 /// A heartbeat while it is being answered.
 struct ReceivedHeartbeat<'a> {
+    /// The heartbeat, parsed.
     heartbeat: &'a Heartbeat,
     /// The heartbeat as it came, for relaying.
     body: &'a [u8],
--- a/crates/jasperhill-controller/src/heartbeats/registration.rs
+++ b/crates/jasperhill-controller/src/heartbeats/registration.rs
@@ -176,6 +176,7 @@
         registrations
     }
 
+    /// Writes the first record of a machine.
     async fn write_registration(self: Rc<Self>, registration: Registration) {
         let Registration { block, update } = registration;
         let host = update.host.clone();
@@ -188,6 +189,7 @@
     }
 }
 
+/// The record of a machine that has none yet.
 fn first_record(heartbeat: &Heartbeat, partition_id: u32) -> HostRecord {
     HostRecord {
         assignment: HostAssignment::Partition(partition_id),
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -147,6 +147,7 @@
         })
     }
 
+    /// The reply that names the owner; unavailable if that is nobody, or this controller.
     fn redirect_to(&self, owner: Option<Member>) -> HeartbeatReply {
         match owner {
             Some(owner) if owner != self.settings.member => HeartbeatReply {
--- a/crates/jasperhill-controller/src/heartbeats/routing.rs
+++ b/crates/jasperhill-controller/src/heartbeats/routing.rs
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Notes that a worker's own heartbeat was answered here.
     fn record_own_answer(&self, host: HostId) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
--- a/crates/jasperhill-controller/src/host_registry/batch.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch.rs
@@ -54,7 +54,9 @@
 
 /// An update that can't be written.
 pub(super) struct RejectedUpdate {
+    /// The update.
     update: PendingUpdate,
+    /// Why it can't be written.
     outcome: WriteOutcome,
 }
 
@@ -67,24 +69,32 @@
 
 /// What becomes of an update that waits.
 enum Decision {
+    /// It goes into this write.
     Include,
+    /// It goes into a later one.
     WaitForNext,
+    /// It is never written.
     Reject(WriteOutcome),
 }
 
 /// What decides on updates of a block.
 struct Selection<'a> {
+    /// The records as the store last showed them.
     cache: &'a WatchCache,
+    /// The block to be written.
     block: u32,
     /// The role whose updates are written, and the revision since which it is owned.
     role: (Role, Revision),
     /// The role has changed hands since.
     is_role_lost: bool,
+    /// A write of the block was refused a moment ago.
     is_backing_off: bool,
+    /// The time of the decision.
     now: Micros,
 }
 
 impl Selection<'_> {
+    /// What becomes of an update. `changed_hosts`: those that other updates of this write change.
     fn decide(&self, update: &HostUpdate, changed_hosts: &BTreeSet<HostId>) -> Decision {
         if self.now >= update.deadline || self.is_backing_off {
             return Decision::Reject(WriteOutcome::NotExecuted);
@@ -235,6 +245,7 @@
         }
     }
 
+    /// Whether a block's number can't be used for a new one.
     fn is_taken(&self, cache: &WatchCache, block: u32) -> bool {
         cache.blocks.contains_key(&block)
             || self.reserved.contains(&block)
@@ -242,6 +253,7 @@
     }
 }
 
+/// Changes a block as an update says.
 fn apply_update(block: &mut HostBlock, update: &HostUpdate) {
     let host = &update.host;
     match &update.new_record {
--- a/crates/jasperhill-controller/src/host_registry/writing.rs
+++ b/crates/jasperhill-controller/src/host_registry/writing.rs
@@ -24,8 +24,11 @@
 
 /// What is handed to the store of a prepared write.
 struct BlockTransaction {
+    /// How it is ranked among other writes.
     priority: WritePriority,
+    /// Its compares.
     guards: Vec<Guard>,
+    /// Its puts.
     changes: Vec<Change>,
 }
 
--- a/crates/jasperhill-controller/src/relay/eligibility.rs
+++ b/crates/jasperhill-controller/src/relay/eligibility.rs
@@ -43,6 +43,7 @@
         (eligibility, host_counts)
     }
 
+    /// How eligible a member is for a role whose hosts are these.
     fn eligibility_of(
         &self,
         state: &State,
--- a/crates/jasperhill-controller/src/relay/reachability.rs
+++ b/crates/jasperhill-controller/src/relay/reachability.rs
@@ -79,6 +79,7 @@
         zones_to_probe
     }
 
+    /// Follows the change of a link: notes silent peers, logs it and wakes the loops that depend on it.
     fn on_link_changed(&self, link: &LinkId, before: LinkState, after: LinkState, now: Micros) {
         if let LinkId::Peer(member) = link {
             let silent_since = &mut self.state.borrow_mut().membership.silent_since;
@@ -144,6 +145,7 @@
         }
     }
 
+    /// This controller's report for its peers.
     fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
         // What a watch cache shows that is no longer brought up to date is not reported as news.
         let is_cache_current =
--- a/crates/jasperhill-controller/src/relay/slots.rs
+++ b/crates/jasperhill-controller/src/relay/slots.rs
@@ -12,8 +12,11 @@
 /// Counts of what is being relayed or held back.
 #[derive(Default)]
 pub(crate) struct RelaySlots {
+    /// Commands of other controllers that are being relayed.
     commands: Rc<Cell<usize>>,
+    /// Heartbeats that are being relayed.
     heartbeats: Rc<Cell<usize>>,
+    /// Heartbeats that are held back.
     deferred: Rc<Cell<usize>>,
 }
 
@@ -44,6 +47,7 @@
 pub(crate) struct RelaySlot(Rc<Cell<usize>>);
 
 impl RelaySlot {
+    /// Takes one of `limit` slots, of which so many are `taken`; `None` if that is all.
     fn take(taken: &Rc<Cell<usize>>, limit: usize) -> Option<Self> {
         let count = taken.get();
         (count < limit).then(|| {
--- a/crates/jasperhill-controller/src/relay/state.rs
+++ b/crates/jasperhill-controller/src/relay/state.rs
@@ -4,8 +4,8 @@
 use jasperhill_wire::{HostId, Micros};
 use std::collections::BTreeMap;
 
-/// A worker that was redirected to its owner and comes back within this time could not reach it: a worker
-/// tries for ten seconds.
+/// A worker that was redirected to its owner and comes back within this time could not reach it: with all
+/// others silent it comes back after ten seconds.
 const REDIRECT_MEMORY: Micros = Micros::from_secs(12);
 /// Redirected workers that are remembered before old entries are removed.
 const REDIRECTS_MAX: usize = 1_000;
@@ -75,3 +75,6 @@
         self.probes.values().filter(running).count()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/jasperhill-controller/src/relay/zone_probes.rs
+++ b/crates/jasperhill-controller/src/relay/zone_probes.rs
@@ -12,8 +12,8 @@
 const PROBES: usize = 3;
 /// How long a probe may take.
 const PROBE_LIMIT: Micros = Micros::from_secs(1);
-/// The divisor, in microseconds, that makes the first worker to be probed from the clock: a prime, so
-/// that it is another one each time.
+/// After so many microseconds the first worker to be probed is the next one: a prime, so that probes at
+/// regular times don't come to the same workers again.
 const PROBE_ROTATION: u64 = 10_007;
 
 impl Shared {
--- a/crates/jasperhill-controller/src/results/cancellation.rs
+++ b/crates/jasperhill-controller/src/results/cancellation.rs
@@ -18,7 +18,9 @@
 
 /// A job to be cancelled because a job that it depends on is.
 struct CancelledDependent {
+    /// The job's id.
     id: JobId,
+    /// The number of the job's partition.
     partition_id: u32,
     /// The revision at which this controller became the partition's owner.
     owned_since: Revision,
@@ -65,6 +67,7 @@
         due
     }
 
+    /// Writes the cancellation of one job.
     async fn cancel_dependent(self: Rc<Self>, dependent: CancelledDependent) {
         let id = dependent.id;
         let record = JobRecord::terminal(RecordPhase::Cancelled, dependent.done_count);
--- a/crates/jasperhill-controller/src/results/saving.rs
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -19,11 +19,15 @@
 
 /// A write of a job's results.
 struct ResultWrite {
+    /// The compares of the transaction: the role and the job's record.
     guards: Vec<Guard>,
+    /// The put of the job's record.
     change: Change,
+    /// The phase that the record says.
     phase: RecordPhase,
     /// The tasks whose results are durable once it is written.
     tasks: BTreeSet<u32>,
+    /// The number of failed attempts that the record says.
     failed_attempts: u32,
     /// The revision at which this controller became the partition's owner.
     owned_since: Revision,
--- a/crates/jasperhill-controller/src/results/state.rs
+++ b/crates/jasperhill-controller/src/results/state.rs
@@ -58,3 +58,6 @@
         self.saving.insert(job);
     }
 }
+
+#[cfg(test)]
+mod tests;
