--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -1,10 +1,13 @@
 //! Sending a worker its outstanding commands, and what the answer, or its absence, means for them.
 
 use crate::{
-    relay::{CommandRoute, Worker},
+    relay::{
+        CommandRoute, Worker,
+        requests::{commands_request, status_request},
+    },
     shared::Shared,
 };
-use jasperhill_http::{ClientError, Method, Request, Response};
+use jasperhill_http::{ClientError, Response};
 use jasperhill_scheduler::{FencingState, HostInput, Source};
 use jasperhill_wire::{
     HostId, Micros, Name, Revision,
@@ -68,7 +71,7 @@
             return None;
         }
         if !target.is_incarnation_known {
-            let request = Request::new(Method::Get, "/inspect", Vec::new());
+            let request = status_request();
             let answer = self.call_worker(target.worker(), request, ANSWER_LIMIT);
             match answer.await {
                 Ok(response) if response.status == 200 => {
@@ -79,7 +82,7 @@
             }
         }
         let CommandRequest { body, commands } = self.prepare_commands(&target)?;
-        let request = Request::new(Method::Post, "/do", body);
+        let request = commands_request(body);
         let answer = self.call_worker(target.worker(), request, ANSWER_LIMIT);
         let answer = answer.await;
         self.settle_commands(&target, &answer, commands);
--- a/crates/jasperhill-controller/src/heartbeats/registration.rs
+++ b/crates/jasperhill-controller/src/heartbeats/registration.rs
@@ -4,11 +4,10 @@
 use super::{DEFERRAL_LIMIT, PROBES_MAX};
 use crate::{
     host_registry::HostUpdate,
-    relay::Worker,
+    relay::{Worker, requests::status_request},
     shared::{Shared, to_duration},
     store::{WriteOutcome, WritePriority},
 };
-use jasperhill_http::{Method, Request};
 use jasperhill_wire::{
     Micros,
     record::{HostAssignment, HostRecord, Role},
@@ -38,7 +37,7 @@
     /// written. Guards against a new machine that is redirected to a later time, and beyond a partition
     /// of the network finds no controller for as long as its first lease lasts.
     pub(super) async fn register_host(self: &Rc<Self>, heartbeat: &Heartbeat, received_at: Micros) {
-        let Some(is_expected) = self.is_expected_newcomer(heartbeat) else {
+        let Some(is_expected) = self.expects_registration(heartbeat) else {
             return;
         };
         if is_expected {
@@ -71,7 +70,7 @@
 
     /// Whether the leader, if that is this controller, expects a machine that has no record; `None` if
     /// this controller is not to register it.
-    fn is_expected_newcomer(&self, heartbeat: &Heartbeat) -> Option<bool> {
+    fn expects_registration(&self, heartbeat: &Heartbeat) -> Option<bool> {
         let now = self.now();
         let state = self.state.borrow();
         if state.cache.hosts.contains_key(&heartbeat.host) || !state.authority.holds(now) {
@@ -88,14 +87,15 @@
         let Ok(address) = heartbeat.address.parse::<SocketAddr>() else {
             return;
         };
-        let request = Request::new(Method::Get, "/inspect", Vec::new());
         let worker = Worker {
             host: &heartbeat.host,
             zone: &heartbeat.zone,
             host_count: PROBES_MAX,
             address,
         };
-        let answer = self.call_worker(worker, request, PROBE_LIMIT).await;
+        let answer = self
+            .call_worker(worker, status_request(), PROBE_LIMIT)
+            .await;
         let current = answer
             .ok()
             .and_then(|response| Heartbeat::parse(&response.body).ok());
--- a/crates/jasperhill-controller/src/heartbeats/relayed.rs
+++ b/crates/jasperhill-controller/src/heartbeats/relayed.rs
@@ -5,8 +5,11 @@
     DEFERRAL_LIMIT, PROBES_MAX,
     response::{parse_heartbeat, redirect, unavailable},
 };
-use crate::{relay::state::DirectProbe, shared::Shared};
-use jasperhill_http::{Method, Request, Response};
+use crate::{
+    relay::{requests::status_request, state::DirectProbe},
+    shared::Shared,
+};
+use jasperhill_http::Response;
 use jasperhill_membership::reachability::LinkId;
 use jasperhill_wire::{HostId, Micros, mesh::LinkState, worker::Heartbeat};
 use std::{net::SocketAddr, rc::Rc};
@@ -103,7 +106,7 @@
             record.and_then(|record| record.value.address.parse::<SocketAddr>().ok())
         };
         let Some(address) = address else { return };
-        let request = Request::new(Method::Get, "/inspect", Vec::new());
+        let request = status_request();
         let answer = self.call(address, request, PROBE_LIMIT).await;
         if answer.is_ok_and(|response| response.status == 200) {
             let at = self.now();
--- a/crates/jasperhill-controller/src/heartbeats/routing.rs
+++ b/crates/jasperhill-controller/src/heartbeats/routing.rs
@@ -90,7 +90,7 @@
                 return response.unwrap_or_else(unavailable);
             }
             Some(HeartbeatRoute::RelayOnly | HeartbeatRoute::RelayFirst) => {
-                if let Some(response) = self.ask_owner(owner.clone(), received).await {
+                if let Some(response) = self.relay_or_answer(owner.clone(), received).await {
                     return response;
                 }
                 // Guards against a worker that is redirected in circles while the partition of the
@@ -120,7 +120,7 @@
         if !came_back {
             return redirect(Some(&owner));
         }
-        let response = self.ask_owner(owner, received).await;
+        let response = self.relay_or_answer(owner, received).await;
         response.unwrap_or_else(unavailable)
     }
 
@@ -134,7 +134,7 @@
 
     /// The owner's response, or this controller's if it finds that it is the owner by now: of a machine
     /// that the leader has just registered, or by a role that has just moved here.
-    async fn ask_owner(
+    async fn relay_or_answer(
         self: &Rc<Self>,
         owner: Member,
         received: &ReceivedHeartbeat<'_>,
--- a/crates/jasperhill-controller/src/host_registry/batch.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch.rs
@@ -261,3 +261,6 @@
         None => block.hosts.remove(host),
     };
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/jasperhill-controller/src/host_registry/state.rs
+++ b/crates/jasperhill-controller/src/host_registry/state.rs
@@ -151,12 +151,12 @@
     }
 
     /// Notes that a block is being written. False if it is already.
-    pub(super) fn begin_writing(&mut self, block: u32) -> bool {
+    pub(super) fn start_writing(&mut self, block: u32) -> bool {
         self.writing.insert(block)
     }
 
     /// Notes that nothing of a block is left to be written.
-    pub(super) fn end_writing(&mut self, block: u32) {
+    pub(super) fn finish_writing(&mut self, block: u32) {
         self.writing.remove(&block);
     }
 
--- a/crates/jasperhill-controller/src/host_registry/writing.rs
+++ b/crates/jasperhill-controller/src/host_registry/writing.rs
@@ -50,16 +50,16 @@
 
     /// Begins to write a block's updates, unless that is under way.
     fn write_block(self: &Rc<Self>, block: u32) {
-        let begins = {
+        let is_started = {
             let mut state = self.state.borrow_mut();
-            state.host_registry.begin_writing(block)
+            state.host_registry.start_writing(block)
         };
-        if begins {
+        if is_started {
             let shared = self.clone();
             self.clone().spawn(async move {
                 while shared.write_block_once(block).await {}
                 let mut state = shared.state.borrow_mut();
-                state.host_registry.end_writing(block);
+                state.host_registry.finish_writing(block);
             });
         }
     }
--- a/crates/jasperhill-controller/src/relay/commands.rs
+++ b/crates/jasperhill-controller/src/relay/commands.rs
@@ -1,7 +1,10 @@
 //! Requests to workers by the route that there is, and the commands that other controllers send by this
 //! one.
 
-use super::route::{CommandRoute, Worker};
+use super::{
+    requests::{commands_request, status_request},
+    route::{CommandRoute, Worker},
+};
 use crate::shared::Shared;
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_wire::{
@@ -76,8 +79,8 @@
             return MeshResponse::CommandsNotSent;
         };
         let request = match body {
-            Some(body) => Request::new(Method::Post, "/do", body.into_bytes()),
-            None => Request::new(Method::Get, "/inspect", Vec::new()),
+            Some(body) => commands_request(body.into_bytes()),
+            None => status_request(),
         };
         let answer = self.call(address, request, RELAY_LIMIT).await;
         let worker = Worker {
--- a/crates/jasperhill-controller/src/relay/mod.rs
+++ b/crates/jasperhill-controller/src/relay/mod.rs
@@ -13,6 +13,7 @@
 mod heartbeats;
 mod isolation;
 mod reachability;
+pub mod requests;
 mod route;
 mod routing;
 pub mod slots;
--- a/crates/jasperhill-controller/src/relay/zone_probes.rs
+++ b/crates/jasperhill-controller/src/relay/zone_probes.rs
@@ -1,8 +1,9 @@
 //! Noticing that a zone's heartbeats are missing, and probing a few of its workers when nothing else
 //! tells how the link to them stands.
 
+use super::requests::status_request;
 use crate::shared::Shared;
-use jasperhill_http::{ClientError, Method, Request};
+use jasperhill_http::ClientError;
 use jasperhill_membership::reachability;
 use jasperhill_scheduler::FencingState;
 use jasperhill_wire::{HostId, Micros, Name};
@@ -51,8 +52,7 @@
         for (host, address) in workers {
             let (shared, zone) = (self.clone(), zone.clone());
             self.clone().spawn(async move {
-                let request = Request::new(Method::Get, "/inspect", Vec::new());
-                let answer = shared.call(address, request, PROBE_LIMIT).await;
+                let answer = shared.call(address, status_request(), PROBE_LIMIT).await;
                 if !matches!(answer, Err(ClientError::NoSocket)) {
                     shared.observe_worker(&zone, &host, host_count, answer.is_ok());
                 }
--- a/crates/jasperhill-controller/src/results/saving.rs
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -62,10 +62,10 @@
                     .get(&id)
                     .is_some_and(|job| job.done.is_full());
                 let needed = is_done && state.cache.dependencies.is_needed(&id);
-                let is_due = state.results.may_begin(&id, needed)
+                let is_due = state.results.may_start_saving(&id, needed)
                     && (is_done || state.results.is_partial_due(&id, write_rate, now));
                 if is_due {
-                    state.results.begin(id.clone());
+                    state.results.start_saving(id.clone());
                     due.push((partition.id, id));
                 } else {
                     partition.unsaved.insert(id);
--- a/crates/jasperhill-controller/src/results/state.rs
+++ b/crates/jasperhill-controller/src/results/state.rs
@@ -37,7 +37,7 @@
 
     /// Whether the write of a job's result may begin now, as far as the number of writes goes. `needed`:
     /// other jobs wait for this one, so that its result goes ahead.
-    pub fn may_begin(&self, job: &JobId, needed: bool) -> bool {
+    pub fn may_start_saving(&self, job: &JobId, needed: bool) -> bool {
         !self.saving.contains(job) && (self.saving.len() <= SAVING_MAX || needed)
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Notes that a job's result is being written; a partial one no longer waits.
-    pub fn begin(&mut self, job: JobId) {
+    pub fn start_saving(&mut self, job: JobId) {
         self.partial_due.remove(&job);
         self.saving.insert(job);
     }
--- a/crates/jasperhill-controller/src/results/state/tests.rs
+++ b/crates/jasperhill-controller/src/results/state/tests.rs
@@ -26,10 +26,10 @@
 fn a_needed_result_goes_ahead() {
     let mut results = ResultState::default();
     for n in 0..=SAVING_MAX {
-        assert!(results.may_begin(&job(n), false));
-        results.begin(job(n));
+        assert!(results.may_start_saving(&job(n), false));
+        results.start_saving(job(n));
     }
-    assert!(!results.may_begin(&job(SAVING_MAX + 1), false));
-    assert!(results.may_begin(&job(SAVING_MAX + 1), true));
-    assert!(!results.may_begin(&job(0), true), "is being written");
+    assert!(!results.may_start_saving(&job(SAVING_MAX + 1), false));
+    assert!(results.may_start_saving(&job(SAVING_MAX + 1), true));
+    assert!(!results.may_start_saving(&job(0), true), "is being written");
 }
