--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -1,6 +1,9 @@
 //! The mesh between controllers: CBOR over HTTP. One that can't be reached is no error.
 
-use crate::shared::Shared;
+use crate::{
+    provisioner::state::{SpareCapacity, UnmetDemand},
+    shared::Shared,
+};
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_wire::{
     Micros,
@@ -119,10 +122,13 @@
             }
             Ok(MeshRequest::SpareCapacity {
                 machines,
-                boot_time: ready,
+                boot_time,
             }) => {
-                self.state.borrow_mut().provisioning.spare_capacity =
-                    Some((machines, ready, self.now()));
+                self.state.borrow_mut().provisioning.spare_capacity = Some(SpareCapacity {
+                    machines,
+                    boot_time,
+                    at: self.now(),
+                });
                 MeshResponse::Acknowledged
             }
             Ok(MeshRequest::UnmetDemand {
@@ -130,7 +136,10 @@
                 thousandths,
             }) => {
                 if partition < self.settings.size {
-                    let unmet = (f64::from(thousandths) / 1e3, self.now());
+                    let unmet = UnmetDemand {
+                        hosts: f64::from(thousandths) / 1e3,
+                        at: self.now(),
+                    };
                     self.state
                         .borrow_mut()
                         .provisioning
--- /dev/null
+++ b/crates/jasperhill-controller/src/provisioner/machine_types.rs
@@ -0,0 +1,76 @@
+//! The machine types: asked of the cloud, and written to the store by the first leader, so that
+//! controllers without a link to the cloud know them too.
+
+use crate::{
+    shared::Shared,
+    store::{WritePriority, guard, put},
+};
+use jasperhill_http::Method;
+use jasperhill_scheduler::config::specs;
+use jasperhill_wire::{
+    Micros, Revision,
+    cloud::MachineTypes,
+    record::{Role, role_key, types_key},
+};
+use std::rc::Rc;
+
+/// How long the write to the store may take.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(5);
+
+impl Shared {
+    /// Asks for the machine types. True if they came.
+    pub(super) async fn fetch_machine_types(&self) -> bool {
+        let Some(types) = self.request_machine_types().await else {
+            return false;
+        };
+        let unwritten_by = {
+            let mut state = self.state.borrow_mut();
+            state.scheduling.specs = Some(Rc::new(specs(&types.types)));
+            let in_store = state.cache.types();
+            match (&state.provisioning.leader, in_store) {
+                (Some(leader), None) if state.cache.is_synced() => Some(leader.since),
+                _ => None,
+            }
+        };
+        self.wake.roles.notify_one();
+        if let Some(since) = unwritten_by {
+            self.write_machine_types(types, since).await;
+        }
+        true
+    }
+
+    async fn request_machine_types(&self) -> Option<MachineTypes> {
+        let response = self
+            .cloud_call(Method::Get, "/machine_types", Vec::new())
+            .await?;
+        if response.status != 200 {
+            return None;
+        }
+        match serde_json::from_slice(&response.body) {
+            Ok(types) => Some(types),
+            Err(error) => {
+                tracing::warn!(%error, "invalid machine types from the cloud");
+                None
+            }
+        }
+    }
+
+    /// Writes the machine types, as the leader since that revision.
+    async fn write_machine_types(&self, types: MachineTypes, since: Revision) {
+        let parts = types.split(self.settings.value_bytes);
+        let Some(parts) = parts.filter(|p| p.len() <= self.settings.txn_ops) else {
+            tracing::warn!("machine types too long for the store");
+            return;
+        };
+        let guards = vec![
+            guard(role_key(Role::Leader), since),
+            guard(types_key(0), Revision(0)),
+        ];
+        let changes = (0..)
+            .zip(&parts)
+            .map(|(n, part)| put(types_key(n), part))
+            .collect();
+        self.write(WritePriority::Background, guards, changes, WRITE_TIMEOUT)
+            .await;
+    }
+}
--- a/crates/jasperhill-controller/src/provisioner/scale_out.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_out.rs
@@ -1,251 +1,253 @@
-//! Renting: how many machines of which kind, where, and what others may count on.
+//! Scaling out: how many machines of which type are rented, and where.
 
-use super::Booting;
-use crate::shared::Shared;
-use jasperhill_http::Method;
+use super::{
+    inventory::PartitionInventory,
+    state::{BootingMachine, BootingSupply, LeaderState, MachineOffer},
+};
+use crate::{shared::Shared, watch_cache::WatchCache};
+use jasperhill_http::{Method, Response};
+use jasperhill_scheduler::config::Specs;
 use jasperhill_wire::{
     Micros, Name,
     cloud::{HostNames, RentRequest},
-    mesh::MeshRequest,
     record::HostAssignment,
 };
 use std::rc::Rc;
 
-use super::inventory::Inventory;
-
 /// Machines asked for in one request, at most; the cloud's own bound.
 const RENT_MAX: u32 = 50;
+/// Rentals in one round, at most.
+const RENTALS_PER_ROUND: usize = 3;
+/// An offer without capacity is left alone for so long.
+const EXHAUSTED_FOR: Micros = Micros::from_secs(15);
+/// What the cloud's answer contains if it has no machine to offer.
+const NO_CAPACITY: &[u8] = b"capacity";
+/// Prices are compared in this part of their unit.
+const PRICE_PARTS: f64 = 1e3;
 
-impl Shared {
-    /// Refused jobs come again: the fleet grows for them as for accepted ones.
-    pub(super) fn tell_unmet(self: &Rc<Self>) {
-        let now = self.now();
-        let mut tell = Vec::new();
-        {
-            let mut guarded = self.state.borrow_mut();
-            let state = &mut *guarded;
-            for p in state.scheduling.partitions.keys() {
-                let hosts: f64 = state
-                    .scheduling
-                    .rejected
-                    .values()
-                    .filter(|r| r.partition == *p && now - r.last < Micros::from_secs(6))
-                    .map(|r| r.hosts / 1.5)
-                    .sum();
-                let old = state
-                    .provisioning
-                    .unmet_demand
-                    .insert(*p, (hosts, now))
-                    .map_or(0.0, |(h, _)| h);
-                if hosts > 0.0 || old > 0.0 {
-                    tell.push((*p, (hosts * 1e3) as u32));
-                }
-            }
+/// The machines that are to be rented, beyond those that are booting.
+struct Shortage {
+    /// Of any terms.
+    total: i64,
+    /// That have to be on-demand machines.
+    on_demand: i64,
+    /// That may be spot machines.
+    spot: i64,
+}
+
+/// Machines to ask for, on some terms.
+struct Order {
+    count: i64,
+    spot: bool,
+}
+
+impl Shortage {
+    /// `free`: hosts that belong to no partition.
+    fn new(inventory: &[PartitionInventory], booting: BootingSupply, free: i64) -> Self {
+        let sum = |lack: fn(&PartitionInventory) -> i64| -> i64 {
+            inventory.iter().map(|p| lack(p).max(0)).sum()
+        };
+        let total = sum(|p| p.desired - p.actual);
+        let on_demand = sum(|p| p.desired_on_demand - p.actual_on_demand);
+        // Work that may run on spot machines makes way on the on-demand ones: where those have
+        // run out, spot machines help as well.
+        let spot = sum(|p| (p.desired - p.desired_on_demand) - (p.actual - p.actual_on_demand));
+        Self {
+            total: total - (booting.spot + booting.on_demand + free),
+            on_demand: on_demand - booting.on_demand,
+            spot: spot.min(total) - booting.spot,
         }
-        for (partition, thousandths) in tell {
-            for peer in &self.settings.peers {
-                let (inner, address) = (self.clone(), peer.address);
-                self.clone().spawn(async move {
-                    let ask = MeshRequest::UnmetDemand {
-                        partition,
-                        thousandths,
-                    };
-                    inner.mesh_call(address, ask, Micros::from_secs(1)).await;
-                });
-            }
+    }
+
+    /// What to ask for, the first that can be had.
+    fn orders(&self) -> [Order; 2] {
+        let order = |count, spot| Order { count, spot };
+        if self.on_demand > 0 {
+            [
+                order(self.on_demand, false),
+                order(self.total.min(self.spot), true),
+            ]
+        } else {
+            [order(self.total, true), order(self.total, false)]
         }
     }
+}
 
-    /// Tells the others how many machines can still be had, for their admission tests.
-    pub(super) fn tell_elastic(self: &Rc<Self>) {
-        let now = self.now();
-        let (machines, ready) = {
-            let mut guarded = self.state.borrow_mut();
-            let state = &mut *guarded;
-            let (Some(leader), Some(specs)) = (&state.provisioning.leader, &state.scheduling.specs)
-            else {
+/// How well an offer suits, the smaller the better.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct OfferRank {
+    /// Where the fewest are, so that a lost zone takes the least with it.
+    machines_in_zone: usize,
+    price: u64,
+    machine_type: Name,
+    zone: Name,
+}
+
+/// The offer that suits best and is not exhausted.
+fn best_offer(
+    leader: &LeaderState,
+    cache: &WatchCache,
+    specs: &Specs,
+    spot: bool,
+) -> Option<MachineOffer> {
+    let machines_in = |zone: &Name| {
+        let hosts = cache.hosts.values().filter(|e| &e.value.zone == zone);
+        let booting = leader.booting.values().filter(|b| &b.offer.zone == zone);
+        hosts.count() + booting.count()
+    };
+    let ranks = specs.values().flat_map(|spec| {
+        let price = if spot { spec.spot_price } else { spec.price };
+        MachineOffer::of(spec, spot)
+            .filter(|offer| !leader.exhausted.contains_key(offer))
+            .map(move |offer| OfferRank {
+                machines_in_zone: machines_in(&offer.zone),
+                price: (price * PRICE_PARTS) as u64,
+                machine_type: offer.machine_type,
+                zone: offer.zone,
+            })
+            .collect::<Vec<_>>()
+    });
+    let best = ranks.min()?;
+    Some(MachineOffer {
+        machine_type: best.machine_type,
+        zone: best.zone,
+        spot,
+    })
+}
+
+impl Shared {
+    /// Rents machines as long as they are short and the cloud has some.
+    pub(super) async fn scale_out(self: &Rc<Self>) {
+        for _ in 0..RENTALS_PER_ROUND {
+            if !self.has_authority() {
+                return;
+            }
+            let Some(rental) = self.next_rental() else {
                 return;
             };
-            let open = specs
-                .values()
-                .flat_map(|s| s.zones.iter().map(move |z| (&s.machine_type, z)))
-                .flat_map(|(k, z)| [(k, z, false), (k, z, true)])
-                .filter(|(k, z, spot)| {
-                    let place = ((*k).clone(), (*z).clone(), *spot);
-                    leader.refused.get(&place).is_none_or(|until| now >= *until)
-                })
-                .count();
-            // How many a place still has is not known: some in proportion to the fleet.
-            let each = (state.cache.hosts.len() / 20).max(3);
-            // The admission test counts only what will truly be there.
-            let (spot, ordinary) = leader.coming(specs, state.cache.hosts.len(), now);
-            let machines = (spot + ordinary) as u32 + (each * open) as u32;
-            let ready = specs
-                .values()
-                .flat_map(|s| s.zones.iter().map(move |z| (s, z)))
-                .map(|(s, z)| leader.boots.usual(&s.machine_type, z, s.boot, now))
-                .max()
-                .unwrap_or_default();
-            state.provisioning.spare_capacity = Some((machines, ready, now));
-            (machines, ready)
-        };
-        for peer in &self.settings.peers {
-            let (inner, address) = (self.clone(), peer.address);
-            self.clone().spawn(async move {
-                inner
-                    .mesh_call(
-                        address,
-                        MeshRequest::SpareCapacity {
-                            machines,
-                            boot_time: ready,
-                        },
-                        Micros::from_secs(1),
-                    )
-                    .await;
-            });
+            let body = serde_json::to_vec(&rental).unwrap_or_default();
+            let response = self.cloud_call(Method::Post, "/rentals", body).await;
+            let now = self.now();
+            let mut state = self.state.borrow_mut();
+            let Some(leader) = state.provisioning.leader.as_mut() else {
+                return;
+            };
+            // An outage, a limit or no answer: the same name again later.
+            let Some(outcome) = response.and_then(RentalOutcome::of) else {
+                return;
+            };
+            leader.finish_rental(&rental, outcome, now);
         }
     }
 
     /// The next rental, if machines are short.
-    pub(super) fn next_rental(&self) -> Option<RentRequest> {
+    fn next_rental(&self) -> Option<RentRequest> {
         let now = self.now();
         let mut guarded = self.state.borrow_mut();
-        let stocks = self.inventory(&guarded);
+        let inventory = self.inventory(&guarded);
         let state = &mut *guarded;
         let specs = state.scheduling.specs.clone()?;
         let leader = state.provisioning.leader.as_mut()?;
-        if let Some(rental) = &leader.rental {
+        if let Some(rental) = &leader.pending_rental {
             return Some(rental.clone());
         }
-        if !leader.complete {
+        if !leader.has_list {
             return None;
         }
-        let free = state
-            .cache
-            .hosts
-            .values()
-            .filter(|k| k.value.assignment == HostAssignment::Free)
-            .count();
-        let (booting_spot, booting_ordinary) = leader.coming(&specs, state.cache.hosts.len(), now);
-        let booting = booting_spot + booting_ordinary + free as i64;
-        let sum = |f: &dyn Fn(&Inventory) -> i64| stocks.iter().map(|s| f(s).max(0)).sum::<i64>();
-        let short = sum(&|s| s.want - s.have) - booting;
-        let short_ordinary = sum(&|s| s.want_ordinary - s.have_ordinary) - booting_ordinary;
-        // Work that may run on spot machines makes way on the ordinary ones: where those have
-        // run out, spot machines help as well.
-        let short_spot = sum(&|s| (s.want - s.want_ordinary) - (s.have - s.have_ordinary))
-            .min(sum(&|s| s.want - s.have))
-            - booting_spot;
-        let order = if short_ordinary > 0 {
-            [(short_ordinary, false), (short.min(short_spot), true)]
-        } else {
-            [(short, true), (short, false)]
-        };
-        leader.refused.retain(|_, until| *until > now);
-        for (count, spot) in order {
-            if count <= 0 {
-                continue;
-            }
-            // Where the fewest are, so that a lost zone takes the least with it.
-            let mut places: Vec<(usize, u64, Name, Name)> = specs
-                .values()
-                .flat_map(|s| s.zones.iter().map(move |z| (s, z)))
-                .filter(|(s, z)| {
-                    !leader
-                        .refused
-                        .contains_key(&(s.machine_type.clone(), (*z).clone(), spot))
-                })
-                .map(|(s, z)| {
-                    let here = state
-                        .cache
-                        .hosts
-                        .values()
-                        .filter(|k| &k.value.zone == z)
-                        .count()
-                        + leader.booting.values().filter(|b| &b.zone == z).count();
-                    let price = if spot { s.spot_price } else { s.price };
-                    (
-                        here,
-                        (price * 1e3) as u64,
-                        s.machine_type.clone(),
-                        z.clone(),
-                    )
-                })
-                .collect();
-            places.sort();
-            if let Some((_, _, kind, zone)) = places.into_iter().next() {
-                leader.counter += 1;
-                let spread = (count as u32).div_ceil(2).clamp(1, RENT_MAX);
-                let rental = RentRequest {
-                    // Unique: the revision of this leadership, and a counter.
-                    request: format!("r-{}-{}", leader.since, leader.counter),
-                    machine_type: kind,
-                    zone,
-                    spot,
-                    count: spread.min(count as u32),
-                };
-                leader.rental = Some(rental.clone());
-                return Some(rental);
+        let hosts = &state.cache.hosts;
+        let is_free = |assignment| assignment == HostAssignment::Free;
+        let free = hosts.values().filter(|e| is_free(e.value.assignment));
+        let booting = leader.booting_supply(&specs, hosts.len(), now);
+        let shortage = Shortage::new(&inventory, booting, free.count() as i64);
+        leader.exhausted.retain(|_, until| *until > now);
+        let orders = shortage.orders();
+        let (count, offer) = orders
+            .into_iter()
+            .filter(|order| order.count > 0)
+            .find_map(|order| {
+                let offer = best_offer(leader, &state.cache, &specs, order.spot)?;
+                Some((order.count as u32, offer))
+            })?;
+        Some(leader.begin_rental(offer, count))
+    }
+}
+
+/// What became of a rental.
+enum RentalOutcome {
+    /// These machines were rented; perhaps fewer than were asked for.
+    Rented(HostNames),
+    /// The cloud has no such machine.
+    NoCapacity,
+    /// The cloud does not understand the request.
+    Malformed,
+}
+
+impl RentalOutcome {
+    /// What a response says; `None` if that is nothing about the rental.
+    fn of(response: Response) -> Option<Self> {
+        let contains = |text: &[u8]| response.body.windows(text.len()).any(|w| w == text);
+        match response.status {
+            200 => {
+                let none = HostNames { hosts: Vec::new() };
+                let names = serde_json::from_slice(&response.body).unwrap_or(none);
+                Some(Self::Rented(names))
             }
+            503 if contains(NO_CAPACITY) => Some(Self::NoCapacity),
+            400 => Some(Self::Malformed),
+            _ => None,
         }
-        None
     }
+}
 
-    pub(super) async fn rent(self: &Rc<Self>) {
-        for _ in 0..3 {
-            if !self.has_authority() {
-                return;
-            }
-            let Some(rental) = self.next_rental() else {
-                return;
-            };
-            let body = serde_json::to_vec(&rental).unwrap_or_default();
-            let answer = self.cloud_call(Method::Post, "/rentals", body).await;
-            let now = self.now();
-            let mut state = self.state.borrow_mut();
-            let Some(leader) = state.provisioning.leader.as_mut() else {
-                return;
-            };
-            match answer {
-                Some(a) if a.status == 200 => {
-                    leader.rental = None;
-                    let hosts = serde_json::from_slice::<HostNames>(&a.body)
-                        .map(|n| n.hosts)
-                        .unwrap_or_default();
-                    tracing::info!(
-                        rental = %rental.request, zone = %rental.zone, spot = rental.spot,
-                        wanted = rental.count, got = hosts.len(), ?hosts, "rented"
-                    );
-                    if hosts.len() < rental.count as usize {
-                        let place = (
-                            rental.machine_type.clone(),
-                            rental.zone.clone(),
-                            rental.spot,
-                        );
-                        leader.refused.insert(place, now + Micros::from_secs(15));
-                    }
-                    for id in hosts {
-                        let booting = Booting {
-                            kind: rental.machine_type.clone(),
-                            zone: rental.zone.clone(),
-                            spot: rental.spot,
-                            since: now,
-                        };
-                        leader.booting.insert(id, booting);
-                    }
-                }
-                Some(a) if a.status == 503 && a.body.windows(8).any(|w| w == b"capacity") => {
-                    tracing::info!(zone = %rental.zone, spot = rental.spot, "no capacity");
-                    leader.rental = None;
-                    let place = (rental.machine_type, rental.zone, rental.spot);
-                    leader.refused.insert(place, now + Micros::from_secs(15));
+impl LeaderState {
+    /// Names a new rental, which is asked for until its outcome is known.
+    fn begin_rental(&mut self, offer: MachineOffer, short: u32) -> RentRequest {
+        self.rentals += 1;
+        // Half of what is short, so that the next request may go to another zone.
+        let count = short.div_ceil(2).clamp(1, RENT_MAX).min(short);
+        let rental = RentRequest {
+            // Unique: the revision of this leadership, and a counter.
+            request: format!("r-{}-{}", self.since, self.rentals),
+            machine_type: offer.machine_type,
+            zone: offer.zone,
+            spot: offer.spot,
+            count,
+        };
+        self.pending_rental = Some(rental.clone());
+        rental
+    }
+
+    /// Notes what became of a rental.
+    fn finish_rental(&mut self, rental: &RentRequest, outcome: RentalOutcome, now: Micros) {
+        self.pending_rental = None;
+        let offer = MachineOffer {
+            machine_type: rental.machine_type.clone(),
+            zone: rental.zone.clone(),
+            spot: rental.spot,
+        };
+        match outcome {
+            RentalOutcome::Rented(HostNames { hosts }) => {
+                tracing::info!(
+                    rental = %rental.request, zone = %rental.zone, spot = rental.spot,
+                    requested = rental.count, rented = hosts.len(), ?hosts, "machines rented"
+                );
+                if hosts.len() < rental.count as usize {
+                    self.exhausted.insert(offer.clone(), now + EXHAUSTED_FOR);
                 }
-                Some(a) if a.status == 400 => {
-                    tracing::warn!(rental = %rental.request, "rental refused as malformed");
-                    leader.rental = None;
+                for id in hosts {
+                    let machine = BootingMachine {
+                        offer: offer.clone(),
+                        since: now,
+                    };
+                    self.booting.insert(id, machine);
                 }
-                // An outage, a limit or no answer: the same name again later.
-                _ => return,
+            }
+            RentalOutcome::NoCapacity => {
+                tracing::info!(zone = %rental.zone, spot = rental.spot, "no capacity");
+                self.exhausted.insert(offer, now + EXHAUSTED_FOR);
+            }
+            RentalOutcome::Malformed => {
+                tracing::warn!(rental = %rental.request, "rental rejected as malformed");
             }
         }
     }
--- a/crates/jasperhill-controller/src/roles.rs
+++ b/crates/jasperhill-controller/src/roles.rs
@@ -158,7 +158,7 @@
                 {
                     tracing::info!(revision = version.0, "leads the fleet");
                     state.provisioning.leader =
-                        Some(crate::provisioner::LeaderState::new(version, now));
+                        Some(crate::provisioner::state::LeaderState::new(version, now));
                     state.host_registry.clear_assignments();
                 }
             }
--- a/crates/jasperhill-controller/src/users/admission.rs
+++ b/crates/jasperhill-controller/src/users/admission.rs
@@ -95,8 +95,8 @@
     fn capacity_to_scale_out(&self, state: &State, specs: &Specs, now: Micros) -> (u32, Micros) {
         let boot = specs.values().map(|s| s.boot).max().unwrap_or_default();
         match state.provisioning.spare_capacity {
-            Some((machines, ready, at)) if now - at < SPARE_CAPACITY_VALID => {
-                (machines.div_ceil(self.settings.size), ready)
+            Some(spare) if now - spare.at < SPARE_CAPACITY_VALID => {
+                (spare.machines.div_ceil(self.settings.size), spare.boot_time)
             }
             _ => (1, boot.scale(BOOT_TIME_MARGIN)),
         }
