--- a/crates/jasperhill-membership/src/authority.rs
+++ b/crates/jasperhill-membership/src/authority.rs
@@ -4,40 +4,74 @@
 
 use jasperhill_wire::{Micros, Revision};
 
+/// The session of this controller with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Session {
     /// None; nothing may be owned.
     None,
     /// Tied to the session's key, written at `version`.
-    Held { lease: u64, version: Revision },
+    Held {
+        /// The session's lease in the store.
+        lease: u64,
+        /// The revision of the session's key.
+        version: Revision,
+    },
 }
 
+/// What changes the authority. All times are of the steady clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// A session was begun; its lease was asked for at `sent`.
     Begun {
+        /// The session's lease in the store.
         lease: u64,
+        /// The revision of the session's key.
         version: Revision,
+        /// When the lease was asked for.
         sent: Micros,
     },
     /// The renewal sent at `sent` succeeded.
-    Renewed { lease: u64, sent: Micros },
+    Renewed {
+        /// The lease that was renewed.
+        lease: u64,
+        /// When the renewal was sent.
+        sent: Micros,
+    },
     /// The state service says that the lease or its key is gone.
-    Lost { lease: u64 },
+    Lost {
+        /// The lease that is gone.
+        lease: u64,
+    },
     /// The watch cache holds everything up to `sent`.
-    Fresh { sent: Micros },
+    Fresh {
+        /// When the request was sent that showed it.
+        sent: Micros,
+    },
 }
 
+/// Margin for clocks that drift, as a part of the session's time to live ...
+const CLOCK_DRIFT_MARGIN: f64 = 0.002;
+/// ... and for late timers.
+const LATE_TIMERS: Micros = Micros::from_millis(200);
+
+/// Whether this controller may act. Owned by the controller's state; asked before every command
+/// and every answer.
 #[derive(Clone, Debug)]
 pub struct Authority {
     session: Session,
+    /// When the last renewal that succeeded was sent.
     renewed: Micros,
+    /// The watch cache holds everything up to this time.
     fresh: Micros,
+    /// The session's time to live.
     ttl: Micros,
+    /// How old the watch cache may be.
     age_max: Micros,
 }
 
 impl Authority {
+    /// Without a session. `ttl`: how long a session outlives its last renewal; `age_max`: how old
+    /// the watch cache may be.
     pub fn new(ttl: Micros, age_max: Micros) -> Self {
         Self {
             session: Session::None,
@@ -47,12 +81,18 @@
             age_max,
         }
     }
+
+    /// The session, alive or not.
     pub fn session(&self) -> Session {
         self.session
     }
+
+    /// How long a session outlives its last renewal.
     pub fn ttl(&self) -> Micros {
         self.ttl
     }
+
+    /// The time up to which the watch cache holds everything.
     pub fn fresh(&self) -> Micros {
         self.fresh
     }
@@ -82,11 +122,11 @@
         }
     }
 
-    /// Drift of the clocks and late timers.
     fn margin(&self) -> Micros {
-        self.ttl.scale(0.002) + Micros::from_millis(200)
+        self.ttl.scale(CLOCK_DRIFT_MARGIN) + LATE_TIMERS
     }
 
+    /// When the authority ends, unless something extends it.
     pub fn until(&self) -> Micros {
         match self.session {
             Session::None => Micros::ZERO,
@@ -96,58 +136,9 @@
         }
     }
 
-    /// Asked again before every order and every answer, not once per round: a process may
-    /// have been stalled in between.
+    /// Whether there is authority at `now`. Asked again before every command and every answer, not
+    /// once per round: a process may have been stalled in between.
     pub fn holds(&self, now: Micros) -> bool {
         now < self.until()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn input() -> impl Strategy<Value = Input> {
-        let t = (0u64..100_000_000).prop_map(Micros);
-        prop_oneof![
-            (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Begun {
-                lease,
-                version: Revision(1),
-                sent
-            }),
-            (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Renewed { lease, sent }),
-            (0u64..3).prop_map(|lease| Input::Lost { lease }),
-            t.prop_map(|sent| Input::Fresh { sent }),
-        ]
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig {
-            rng_seed: proptest::test_runner::RngSeed::Fixed(5),
-            failure_persistence: None,
-            ..ProptestConfig::default()
-        })]
-        /// Whatever happens, authority never outlasts the lease counted from the last renewal
-        /// that was sent, nor the bound on the watch cache's age.
-        #[test]
-        fn authority_ends_in_time(inputs in proptest::collection::vec(input(), 1..40)) {
-            let (ttl, age) = (Micros::from_secs(10), Micros::from_secs(15));
-            let mut authority = Authority::new(ttl, age);
-            let (mut sent, mut fresh, mut held) = (Micros::ZERO, Micros::ZERO, None);
-            for input in inputs {
-                authority.apply(input);
-                match input {
-                    Input::Begun { lease, sent: s, .. } => { held = Some(lease); sent = s; }
-                    Input::Renewed { lease, sent: s } if held == Some(lease) => sent = sent.max(s),
-                    Input::Lost { lease } if held == Some(lease) => held = None,
-                    Input::Fresh { sent: s } => fresh = fresh.max(s),
-                    _ => {}
-                }
-                prop_assert!(authority.until() < sent + ttl);
-                prop_assert!(authority.until() <= fresh + age);
-                prop_assert!(held.is_some() || !authority.holds(Micros::ZERO));
-            }
-        }
-    }
-}
--- a/crates/jasperhill-membership/src/lib.rs
+++ b/crates/jasperhill-membership/src/lib.rs
@@ -1,5 +1,6 @@
 //! Membership, without a clock and without I/O: a controller's authority, what it knows of the
-//! links, and who should hold which role. The time is passed in; what follows from a decision is done by the controller.
+//! links, and who should hold which role. The time is passed in, as microseconds of the steady
+//! clock unless it says otherwise; what follows from a decision is done by the controller.
 
 pub mod authority;
 pub mod freshness;
--- a/crates/jasperhill-membership/src/reachability.rs
+++ b/crates/jasperhill-membership/src/reachability.rs
@@ -1,5 +1,5 @@
 //! What this controller knows of the links: its own, and those that others have told it of.
-//! Advice only: no rule hangs on it. Every change goes through [`Reachability::apply`].
+//! Advice only: safety never rests on it. Every change goes through [`Reachability::apply`].
 
 use crate::link::{LinkHealth, Observation, Thresholds};
 use jasperhill_wire::{
@@ -9,88 +9,161 @@
 };
 use std::collections::BTreeMap;
 
-/// What others said counts for so long.
-const FRESH: Micros = Micros::from_secs(5);
+/// What others reported counts for so long.
+const PEER_REPORT_VALID: Micros = Micros::from_secs(5);
 /// Silence of fewer hosts than this is judged host by host, by their longest pause.
-const MANY: u32 = 30;
-/// Hosts among many speak all the time: after this silence some are asked.
-const QUIET: Micros = Micros::from_millis(1_500);
-/// A link that nobody has fed for so long is asked about.
-const UNFED: Micros = Micros::from_secs(8);
+const LARGE_ZONE_HOSTS: u32 = 30;
+/// Hosts of a large zone send heartbeats all the time: after this silence some are probed.
+const LARGE_ZONE_SILENCE: Micros = Micros::from_millis(1_500);
+/// A link without an observation for so long is probed.
+const OBSERVATION_MAX_AGE: Micros = Micros::from_secs(8);
 /// Younger than this, what a member got through to a zone shows that it still does: less than
 /// the time after which a role moves.
-const PROVED: Micros = Micros::from_millis(2_500);
-const PROBE_AGAIN: Micros = Micros::from_secs(1);
+const CONTACT_VALID: Micros = Micros::from_millis(2_500);
+/// The time between two probes of a zone where something may be wrong ...
+const PROBE_INTERVAL: Micros = Micros::from_secs(1);
+/// ... and where nothing is.
+const PROBE_INTERVAL_IDLE: Micros = Micros::from_secs(4);
+/// The part of the probe interval after which a link that is suspect or down is probed again.
+const REPROBE_PER_INTERVAL: f64 = 0.5;
 /// A worker finds out within so long that a controller does not answer it, and tries the next.
-const FIND_US: Micros = Micros::from_secs(5);
-/// A zone whose reports do not come, while commands go out, is given another chance after this:
+const WORKER_RETRY: Micros = Micros::from_secs(5);
+/// A zone whose heartbeats do not come, while commands go out, is given another chance after this:
 /// nothing can show that they would come but hosts that are told to.
-const FORGOTTEN: Micros = Micros::from_secs(60);
-const PROBE_SELDOM: Micros = Micros::from_secs(4);
+const SILENCE_FORGOTTEN: Micros = Micros::from_secs(60);
+/// The part of the heartbeat interval after which a small zone is silent: the longest pause of
+/// one host, and some ...
+const SMALL_ZONE_SILENCE_PER_INTERVAL: f64 = 1.25;
+/// ... and a large zone: many hosts never pause together.
+const LARGE_ZONE_SILENCE_PER_INTERVAL: f64 = 0.75;
+/// Added to either, for late timers.
+const SILENCE_MARGIN: Micros = Micros::from_secs(1);
 
 /// One link of this controller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkId {
+    /// To the state service.
     Store,
+    /// To the cloud.
     Cloud,
+    /// To another controller.
     Peer(Member),
-    /// Reports of a zone's workers that come in here.
+    /// Heartbeats of a zone's workers that come in here.
     Heartbeats(Name),
     /// Commands that go out to a zone's workers.
     Commands(Name),
 }
 
+/// What changes the view.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
+    /// Something got through a link, or did not.
     Evidence(LinkId, Observation),
-    /// So many hosts of a zone should report here; `report` is their pause.
+    /// Hosts of a zone should send heartbeats here. Comes at regular intervals.
     ExpectHeartbeats {
+        /// The zone.
         zone: &'a Name,
+        /// How many of its hosts should.
         hosts: u32,
+        /// The time between two heartbeats of a host.
         report: Micros,
     },
-    /// Another controller told how it stands.
+    /// Another controller has reported its own links.
     PeerReport(&'a ReachabilityReport),
 }
 
 /// What to do about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// A link stood one way and stands another.
+    /// A link was in one state and is in another.
     Changed(LinkId, LinkState, LinkState),
-    /// Ask some workers of this zone.
+    /// Probe some workers of this zone.
     Probe(Name),
 }
 
+/// What is known of a zone's workers.
 #[derive(Clone, Debug)]
 struct Zone {
-    last_report: Micros,
-    probed: Micros,
+    last_heartbeat: Micros,
+    last_probe: Micros,
     /// When something last got through, in either direction.
-    proved: Micros,
-    /// Reports were due here when it was last looked at.
+    last_success: Micros,
+    /// Heartbeats were due here when it was last evaluated.
     expected: bool,
 }
 
+/// What another controller has reported, and when that came.
+#[derive(Clone, Debug)]
+struct PeerReport {
+    report: ReachabilityReport,
+    received: Micros,
+}
+
+/// A zone from which heartbeats are due, as it is evaluated.
+struct ZoneEvaluation<'a> {
+    zone: &'a Name,
+    /// Hosts that should send heartbeats here.
+    hosts: u32,
+    /// The state of the link by which commands go out.
+    commands: LinkState,
+    /// How long no heartbeat has come.
+    silence: Micros,
+    /// How long that may be.
+    silence_max: Micros,
+    now: Micros,
+}
+
+/// What this controller knows of the links. Owned by the controller's membership state.
 #[derive(Clone, Debug)]
 pub struct Reachability {
     me: Member,
     links: BTreeMap<LinkId, LinkHealth>,
     zones: BTreeMap<Name, Zone>,
-    said: BTreeMap<Member, (ReachabilityReport, Micros)>,
-    born: Micros,
+    peer_reports: BTreeMap<Member, PeerReport>,
+    /// When this process began, by the time of day: orders its reports.
+    process_started: Micros,
+    /// Counts the reports of this process.
     number: u64,
     peers: Vec<Member>,
 }
 
+/// How soon a link is believed to be down and up: whoever waits for the state service or a peer
+/// notices each answer.
+fn thresholds(link: &LinkId) -> Thresholds {
+    let (down_ms, up_ms) = match link {
+        LinkId::Store => (1_200, 0),
+        LinkId::Peer(_) => (1_000, 0),
+        LinkId::Cloud => (6_000, 0),
+        LinkId::Heartbeats(_) => (400, 500),
+        LinkId::Commands(_) => (600, 1_000),
+    };
+    Thresholds {
+        down: Micros::from_millis(down_ms),
+        up: Micros::from_millis(up_ms),
+    }
+}
+
+/// How long no heartbeat may come from a zone's hosts, which send one every `interval`.
+fn silence_max(hosts: u32, interval: Micros, commands: LinkState) -> Micros {
+    if hosts < LARGE_ZONE_HOSTS {
+        interval.scale(SMALL_ZONE_SILENCE_PER_INTERVAL) + SILENCE_MARGIN
+    } else if matches!(commands, LinkState::Suspect | LinkState::Down) {
+        // Both directions agree: it need not be waited for.
+        LARGE_ZONE_SILENCE
+    } else {
+        interval.scale(LARGE_ZONE_SILENCE_PER_INTERVAL) + SILENCE_MARGIN
+    }
+}
+
 impl Reachability {
-    pub fn new(me: Member, peers: Vec<Member>, born: Micros) -> Self {
+    /// That of a process that has just started. `process_started`: by the time of day.
+    pub fn new(me: Member, peers: Vec<Member>, process_started: Micros) -> Self {
         Self {
             me,
             links: BTreeMap::new(),
             zones: BTreeMap::new(),
-            said: BTreeMap::new(),
-            born,
+            peer_reports: BTreeMap::new(),
+            process_started,
             number: 0,
             peers,
         }
@@ -99,142 +172,181 @@
     /// The one function that changes it.
     pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Output> {
         match input {
-            Input::Evidence(link, evidence) => {
-                if evidence == Observation::Success {
-                    match &link {
-                        LinkId::Heartbeats(zone) => {
-                            let zone = self.zone(zone, now);
-                            (zone.last_report, zone.proved) = (now, now);
-                        }
-                        LinkId::Commands(zone) => self.zone(zone, now).proved = now,
-                        _ => {}
-                    }
+            Input::Evidence(link, observation) => {
+                if observation == Observation::Success {
+                    self.note_success(&link, now);
                 }
-                self.feed(link, evidence, now)
+                self.observe(link, observation, now)
             }
             Input::ExpectHeartbeats {
                 zone,
                 hosts,
                 report,
-            } => self.expect(zone, hosts, report, now),
+            } => self.expect_heartbeats(zone, hosts, report, now),
             Input::PeerReport(report) => {
-                let known = report.from != self.me && self.peers.contains(&report.from);
-                let older = self.said.get(&report.from).is_some_and(|(r, _)| {
-                    (r.process_started, r.number) >= (report.process_started, report.number)
-                });
-                if known && !older {
-                    self.said.insert(report.from.clone(), (report.clone(), now));
-                }
+                self.receive(report, now);
                 Vec::new()
             }
         }
     }
 
+    /// Something got through a link: that shows that a zone is reached.
+    fn note_success(&mut self, link: &LinkId, now: Micros) {
+        match link {
+            LinkId::Heartbeats(zone) => {
+                let zone = self.zone(zone, now);
+                zone.last_heartbeat = now;
+                zone.last_success = now;
+            }
+            LinkId::Commands(zone) => self.zone(zone, now).last_success = now,
+            LinkId::Store | LinkId::Cloud | LinkId::Peer(_) => {}
+        }
+    }
+
+    /// Keeps the report of another controller, if it is the newest.
+    fn receive(&mut self, report: &ReachabilityReport, now: Micros) {
+        let from = &report.from;
+        let is_peer = *from != self.me && self.peers.contains(from);
+        let is_old = self.peer_reports.get(from).is_some_and(|kept| {
+            let kept = &kept.report;
+            (kept.process_started, kept.number) >= (report.process_started, report.number)
+        });
+        if is_peer && !is_old {
+            let kept = PeerReport {
+                report: report.clone(),
+                received: now,
+            };
+            self.peer_reports.insert(from.clone(), kept);
+        }
+    }
+
     fn zone(&mut self, zone: &Name, now: Micros) -> &mut Zone {
         self.zones.entry(zone.clone()).or_insert(Zone {
-            last_report: now,
-            probed: Micros::ZERO,
-            proved: Micros::ZERO,
+            last_heartbeat: now,
+            last_probe: Micros::ZERO,
+            last_success: Micros::ZERO,
             expected: false,
         })
     }
 
-    fn feed(&mut self, id: LinkId, evidence: Observation, now: Micros) -> Vec<Output> {
-        let patience = match id {
-            // Whoever waits for the state service or a peer notices each answer.
-            LinkId::Store => Thresholds {
-                down: Micros::from_millis(1_200),
-                up: Micros::ZERO,
-            },
-            LinkId::Peer(_) => Thresholds {
-                down: Micros::from_secs(1),
-                up: Micros::ZERO,
-            },
-            LinkId::Cloud => Thresholds {
-                down: Micros::from_secs(6),
-                up: Micros::ZERO,
-            },
-            LinkId::Heartbeats(_) => Thresholds {
-                down: Micros::from_millis(400),
-                up: Micros::from_millis(500),
-            },
-            LinkId::Commands(_) => Thresholds {
-                down: Micros::from_millis(600),
-                up: Micros::from_secs(1),
-            },
-        };
+    fn observe(&mut self, id: LinkId, observation: Observation, now: Micros) -> Vec<Output> {
         let link = self
             .links
             .entry(id.clone())
-            .or_insert_with(|| LinkHealth::new(patience));
-        let before = link.reach();
-        if link.apply(evidence, now) {
-            let after = link.reach();
-            let mut out = vec![Output::Changed(id.clone(), before, after)];
-            // Both were cut, and one direction is whole again: reports may be as well.
-            if let LinkId::Commands(zone) = id
-                && (before, after) == (LinkState::Down, LinkState::Up)
-            {
-                out.extend(self.feed(LinkId::Heartbeats(zone), Observation::NoCounterpart, now));
-            }
-            out
-        } else {
-            Vec::new()
+            .or_insert_with(|| LinkHealth::new(thresholds(&id)));
+        let before = link.state();
+        if !link.apply(observation, now) {
+            return Vec::new();
+        }
+        let after = link.state();
+        let mut outputs = vec![Output::Changed(id.clone(), before, after)];
+        // Both were cut, and one direction is whole again: heartbeats may be as well.
+        if let LinkId::Commands(zone) = id
+            && (before, after) == (LinkState::Down, LinkState::Up)
+        {
+            let heartbeats = LinkId::Heartbeats(zone);
+            outputs.extend(self.observe(heartbeats, Observation::NoCounterpart, now));
         }
+        outputs
     }
 
-    /// Silence where reports are due, and questions where nothing else speaks.
-    fn expect(&mut self, zone: &Name, hosts: u32, report: Micros, now: Micros) -> Vec<Output> {
-        let orders = self.own_link(&LinkId::Commands(zone.clone()));
-        let fed = self
-            .links
-            .get(&LinkId::Commands(zone.clone()))
-            .map_or(Micros::ZERO, LinkHealth::fed);
-        let round = FIND_US.scale(self.peers.len() as f64);
-        let state = self.zone(zone, now);
-        if !std::mem::replace(&mut state.expected, hosts > 0) {
-            // Guards against a takeover or a restart that looks like a cut: the workers may
-            // still be at all the others.
-            state.last_report = state.last_report.max(now + round);
-        }
-        let quiet = now - state.last_report;
-        let allowed = if hosts < MANY {
-            report.scale(1.25) + Micros::from_secs(1)
-        } else if matches!(orders, LinkState::Suspect | LinkState::Down) {
-            // Both directions agree: it need not be waited for.
-            QUIET
-        } else {
-            report.scale(0.75) + Micros::from_secs(1)
+    /// Silence where heartbeats are due, and probes where nothing else speaks.
+    fn expect_heartbeats(
+        &mut self,
+        zone: &Name,
+        hosts: u32,
+        interval: Micros,
+        now: Micros,
+    ) -> Vec<Output> {
+        let commands = self.own_link(&LinkId::Commands(zone.clone()));
+        let evaluation = ZoneEvaluation {
+            zone,
+            hosts,
+            commands,
+            silence: self.silence(zone, hosts > 0, now),
+            silence_max: silence_max(hosts, interval, commands),
+            now,
         };
+        let probe = self.is_probe_due(&evaluation);
+        if probe {
+            self.zone(zone, now).last_probe = now;
+        }
+        let mut outputs = self.observe_silence(&evaluation);
+        if probe {
+            outputs.push(Output::Probe(zone.clone()));
+        }
+        outputs
+    }
+
+    /// How long no heartbeat of a zone has come.
+    fn silence(&mut self, zone: &Name, expected: bool, now: Micros) -> Micros {
+        // Guards against a takeover or a restart that looks like a cut: the workers may still
+        // be at all the others.
+        let all_others = WORKER_RETRY.scale(self.peers.len() as f64);
+        let zone = self.zone(zone, now);
+        if !std::mem::replace(&mut zone.expected, expected) {
+            zone.last_heartbeat = zone.last_heartbeat.max(now + all_others);
+        }
+        now - zone.last_heartbeat
+    }
+
+    fn is_probe_due(&mut self, evaluation: &ZoneEvaluation<'_>) -> bool {
+        let ZoneEvaluation {
+            zone,
+            hosts,
+            commands,
+            silence,
+            silence_max,
+            now,
+        } = *evaluation;
+        let commands_link = self.links.get(&LinkId::Commands(zone.clone()));
+        let observed = commands_link.map_or(Micros::ZERO, LinkHealth::last_observation);
         // Whoever does not reach a zone needs to know who does, now and not some time ago.
-        let wanted = self.is_missed(zone, now);
+        let missed = self.is_missed(zone, now);
         let state = self.zone(zone, now);
-        let unproved = wanted && now - state.proved >= PROBE_AGAIN;
-        let wants = match orders {
-            LinkState::Down | LinkState::Suspect => now - fed >= PROBE_AGAIN.scale(0.5),
-            _ => (hosts >= MANY && quiet >= QUIET) || quiet >= allowed || now - fed >= UNFED,
+        let for_others = missed && now - state.last_success >= PROBE_INTERVAL;
+        let large = hosts >= LARGE_ZONE_HOSTS;
+        let for_this = match commands {
+            LinkState::Down | LinkState::Suspect => {
+                now - observed >= PROBE_INTERVAL.scale(REPROBE_PER_INTERVAL)
+            }
+            LinkState::Up | LinkState::Unknown => {
+                (large && silence >= LARGE_ZONE_SILENCE)
+                    || silence >= silence_max
+                    || now - observed >= OBSERVATION_MAX_AGE
+            }
         };
-        let pause = match orders {
-            _ if unproved => PROBE_AGAIN,
-            LinkState::Up | LinkState::Unknown if quiet < QUIET || hosts < MANY => PROBE_SELDOM,
-            _ => PROBE_AGAIN,
+        let interval = match commands {
+            _ if for_others => PROBE_INTERVAL,
+            LinkState::Up | LinkState::Unknown if silence < LARGE_ZONE_SILENCE || !large => {
+                PROBE_INTERVAL_IDLE
+            }
+            _ => PROBE_INTERVAL,
         };
-        let probe = (wants || unproved) && now - state.probed >= pause;
-        if probe {
-            state.probed = now;
-        }
-        let mut out = Vec::new();
-        let id = LinkId::Heartbeats(zone.clone());
-        if hosts > 0 && quiet >= allowed {
-            let silence = Observation::Failure { by: now.0, of: 1 };
-            out.extend(self.feed(id, silence, now));
-        } else if hosts == 0 && quiet > FORGOTTEN && self.own_link(&id) != LinkState::Unknown {
-            out.extend(self.feed(id, Observation::NoCounterpart, now));
-        }
-        if probe {
-            out.push(Output::Probe(zone.clone()));
+        (for_this || for_others) && now - state.last_probe >= interval
+    }
+
+    /// Silence is a failure where heartbeats are due, and is forgotten where none are.
+    fn observe_silence(&mut self, evaluation: &ZoneEvaluation<'_>) -> Vec<Output> {
+        let ZoneEvaluation {
+            hosts,
+            silence,
+            silence_max,
+            now,
+            ..
+        } = *evaluation;
+        let id = LinkId::Heartbeats(evaluation.zone.clone());
+        if hosts > 0 && silence >= silence_max {
+            let failure = Observation::Failure { by: now.0, of: 1 };
+            self.observe(id, failure, now)
+        } else if hosts == 0
+            && silence > SILENCE_FORGOTTEN
+            && self.own_link(&id) != LinkState::Unknown
+        {
+            self.observe(id, Observation::NoCounterpart, now)
+        } else {
+            Vec::new()
         }
-        out
     }
 
     /// Some other member does not reach this zone.
@@ -247,24 +359,24 @@
     /// Whether a member has shown lately that it reaches a zone's workers. Guards against a role
     /// that goes to somebody beyond the same cut who has not noticed it yet.
     pub fn has_recent_contact(&self, member: &Member, zone: &Name, now: Micros) -> bool {
-        let Some((report, at)) = self.said.get(member) else {
+        let Some(PeerReport { report, received }) = self.peer_reports.get(member) else {
             return false;
         };
         let there = report.zones.iter().find(|z| &z.zone == zone);
-        there.is_some_and(|z| now - (*at - z.last_success) < PROVED)
+        there.is_some_and(|z| now - (*received - z.last_success) < CONTACT_VALID)
     }
 
-    /// How this controller's own link stands.
+    /// The state of this controller's own link.
     pub fn own_link(&self, link: &LinkId) -> LinkState {
         self.links
             .get(link)
-            .map_or(LinkState::Unknown, LinkHealth::reach)
+            .map_or(LinkState::Unknown, LinkHealth::state)
     }
 
-    /// What a peer said, if that is recent.
+    /// What a peer has reported, if that is recent.
     pub fn peer_report(&self, member: &Member, now: Micros) -> Option<&ReachabilityReport> {
-        let (report, at) = self.said.get(member)?;
-        (now - *at < FRESH).then_some(report)
+        let PeerReport { report, received } = self.peer_reports.get(member)?;
+        (now - *received < PEER_REPORT_VALID).then_some(report)
     }
 
     /// Whether the state service answers that member, as far as is known.
@@ -297,7 +409,8 @@
             && (nobody || self.is_store_reachable_elsewhere(now))
     }
 
-    /// Reports that come in, and commands that go out, between a member and a zone's workers.
+    /// The states of the links between a member and a zone's workers: by which heartbeats come
+    /// in, and by which commands go out.
     pub fn zone_links(&self, member: &Member, zone: &Name, now: Micros) -> (LinkState, LinkState) {
         if *member == self.me {
             return (
@@ -305,8 +418,9 @@
                 self.own_link(&LinkId::Commands(zone.clone())),
             );
         }
-        let said = self.peer_report(member, now);
-        said.and_then(|r| r.zones.iter().find(|z| &z.zone == zone))
+        let report = self.peer_report(member, now);
+        report
+            .and_then(|r| r.zones.iter().find(|z| &z.zone == zone))
             .map_or((LinkState::Unknown, LinkState::Unknown), |z| {
                 (z.heartbeats, z.commands)
             })
@@ -352,7 +466,7 @@
         })
     }
 
-    /// The youngest ownership of a role that anybody has told of.
+    /// The latest ownership of a role that any peer has reported.
     pub fn owner(&self, role: Role, now: Micros) -> Option<(&Member, Revision)> {
         self.peers
             .iter()
@@ -377,30 +491,31 @@
 
     /// All of this controller's links are up, as far as they are known.
     pub fn all_links_up(&self) -> bool {
-        let fine = |l: &LinkHealth| matches!(l.reach(), LinkState::Up | LinkState::Unknown);
-        self.links.values().all(fine)
+        let is_up = |l: &LinkHealth| matches!(l.state(), LinkState::Up | LinkState::Unknown);
+        self.links.values().all(is_up)
     }
 
-    /// What this controller tells the others.
+    /// What this controller reports to the others: its links, the ownerships that it knows of and
+    /// those that it has relinquished.
     pub fn report(
         &mut self,
         owners: Vec<(Role, Member, Revision)>,
-        let_go: Vec<(Role, Revision)>,
+        relinquished: Vec<(Role, Revision)>,
         now: Micros,
     ) -> ReachabilityReport {
         self.number += 1;
         let zones = self.zones.iter().map(|(zone, state)| {
-            let (reports, orders) = self.zone_links(&self.me, zone, now);
+            let (heartbeats, commands) = self.zone_links(&self.me, zone, now);
             ZoneLinks {
                 zone: zone.clone(),
-                heartbeats: reports,
-                commands: orders,
-                last_success: now - state.proved,
+                heartbeats,
+                commands,
+                last_success: now - state.last_success,
             }
         });
         ReachabilityReport {
             from: self.me.clone(),
-            process_started: self.born,
+            process_started: self.process_started,
             number: self.number,
             store: self.own_link(&LinkId::Store),
             cloud: self.own_link(&LinkId::Cloud),
@@ -412,7 +527,7 @@
                 .cloned()
                 .collect(),
             owners,
-            relinquished: let_go,
+            relinquished,
         }
     }
 }
--- /dev/null
+++ b/crates/jasperhill-membership/tests/authority.rs
@@ -0,0 +1,48 @@
+//! Authority ends in time, whatever happens.
+
+use jasperhill_membership::authority::{Authority, Input};
+use jasperhill_wire::{Micros, Revision};
+use proptest::prelude::*;
+
+fn input() -> impl Strategy<Value = Input> {
+    let t = (0u64..100_000_000).prop_map(Micros);
+    prop_oneof![
+        (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Begun {
+            lease,
+            version: Revision(1),
+            sent
+        }),
+        (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Renewed { lease, sent }),
+        (0u64..3).prop_map(|lease| Input::Lost { lease }),
+        t.prop_map(|sent| Input::Fresh { sent }),
+    ]
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        rng_seed: proptest::test_runner::RngSeed::Fixed(5),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+    /// Whatever happens, authority never outlasts the lease counted from the last renewal
+    /// that was sent, nor the bound on the watch cache's age.
+    #[test]
+    fn authority_ends_in_time(inputs in proptest::collection::vec(input(), 1..40)) {
+        let (ttl, age) = (Micros::from_secs(10), Micros::from_secs(15));
+        let mut authority = Authority::new(ttl, age);
+        let (mut sent, mut fresh, mut held) = (Micros::ZERO, Micros::ZERO, None);
+        for input in inputs {
+            authority.apply(input);
+            match input {
+                Input::Begun { lease, sent: s, .. } => { held = Some(lease); sent = s; }
+                Input::Renewed { lease, sent: s } if held == Some(lease) => sent = sent.max(s),
+                Input::Lost { lease } if held == Some(lease) => held = None,
+                Input::Fresh { sent: s } => fresh = fresh.max(s),
+                _ => {}
+            }
+            prop_assert!(authority.until() < sent + ttl);
+            prop_assert!(authority.until() <= fresh + age);
+            prop_assert!(held.is_some() || !authority.holds(Micros::ZERO));
+        }
+    }
+}
