--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -1,7 +1,10 @@
 //! The mesh between controllers: CBOR over HTTP. A peer that can't be reached is no error. Owns no state,
 //! except that it decides on isolation while some members run a version without reachability.
 
-use crate::shared::Shared;
+use crate::{
+    provisioner::state::{SpareCapacity, UnmetDemand},
+    shared::Shared,
+};
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_wire::{
     Micros,
@@ -148,10 +151,13 @@
             }
             MeshRequest::SpareCapacity {
                 machines,
-                boot_time: ready,
-            } => {
-                self.state.borrow_mut().provisioning.spare_capacity =
-                    Some((machines, ready, self.now()));
+                boot_time,
+            }) => {
+                self.state.borrow_mut().provisioning.spare_capacity = Some(SpareCapacity {
+                    machines,
+                    boot_time,
+                    at: self.now(),
+                });
                 MeshResponse::Acknowledged
             }
             MeshRequest::UnmetDemand {
@@ -159,7 +165,10 @@
                 thousandths,
             } => {
                 if partition < self.settings.size {
-                    let unmet = (f64::from(thousandths) / 1e3, self.now());
+                    let unmet = UnmetDemand {
+                        hosts: f64::from(thousandths) / 1e3,
+                        at: self.now(),
+                    };
                     self.state
                         .borrow_mut()
                         .provisioning
