--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -8,7 +8,7 @@
     shared::Shared,
 };
 use jasperhill_http::{ClientError, Response};
-use jasperhill_scheduler::{FencingState, HostInput, Source};
+use jasperhill_scheduler::{FencingState, HeartbeatSource, HostInput};
 use jasperhill_wire::{
     HostId, Micros, Name, Revision,
     worker::{Command, Heartbeat, commands_body},
@@ -113,7 +113,7 @@
             owned_since: partition.since,
             address: host_state.address.parse().ok()?,
             zone: host_state.zone.clone(),
-            is_incarnation_known: host_state.tenure.is_some(),
+            is_incarnation_known: host_state.incarnation.is_some(),
             hosts_in_partition: partition.hosts.len(),
             host,
         })
@@ -142,7 +142,7 @@
         if host.last_answer > self.settings.bounds.until(known_as_of) {
             return None;
         }
-        let (incarnation, token) = (host.tenure?, host.token);
+        let (incarnation, token) = (host.incarnation?, host.token);
         let is_urgent = commands
             .iter()
             .any(|command| !matches!(command, Command::Clear(..)));
@@ -194,7 +194,7 @@
                 if let Some(partition) = partition
                     && partition.since == target.owned_since
                 {
-                    partition.on_heartbeat(&status, Source::Direct, now);
+                    partition.on_heartbeat(&status, HeartbeatSource::Direct, now);
                 }
             }
             Ok(status) => {
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -110,7 +110,7 @@
     fn log_starvation(&self) {
         let state = self.state.borrow();
         let partitions = state.scheduling.partitions.values();
-        let standings = partitions.flat_map(|partition| partition.starvation.standing());
+        let standings = partitions.flat_map(|partition| partition.starvation.shares());
         let least_served = standings.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
         match least_served {
             Some((group, standing)) => tracing::info!(
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -5,7 +5,7 @@
 use jasperhill_connections::limiter;
 use jasperhill_http::Response;
 use jasperhill_membership::reachability::LinkId;
-use jasperhill_scheduler::{HostInput, Source};
+use jasperhill_scheduler::{HeartbeatSource, HostInput};
 use jasperhill_wire::{
     HostId, Member, Micros,
     mesh::LinkState,
@@ -67,7 +67,9 @@
         let now = self.now();
         let responder = self.responder(&self.state.borrow(), &heartbeat.host, now)?;
         match responder {
-            Responder::Partition(partition_id) => self.renew_lease(heartbeat, partition_id, now),
+            Responder::Partition(partition_id) => {
+                self.renew_worker_lease(heartbeat, partition_id, now)
+            }
             Responder::Elsewhere(reply) => Ok(reply),
         }
     }
@@ -102,7 +104,7 @@
     }
 
     /// Answers a heartbeat as the owner of its partition, which renews the worker's lease.
-    fn renew_lease(
+    fn renew_worker_lease(
         self: &Rc<Self>,
         heartbeat: &Heartbeat,
         partition_id: u32,
@@ -117,7 +119,7 @@
         if !state.authority.holds(received_at) {
             return Err(unavailable());
         }
-        partition.on_heartbeat(heartbeat, Source::Heartbeat, received_at);
+        partition.on_heartbeat(heartbeat, HeartbeatSource::Heartbeat, received_at);
         let commands = partition.commands(host_id);
         let Some(host) = partition.hosts.get(host_id) else {
             return Err(unavailable());
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -152,7 +152,7 @@
             MeshRequest::SpareCapacity {
                 machines,
                 boot_time,
-            }) => {
+            } => {
                 self.state.borrow_mut().provisioning.spare_capacity = Some(SpareCapacity {
                     machines,
                     boot_time,
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -79,7 +79,7 @@
             } else {
                 self.settings.operator.tuning.idle_keep
             },
-            lost_after: self.scheduler_config.lapse() + LOST_AFTER_LAPSE,
+            lost_after: self.scheduler_config.lease_expiry() + LOST_AFTER_LAPSE,
         };
         let State {
             cache,
@@ -106,7 +106,7 @@
                 hosts.remove_host(entry.value.spot);
                 commands.token_updates.insert(id.clone());
                 if let Some(host) = partition.hosts.get_mut(&id) {
-                    host.usage = assignment;
+                    host.assignment = assignment;
                 }
                 planned.push(Decommission {
                     partition: *number,
@@ -184,7 +184,7 @@
         part(hosts.actual - hosts.desired),
         part(hosts.actual_on_demand - hosts.desired_on_demand),
     );
-    partition.drain_some(now, surplus);
+    partition.drain_surplus(now, surplus);
 }
 
 /// What a host is to be assigned to instead; `None`: it stays.
@@ -195,7 +195,7 @@
     criteria: &Criteria,
 ) -> Option<HostAssignment> {
     let host = partition.hosts.get(id)?;
-    if !matches!(host.usage, HostAssignment::Partition(_)) {
+    if !matches!(host.assignment, HostAssignment::Partition(_)) {
         return None;
     }
     if is_lost(host, criteria) || (is_bad(host, criteria) && host.fencing == FencingState::Fenced) {
--- a/crates/jasperhill-controller/src/provisioner/inventory.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -172,7 +172,7 @@
                 Some(unmet) if now - unmet.at < UNMET_DEMAND_VALID => unmet.hosts,
                 _ => 0.0,
             };
-            let floor = tuning.floor_of(partition, self.settings.size);
+            let floor = tuning.min_machines_of(partition, self.settings.size);
             PartitionInventory {
                 desired: tuning.planned(demand.total(), expected + unmet, floor),
                 desired_on_demand: tuning.planned(demand.ordinary, expected, floor),
--- a/crates/jasperhill-controller/src/provisioner/reconciliation.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -53,7 +53,7 @@
         let mut machines = Vec::new();
         let mut target = "/rentals?page=500".to_owned();
         loop {
-            let page = self.list_page(&target).await?;
+            let page = self.list_machines_page(&target).await?;
             let last = page.hosts.last().map(|m| m.id.to_string());
             machines.extend(page.hosts);
             match last {
@@ -63,7 +63,7 @@
         }
     }
 
-    async fn list_page(&self, target: &str) -> Option<MachineList> {
+    async fn list_machines_page(&self, target: &str) -> Option<MachineList> {
         let response = self.cloud_call(Method::Get, target, Vec::new()).await?;
         if response.status != 200 {
             return None;
--- a/crates/jasperhill-controller/src/provisioner/state.rs
+++ b/crates/jasperhill-controller/src/provisioner/state.rs
@@ -158,7 +158,7 @@
                 machine_type, zone, ..
             } = &machine.offer;
             self.boot_times
-                .note(machine_type, zone, now - machine.since, now);
+                .record(machine_type, zone, now - machine.since, now);
         }
     }
 
--- a/crates/jasperhill-controller/src/results/record.rs
+++ b/crates/jasperhill-controller/src/results/record.rs
@@ -36,7 +36,7 @@
             tasks: job.unsaved.clone(),
         });
     }
-    let failed_attempts = job.failures.failing();
+    let failed_attempts = job.failures.failed_attempts();
     if job.is_gang() && failed_attempts == job.failed_attempts_saved {
         return None;
     }
--- a/crates/jasperhill-controller/src/results/saving.rs
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -61,7 +61,7 @@
                     .jobs
                     .get(&id)
                     .is_some_and(|job| job.done.is_full());
-                let needed = is_done && state.cache.dependencies.is_needed(&id);
+                let needed = is_done && state.cache.dependencies.has_dependents(&id);
                 let is_due = state.results.may_start_saving(&id, needed)
                     && (is_done || state.results.is_partial_due(&id, write_rate, now));
                 if is_due {
@@ -77,7 +77,7 @@
 
     /// Writes the results of a job.
     async fn save_result(self: Rc<Self>, partition_id: u32, id: JobId) {
-        let needed = self.state.borrow().cache.dependencies.is_needed(&id);
+        let needed = self.state.borrow().cache.dependencies.has_dependents(&id);
         let mut saved = true;
         if let Some(write) = self.prepare_result_write(partition_id, &id) {
             let priority = match write.phase {
@@ -140,7 +140,7 @@
 fn has_result_to_save(partition: &Partition, id: &JobId) -> bool {
     partition.jobs.get(id).is_some_and(|job| {
         let has_tasks = !job.unsaved.is_empty() && (!job.is_gang() || job.done.is_full());
-        let has_failures = job.failures.failing() != job.failed_attempts_saved;
+        let has_failures = job.failures.failed_attempts() != job.failed_attempts_saved;
         job.termination.is_none() && (has_tasks || has_failures)
     })
 }
@@ -149,6 +149,7 @@
 fn has_unsaved_result(partition: &Partition, id: &JobId) -> bool {
     partition.jobs.get(id).is_some_and(|job| {
         job.termination.is_none()
-            && (!job.unsaved.is_empty() || job.failures.failing() != job.failed_attempts_saved)
+            && (!job.unsaved.is_empty()
+                || job.failures.failed_attempts() != job.failed_attempts_saved)
     })
 }
--- a/crates/jasperhill-controller/src/roles/loading.rs
+++ b/crates/jasperhill-controller/src/roles/loading.rs
@@ -73,7 +73,7 @@
             // A job that waits for others now was never started by a controller that knows of
             // that.
             let supported = || state.membership.features.supports(DEPENDENCIES);
-            let created = match status.gate {
+            let created = match status.readiness {
                 Readiness::Waiting if supported() => RUNS_NOWHERE,
                 _ => MAY_RUN_ANYWHERE,
             };
--- a/crates/jasperhill-controller/src/roles/mod.rs
+++ b/crates/jasperhill-controller/src/roles/mod.rs
@@ -11,8 +11,6 @@
 mod takeover;
 mod write;
 
-pub(crate) use restarts::process_run_of;
-
 use crate::{shared::Shared, state::State};
 use jasperhill_membership::{
     restart_history,
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -215,7 +215,7 @@
 fn log_event(event: &Event) {
     match event {
         Event::HostLost(host) => tracing::info!(%host, "host lost: its lease has expired"),
-        Event::HostAside(host) => {
+        Event::HostQuarantined(host) => {
             tracing::info!(%host, "host quarantined: it fails what it starts")
         }
         Event::Failed(task, host, ran) => {
@@ -232,8 +232,8 @@
             waiting = s.waiting,
             "below its minimum share"
         ),
-        Event::Behind(group, None) => tracing::info!(?group, "at its minimum share again"),
-        Event::Whole(r) => tracing::info!(
+        Event::Starved(group, None) => tracing::info!(?group, "at its minimum share again"),
+        Event::ProductionRecovered(r) => tracing::info!(
             after_s = r.after.as_secs_f64(),
             lost = r.lost,
             overtaken = r.overtaken,
--- a/crates/jasperhill-controller/src/settings/check.rs
+++ b/crates/jasperhill-controller/src/settings/check.rs
@@ -133,7 +133,7 @@
         teams.push(TeamLimits {
             name,
             guaranteed: Resources::from_units(team.cpus, team.gpus, 0.0),
-            most: Resources::from_units(team.cpus_max, team.gpus_max, 0.0),
+            limit: Resources::from_units(team.cpus_max, team.gpus_max, 0.0),
         });
     }
     Ok(teams)
--- a/crates/jasperhill-controller/src/users/dependencies.rs
+++ b/crates/jasperhill-controller/src/users/dependencies.rs
@@ -88,7 +88,7 @@
         state
             .cache
             .dependencies
-            .release(&request.dependencies, rest)
+            .time_until_ready(&request.dependencies, rest)
     }
 
     /// How long an unfinished job is expected to take once its own dependencies are done.
--- a/crates/jasperhill-controller/src/watch_cache/jobs.rs
+++ b/crates/jasperhill-controller/src/watch_cache/jobs.rs
@@ -44,7 +44,7 @@
         changes.push(Change::Job(id));
         changes.extend(related.into_iter().map(|output| match output {
             Output::Released(other) => Change::Released(other),
-            Output::Doomed(other) | Output::Claimed(other) => Change::Related(other),
+            Output::Doomed(other) | Output::UrgencyChanged(other) => Change::Related(other),
         }));
     }
 
