--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -67,7 +67,9 @@
         let now = self.now();
         let responder = self.responder(&self.state.borrow(), &heartbeat.host, now)?;
         match responder {
-            Responder::Partition(partition_id) => self.renew_lease(heartbeat, partition_id, now),
+            Responder::Partition(partition_id) => {
+                self.renew_worker_lease(heartbeat, partition_id, now)
+            }
             Responder::Elsewhere(reply) => Ok(reply),
         }
     }
@@ -102,7 +104,7 @@
     }
 
     /// Answers a heartbeat as the owner of its partition, which renews the worker's lease.
-    fn renew_lease(
+    fn renew_worker_lease(
         self: &Rc<Self>,
         heartbeat: &Heartbeat,
         partition_id: u32,
