--- a/crates/jasperhill-controller/src/store/committer.rs
+++ b/crates/jasperhill-controller/src/store/committer.rs
@@ -6,7 +6,11 @@
     commit_queue::{NextBatch, PendingWrite, RETRY_PAUSE, WriteOutcome, WritePriority},
     state::StoreState,
 };
-use crate::{clock::to_duration, shared::Shared, watch_cache};
+use crate::{
+    clock::to_duration,
+    shared::Shared,
+    watch_cache::{self, OwnChange},
+};
 use jasperhill_http::{ClientError, Method, Request, Response};
 use jasperhill_wire::{
     Micros, Revision,
@@ -15,6 +19,9 @@
 use std::rc::Rc;
 use tokio::{sync::oneshot, time::sleep};
 
+#[cfg(test)]
+mod tests;
+
 /// How long the answer to a transaction may take.
 const TRANSACTION_LIMIT: Micros = Micros::from_millis(2_500);
 /// What the service says when a change names a lease that has expired.
@@ -189,8 +196,11 @@
     fn finish_committed(&self, mut write: PendingWrite, revision: Revision) {
         let changes = std::mem::take(&mut write.changes);
         let changes = changes.into_iter().map(|change| match change {
-            Change::Put { key, value, .. } => (key, Some(value)),
-            Change::Delete { key } => (key, None),
+            Change::Put { key, value, .. } => OwnChange {
+                key,
+                record: Some(value),
+            },
+            Change::Delete { key } => OwnChange { key, record: None },
         });
         self.apply_to_cache(watch_cache::Input::OwnWrite {
             changes: changes.collect(),
--- a/crates/jasperhill-controller/src/watch_cache/changes.rs
+++ b/crates/jasperhill-controller/src/watch_cache/changes.rs
@@ -32,13 +32,22 @@
     /// What this controller wrote itself, one transaction: known before the watch shows it. All of
     /// it at once, since a host may move from one block of it to another.
     OwnWrite {
-        /// The keys with their new records; `None` for those deleted.
-        changes: Vec<(String, Option<Value>)>,
+        /// In the order of the transaction.
+        changes: Vec<OwnChange>,
         /// The revision of the transaction.
         version: Revision,
     },
 }
 
+/// One change of a transaction that this controller wrote.
+#[derive(Debug)]
+pub struct OwnChange {
+    /// The key.
+    pub key: String,
+    /// The new record; `None` if it was deleted.
+    pub record: Option<Value>,
+}
+
 /// What has changed in the watch cache.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Change {
--- a/crates/jasperhill-controller/src/watch_cache/mod.rs
+++ b/crates/jasperhill-controller/src/watch_cache/mod.rs
@@ -14,7 +14,7 @@
 
 use self::entries::{decode, put_newer, remove_older};
 pub use self::{
-    changes::{Change, Input},
+    changes::{Change, Input, OwnChange},
     entries::{ActiveJob, HostEntry, JobEntry, Versioned},
 };
 use jasperhill_scheduler::dependencies::DependencyGraph;
@@ -187,12 +187,12 @@
     /// Takes over a transaction of this controller before the watch shows it.
     fn apply_own_write(
         &mut self,
-        own: Vec<(String, Option<Value>)>,
+        own: Vec<OwnChange>,
         version: Revision,
         changes: &mut Vec<Change>,
     ) {
-        for (key, value) in own {
-            if let Some(value) = value {
+        for OwnChange { key, record } in own {
+            if let Some(value) = record {
                 self.put(&key, value, version, changes);
             } else if let Some(parsed) = Key::parse(&key) {
                 self.delete(parsed, version, changes);
--- a/crates/jasperhill-controller/tests/watch_cache.rs
+++ b/crates/jasperhill-controller/tests/watch_cache.rs
@@ -1,6 +1,6 @@
 //! The watch cache of the host records: blocks change as wholes, hosts one by one.
 
-use jasperhill_controller::watch_cache::{Change, Input, WatchCache};
+use jasperhill_controller::watch_cache::{Change, Input, OwnChange, WatchCache};
 use jasperhill_wire::{
     HostId, JobId, Revision,
     record::{HostAssignment, HostBlock, HostRecord, RecordPhase, block_key},
@@ -200,7 +200,10 @@
         assert_eq!(blocks(&cache), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
         let mut own = three_in_one();
         let changes = own.apply(Input::OwnWrite {
-            changes: order(halves()).map(|(k, v)| (k, Some(v))).to_vec(),
+            changes: Vec::from(order(halves()).map(|(key, value)| OwnChange {
+                key,
+                record: Some(value),
+            })),
             version: Revision(6),
         });
         assert!(!gone(&own, &changes));
