--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -221,10 +221,12 @@
         Event::Failed(task, host, ran) => {
             tracing::debug!(%task, %host, ran_s = ran.as_secs_f64(), "task failed");
         }
-        Event::JobBackingOff(job) => tracing::info!(%job, "job suspect: it fails wherever it runs"),
+        Event::JobBackingOff(job) => {
+            tracing::info!(%job, "job backs off: it fails wherever it runs")
+        }
         Event::Stopped(task, host, why) => tracing::info!(%task, %host, why, "task stopped"),
         Event::HostSlow(host, times) => {
-            tracing::info!(%host, times, "host slow by what runs there")
+            tracing::info!(%host, times, "straggler: tasks overrun there")
         }
         Event::Starved(group, Some(s)) => tracing::info!(
             ?group,
@@ -237,12 +239,12 @@
             after_s = r.after.as_secs_f64(),
             lost = r.lost,
             overtaken = r.overtaken,
-            "production is whole again"
+            "production recovered"
         ),
         Event::AllHostsConfirmed(after, lapsed) => tracing::info!(
             after_s = after.as_secs_f64(),
             lapsed,
-            "all hosts are known after the takeover"
+            "all hosts confirmed after the failover"
         ),
         Event::UnexpectedTask(task, host, why) => tracing::warn!(%task, %host, why, "task stopped"),
     }
