--- /dev/null
+++ b/scripts/regression_set/__init__.py
@@ -0,0 +1,1 @@
+"""Plays the regression set and compares it with the journal; see scripts/regression."""
