--- a/crates/jasperhill-wire/src/ids.rs
+++ b/crates/jasperhill-wire/src/ids.rs
@@ -11,9 +11,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
+            /// Takes a name as it is.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
+
+            /// The name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -98,17 +101,22 @@
 /// One task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// Counted from 0.
     pub index: u32,
 }
 
 impl TaskId {
+    /// The task of that index.
     pub fn new(job: &JobId, index: u32) -> Self {
         Self {
             job: job.clone(),
             index,
         }
     }
+
+    /// Reads the protocol's form: the job, a slash and the index.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         if index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
--- a/crates/jasperhill-wire/src/record.rs
+++ b/crates/jasperhill-wire/src/record.rs
@@ -1,26 +1,29 @@
 //! The records that controllers keep in the state service, and their keys.
 
-use crate::{user::JobRequest, *};
+use crate::{FencingToken, HostId, JobId, Member, Micros, Name, Resources, user::JobRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// All keys begin with this, so that one watch sees every change.
 pub const ROOT: &str = "jh/";
 
+/// The key of a job's record.
 pub fn job_key(id: &JobId) -> String {
     format!("jh/job/{id}")
 }
-/// Many hosts share a record: a fleet changes in bulk, and the state service counts writes.
+/// The key of a block of hosts. Many hosts share a record: a fleet changes in bulk, and the state service counts writes.
 pub fn block_key(block: u32) -> String {
     format!("jh/hosts/{block}")
 }
+/// The key of a controller's session; goes with its lease.
 pub fn session_key(member: &Member) -> String {
     format!("jh/session/{member}")
 }
+/// The key of what a controller understands; stays without it.
 pub fn feature_level_key(member: &Member) -> String {
     format!("jh/format/{member}")
 }
-/// A role that one controller holds at a time: a partition, or the fleet.
+/// The key of the owner of a role.
 pub fn role_key(role: Role) -> String {
     match role {
         Role::Partition(n) => format!("jh/part/{n}"),
@@ -28,50 +31,63 @@
     }
 }
 
-/// A delegate's name for one part of its asks. The first is its own, so that a single part looks
-/// as it always did; an owner of any version answers each part as an ask of its own.
-pub fn delegation_part(keeper: &Member, part: u32) -> Member {
+/// A delegate's name for one part of its delegation request. The first is its own, so that a
+/// single part looks as it always did; an owner of any version answers each part as a request of
+/// its own.
+pub fn delegation_part(delegate: &Member, part: u32) -> Member {
     if part == 0 {
-        keeper.clone()
+        delegate.clone()
     } else {
-        Member::new(&format!("{keeper}/{part}"))
+        Member::new(&format!("{delegate}/{part}"))
     }
 }
-/// What a controller asks to keep alive for owners that are out of reach.
-pub fn delegation_request_key(keeper: &Member) -> String {
-    format!("jh/ask/{keeper}")
+/// The key of a delegation request: the hosts that a controller asks to answer for while their
+/// owners are out of reach.
+pub fn delegation_request_key(delegate: &Member) -> String {
+    format!("jh/ask/{delegate}")
 }
-/// A job that its owner is asked to decide on, by one who does not reach it.
+/// The key of a proposal: a job that its owner is asked to decide on by one who does not reach it.
 pub fn proposal_key(id: &JobId) -> String {
     format!("jh/want/{id}")
 }
-/// What an owner lets a delegate answer for.
-pub fn delegation_grant_key(partition: u32, keeper: &Member) -> String {
-    format!("jh/grant/{partition}/{keeper}")
+/// The key of a delegation grant: the hosts that an owner lets a delegate answer for.
+pub fn delegation_grant_key(partition: u32, delegate: &Member) -> String {
+    format!("jh/grant/{partition}/{delegate}")
 }
 
+/// A role that one controller holds at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
+    /// A partition of the teams, and the hosts assigned to it.
     Partition(u32),
+    /// The leader of the fleet, who rents and returns machines.
     Leader,
 }
 
 /// What a key names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
+    /// The record of a job.
     Job(JobId),
+    /// A block of hosts.
     Hosts(u32),
+    /// The session of a controller.
     Session(Member),
+    /// The owner of a role.
     Role(Role),
+    /// The hosts that a delegate asks for.
     DelegationRequest(Member),
+    /// The hosts of a partition that a delegate may answer for.
     DelegationGrant(u32, Member),
+    /// What a controller understands.
     FeatureLevel(Member),
+    /// A job that is proposed to its owner.
     Proposal(JobId),
     /// One part of the machine types.
     Types(u32),
 }
 
-/// The machine types as the cloud last gave them, for controllers that start while the cloud
+/// The key of a part of the machine types as the cloud last gave them, for controllers that start while the cloud
 /// is down.
 pub fn types_key(part: u32) -> String {
     match part {
@@ -81,6 +97,7 @@
 }
 
 impl Key {
+    /// What a key names; `None` for one that this version does not know.
     pub fn parse(key: &str) -> Option<Self> {
         let rest = key.strip_prefix(ROOT)?;
         if rest == "leader" {
@@ -99,8 +116,8 @@
             "ask" => Self::DelegationRequest(name.into()),
             "want" => Self::Proposal(name.into()),
             "grant" => {
-                let (partition, keeper) = name.split_once('/')?;
-                Self::DelegationGrant(partition.parse().ok()?, keeper.into())
+                let (partition, delegate) = name.split_once('/')?;
+                Self::DelegationGrant(partition.parse().ok()?, delegate.into())
             }
             "part" => Self::Role(Role::Partition(name.parse().ok()?)),
             _ => return None,
@@ -108,12 +125,16 @@
     }
 }
 
+/// The phase of a job as its record says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordPhase {
+    /// It is not over.
     #[serde(rename = "a")]
     Active,
+    /// All tasks are done.
     #[serde(rename = "d")]
     Done,
+    /// It was cancelled.
     #[serde(rename = "c")]
     Cancelled,
 }
@@ -125,10 +146,13 @@
 /// One job. Final records shrink: `request` goes, the phase and counts stay for good.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// The phase.
     #[serde(rename = "p")]
     pub phase: RecordPhase,
+    /// Tasks that are done.
     #[serde(rename = "n")]
     pub done_count: u32,
+    /// The submission, while the job is active.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request: Option<JobRequest>,
     /// Time of day of the first submission.
@@ -150,10 +174,13 @@
 /// it against the team's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResidualUsage {
+    /// The team that it counts against.
     #[serde(rename = "t")]
     pub team: Name,
+    /// What each task takes.
     #[serde(rename = "r")]
     pub each: Resources,
+    /// The number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
     /// Time of day of the cancellation.
@@ -175,16 +202,16 @@
         }
     }
 
-    /// What stays of a job that is called off, and may run.
+    /// What stays of a job that is cancelled while its tasks may run. `at`: the time of day.
     pub fn cancelled(request: &JobRequest, done_count: u32, at: Micros) -> Self {
-        let remains = ResidualUsage {
+        let residual_usage = ResidualUsage {
             team: request.team.clone(),
             each: request.each,
             tasks: request.tasks,
             cancelled: at,
         };
         Self {
-            residual_usage: Some(remains),
+            residual_usage: Some(residual_usage),
             ..Self::terminal(RecordPhase::Cancelled, done_count)
         }
     }
@@ -193,79 +220,94 @@
 /// What this version understands. 0, or no word of it: nothing beyond single jobs and blocks of
 /// any size. [`DEPENDENCIES`] and [`REACHABILITY`] say what came with the others.
 pub const FEATURE_LEVEL: u32 = REACHABILITY;
-/// `waits_on`, the spreading of cancellations, small blocks, asks in parts.
+/// `waits_on`, the spreading of cancellations, small blocks, delegation requests in parts.
 pub const DEPENDENCIES: u32 = 1;
 /// Messages about links, commands through another controller, roles taken by the owner's word, jobs
-/// put before their owner through the store.
+/// proposed to their owner through the store.
 pub const REACHABILITY: u32 = 2;
 
+/// The session of a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionRecord {
+    /// The session's lease.
     #[serde(rename = "l")]
     pub lease: u64,
-    /// The format that the process understands.
+    /// The feature level of the process.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub format: u32,
-    /// The time of day at which its process began, and the quick lives just before it. Earlier
-    /// versions neither write nor read these; nothing but who serves depends on them.
+    /// The time of day at which its process began. Earlier versions neither write nor read this
+    /// and the next; nothing but who serves depends on them.
     #[serde(rename = "b", default)]
     pub process_started: Micros,
+    /// The quick restarts just before that.
     #[serde(rename = "q", default, skip_serializing_if = "is_zero")]
     pub quick_restarts: u32,
 }
 
-/// The format that a member's last process understood; outlasts its session.
+/// The feature level of a member's last process; outlasts its session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeatureLevelRecord {
+    /// The feature level.
     #[serde(rename = "f")]
     pub format: u32,
 }
 
+/// The owner of a role. Counts only while the owner has that very session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoleRecord {
+    /// The owner.
     #[serde(rename = "o")]
     pub owner: Member,
+    /// The owner's session.
     #[serde(rename = "l")]
     pub lease: u64,
 }
 
-/// The hosts that a delegate asks for. The lease and the number name the ask.
+/// The hosts that a delegate asks for. The lease and the number name the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegationRequestRecord {
+    /// Counts the requests of a session.
     #[serde(rename = "n")]
     pub number: u64,
+    /// The delegate's session.
     #[serde(rename = "l")]
     pub lease: u64,
+    /// The hosts.
     #[serde(rename = "h")]
     pub hosts: Vec<HostId>,
 }
 
-/// A job that is put before its owner through the store; gone with the asker's session.
+/// A job that is put before its owner through the store; gone with the proposer's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProposalRecord {
-    /// Who asks.
+    /// The controller that proposes it.
     #[serde(rename = "b")]
     pub proposer: Member,
+    /// The submission; gone once it is rejected.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request: Option<JobRequest>,
-    /// Refused by the owner.
+    /// Rejected by the owner: when to try again, in seconds.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u32>,
 }
 
-/// The hosts that an owner lets a delegate answer for, with the tokens to show, and the ask
-/// that this answers. The owner names the tokens: another controller's watch cache may have read a
+/// The hosts that an owner lets a delegate answer for, with the tokens to show, and the
+/// request that this answers. The owner names the tokens: another controller's watch cache may have read a
 /// host's record as part of a younger block, and a token above the owner's would shut it out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegationGrantRecord {
+    /// The number of the request.
     #[serde(rename = "n")]
     pub number: u64,
+    /// The delegate's session that asked.
     #[serde(rename = "l")]
     pub lease: u64,
+    /// The hosts, and the fencing token to show each.
     #[serde(rename = "h")]
     pub hosts: BTreeMap<HostId, FencingToken>,
 }
 
+/// What a host is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostAssignment {
     /// In a partition, whose owner may start tasks.
@@ -279,16 +321,22 @@
     Decommissioned(Option<u32>),
 }
 
+/// A host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
+    /// What it is used for.
     #[serde(rename = "u")]
     pub assignment: HostAssignment,
+    /// Where it takes commands.
     #[serde(rename = "a")]
     pub address: String,
+    /// Its machine type.
     #[serde(rename = "k")]
     pub machine_type: Name,
+    /// Its zone.
     #[serde(rename = "z")]
     pub zone: Name,
+    /// It is a spot machine.
     #[serde(rename = "s")]
     pub spot: bool,
     /// Rewritten only to raise the token.
@@ -299,11 +347,13 @@
 /// The hosts that share a record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostBlock {
+    /// The hosts of the block.
     #[serde(rename = "h")]
     pub hosts: BTreeMap<HostId, HostRecord>,
 }
 
 impl HostRecord {
+    /// The partition that it belongs to, or did while tasks may run.
     pub fn partition(&self) -> Option<u32> {
         match self.assignment {
             HostAssignment::Partition(p) | HostAssignment::Decommissioned(Some(p)) => Some(p),
--- a/crates/jasperhill-wire/src/worker.rs
+++ b/crates/jasperhill-wire/src/worker.rs
@@ -1,64 +1,100 @@
-//! What workers report and are told.
+//! Heartbeats of workers, and commands to them.
 
 use crate::{
+    Attempt, FencingToken, HostId, Malformed, Member, Micros, Name, TaskId,
     fields::{Fields, bad, object},
-    *,
 };
 use serde::Serialize;
 use serde_json::Value;
 
+/// Why a task has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCause {
+    /// It has done its work.
     Done,
-    Stopped { saved: bool },
+    /// It was told to stop.
+    Stopped {
+        /// Its checkpoint was saved.
+        saved: bool,
+    },
+    /// Another task of its gang has gone.
     Peers,
+    /// The other tasks of its gang did not come in time.
     Incomplete,
+    /// It has failed.
     Error,
+    /// The host has no room for it.
     NoRoom,
+    /// Another start of the same task is on the host.
     Busy,
+    /// No such task is known there.
     Unknown,
 }
 
+/// What a task is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
+    /// Its image is fetched.
     Fetching,
+    /// It waits for the other tasks of its gang.
     Waiting,
+    /// It runs.
     Running,
+    /// It saves a checkpoint before it stops.
     Checkpointing,
+    /// It has exited; the host remembers it until it is cleared.
     Exited(ExitCause),
 }
 
+/// A task on a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskStatus {
+    /// The task.
     pub task: TaskId,
+    /// Which start of it.
     pub attempt: Attempt,
+    /// What it is at.
     pub phase: TaskPhase,
 }
 
-/// A worker's report, from `/hello`, `/do` or `/inspect`.
+/// A worker's heartbeat with status, from `/hello`, or its answer to `/do` or `/inspect`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
+    /// The sender.
     pub host: HostId,
+    /// Where it takes commands.
     pub address: String,
+    /// Its machine type.
     pub machine_type: Name,
+    /// Its zone.
     pub zone: Name,
+    /// It is a spot machine.
     pub spot: bool,
+    /// Counts the sessions of the agent; one ends when its lease expires.
     pub incarnation: u64,
+    /// Orders the heartbeats of an incarnation.
     pub sequence: u64,
+    /// The highest fencing token that it has seen.
     pub token: FencingToken,
+    /// The cloud takes the machine back after this time.
     pub termination_notice: Option<Micros>,
+    /// All tasks that it knows.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// More tasks than any machine could hold.
-const REPORT_TASKS_MAX: usize = 2_000;
+/// Tasks in a heartbeat, at most: more than any machine could hold.
+const HEARTBEAT_TASKS_MAX: usize = 2_000;
 
 impl Heartbeat {
+    /// Reads a heartbeat. Unknown fields are ignored.
+    ///
+    /// # Errors
+    /// Names the field that is missing or not of its form.
     pub fn parse(body: &[u8]) -> Result<Self, Malformed> {
         let map = object(body)?;
         let f = Fields(&map);
         let list = f.list("shards")?;
-        if list.len() > REPORT_TASKS_MAX {
+        if list.len() > HEARTBEAT_TASKS_MAX {
             return bad("shards", "too many");
         }
         let mut tasks = Vec::with_capacity(list.len());
@@ -66,7 +102,7 @@
             let Value::Object(item) = item else {
                 return bad("shards", "not objects");
             };
-            tasks.push(Self::task(&Fields(item))?);
+            tasks.push(Self::task_status(&Fields(item))?);
         }
         Ok(Self {
             host: f.text("host")?.into(),
@@ -82,7 +118,7 @@
         })
     }
 
-    fn task(f: &Fields<'_>) -> Result<TaskStatus, Malformed> {
+    fn task_status(f: &Fields<'_>) -> Result<TaskStatus, Malformed> {
         let Some(task) = TaskId::parse(f.text("shard")?) else {
             return bad("shard", "not of the form job-000412/3");
         };
@@ -117,12 +153,16 @@
 /// What a worker is told to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Start a task.
     Start(TaskId, Attempt),
+    /// Stop a task, with so much time to save a checkpoint.
     Stop(TaskId, Attempt, Micros),
+    /// Forget a task that has exited.
     Clear(TaskId, Attempt),
 }
 
 impl Command {
+    /// The task and the start of it that this is about.
     pub fn key(&self) -> (&TaskId, Attempt) {
         match self {
             Self::Start(t, a) | Self::Stop(t, a, _) | Self::Clear(t, a) => (t, *a),
@@ -150,7 +190,7 @@
     commands: Vec<CommandBody>,
 }
 
-/// The body of a 200 to a report (`incarnation` absent) or of a `/do` (`incarnation` given).
+/// The body of a 200 to a heartbeat (`incarnation` absent) or of a `/do` (`incarnation` given).
 pub fn commands_body(
     token: FencingToken,
     incarnation: Option<u64>,
