--- a/crates/jasperhill-membership/tests/model.rs
+++ b/crates/jasperhill-membership/tests/model.rs
@@ -149,51 +149,82 @@
 
     /// What can happen to a member next. `healed`: nothing fails any more.
     fn steps_of(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
-        let m = &self.members[i];
+        self.fault_steps(i, healed, out);
+        if self.members[i].up {
+            self.session_steps(i, healed, without, out);
+        }
+        self.role_steps(i, healed, without, out);
+        if self.writes.len() < WRITES {
+            self.write_steps(i, healed, without, out);
+        }
+    }
+
+    /// Links and processes fail, or recover.
+    fn fault_steps(&self, i: usize, healed: bool, out: &mut Vec<Self>) {
         let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
         if !healed {
             step(&|w| w.members[i].up = !w.members[i].up);
             // It ends and begins anew: all that it remembered is gone.
             step(&|w| w.members[i] = NEW);
             step(&|w| w.members[i].authority = false);
-        } else if !m.up {
+        } else if !self.members[i].up {
             step(&|w| w.members[i].up = true);
         }
-        if m.up {
-            step(&|w| w.members[i].sees = Some((w.seat, w.sessions)));
-            if m.holds != 0 && self.sessions[i] == m.holds {
-                step(&|w| w.members[i].authority = true);
-            } else if m.holds != 0 {
-                step(&|w| {
-                    let m = &mut w.members[i];
-                    (m.holds, m.authority, m.acts) = (0, false, 0);
-                });
-            } else if self.begun < most(SESSIONS, healed) {
-                // Its own roles come with the new session, in one transaction; or are left to the
-                // others, by one that has ended again and again.
-                let begin = |w: &mut Self, answered: bool, leaves: bool| {
-                    w.begun += 1;
-                    w.sessions[i] = w.begun;
-                    if w.seat.owner == i && !leaves {
-                        w.seat.lease = w.begun;
-                        if without != Without::FreshVersion {
-                            w.seat.version += 1;
-                        }
-                    }
-                    if answered {
-                        (w.members[i].holds, w.members[i].authority) = (w.begun, true);
+    }
+
+    /// What a member does that reaches the store: it looks, and its session begins, goes on or is
+    /// found to be over.
+    fn session_steps(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
+        let m = &self.members[i];
+        let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
+        step(&|w| w.members[i].sees = Some((w.seat, w.sessions)));
+        if m.holds != 0 && self.sessions[i] == m.holds {
+            step(&|w| w.members[i].authority = true);
+        } else if m.holds != 0 {
+            step(&|w| {
+                let m = &mut w.members[i];
+                (m.holds, m.authority, m.acts) = (0, false, 0);
+            });
+        } else if self.begun < most(SESSIONS, healed) {
+            // Its own roles come with the new session, in one transaction; or are left to the
+            // others, by one that has ended again and again.
+            let begin = |w: &mut Self, answered: bool, leaves: bool| {
+                w.begun += 1;
+                w.sessions[i] = w.begun;
+                if w.seat.owner == i && !leaves {
+                    w.seat.lease = w.begun;
+                    if without != Without::FreshVersion {
+                        w.seat.version += 1;
                     }
-                };
-                step(&|w| begin(w, true, false));
-                step(&|w| begin(w, true, true));
-                if !healed {
-                    step(&|w| begin(w, false, false));
                 }
+                if answered {
+                    (w.members[i].holds, w.members[i].authority) = (w.begun, true);
+                }
+            };
+            step(&|w| begin(w, true, false));
+            step(&|w| begin(w, true, true));
+            if !healed {
+                step(&|w| begin(w, false, false));
             }
         }
-        let Some((seat, sessions)) = m.sees else {
+    }
+
+    /// What a member gave up, as it remembers it after giving up what it acts on.
+    fn remembered(&self, i: usize, without: Without) -> u8 {
+        if without == Without::Memory {
+            0
+        } else {
+            self.members[i].acts
+        }
+    }
+
+    /// A member begins to act on what it sees, stops, or lets go and says so.
+    fn role_steps(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
+        let m = &self.members[i];
+        let Some((seat, _)) = m.sees else {
             return;
         };
+        let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
         let lease = seat.lease == m.holds || without == Without::OwnLease;
         let mine = seat.owner == i && lease && m.holds != 0;
         if mine && m.given_up != seat.version {
@@ -202,11 +233,7 @@
         if m.acts != 0 && !(mine && m.acts == seat.version) {
             step(&|w| w.members[i].acts = 0);
         }
-        let remembered = if without == Without::Memory {
-            0
-        } else {
-            m.acts
-        };
+        let remembered = self.remembered(i, without);
         if m.acts != 0 && !m.up && !healed {
             step(&|w| {
                 w.words.push((i, w.members[i].acts));
@@ -216,9 +243,16 @@
                 }
             });
         }
-        if self.writes.len() >= WRITES {
+    }
+
+    /// A member hands over what it acts on, or takes what is free.
+    fn write_steps(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
+        let m = &self.members[i];
+        let Some((seat, sessions)) = m.sees else {
             return;
-        }
+        };
+        let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
+        let remembered = self.remembered(i, without);
         let write = |session, to| Write {
             version: seat.version,
             session,
