--- a/crates/jasperhill-controller/src/commands/tokens.rs
+++ b/crates/jasperhill-controller/src/commands/tokens.rs
@@ -34,7 +34,7 @@
                 let mut record = cached.value;
                 record.rewrites += 1;
                 let update = HostUpdate {
-                    urgency: WritePriority::Accept,
+                    priority: WritePriority::Accept,
                     role,
                     host: host.clone(),
                     expected_version: Some(cached.version),
--- a/crates/jasperhill-controller/src/heartbeats/registration.rs
+++ b/crates/jasperhill-controller/src/heartbeats/registration.rs
@@ -164,7 +164,7 @@
                 self.settings.value_bytes,
             );
             let update = HostUpdate {
-                urgency: WritePriority::Finish,
+                priority: WritePriority::Finish,
                 role: (Role::Leader, leader.since),
                 host: heartbeat.host.clone(),
                 expected_version: None,
--- a/crates/jasperhill-controller/src/host_registry/batch.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch.rs
@@ -187,7 +187,7 @@
         hosts: HostBlock,
         updates: Vec<PendingUpdate>,
     ) -> PreparedWrite {
-        let priorities = updates.iter().map(|pending| pending.update.urgency);
+        let priorities = updates.iter().map(|pending| pending.update.priority);
         let priority = priorities.min().unwrap_or(WritePriority::Finish);
         let version = cache.blocks.get(&block).copied().unwrap_or_default();
         let bytes = serde_json::to_vec(&hosts).map_or(0, |bytes| bytes.len());
--- a/crates/jasperhill-controller/src/host_registry/batch/tests.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch/tests.rs
@@ -66,7 +66,7 @@
     change: impl FnOnce(&mut HostUpdate),
 ) -> Receiver<WriteOutcome> {
     let mut update = HostUpdate {
-        urgency: WritePriority::Finish,
+        priority: WritePriority::Finish,
         role: ROLE,
         host: host(n),
         expected_version: Some(Revision(5)),
--- a/crates/jasperhill-controller/src/host_registry/state.rs
+++ b/crates/jasperhill-controller/src/host_registry/state.rs
@@ -23,7 +23,7 @@
 /// One change of one host's record.
 pub(crate) struct HostUpdate {
     /// How its write is ranked among others.
-    pub urgency: WritePriority,
+    pub priority: WritePriority,
     /// The role that entitles to it, and the revision since which it is owned.
     pub role: (Role, Revision),
     /// The host whose record changes.
--- a/crates/jasperhill-controller/src/provisioner/host_updates.rs
+++ b/crates/jasperhill-controller/src/provisioner/host_updates.rs
@@ -53,7 +53,7 @@
     deadline: Micros,
 ) -> HostUpdate {
     HostUpdate {
-        urgency,
+        priority: urgency,
         role: (holder.role, holder.since),
         host: host.clone(),
         expected_version: Some(entry.version),
--- a/crates/jasperhill-controller/src/roles/restarts.rs
+++ b/crates/jasperhill-controller/src/roles/restarts.rs
@@ -1,18 +1,10 @@
 //! Crash loops: members whose processes end again and again.
 
-use crate::{shared::Shared, state::State};
-use jasperhill_membership::restart_history::{Phase, ProcessRun};
-use jasperhill_wire::{Member, record::SessionRecord};
+use crate::{membership::process_run_of, shared::Shared, state::State};
+use jasperhill_membership::restart_history::Phase;
+use jasperhill_wire::Member;
 use std::collections::BTreeSet;
 
-/// What a session's record says of its process. Called where a session begins.
-pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
-    ProcessRun {
-        started: record.process_started,
-        quick_restarts: record.quick_restarts,
-    }
-}
-
 fn is_crash_looping(state: &State) -> bool {
     let phase = state.membership.restarts.phase();
     matches!(phase, Phase::CrashLooping { .. })
--- a/crates/jasperhill-testkit/tests/imports.rs
+++ b/crates/jasperhill-testkit/tests/imports.rs
@@ -133,13 +133,14 @@
 }
 
 /// Packages whose files are in one direction already; those missing stand in docs/ROADMAP.md.
-const PACKAGES: [&str; 6] = [
+const PACKAGES: [&str; 7] = [
     "jasperhill-wire",
     "jasperhill-http",
     "jasperhill-connections",
     "jasperhill-membership",
     "jasperhill-scheduler",
     "jasperhill-testkit",
+    "jasperhill-controller",
 ];
 
 #[test]
