--- a/crates/jasperhill-connections/src/budget.rs
+++ b/crates/jasperhill-connections/src/budget.rs
@@ -1,11 +1,14 @@
-//! The account of a process's sockets. Owns every connection that the process has, by class and
-//! phase; every change goes through [`ConnectionBudget::apply`].
+//! The connection budget of a process: admission, keep-alive and eviction of its connections.
 //!
-//! A class always gets what it is guaranteed. Beyond, it gets what nobody else is guaranteed or
-//! holds. What is idle and can be had again holds nothing: when all sockets are in use it makes
-//! way, the oldest first, connections to workers and controllers before those of users. Connections
-//! of workers make way only when they are overdue, for a worker that has gone elsewhere says
-//! nothing; those to the state service never do.
+//! [`ConnectionBudget`] owns the record of every connection of the process, by class and phase. Every
+//! change goes through [`ConnectionBudget::apply`]; the caller opens and closes the actual sockets.
+//!
+//! A class is always admitted up to its guarantee. Beyond it, a class is admitted as far as no
+//! other class is guaranteed or occupies the capacity. An idle connection of a class that can
+//! reconnect cheaply occupies nothing: when the limit is reached the longest idle one is evicted,
+//! connections to workers and controllers before those of users. Heartbeat connections are evicted
+//! only after the idle timeout of workers, since a worker that has moved to another controller does
+//! not announce it. Connections to the key-value store and to the cloud are never evicted.
 
 use crate::plan::{BudgetPlan, Class};
 use enum_map::{EnumMap, enum_map};
@@ -14,270 +17,305 @@
 use std::collections::BTreeSet;
 
 slotmap::new_key_type! {
-    /// One connection.
+    /// Identifies one connection of the process, for as long as it is open.
     pub struct ConnectionId;
 }
 
-/// What goes on on a connection.
+/// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// A request is under way, or the connection is coming about.
+    /// A request is in flight, or the connection is being established.
     Busy,
-    /// Open, and nothing is under way since then.
+    /// Open without a request since then.
     Idle(Micros),
-    /// Told to close; it will in this turn of the loop.
-    Leaving,
+    /// Evicted: the caller closes it in this iteration of the event loop.
+    Evicted,
 }
 
+/// The record of one connection.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     class: Class,
     phase: Phase,
 }
 
+/// A request to the budget, or an event that the caller reports to it.
 #[derive(Clone, Copy, Debug)]
 pub enum Input {
-    /// A connection is wanted, or was accepted.
+    /// A connection is to be opened, or was accepted.
     Open(Class),
-    /// A request is under way on it; what it is for is known by now.
+    /// A request starts on the connection, which has this class from now on.
     RequestStarted(ConnectionId, Class),
-    /// Nothing is under way any more.
+    /// The request on the connection has finished.
     RequestFinished(ConnectionId),
-    /// It is closed.
+    /// The connection is closed. Reported again, it has no effect.
     Closed(ConnectionId),
 }
 
-/// What follows for whoever asked.
+/// The decision on an [`Input`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// There is a socket. If another one has to make way first, that one.
+    /// The connection is admitted. The caller closes the second one first, if any: it is evicted.
     Granted(ConnectionId, Option<ConnectionId>),
-    /// There is none: to be closed or not to be opened.
+    /// The connection is not admitted: it is closed or not opened.
     Refused,
-    /// The request may be carried out.
+    /// The request is admitted.
     Proceed,
-    /// It may not: an answer that says so, and the end of the connection.
+    /// The request is not admitted: the caller says so in the response and closes the connection.
     Overloaded,
-    /// The connection may stay open.
+    /// The connection is kept alive.
     KeepAlive,
-    /// It closes with this answer.
+    /// The connection is closed after this response.
     Close,
-    /// Nothing to say.
+    /// The event is recorded; nothing is to be decided.
     Recorded,
 }
 
-/// What a class has come to.
+/// Usage of one class. The counts of connections refer to now, the counters to the lifetime of
+/// the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassUsage {
+    /// Open connections.
     pub open: usize,
+    /// Those of the open connections that are idle.
     pub idle: usize,
-    /// The most at a time, ever.
+    /// The most connections that were open at the same time.
     pub peak: usize,
+    /// The guarantee of the current plan.
     pub guaranteed: usize,
-    /// Connections refused, requests refused, and connections closed to make way, ever.
+    /// Connections and requests refused so far.
     pub refused: u64,
+    /// Idle connections closed so far to make room for another.
     pub evicted: u64,
-    /// When somebody was last refused.
+    /// The time of the last refusal.
     pub last_refused: Option<Micros>,
 }
 
-/// More connections than this are not told to close at a time.
-const LEAVING_MAX: usize = 64;
-/// One in so many of the places for workers is lent to others while it is not needed.
-const LENT: usize = 4;
-/// Accepted connections that say nothing make way after this long.
-const SPEECHLESS: Micros = Micros::from_secs(1);
+/// The most evicted connections that may still be open (count): bounds how far the process can
+/// exceed the limit for a moment.
+const EVICTED_MAX: usize = 64;
+/// One in this many guaranteed heartbeat connections is available to other classes while workers
+/// do not use it.
+const HEARTBEAT_BORROW_DIVISOR: usize = 4;
+/// Accepted connections without a first request may be evicted after this time: a client sends it
+/// at once.
+const FIRST_REQUEST_TIMEOUT: Micros = Micros::from_secs(1);
+
+/// How far below the platform's limit the key-value store may still open connections beyond the
+/// budget (count).
+const STORE_HEADROOM: usize = 4;
 
+/// The connections of a process, and the only place that decides on them.
 #[derive(Debug)]
 pub struct ConnectionBudget {
     plan: BudgetPlan,
-    /// A worker that has said nothing for so long has gone elsewhere.
-    overdue: Micros,
+    /// A worker that sent nothing for this long has moved to another controller.
+    worker_idle_timeout: Micros,
     entries: SlotMap<ConnectionId, Entry>,
     idle: EnumMap<Class, BTreeSet<(Micros, ConnectionId)>>,
-    leaving: usize,
+    /// Evicted connections that are still open.
+    evicted: usize,
+    /// The most connections that were open at the same time.
     peak: usize,
-    reports: EnumMap<Class, ClassUsage>,
+    usage: EnumMap<Class, ClassUsage>,
 }
 
 impl ConnectionBudget {
-    /// `overdue`: the time after which a silent worker's connection may make way.
-    pub fn new(plan: BudgetPlan, overdue: Micros) -> Self {
+    /// Creates a budget without connections. Connections of workers may be evicted once they have
+    /// been idle for `worker_idle_timeout`.
+    pub fn new(plan: BudgetPlan, worker_idle_timeout: Micros) -> Self {
         Self {
             plan,
-            overdue,
+            worker_idle_timeout,
             entries: SlotMap::with_key(),
             idle: enum_map! { _ => BTreeSet::new() },
-            leaving: 0,
+            evicted: 0,
             peak: 0,
-            reports: enum_map! { _ => ClassUsage::default() },
+            usage: enum_map! { _ => ClassUsage::default() },
         }
     }
 
+    /// The plan in force.
     pub fn plan(&self) -> &BudgetPlan {
         &self.plan
     }
 
-    /// Another number of machines is known.
-    pub fn resize(&mut self, plan: BudgetPlan) {
+    /// Replaces the plan. Open connections stay, also those beyond the new limits.
+    pub fn replace_plan(&mut self, plan: BudgetPlan) {
         self.plan = plan;
     }
 
-    /// All that are open, and the most at a time.
+    /// The number of open connections, evicted ones included.
     pub fn open(&self) -> usize {
         self.entries.len()
     }
+    /// The most connections that were open at the same time.
     pub fn peak(&self) -> usize {
         self.peak
     }
 
-    pub fn report(&self, class: Class) -> ClassUsage {
+    /// The usage of one class, for logs, readiness and the size of the command limiter.
+    pub fn usage(&self, class: Class) -> ClassUsage {
         ClassUsage {
             idle: self.idle[class].len(),
             guaranteed: self.plan.guaranteed[class],
-            ..self.reports[class]
+            ..self.usage[class]
         }
     }
 
-    /// The one function that changes it.
+    /// Applies one input at time `now`: the only function that changes connections.
     pub fn apply(&mut self, input: Input, now: Micros) -> Output {
         match input {
-            Input::Open(class) => self.come(class, now),
-            Input::RequestStarted(key, class) => self.begin(key, class, now),
-            Input::RequestFinished(key) => self.end(key, now),
+            Input::Open(class) => self.admit_connection(class, now),
+            Input::RequestStarted(key, class) => self.start_request(key, class, now),
+            Input::RequestFinished(key) => self.finish_request(key, now),
             Input::Closed(key) => {
                 if let Some(entry) = self.entries.remove(key) {
-                    self.leave(key, entry);
-                    self.reports[entry.class].open -= 1;
+                    self.unindex(key, entry);
+                    self.usage[entry.class].open -= 1;
                 }
                 Output::Recorded
             }
         }
     }
 
-    /// Takes a connection out of whatever its phase keeps of it.
-    fn leave(&mut self, key: ConnectionId, entry: Entry) {
+    /// Removes a connection from the index of its phase.
+    fn unindex(&mut self, key: ConnectionId, entry: Entry) {
         match entry.phase {
             Phase::Idle(since) => {
                 self.idle[entry.class].remove(&(since, key));
             }
-            Phase::Leaving => self.leaving -= 1,
+            Phase::Evicted => self.evicted -= 1,
             Phase::Busy => {}
         }
     }
 
-    fn set(&mut self, key: ConnectionId, class: Class, phase: Phase) {
+    /// Moves a connection to a class and phase, and keeps indexes and usage consistent.
+    fn set_phase(&mut self, key: ConnectionId, class: Class, phase: Phase) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        let was = std::mem::replace(entry, Entry { class, phase });
-        self.leave(key, was);
-        self.reports[was.class].open -= 1;
-        let report = &mut self.reports[class];
-        report.open += 1;
-        report.peak = report.peak.max(report.open);
+        let previous = std::mem::replace(entry, Entry { class, phase });
+        self.unindex(key, previous);
+        self.usage[previous.class].open -= 1;
+        let usage = &mut self.usage[class];
+        usage.open += 1;
+        usage.peak = usage.peak.max(usage.open);
         match phase {
             Phase::Idle(since) => {
                 self.idle[class].insert((since, key));
             }
-            Phase::Leaving => self.leaving += 1,
+            Phase::Evicted => self.evicted += 1,
             Phase::Busy => {}
         }
     }
 
-    /// Idle ones hold nothing, since they can be had again.
-    fn gives_way(class: Class) -> bool {
+    /// Whether idle connections of the class occupy no capacity because they can be evicted and
+    /// opened again at any time.
+    fn is_reconnectable(class: Class) -> bool {
         matches!(class, Class::Peers | Class::Commands | Class::Users)
     }
 
-    fn held(&self, class: Class) -> usize {
-        let idle = if Self::gives_way(class) {
+    /// The connections of a class that count against the limit.
+    fn occupied(&self, class: Class) -> usize {
+        let idle = if Self::is_reconnectable(class) {
             self.idle[class].len()
         } else {
             0
         };
-        self.reports[class].open - idle
+        self.usage[class].open - idle
     }
 
-    /// What the others leave to a class that does not need it now. Guards against reports that are
-    /// not passed on, and connections between controllers that are refused, while most places stand
-    /// empty for workers who are elsewhere: what is passed on is over in seconds.
+    /// The capacity that other classes leave to a class that does not use it now. Guards against
+    /// refused relays and refused connections between controllers while most heartbeat connections
+    /// are reserved for workers that report to another controller: a relayed request is over in
+    /// seconds.
     fn reserved(&self, class: Class) -> usize {
-        let floor = self.plan.guaranteed[class];
+        let guaranteed = self.plan.guaranteed[class];
         match class {
-            Class::Heartbeats => floor - floor / LENT,
-            _ => floor,
+            Class::Heartbeats => guaranteed - guaranteed / HEARTBEAT_BORROW_DIVISOR,
+            _ => guaranteed,
         }
     }
 
-    /// Whether one more may be held: it is guaranteed, or nobody else is guaranteed or holds it.
-    fn may_hold(&self, class: Class) -> bool {
-        let guaranteed = |classes: &[Class]| {
-            let held: usize = classes.iter().map(|c| self.held(*c)).sum();
-            held < classes.iter().map(|c| self.plan.guaranteed[*c]).sum()
+    /// Whether one more connection of the class fits: it is guaranteed, or no other class is
+    /// guaranteed or occupies the capacity.
+    fn has_capacity(&self, class: Class) -> bool {
+        let within_guarantee = |classes: &[Class]| {
+            let occupied: usize = classes.iter().map(|class| self.occupied(*class)).sum();
+            occupied
+                < classes
+                    .iter()
+                    .map(|class| self.plan.guaranteed[*class])
+                    .sum()
         };
-        // Most of what comes in are workers who have not said so yet. Guards against a door that
-        // is too narrow for a whole fleet that comes at once.
-        if guaranteed(&[class])
-            || (class == Class::Accepted && guaranteed(&[Class::Accepted, Class::Heartbeats]))
+        // Most accepted connections are from workers that have not sent a heartbeat yet. Guards
+        // against refusing them when all workers connect at once.
+        if within_guarantee(&[class])
+            || (class == Class::Accepted && within_guarantee(&[Class::Accepted, Class::Heartbeats]))
         {
             return true;
         }
-        let taken: usize = Class::ALL
+        let committed: usize = Class::ALL
             .into_iter()
-            .map(|c| self.held(c).max(self.reserved(c)))
+            .map(|class| self.occupied(class).max(self.reserved(class)))
             .sum();
-        taken < self.plan.bound
+        committed < self.plan.limit
     }
 
-    /// Connections that were told to close are as good as closed.
-    fn in_use(&self) -> usize {
-        self.entries.len() - self.leaving
+    /// The open connections without the evicted ones, which are about to close.
+    fn active(&self) -> usize {
+        self.entries.len() - self.evicted
     }
 
-    fn come(&mut self, class: Class, now: Micros) -> Output {
-        // Guards against a session that lapses for want of a socket: the state service's few
-        // connections are bounded by their callers, and come out of what is kept free.
-        let always = class == Class::State && self.entries.len() + 4 < self.plan.most;
-        if !always && !self.may_hold(class) {
+    fn admit_connection(&mut self, class: Class, now: Micros) -> Output {
+        // Guards against an expired session for want of a connection: the few connections to the
+        // key-value store are bounded by their callers, and use the headroom of the plan.
+        let always_admitted = class == Class::State
+            && self.entries.len() + STORE_HEADROOM < self.plan.max_connections;
+        if !always_admitted && !self.has_capacity(class) {
             return self.refuse(class, now);
         }
-        let mut gone = None;
-        if self.in_use() >= self.plan.bound {
-            gone = self.make_way(now);
-            if gone.is_none() && !always {
+        let mut evicted = None;
+        if self.active() >= self.plan.limit {
+            evicted = self.evict_one(now);
+            if evicted.is_none() && !always_admitted {
                 return self.refuse(class, now);
             }
         }
         let phase = Phase::Busy;
         let key = self.entries.insert(Entry { class, phase });
-        let report = &mut self.reports[class];
-        report.open += 1;
-        report.peak = report.peak.max(report.open);
+        let usage = &mut self.usage[class];
+        usage.open += 1;
+        usage.peak = usage.peak.max(usage.open);
         self.peak = self.peak.max(self.entries.len());
-        Output::Granted(key, gone)
+        Output::Granted(key, evicted)
     }
 
+    /// Counts a refusal.
     fn refuse(&mut self, class: Class, now: Micros) -> Output {
-        let report = &mut self.reports[class];
-        report.refused += 1;
-        report.last_refused = Some(now);
+        let usage = &mut self.usage[class];
+        usage.refused += 1;
+        usage.last_refused = Some(now);
         Output::Refused
     }
 
-    /// The one that makes way: the oldest idle one of the first class that has any.
-    fn make_way(&mut self, now: Micros) -> Option<ConnectionId> {
-        if self.leaving >= LEAVING_MAX {
+    /// Evicts the longest idle connection of the first class in order of eviction that has one idle
+    /// for long enough.
+    fn evict_one(&mut self, now: Micros) -> Option<ConnectionId> {
+        if self.evicted >= EVICTED_MAX {
             return None;
         }
-        let after = |class: Class| match class {
+        let min_idle = |class: Class| match class {
             Class::Commands | Class::Peers | Class::Users => Some(Micros::ZERO),
-            Class::Accepted => Some(SPEECHLESS),
-            Class::Heartbeats => Some(self.overdue),
-            Class::Health | Class::Mesh => Some(self.overdue + self.overdue),
+            Class::Accepted => Some(FIRST_REQUEST_TIMEOUT),
+            Class::Heartbeats => Some(self.worker_idle_timeout),
+            Class::Health | Class::Mesh => {
+                Some(self.worker_idle_timeout + self.worker_idle_timeout)
+            }
             Class::State | Class::Cloud => None,
         };
-        let order = [
+        let eviction_order = [
             Class::Commands,
             Class::Peers,
             Class::Accepted,
@@ -286,49 +324,50 @@
             Class::Health,
             Class::Mesh,
         ];
-        let (class, key) = order.into_iter().find_map(|class| {
+        let (class, key) = eviction_order.into_iter().find_map(|class| {
             let (since, key) = *self.idle[class].first()?;
-            (now - since >= after(class)?).then_some((class, key))
+            (now - since >= min_idle(class)?).then_some((class, key))
         })?;
-        self.set(key, class, Phase::Leaving);
-        self.reports[class].evicted += 1;
+        self.set_phase(key, class, Phase::Evicted);
+        self.usage[class].evicted += 1;
         Some(key)
     }
 
-    fn begin(&mut self, key: ConnectionId, class: Class, now: Micros) -> Output {
+    fn start_request(&mut self, key: ConnectionId, class: Class, now: Micros) -> Output {
         let Some(entry) = self.entries.get(key).copied() else {
             return Output::Overloaded;
         };
-        if entry.phase == Phase::Leaving {
-            // Its request came in the same moment: it is carried out, and closes after.
+        if entry.phase == Phase::Evicted {
+            // The request arrived together with the eviction: it is served, and the connection closes
+            // after it.
             return Output::Proceed;
         }
-        // Only users are told to come back: workers' reports keep tasks alive, and whoever asks
-        // for health is to be told.
-        let holds = entry.class == class && !matches!(entry.phase, Phase::Idle(_));
-        let full = class == Class::Users && !holds && !self.may_hold(class);
-        self.set(key, class, Phase::Busy);
-        if full {
+        // Only requests of users are refused: heartbeats keep the leases of tasks alive, and a
+        // health probe needs an answer.
+        let already_counted = entry.class == class && !matches!(entry.phase, Phase::Idle(_));
+        let over_capacity = class == Class::Users && !already_counted && !self.has_capacity(class);
+        self.set_phase(key, class, Phase::Busy);
+        if over_capacity {
             self.refuse(class, now);
             return Output::Overloaded;
         }
         Output::Proceed
     }
 
-    fn end(&mut self, key: ConnectionId, now: Micros) -> Output {
+    fn finish_request(&mut self, key: ConnectionId, now: Micros) -> Output {
         let Some(entry) = self.entries.get(key).copied() else {
             return Output::Close;
         };
-        if entry.phase == Phase::Leaving {
+        if entry.phase == Phase::Evicted {
             return Output::Close;
         }
         let class = entry.class;
-        let guaranteed = !Self::gives_way(class)
-            && (self.reports[class].open <= self.plan.guaranteed[class] || class == Class::State);
-        if self.in_use() > self.plan.soft && !guaranteed {
+        let guaranteed = !Self::is_reconnectable(class)
+            && (self.usage[class].open <= self.plan.guaranteed[class] || class == Class::State);
+        if self.active() > self.plan.keep_alive_limit && !guaranteed {
             return Output::Close;
         }
-        self.set(key, class, Phase::Idle(now));
+        self.set_phase(key, class, Phase::Idle(now));
         Output::KeepAlive
     }
 }
--- a/crates/jasperhill-connections/src/lib.rs
+++ b/crates/jasperhill-connections/src/lib.rs
@@ -1,10 +1,12 @@
-//! What bounds a process's sockets. Pure: no clock, no I/O.
+//! Limits on a process's network connections. Pure: no clock, no I/O; the caller passes the time.
 //!
-//! - [`BudgetPlan`]: how many sockets there are, and what each [`Class`] of them is guaranteed.
-//! - [`ConnectionBudget`]: every connection of the process, by class and phase: who may come, who stays, who
-//!   makes way.
-//! - [`ConcurrencyLimiter`]: how many hosts are sent something at a time, and when one that does not answer is
-//!   tried again.
+//! - [`BudgetPlan`]: how many connections there may be and what each [`Class`] is guaranteed.
+//! - [`ConnectionBudget`]: admission, keep-alive and eviction of every connection of the process.
+//! - [`ConcurrencyLimiter`]: how many hosts are sent commands at a time, and the back-off of hosts
+//!   that do not respond.
+//!
+//! `jasperhill-http` drives the budget from its client and server; the controller drives the
+//! limiter from its command queue.
 
 pub mod budget;
 pub mod limiter;
--- a/crates/jasperhill-connections/src/limiter.rs
+++ b/crates/jasperhill-connections/src/limiter.rs
@@ -1,216 +1,250 @@
-//! The window through which commands go out to workers: so many at a time, each host once, those
-//! that have answered before those that have not, and one that does not answer after a pause that
-//! grows. Every change goes through [`ConcurrencyLimiter::apply`].
+//! The concurrency limiter for commands to workers: at most so many hosts have a request in flight,
+//! one request a host, responsive hosts before others, and exponential back-off for a host that
+//! does not respond.
 //!
-//! Guards against a fleet's worth of connections in the moment of a takeover, and against dead
-//! hosts that hold a place each, again every second, while living ones wait.
+//! [`ConcurrencyLimiter`] owns the queue and the back-off of each host. Every change goes through
+//! [`ConcurrencyLimiter::apply`], which returns the hosts that the caller sends to next.
+//!
+//! Guards against a connection to each host of the cluster at the moment of a failover, and against
+//! unreachable hosts that take a slot each, again every second, while reachable ones wait.
 
 use hdrhistogram::Histogram;
 use jasperhill_wire::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The pauses of a host that does not answer.
-const REST: Micros = Micros::from_millis(900);
-const REST_MAX: Micros = Micros::from_secs(8);
-/// Hosts that are remembered; beyond, those that rest no more are forgotten.
-const KNOWN_MAX: usize = 20_000;
+/// The first back-off of a host that does not respond: below a second, so that a host that restarts
+/// is served again soon.
+const BACKOFF_MIN: Micros = Micros::from_millis(900);
+/// The longest back-off; each failure doubles it up to here.
+const BACKOFF_MAX: Micros = Micros::from_secs(8);
+/// The most hosts that are tracked (count): beyond, hosts that are neither queued, in flight nor in
+/// back-off are dropped.
+const TRACKED_HOSTS_MAX: usize = 20_000;
+
+/// Up to two digits are kept of a wait, of at most an hour in microseconds.
+const WAIT_MAX_MICROS: u64 = 3_600_000_000;
+const WAIT_SIGNIFICANT_DIGITS: u8 = 2;
+/// The least size: one slot for responsive hosts beside one for the others.
+const SIZE_MIN: usize = 2;
 
+/// The phase of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// In the queue since then.
-    Waiting(Micros),
-    /// On its way; counted among the unproven or not.
-    UnderWay { unproven: bool },
-    /// Left alone until then, and then sent what is wanted, if anything is.
-    Resting { until: Micros, wanted: bool },
+    /// In a queue since then.
+    Queued(Micros),
+    /// A request is in flight; `unresponsive` says which count of requests in flight includes it.
+    InFlight { unresponsive: bool },
+    /// Nothing is sent before `until`; then the host is queued if `pending`.
+    BackingOff { until: Micros, pending: bool },
     /// Nothing is to be sent.
-    Quiet,
+    Idle,
 }
 
+/// The record of one host.
 #[derive(Clone, Copy, Debug)]
 struct Host {
     phase: Phase,
-    /// It has answered the last time.
-    proven: bool,
-    /// How long it rests if it does not answer again.
-    rest: Micros,
+    /// It responded to the last request, or was heard since.
+    responsive: bool,
+    /// The back-off after the next failure.
+    backoff: Micros,
 }
 
+/// An event that the caller reports to the limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input<K> {
-    /// Something is to be sent to it.
+    /// A request is to be sent to the host.
     Enqueue(K),
-    /// It was heard by another way: it need not rest.
+    /// The host was heard by another way (a heartbeat): its back-off ends.
     Heard(K),
-    /// What was under way is over, with an answer or without, or nothing was sent after all.
+    /// The request in flight is over: with a response (`Some(true)`), without one (`Some(false)`),
+    /// or nothing was sent after all (`None`).
     Completed(K, Option<bool>),
-    /// Time has passed: those whose rest is over get their turn.
+    /// Time has passed: hosts whose back-off is over are queued.
     Tick,
-    /// So many at a time from now on.
+    /// The most requests in flight from now on; at least two are allowed.
     Resize(usize),
 }
 
-/// A bounded number of hosts that are sent something at a time.
+/// Bounds the number of hosts with a request in flight. `K` identifies a host.
 #[derive(Debug)]
 pub struct ConcurrencyLimiter<K: Ord + Clone> {
+    /// The most requests in flight.
     size: usize,
     hosts: BTreeMap<K, Host>,
-    /// Those that have answered, and the others.
-    proven: VecDeque<K>,
-    unproven: VecDeque<K>,
-    under_way: usize,
-    under_way_unproven: usize,
-    waits: Histogram<u64>,
+    responsive_queue: VecDeque<K>,
+    unresponsive_queue: VecDeque<K>,
+    in_flight: usize,
+    /// Those of `in_flight` whose host was not known to be responsive.
+    in_flight_unresponsive: usize,
+    /// How long hosts were queued, in microseconds.
+    wait_times: Histogram<u64>,
 }
 
 impl<K: Ord + Clone> ConcurrencyLimiter<K> {
+    /// Creates a limiter of `size` requests in flight, at least two.
+    ///
+    /// # Panics
+    ///
+    /// Never: the number of significant digits is a constant that the histogram allows.
     pub fn new(size: usize) -> Self {
         Self {
-            size: size.max(2),
+            size: size.max(SIZE_MIN),
             hosts: BTreeMap::new(),
-            proven: VecDeque::new(),
-            unproven: VecDeque::new(),
-            under_way: 0,
-            under_way_unproven: 0,
-            // Up to an hour, two digits.
-            waits: Histogram::new_with_bounds(1, 3_600_000_000, 2)
-                .unwrap_or_else(|_| Histogram::new(2).expect("two digits are allowed")),
+            responsive_queue: VecDeque::new(),
+            unresponsive_queue: VecDeque::new(),
+            in_flight: 0,
+            in_flight_unresponsive: 0,
+            wait_times: Histogram::new_with_bounds(1, WAIT_MAX_MICROS, WAIT_SIGNIFICANT_DIGITS)
+                .unwrap_or_else(|_| {
+                    Histogram::new(WAIT_SIGNIFICANT_DIGITS).expect("two digits are allowed")
+                }),
         }
     }
 
-    /// On their way now, and those that wait for a place.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.under_way
+        self.in_flight
     }
-    pub fn waiting(&self) -> usize {
-        let waits = |h: &&Host| matches!(h.phase, Phase::Waiting(_));
-        self.hosts.values().filter(waits).count()
+
+    /// The number of queued hosts.
+    pub fn queued(&self) -> usize {
+        let is_queued = |host: &&Host| matches!(host.phase, Phase::Queued(_));
+        self.hosts.values().filter(is_queued).count()
     }
-    /// How long the given part of all that went out had waited for a place.
-    pub fn waited(&self, part: f64) -> Micros {
-        Micros(self.waits.value_at_quantile(part))
+
+    /// The quantile (0 to 1) of the times that hosts were queued since the last reset.
+    pub fn wait_time_quantile(&self, quantile: f64) -> Micros {
+        Micros(self.wait_times.value_at_quantile(quantile))
     }
-    /// Forgets the waits so far.
-    pub fn forget_waits(&mut self) {
-        self.waits.reset();
+
+    /// Drops the recorded wait times, after they were logged.
+    pub fn reset_wait_times(&mut self) {
+        self.wait_times.reset();
     }
 
-    /// The one function that changes it; the hosts whose turn it is.
+    /// Applies one input at time `now`: the only function that changes the limiter. Returns the
+    /// hosts that the caller sends a request to now, and reports as completed later.
     pub fn apply(&mut self, input: Input<K>, now: Micros) -> Vec<K> {
         match input {
-            Input::Enqueue(key) => self.want(key, now),
+            Input::Enqueue(key) => self.enqueue(key, now),
             Input::Heard(key) => {
                 if let Some(host) = self.hosts.get_mut(&key) {
-                    let was = std::mem::replace(&mut host.proven, true);
-                    // It need not wait behind those that may be dead.
-                    if !was && matches!(host.phase, Phase::Waiting(_)) {
-                        self.proven.push_back(key.clone());
+                    let was_responsive = std::mem::replace(&mut host.responsive, true);
+                    // It does not wait behind hosts that may be unreachable.
+                    if !was_responsive && matches!(host.phase, Phase::Queued(_)) {
+                        self.responsive_queue.push_back(key.clone());
                     }
-                    host.rest = REST;
-                    if let Phase::Resting { .. } = host.phase {
-                        host.phase = Phase::Quiet;
+                    host.backoff = BACKOFF_MIN;
+                    if let Phase::BackingOff { .. } = host.phase {
+                        host.phase = Phase::Idle;
                     }
                 }
             }
-            Input::Completed(key, answered) => self.over(&key, answered, now),
+            Input::Completed(key, answered) => self.complete(&key, answered, now),
             Input::Tick => {
-                let due = |h: &Host| matches!(h.phase, Phase::Resting { until, wanted: true } if now >= until);
-                let due: Vec<K> = (self.hosts.iter().filter(|(_, h)| due(h)))
-                    .map(|(k, _)| k.clone())
+                let is_due = |host: &Host| matches!(host.phase, Phase::BackingOff { until, pending: true } if now >= until);
+                let due: Vec<K> = (self.hosts.iter())
+                    .filter(|(_, host)| is_due(host))
+                    .map(|(key, _)| key.clone())
                     .collect();
                 for key in due {
-                    self.want(key, now);
+                    self.enqueue(key, now);
                 }
             }
-            Input::Resize(size) => self.size = size.max(2),
+            Input::Resize(size) => self.size = size.max(SIZE_MIN),
         }
-        self.turns(now)
+        self.dispatch(now)
     }
 
-    fn want(&mut self, key: K, now: Micros) {
-        if self.hosts.len() > KNOWN_MAX {
-            self.hosts.retain(|_, h| match h.phase {
-                Phase::Resting { until, wanted } => wanted || now < until,
-                Phase::Quiet => false,
-                Phase::Waiting(_) | Phase::UnderWay { .. } => true,
+    /// Queues a host, or notes the request on one that is backing off. A host that is queued or in
+    /// flight already stays as it is: the caller sends all that is pending at once.
+    fn enqueue(&mut self, key: K, now: Micros) {
+        if self.hosts.len() > TRACKED_HOSTS_MAX {
+            self.hosts.retain(|_, host| match host.phase {
+                Phase::BackingOff { until, pending } => pending || now < until,
+                Phase::Idle => false,
+                Phase::Queued(_) | Phase::InFlight { .. } => true,
             });
         }
         let host = self.hosts.entry(key.clone()).or_insert(Host {
-            phase: Phase::Quiet,
-            proven: false,
-            rest: REST,
+            phase: Phase::Idle,
+            responsive: false,
+            backoff: BACKOFF_MIN,
         });
         match host.phase {
-            Phase::Waiting(_) | Phase::UnderWay { .. } => return,
-            Phase::Resting { until, .. } if now < until => {
-                host.phase = Phase::Resting {
+            Phase::Queued(_) | Phase::InFlight { .. } => return,
+            Phase::BackingOff { until, .. } if now < until => {
+                host.phase = Phase::BackingOff {
                     until,
-                    wanted: true,
+                    pending: true,
                 };
                 return;
             }
-            Phase::Resting { .. } | Phase::Quiet => {}
+            Phase::BackingOff { .. } | Phase::Idle => {}
         }
-        host.phase = Phase::Waiting(now);
-        if host.proven {
-            self.proven.push_back(key);
+        host.phase = Phase::Queued(now);
+        if host.responsive {
+            self.responsive_queue.push_back(key);
         } else {
-            self.unproven.push_back(key);
+            self.unresponsive_queue.push_back(key);
         }
     }
 
-    fn over(&mut self, key: &K, answered: Option<bool>, now: Micros) {
+    /// Frees the slot of a host and updates its back-off.
+    fn complete(&mut self, key: &K, answered: Option<bool>, now: Micros) {
         let Some(host) = self.hosts.get_mut(key) else {
             return;
         };
-        let Phase::UnderWay { unproven } = host.phase else {
+        let Phase::InFlight { unresponsive } = host.phase else {
             return;
         };
-        self.under_way -= 1;
-        self.under_way_unproven -= usize::from(unproven);
+        self.in_flight -= 1;
+        self.in_flight_unresponsive -= usize::from(unresponsive);
         match answered {
             Some(true) => {
-                host.proven = true;
-                host.phase = Phase::Quiet;
-                host.rest = REST;
+                host.responsive = true;
+                host.phase = Phase::Idle;
+                host.backoff = BACKOFF_MIN;
             }
             Some(false) => {
-                host.proven = false;
-                host.phase = Phase::Resting {
-                    until: now + host.rest,
-                    wanted: false,
+                host.responsive = false;
+                host.phase = Phase::BackingOff {
+                    until: now + host.backoff,
+                    pending: false,
                 };
-                host.rest = host.rest.scale(2.0).min(REST_MAX);
+                host.backoff = host.backoff.scale(2.0).min(BACKOFF_MAX);
             }
-            None => host.phase = Phase::Quiet,
+            None => host.phase = Phase::Idle,
         }
     }
 
-    /// Those that have answered may have all places; the others half of them.
-    fn turns(&mut self, now: Micros) -> Vec<K> {
-        let mut turns = Vec::new();
-        while self.under_way < self.size {
-            let unproven = self.under_way_unproven < self.size.div_ceil(2);
-            let key = match self.proven.pop_front() {
+    /// Takes hosts from the queues while slots are free. Responsive hosts may use all slots, the
+    /// others half of them.
+    fn dispatch(&mut self, now: Micros) -> Vec<K> {
+        let mut dispatched = Vec::new();
+        while self.in_flight < self.size {
+            let unresponsive_allowed = self.in_flight_unresponsive < self.size.div_ceil(2);
+            let key = match self.responsive_queue.pop_front() {
                 Some(key) => Some(key),
-                None if unproven => self.unproven.pop_front(),
+                None if unresponsive_allowed => self.unresponsive_queue.pop_front(),
                 None => None,
             };
             let Some(key) = key else { break };
             let Some(host) = self.hosts.get_mut(&key) else {
                 continue;
             };
-            // Heard while it waited, it stands in both queues.
-            let Phase::Waiting(since) = host.phase else {
+            // A host that was heard while it was queued is in both queues.
+            let Phase::Queued(since) = host.phase else {
                 continue;
             };
-            self.waits.saturating_record((now - since).0.max(1));
-            let unproven = !host.proven;
-            host.phase = Phase::UnderWay { unproven };
-            self.under_way += 1;
-            self.under_way_unproven += usize::from(unproven);
-            turns.push(key);
+            self.wait_times.saturating_record((now - since).0.max(1));
+            let unresponsive = !host.responsive;
+            host.phase = Phase::InFlight { unresponsive };
+            self.in_flight += 1;
+            self.in_flight_unresponsive += usize::from(unresponsive);
+            dispatched.push(key);
         }
-        turns
+        dispatched
     }
 }
--- a/crates/jasperhill-connections/src/plan.rs
+++ b/crates/jasperhill-connections/src/plan.rs
@@ -1,32 +1,45 @@
-//! How a process's sockets are divided: what each class is guaranteed, and how many there are in
-//! all. Derived from the platform's limit and the number of machines seen, nothing else.
+//! The division of a process's connections among their classes: how many each class is guaranteed
+//! and how many may be open in total.
+//!
+//! A [`BudgetPlan`] is a pure function of the platform's connection limit, the number of peers and
+//! the number of known machines. It holds no state; the owner of a plan replaces it when one of
+//! these inputs changes.
 
 use enum_map::{Enum, EnumMap, enum_map};
 
-/// What a connection is for.
+/// The least connection limit that a plan assumes, so that each class has at least one.
+pub const MAX_CONNECTIONS_FLOOR: usize = 16;
+/// The least total that a plan grants: three quarters of [`MAX_CONNECTIONS_FLOOR`].
+const LIMIT_FLOOR: usize = 12;
+/// Guarantees of the peer classes grow with the number of peers up to this many, the largest
+/// control plane that is planned for.
+const PLANNED_PEERS_MAX: usize = 8;
+
+/// The purpose of a connection. The budget guarantees connections by class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Enum)]
 pub enum Class {
-    /// To the state service.
+    /// Outbound, to the key-value store.
     State,
-    /// To the cloud.
+    /// Outbound, to the cloud provider.
     Cloud,
-    /// To other controllers.
+    /// Outbound, to other controllers.
     Peers,
-    /// To workers.
+    /// Outbound, to workers (commands).
     Commands,
-    /// Accepted, and nothing was said on it yet.
+    /// Inbound, before the first request shows its purpose.
     Accepted,
-    /// From whoever asks whether this controller is ready.
+    /// Inbound, from readiness and health probes.
     Health,
-    /// From other controllers.
+    /// Inbound, from other controllers.
     Mesh,
-    /// From workers.
+    /// Inbound, from workers (heartbeats).
     Heartbeats,
-    /// From users.
+    /// Inbound, from users of the API.
     Users,
 }
 
 impl Class {
+    /// Every class, in order of declaration.
     pub const ALL: [Self; 9] = [
         Self::State,
         Self::Cloud,
@@ -39,7 +52,7 @@
         Self::Users,
     ];
 
-    /// As it stands in the log and in the answer to `/ready`.
+    /// The name of the class in log lines and in the response of `/ready`, which fixes these strings.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::State => "state",
@@ -55,64 +68,69 @@
     }
 }
 
-/// What a plan is made of.
+/// The inputs of [`BudgetPlan::new`], all counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanInputs {
-    /// What the platform allows the process, as its settings say.
-    pub most: usize,
-    /// Other controllers.
+    /// The connections that the platform allows the process, from its settings. Values below
+    /// [`MAX_CONNECTIONS_FLOOR`] are raised to it.
+    pub max_connections: usize,
+    /// Other controllers of the cluster.
     pub peers: usize,
-    /// Machines that are known; all of them may come here.
+    /// Known machines. Each may hold a heartbeat connection to this process.
     pub machines: usize,
 }
 
-/// Numbers of sockets.
+/// Limits on the connections of one process, all counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BudgetPlan {
-    /// What the platform allows.
-    pub most: usize,
-    /// In all, for what is counted here.
-    pub bound: usize,
-    /// Beyond this, connections of users are closed with their answers.
-    pub soft: usize,
+    /// The connections that the platform allows the process.
+    pub max_connections: usize,
+    /// The most connections that the budget grants; the rest of `max_connections` is headroom.
+    pub limit: usize,
+    /// Above this many open connections, those without a guarantee are closed after their
+    /// response instead of being kept alive.
+    pub keep_alive_limit: usize,
+    /// The connections that each class may hold whatever the others do.
     pub guaranteed: EnumMap<Class, usize>,
 }
 
 impl BudgetPlan {
-    /// A quarter of the platform's limit stays free: for connections that the kernel still closes,
-    /// and those that the account has never heard of.
-    pub fn new(sizes: PlanInputs) -> Self {
-        let most = sizes.most.max(16);
-        let bound = (most * 3 / 4).max(12);
-        // Parts of the bound, so that a small limit is divided in the same way as a large one.
-        let part = |of: usize, least: usize, top: usize| (bound / of).clamp(least, top);
-        let mut floors = enum_map! {
-            Class::State => part(100, 3, 12),
-            Class::Cloud => part(400, 1, 4),
-            Class::Peers | Class::Mesh => part(60, 1, 16) * sizes.peers.clamp(1, 8),
-            Class::Commands => part(20, 1, 128),
-            Class::Accepted => part(30, 1, 64),
-            Class::Health => part(300, 1, 8),
-            Class::Users => part(12, 1, 4_096),
+    /// Derives the plan. A quarter of the platform's limit is headroom, for connections that the
+    /// kernel is still closing and for those that the budget does not track.
+    pub fn new(inputs: PlanInputs) -> Self {
+        let max_connections = inputs.max_connections.max(MAX_CONNECTIONS_FLOOR);
+        let limit = (max_connections * 3 / 4).max(LIMIT_FLOOR);
+        // Fractions of the limit, so that a small limit is divided in the same way as a large one.
+        let fraction = |divisor: usize, min: usize, max: usize| (limit / divisor).clamp(min, max);
+        let mut guaranteed = enum_map! {
+            Class::State => fraction(100, 3, 12),
+            Class::Cloud => fraction(400, 1, 4),
+            Class::Peers | Class::Mesh => fraction(60, 1, 16) * inputs.peers.clamp(1, PLANNED_PEERS_MAX),
+            Class::Commands => fraction(20, 1, 128),
+            Class::Accepted => fraction(30, 1, 64),
+            Class::Health => fraction(300, 1, 8),
+            Class::Users => fraction(12, 1, 4_096),
             Class::Heartbeats => 0,
         };
-        // As many as there are machines, as far as the others leave it.
-        let others: usize = floors.values().sum();
-        let workers = sizes.machines + sizes.machines / 20 + 1;
-        floors[Class::Heartbeats] = workers.min(bound.saturating_sub(others)).max(1);
-        // A limit of a few dozen: nobody is guaranteed more than there is.
-        while floors.values().sum::<usize>() > bound {
-            let most = Class::ALL.into_iter().max_by_key(|c| floors[*c]);
-            match most.filter(|c| floors[*c] > 1) {
-                Some(class) => floors[class] -= 1,
+        // One for each machine and 5 % more for replacements, as far as the other classes leave it.
+        let others: usize = guaranteed.values().sum();
+        let workers = inputs.machines + inputs.machines / 20 + 1;
+        guaranteed[Class::Heartbeats] = workers.min(limit.saturating_sub(others)).max(1);
+        // With a limit of a few dozen the sum may exceed it: the largest guarantees shrink first.
+        while guaranteed.values().sum::<usize>() > limit {
+            let largest = Class::ALL
+                .into_iter()
+                .max_by_key(|class| guaranteed[*class]);
+            match largest.filter(|class| guaranteed[*class] > 1) {
+                Some(class) => guaranteed[class] -= 1,
                 None => break,
             }
         }
         Self {
-            most,
-            bound,
-            soft: bound * 23 / 25,
-            guaranteed: floors,
+            max_connections,
+            limit,
+            keep_alive_limit: limit * 23 / 25,
+            guaranteed,
         }
     }
 }
--- a/crates/jasperhill-connections/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Generated histories: whatever comes in whatever order, the account keeps to its bound and its
-//! floors, and the window to its size.
+//! Generated histories: in any order of events the connection budget stays within its limit and
+//! honours its guarantees, and the concurrency limiter stays within its size.
 
 use jasperhill_connections::{
     BudgetPlan, Class, ConcurrencyLimiter, ConnectionBudget, ConnectionId, Input, Output,
@@ -23,9 +23,10 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Open(usize),
-    /// The oldest but so many begins, ends, or is closed.
-    Begin(usize, usize),
-    End(usize),
+    /// On the connection at this index (modulo their number) a request starts or finishes, or it is
+    /// closed.
+    StartRequest(usize, usize),
+    FinishRequest(usize),
     Close(usize),
     Wait(u64),
     Machines(usize),
@@ -34,8 +35,8 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..9usize).prop_map(Step::Open),
-        6 => (0..200usize, 5..9usize).prop_map(|(n, c)| Step::Begin(n, c)),
-        8 => (0..200usize).prop_map(Step::End),
+        6 => (0..200usize, 5..9usize).prop_map(|(n, c)| Step::StartRequest(n, c)),
+        8 => (0..200usize).prop_map(Step::FinishRequest),
         2 => (0..200usize).prop_map(Step::Close),
         2 => (1..20_000u64).prop_map(Step::Wait),
         1 => (0..400usize).prop_map(Step::Machines),
@@ -43,14 +44,14 @@
     prop::collection::vec(step, 1..600)
 }
 
-/// Plays a history. Whoever is told to make way is closed at once, as the process does.
-fn play(most: usize, steps: &[Step]) -> Result<(), TestCaseError> {
-    let sizes = |machines| PlanInputs {
-        most,
+/// Replays a history. An evicted connection is closed at once, as in the process.
+fn play(max_connections: usize, steps: &[Step]) -> Result<(), TestCaseError> {
+    let inputs = |machines| PlanInputs {
+        max_connections,
         peers: 2,
         machines,
     };
-    let mut account = ConnectionBudget::new(BudgetPlan::new(sizes(100)), Micros::from_secs(12));
+    let mut budget = ConnectionBudget::new(BudgetPlan::new(inputs(100)), Micros::from_secs(12));
     let mut now = START;
     let mut open: Vec<(ConnectionId, Class, bool)> = Vec::new();
     for step in steps {
@@ -61,66 +62,66 @@
             Step::Open(c) => {
                 let class = Class::ALL[c];
                 let of = |c: Class| open.iter().filter(|(_, x, _)| *x == c).count();
-                let guaranteed = of(class) < account.plan().guaranteed[class];
-                let full = account.open() >= account.plan().bound;
-                match account.apply(Input::Open(class), now) {
-                    Output::Granted(key, gone) => {
-                        prop_assert!(gone.is_none() || full, "made way for nothing");
-                        if let Some(gone) = gone {
-                            let n = open.iter().position(|(k, ..)| *k == gone);
+                let guaranteed = of(class) < budget.plan().guaranteed[class];
+                let full = budget.open() >= budget.plan().limit;
+                match budget.apply(Input::Open(class), now) {
+                    Output::Granted(key, evicted) => {
+                        prop_assert!(evicted.is_none() || full, "evicted without need");
+                        if let Some(evicted) = evicted {
+                            let n = open.iter().position(|(k, ..)| *k == evicted);
                             let (_, class, idle) = open.remove(n.expect("it was open"));
                             prop_assert!(idle && class != Class::State && class != Class::Cloud);
-                            account.apply(Input::Closed(gone), now);
+                            budget.apply(Input::Closed(evicted), now);
                         }
                         open.push((key, class, false));
                     }
                     Output::Refused => {
                         prop_assert!(!guaranteed || full, "{class:?} was guaranteed more");
-                        prop_assert!(class != Class::State || account.open() + 4 >= most);
+                        prop_assert!(class != Class::State || budget.open() + 4 >= max_connections);
                     }
                     other => prop_assert!(false, "{other:?}"),
                 }
             }
-            Step::Begin(n, c) => {
+            Step::StartRequest(n, c) => {
                 let Some(n) = pick(n, &open) else { continue };
-                let (key, was, _) = open[n];
-                // Only what was accepted finds out what it is for.
-                let class = match was {
+                let (key, previous, _) = open[n];
+                // Only the class of an accepted connection is unknown before its first request.
+                let class = match previous {
                     Class::Accepted => Class::ALL[c],
-                    was => was,
+                    previous => previous,
                 };
-                let out = account.apply(Input::RequestStarted(key, class), now);
-                prop_assert!(out == Output::Proceed || class == Class::Users);
+                let output = budget.apply(Input::RequestStarted(key, class), now);
+                prop_assert!(output == Output::Proceed || class == Class::Users);
                 open[n] = (key, class, false);
             }
-            Step::End(n) => {
+            Step::FinishRequest(n) => {
                 let Some(n) = pick(n, &open) else { continue };
                 let (key, class, _) = open[n];
-                if account.apply(Input::RequestFinished(key), now) == Output::KeepAlive {
+                if budget.apply(Input::RequestFinished(key), now) == Output::KeepAlive {
                     open[n] = (key, class, true);
                 } else {
-                    prop_assert!(account.open() > account.plan().soft);
+                    prop_assert!(budget.open() > budget.plan().keep_alive_limit);
                     prop_assert!(class != Class::State);
-                    account.apply(Input::Closed(key), now);
+                    budget.apply(Input::Closed(key), now);
                     open.swap_remove(n);
                 }
             }
             Step::Close(n) => {
                 let Some(n) = pick(n, &open) else { continue };
                 let (key, ..) = open.swap_remove(n);
-                account.apply(Input::Closed(key), now);
-                // Told twice, it changes nothing.
-                account.apply(Input::Closed(key), now);
+                budget.apply(Input::Closed(key), now);
+                // Reported twice, it has no effect.
+                budget.apply(Input::Closed(key), now);
             }
             Step::Wait(ms) => now += Micros::from_millis(ms),
-            Step::Machines(n) => account.resize(BudgetPlan::new(sizes(n))),
+            Step::Machines(n) => budget.replace_plan(BudgetPlan::new(inputs(n))),
         }
-        let counted: usize = Class::ALL.iter().map(|c| account.report(*c).open).sum();
+        let counted: usize = Class::ALL.iter().map(|c| budget.usage(*c).open).sum();
         prop_assert_eq!(counted, open.len());
-        prop_assert_eq!(account.open(), open.len());
-        let state = account.report(Class::State).open;
-        prop_assert!(account.open() <= account.plan().bound + state);
-        prop_assert!(account.open() < most);
+        prop_assert_eq!(budget.open(), open.len());
+        let state = budget.usage(Class::State).open;
+        prop_assert!(budget.open() <= budget.plan().limit + state);
+        prop_assert!(budget.open() < max_connections);
     }
     Ok(())
 }
@@ -129,124 +130,128 @@
     #![proptest_config(config(200))]
 
     #[test]
-    fn the_account_keeps_to_its_bound_and_its_floors(most in 16..400usize, steps in steps()) {
-        play(most, &steps)?;
+    fn the_budget_stays_within_its_limit_and_honours_guarantees(max_connections in 16..400usize, steps in steps()) {
+        play(max_connections, &steps)?;
     }
 
-    /// Floors fit within the bound, whatever the limit and the number of machines.
+    /// Guarantees fit within the limit, whatever the platform allows and the number of machines.
     #[test]
-    fn what_is_guaranteed_is_there(most in 16..100_000usize, peers in 0..10usize, machines in 0..50_000usize) {
-        let plan = BudgetPlan::new(PlanInputs { most, peers, machines });
+    fn guarantees_fit_within_the_limit(max_connections in 16..100_000usize, peers in 0..10usize, machines in 0..50_000usize) {
+        let plan = BudgetPlan::new(PlanInputs { max_connections, peers, machines });
         let all: usize = plan.guaranteed.values().sum();
-        prop_assert!(all <= plan.bound, "{plan:?}");
-        prop_assert!(plan.bound * 5 <= most * 4);
+        prop_assert!(all <= plan.limit, "{plan:?}");
+        prop_assert!(plan.limit * 5 <= max_connections * 4);
         prop_assert!(plan.guaranteed.values().all(|n| *n > 0));
     }
 
-    /// Hosts that answer, or don't, or are heard by other ways, wanted at any time.
+    /// Hosts that respond, or don't, or are heard by other ways; requests at any time.
     #[test]
-    fn the_window_keeps_to_its_size_and_forgets_nobody(
+    fn the_limiter_stays_within_its_size_and_drops_no_request(
         size in 2..12usize,
         dead in prop::collection::btree_set(0..40u32, 0..30),
         steps in prop::collection::vec((0..40u32, 0..4u8, 1..400u64), 1..500),
     ) {
-        let mut window = ConcurrencyLimiter::new(size);
+        let mut limiter = ConcurrencyLimiter::new(size);
         let mut now = START;
-        let mut under_way: Vec<u32> = Vec::new();
+        let mut in_flight: Vec<u32> = Vec::new();
         let mut failed_at: BTreeMap<u32, Micros> = BTreeMap::new();
         let mut sent: BTreeSet<u32> = BTreeSet::new();
-        let mut wanted: BTreeSet<u32> = BTreeSet::new();
-        for (host, what, ms) in steps {
-            let turns = match what {
+        let mut requested: BTreeSet<u32> = BTreeSet::new();
+        for (host, event, ms) in steps {
+            let dispatched = match event {
                 0 | 1 => {
-                    wanted.insert(host);
-                    window.apply(limiter::Input::Enqueue(host), now)
+                    requested.insert(host);
+                    limiter.apply(limiter::Input::Enqueue(host), now)
                 }
-                2 if !under_way.is_empty() => {
-                    let host = under_way.remove(host as usize % under_way.len());
+                2 if !in_flight.is_empty() => {
+                    let host = in_flight.remove(host as usize % in_flight.len());
                     let answered = !dead.contains(&host);
                     if !answered {
                         failed_at.insert(host, now);
                     }
-                    window.apply(limiter::Input::Completed(host, Some(answered)), now)
+                    limiter.apply(limiter::Input::Completed(host, Some(answered)), now)
                 }
                 3 => {
                     failed_at.remove(&host);
-                    window.apply(limiter::Input::Heard(host), now)
+                    limiter.apply(limiter::Input::Heard(host), now)
                 }
-                _ => window.apply(limiter::Input::Tick, now),
+                _ => limiter.apply(limiter::Input::Tick, now),
             };
-            for host in turns {
-                prop_assert!(!under_way.contains(&host), "one request at a time");
+            for host in dispatched {
+                prop_assert!(!in_flight.contains(&host), "one request at a time");
                 if let Some(at) = failed_at.get(&host) {
-                    prop_assert!(now - *at >= Micros::from_millis(900), "{host} was not left alone");
+                    prop_assert!(now - *at >= Micros::from_millis(900), "{host} was not given its back-off");
                 }
                 sent.insert(host);
-                under_way.push(host);
+                in_flight.push(host);
             }
-            prop_assert!(under_way.len() <= size);
-            prop_assert_eq!(window.in_flight(), under_way.len());
+            prop_assert!(in_flight.len() <= size);
+            prop_assert_eq!(limiter.in_flight(), in_flight.len());
             now += Micros::from_millis(ms);
         }
-        // What was wanted goes out once there is room, whoever is dead.
+        // Every request is sent once a slot is free, whichever hosts are dead.
         for _ in 0..400 {
             now += Micros::from_millis(500);
-            for host in std::mem::take(&mut under_way) {
+            for host in std::mem::take(&mut in_flight) {
                 let answered = !dead.contains(&host);
-                under_way.extend(window.apply(limiter::Input::Completed(host, Some(answered)), now));
+                in_flight.extend(limiter.apply(limiter::Input::Completed(host, Some(answered)), now));
             }
-            under_way.extend(window.apply(limiter::Input::Tick, now));
-            sent.extend(&under_way);
+            in_flight.extend(limiter.apply(limiter::Input::Tick, now));
+            sent.extend(&in_flight);
         }
-        prop_assert!(wanted.is_subset(&sent), "{wanted:?} {sent:?}");
-        prop_assert_eq!(window.waiting(), 0);
+        prop_assert!(requested.is_subset(&sent), "{requested:?} {sent:?}");
+        prop_assert_eq!(limiter.queued(), 0);
     }
 }
 
-/// A takeover with a third of 900 hosts dead, each of which holds its place for 1.5 s: the living
-/// ones are asked, or have reported and go ahead, within a report's time, and orders to those that
-/// answer don't wait at all.
+/// A failover with a third of 900 hosts dead, each of which occupies its slot for 1.5 s: the live
+/// ones respond within a heartbeat interval, and commands to responsive hosts are never queued.
 #[test]
-fn dead_hosts_do_not_keep_living_ones_waiting() {
-    const REPORT: u64 = 5_000;
+fn dead_hosts_do_not_delay_live_ones() {
+    const HEARTBEAT_INTERVAL: u64 = 5_000;
     let is_dead = |host: u32| host.is_multiple_of(3);
-    let mut window = ConcurrencyLimiter::new(64);
+    let mut limiter = ConcurrencyLimiter::new(64);
     let mut busy: Vec<(u64, u32)> = Vec::new();
     let mut answered = BTreeSet::new();
-    let (mut whole, mut orders, mut waited) = (None, 0, 0);
+    let (mut all_responded_ms, mut commands, mut queued) = (None, 0, 0);
     for ms in 0..20_000u64 {
         let now = START + Micros::from_millis(ms);
-        let (over, on): (Vec<_>, Vec<_>) = busy.into_iter().partition(|(at, _)| *at <= ms);
-        busy = on;
-        let mut turns = Vec::new();
+        let (completed, remaining): (Vec<_>, Vec<_>) =
+            busy.into_iter().partition(|(at, _)| *at <= ms);
+        busy = remaining;
+        let mut dispatched = Vec::new();
         for host in 0..900 {
             if ms == 0 {
-                turns.extend(window.apply(limiter::Input::Enqueue(host), now));
+                dispatched.extend(limiter.apply(limiter::Input::Enqueue(host), now));
             }
-            if !is_dead(host) && ms % REPORT == u64::from(host) * 7 % REPORT {
-                turns.extend(window.apply(limiter::Input::Heard(host), now));
+            if !is_dead(host) && ms % HEARTBEAT_INTERVAL == u64::from(host) * 7 % HEARTBEAT_INTERVAL
+            {
+                dispatched.extend(limiter.apply(limiter::Input::Heard(host), now));
             }
         }
-        for (_, host) in over {
-            let fine = !is_dead(host);
-            if fine {
+        for (_, host) in completed {
+            let responded = !is_dead(host);
+            if responded {
                 answered.insert(host);
             }
-            turns.extend(window.apply(limiter::Input::Completed(host, Some(fine)), now));
+            dispatched.extend(limiter.apply(limiter::Input::Completed(host, Some(responded)), now));
         }
         if answered.len() == 600 {
-            whole.get_or_insert(ms);
+            all_responded_ms.get_or_insert(ms);
         }
         if ms % 100 == 0 && answered.contains(&1) {
-            let now_or_later = window.apply(limiter::Input::Enqueue(1), now);
-            orders += 1;
-            waited += usize::from(!now_or_later.contains(&1));
-            turns.extend(now_or_later);
+            let dispatched_now = limiter.apply(limiter::Input::Enqueue(1), now);
+            commands += 1;
+            queued += usize::from(!dispatched_now.contains(&1));
+            dispatched.extend(dispatched_now);
         }
-        for host in turns {
+        for host in dispatched {
             busy.push((ms + if is_dead(host) { 1_500 } else { 4 }, host));
         }
     }
-    assert!(whole.is_some_and(|ms| ms <= REPORT + 50), "{whole:?}");
-    assert!(orders > 100 && waited == 0, "{waited} of {orders}");
+    assert!(
+        all_responded_ms.is_some_and(|ms| ms <= HEARTBEAT_INTERVAL + 50),
+        "{all_responded_ms:?}"
+    );
+    assert!(commands > 100 && queued == 0, "{queued} of {commands}");
 }
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -52,7 +52,7 @@
         let connections = self.transport.connection_tracker();
         let machines = self.state.borrow().cache.hosts.len();
         connections.resize(machines);
-        let size = connections.report(Class::Commands).guaranteed;
+        let size = connections.usage(Class::Commands).guaranteed;
         let now = self.now();
         let ready_hosts = {
             let limiter = &mut self.state.borrow_mut().commands.limiter;
@@ -67,7 +67,7 @@
         let (open, ..) = connections.totals();
         for class in Class::ALL {
             let name = class.as_str();
-            let report = connections.report(class);
+            let report = connections.usage(class);
             match (before.contains(&name), after.contains(&name)) {
                 (false, true) => tracing::warn!(
                     class = name,
@@ -88,7 +88,7 @@
         let connections = self.transport.connection_tracker();
         let (open, peak, limit) = connections.totals();
         let [heartbeats, users, commands] = [Class::Heartbeats, Class::Users, Class::Commands]
-            .map(|class| connections.report(class));
+            .map(|class| connections.usage(class));
         let mut state = self.state.borrow_mut();
         let limiter = &mut state.commands.limiter;
         tracing::info!(
@@ -99,11 +99,11 @@
             users = users.open,
             commands = commands.open,
             users_evicted = users.evicted,
-            commands_waiting = limiter.waiting(),
-            command_wait_ms = limiter.waited(LOGGED_QUANTILE).0 / 1_000,
+            commands_waiting = limiter.queued(),
+            command_wait_ms = limiter.wait_time_quantile(LOGGED_QUANTILE).0 / 1_000,
             "sockets"
         );
-        limiter.forget_waits();
+        limiter.reset_wait_times();
     }
 
     /// Logs the class or team of whose jobs the smallest share has begun here.
--- a/crates/jasperhill-controller/src/state.rs
+++ b/crates/jasperhill-controller/src/state.rs
@@ -66,7 +66,7 @@
     /// That of a process that has just started.
     pub fn new(settings: &Settings, clock: &Clock, transport: &dyn Transport) -> Self {
         let now = clock.now();
-        let command_connections = transport.connection_tracker().report(Class::Commands);
+        let command_connections = transport.connection_tracker().usage(Class::Commands);
         Self {
             authority: Authority::new(settings.session(), settings.cache_age_max()),
             cache: WatchCache::default(),
--- a/crates/jasperhill-controller/src/transport.rs
+++ b/crates/jasperhill-controller/src/transport.rs
@@ -26,7 +26,7 @@
 /// The connection budget of a controller, before any machine is known.
 pub fn new_connection_tracker(settings: &Settings) -> ConnectionTracker {
     let inputs = PlanInputs {
-        most: settings.max_connections,
+        max_connections: settings.max_connections,
         peers: settings.peers.len(),
         machines: 0,
     };
--- a/crates/jasperhill-http/src/connections.rs
+++ b/crates/jasperhill-http/src/connections.rs
@@ -71,18 +71,25 @@
         let mut sizes = self.0.sizes.borrow_mut();
         if sizes.machines != machines {
             sizes.machines = machines;
-            self.0.account.borrow_mut().resize(BudgetPlan::new(*sizes));
+            self.0
+                .account
+                .borrow_mut()
+                .replace_plan(BudgetPlan::new(*sizes));
         }
     }
 
-    pub fn report(&self, class: Class) -> ClassUsage {
-        self.0.account.borrow().report(class)
+    pub fn usage(&self, class: Class) -> ClassUsage {
+        self.0.account.borrow().usage(class)
     }
 
     /// All open ones, the most at a time, and the platform's limit.
     pub fn totals(&self) -> (usize, usize, usize) {
         let account = self.0.account.borrow();
-        (account.open(), account.peak(), account.plan().most)
+        (
+            account.open(),
+            account.peak(),
+            account.plan().max_connections,
+        )
     }
 
     /// The classes in which somebody was refused within this time.
@@ -90,7 +97,7 @@
         let now = self.now();
         let within = Micros(within.as_micros().try_into().unwrap_or(u64::MAX));
         let lately = |c: &Class| {
-            let last = self.report(*c).last_refused;
+            let last = self.usage(*c).last_refused;
             last.is_some_and(|t| now - t < within)
         };
         Class::ALL.into_iter().filter(lately).collect()
--- a/crates/jasperhill-http/tests/loopback.rs
+++ b/crates/jasperhill-http/tests/loopback.rs
@@ -12,17 +12,19 @@
     task::{LocalSet, spawn_local},
 };
 
-fn sockets(most: usize) -> ConnectionTracker {
-    let sizes = PlanInputs {
-        most,
+fn connection_tracker(max_connections: usize) -> ConnectionTracker {
+    let inputs = PlanInputs {
+        max_connections,
         peers: 2,
         machines: 4,
     };
-    ConnectionTracker::new(sizes, Duration::from_secs(15))
+    ConnectionTracker::new(inputs, Duration::from_secs(15))
 }
 
 fn client() -> Client {
-    Client::new(ClientLimits::default(), sockets(1_000), |_| Class::Commands)
+    Client::new(ClientLimits::default(), connection_tracker(1_000), |_| {
+        Class::Commands
+    })
 }
 
 fn class_of(request: &Request) -> Class {
@@ -34,7 +36,7 @@
 }
 
 fn with_server<F: Future<Output = ()>>(
-    most: usize,
+    max_connections: usize,
     limits: ServerLimits,
     test: impl FnOnce(SocketAddr) -> F,
 ) {
@@ -46,7 +48,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let door = Door {
-            sockets: sockets(most),
+            sockets: connection_tracker(max_connections),
             class_of,
             entry: Class::Accepted,
         };
@@ -158,7 +160,7 @@
             body: 5,
             ..ClientLimits::default()
         };
-        let client = Client::new(limits, sockets(1_000), |_| Class::State);
+        let client = Client::new(limits, connection_tracker(1_000), |_| Class::State);
         let ask = |path: &str| Request::new(Method::Get, path, Vec::new());
         let limit = Duration::from_secs(5);
         let fits = client.call(address, &ask("/ab"), limit).await;
@@ -172,7 +174,7 @@
 #[test]
 fn no_socket_is_told_from_no_connection() {
     with_server(1_000, ServerLimits::default(), |address| async move {
-        let own = sockets(20);
+        let own = connection_tracker(20);
         let held: Vec<_> = (0..20).map_while(|_| own.open(Class::Commands)).collect();
         assert!(!held.is_empty());
         let client = |class| Client::new(ClientLimits::default(), own.clone(), move |_| class);
--- a/crates/jasperhill-testkit/src/cluster/mod.rs
+++ b/crates/jasperhill-testkit/src/cluster/mod.rs
@@ -134,7 +134,7 @@
         let platform = SocketLimit::new(self.plan.sockets);
         let own = if self.plan.without_connection_budget {
             let sizes = PlanInputs {
-                most: 1_000_000,
+                max_connections: 1_000_000,
                 peers: NODES - 1,
                 machines: 0,
             };
