--- a/crates/jasperhill-connections/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -44,84 +44,162 @@
     prop::collection::vec(step, 1..600)
 }
 
-/// Replays a history. An evicted connection is closed at once, as in the process.
-fn play(max_connections: usize, steps: &[Step]) -> Result<(), TestCaseError> {
-    let inputs = |machines| PlanInputs {
+/// A connection that the history has open.
+#[derive(Clone, Copy, Debug)]
+struct OpenConnection {
+    id: ConnectionId,
+    class: Class,
+    is_idle: bool,
+}
+
+/// A budget under test, and what the history expects it to hold.
+struct History {
+    budget: ConnectionBudget,
+    open: Vec<OpenConnection>,
+    now: Micros,
+    max_connections: usize,
+}
+
+fn plan(max_connections: usize, machines: usize) -> BudgetPlan {
+    BudgetPlan::new(PlanInputs {
         max_connections,
         peers: 2,
         machines,
-    };
-    let mut budget = ConnectionBudget::new(BudgetPlan::new(inputs(100)), Micros::from_secs(12));
-    let mut now = START;
-    let mut open: Vec<(ConnectionId, Class, bool)> = Vec::new();
-    for step in steps {
-        let pick = |n: usize, open: &[(ConnectionId, Class, bool)]| {
-            (!open.is_empty()).then(|| n % open.len())
-        };
-        match *step {
-            Step::Open(c) => {
-                let class = Class::ALL[c];
-                let of = |c: Class| open.iter().filter(|(_, x, _)| *x == c).count();
-                let guaranteed = of(class) < budget.plan().guaranteed[class];
-                let full = budget.open() >= budget.plan().limit;
-                match budget.apply(Input::Open(class), now) {
-                    Output::Granted(key, evicted) => {
-                        prop_assert!(evicted.is_none() || full, "evicted without need");
-                        if let Some(evicted) = evicted {
-                            let n = open.iter().position(|(k, ..)| *k == evicted);
-                            let (_, class, idle) = open.remove(n.expect("it was open"));
-                            prop_assert!(idle && class != Class::State && class != Class::Cloud);
-                            budget.apply(Input::Closed(evicted), now);
-                        }
-                        open.push((key, class, false));
-                    }
-                    Output::Refused => {
-                        prop_assert!(!guaranteed || full, "{class:?} was guaranteed more");
-                        prop_assert!(class != Class::State || budget.open() + 4 >= max_connections);
-                    }
-                    other => prop_assert!(false, "{other:?}"),
-                }
-            }
-            Step::StartRequest(n, c) => {
-                let Some(n) = pick(n, &open) else { continue };
-                let (key, previous, _) = open[n];
-                // Only the class of an accepted connection is unknown before its first request.
-                let class = match previous {
-                    Class::Accepted => Class::ALL[c],
-                    previous => previous,
-                };
-                let output = budget.apply(Input::RequestStarted(key, class), now);
-                prop_assert!(output == Output::Proceed || class == Class::Users);
-                open[n] = (key, class, false);
-            }
-            Step::FinishRequest(n) => {
-                let Some(n) = pick(n, &open) else { continue };
-                let (key, class, _) = open[n];
-                if budget.apply(Input::RequestFinished(key), now) == Output::KeepAlive {
-                    open[n] = (key, class, true);
-                } else {
-                    prop_assert!(budget.open() > budget.plan().keep_alive_limit);
-                    prop_assert!(class != Class::State);
-                    budget.apply(Input::Closed(key), now);
-                    open.swap_remove(n);
+    })
+}
+
+impl History {
+    fn new(max_connections: usize) -> Self {
+        Self {
+            budget: ConnectionBudget::new(plan(max_connections, 100), Micros::from_secs(12)),
+            open: Vec::new(),
+            now: START,
+            max_connections,
+        }
+    }
+
+    /// The open connection at this index modulo their number.
+    fn pick(&self, index: usize) -> Option<usize> {
+        (!self.open.is_empty()).then(|| index % self.open.len())
+    }
+
+    fn apply(&mut self, input: Input) -> Output {
+        self.budget.apply(input, self.now)
+    }
+
+    fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
+        match step {
+            Step::Open(class) => self.open_connection(Class::ALL[class])?,
+            Step::StartRequest(index, class) => self.start_request(index, Class::ALL[class])?,
+            Step::FinishRequest(index) => self.finish_request(index)?,
+            Step::Close(index) => self.close(index),
+            Step::Wait(ms) => self.now += Micros::from_millis(ms),
+            Step::Machines(machines) => self
+                .budget
+                .replace_plan(plan(self.max_connections, machines)),
+        }
+        Ok(())
+    }
+
+    fn open_connection(&mut self, class: Class) -> Result<(), TestCaseError> {
+        let open_of_class = self.open.iter().filter(|c| c.class == class).count();
+        let guaranteed = open_of_class < self.budget.plan().guaranteed[class];
+        let full = self.budget.open() >= self.budget.plan().limit;
+        match self.apply(Input::Open(class)) {
+            Output::Granted(id, evicted) => {
+                prop_assert!(evicted.is_none() || full, "evicted without need");
+                if let Some(evicted) = evicted {
+                    self.close_evicted(evicted)?;
                 }
+                self.open.push(OpenConnection {
+                    id,
+                    class,
+                    is_idle: false,
+                });
             }
-            Step::Close(n) => {
-                let Some(n) = pick(n, &open) else { continue };
-                let (key, ..) = open.swap_remove(n);
-                budget.apply(Input::Closed(key), now);
-                // Reported twice, it has no effect.
-                budget.apply(Input::Closed(key), now);
+            Output::Refused => {
+                prop_assert!(!guaranteed || full, "{class:?} was guaranteed more");
+                prop_assert!(
+                    class != Class::State || self.budget.open() + 4 >= self.max_connections
+                );
             }
-            Step::Wait(ms) => now += Micros::from_millis(ms),
-            Step::Machines(n) => budget.replace_plan(BudgetPlan::new(inputs(n))),
+            other => prop_assert!(false, "{other:?}"),
+        }
+        Ok(())
+    }
+
+    fn close_evicted(&mut self, evicted: ConnectionId) -> Result<(), TestCaseError> {
+        let index = self.open.iter().position(|c| c.id == evicted);
+        let OpenConnection { class, is_idle, .. } = self.open.remove(index.expect("it was open"));
+        prop_assert!(is_idle && class != Class::State && class != Class::Cloud);
+        self.apply(Input::Closed(evicted));
+        Ok(())
+    }
+
+    fn start_request(&mut self, index: usize, wanted: Class) -> Result<(), TestCaseError> {
+        let Some(index) = self.pick(index) else {
+            return Ok(());
+        };
+        let OpenConnection { id, class, .. } = self.open[index];
+        // Only the class of an accepted connection is unknown before its first request.
+        let class = match class {
+            Class::Accepted => wanted,
+            known => known,
+        };
+        let output = self.apply(Input::RequestStarted(id, class));
+        prop_assert!(output == Output::Proceed || class == Class::Users);
+        self.open[index] = OpenConnection {
+            id,
+            class,
+            is_idle: false,
+        };
+        Ok(())
+    }
+
+    fn finish_request(&mut self, index: usize) -> Result<(), TestCaseError> {
+        let Some(index) = self.pick(index) else {
+            return Ok(());
+        };
+        let OpenConnection { id, class, .. } = self.open[index];
+        if self.apply(Input::RequestFinished(id)) == Output::KeepAlive {
+            self.open[index].is_idle = true;
+        } else {
+            prop_assert!(self.budget.open() > self.budget.plan().keep_alive_limit);
+            prop_assert!(class != Class::State);
+            self.apply(Input::Closed(id));
+            self.open.swap_remove(index);
         }
+        Ok(())
+    }
+
+    fn close(&mut self, index: usize) {
+        let Some(index) = self.pick(index) else {
+            return;
+        };
+        let closed = self.open.swap_remove(index);
+        self.apply(Input::Closed(closed.id));
+        // Reported twice, it has no effect.
+        self.apply(Input::Closed(closed.id));
+    }
+
+    fn check(&self) -> Result<(), TestCaseError> {
+        let budget = &self.budget;
         let counted: usize = Class::ALL.iter().map(|c| budget.usage(*c).open).sum();
-        prop_assert_eq!(counted, open.len());
-        prop_assert_eq!(budget.open(), open.len());
+        prop_assert_eq!(counted, self.open.len());
+        prop_assert_eq!(budget.open(), self.open.len());
         let state = budget.usage(Class::State).open;
         prop_assert!(budget.open() <= budget.plan().limit + state);
-        prop_assert!(budget.open() < max_connections);
+        prop_assert!(budget.open() < self.max_connections);
+        Ok(())
+    }
+}
+
+/// Replays a history. An evicted connection is closed at once, as in the process.
+fn play(max_connections: usize, steps: &[Step]) -> Result<(), TestCaseError> {
+    let mut history = History::new(max_connections);
+    for step in steps {
+        history.step(*step)?;
+        history.check()?;
     }
     Ok(())
 }
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -22,7 +22,10 @@
 impl Shared {
     /// The classes of connections in which one was just refused. Called by `/ready`.
     pub fn at_bound(&self) -> Vec<&'static str> {
-        let at_bound = self.transport.connection_tracker().at_bound(REFUSAL_MEMORY);
+        let at_bound = self
+            .transport
+            .connection_tracker()
+            .recently_refused(REFUSAL_MEMORY);
         at_bound.into_iter().map(Class::as_str).collect()
     }
 
@@ -64,7 +67,7 @@
     /// Logs the classes that have come to their bound, or are below it again.
     fn log_bound_changes(&self, before: &[&'static str], after: &[&'static str]) {
         let connections = self.transport.connection_tracker();
-        let (open, ..) = connections.totals();
+        let open = connections.totals().open;
         for class in Class::ALL {
             let name = class.as_str();
             let report = connections.usage(class);
@@ -86,15 +89,15 @@
     /// Logs how many connections there are, and how long commands wait for theirs.
     fn log_connection_usage(&self) {
         let connections = self.transport.connection_tracker();
-        let (open, peak, limit) = connections.totals();
+        let totals = connections.totals();
         let [heartbeats, users, commands] = [Class::Heartbeats, Class::Users, Class::Commands]
             .map(|class| connections.usage(class));
         let mut state = self.state.borrow_mut();
         let limiter = &mut state.commands.limiter;
         tracing::info!(
-            open,
-            peak,
-            limit,
+            open = totals.open,
+            peak = totals.peak,
+            limit = totals.max_connections,
             heartbeats = heartbeats.open,
             users = users.open,
             commands = commands.open,
--- a/crates/jasperhill-http/src/client.rs
+++ b/crates/jasperhill-http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: keep-alive connections by address, and errors that say whether the request
+//! The HTTP client: pooled keep-alive connections by address, and errors that say whether the request
 //! can have been executed.
 
 use crate::{
@@ -20,16 +20,25 @@
     time::{Instant, timeout_at},
 };
 
-/// Answers are never longer: beyond, they are not read. A watch that has fallen far behind would
-/// else take many times its length in memory at once.
-pub const ANSWER_MAX: usize = 3 * 1024 * 1024;
+/// The most bytes of the body of a response; longer ones are not read. Guards against a watch that
+/// is far behind and would take many times its length in memory at once.
+pub const RESPONSE_BODY_MAX: usize = 3 * 1024 * 1024;
 
+/// Responses with a lower status code are interim.
+const FINAL_STATUS_MIN: u16 = 200;
+/// How often idle connections are checked for expiry.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
+    /// The time to establish a connection.
     pub connect: Duration,
-    /// Idle connections are not used again after this long.
+    /// The time after which an idle connection is not used again.
     pub idle: Duration,
+    /// The most idle connections to one address.
     pub idle_per_address: usize,
+    /// The most bytes of the body of a response.
     pub body: usize,
 }
 
@@ -39,79 +48,84 @@
             connect: Duration::from_millis(1_500),
             idle: Duration::from_secs(20),
             idle_per_address: 4,
-            body: ANSWER_MAX,
+            body: RESPONSE_BODY_MAX,
         }
     }
 }
 
+/// Why a request has no response; says whether it can have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// No connection came about, so the request cannot have been executed, now or later.
+    /// No connection was established: the request has not been executed and will not be.
     #[error("not connected")]
     NotSent,
-    /// No socket was free for it: it was not sent, and says nothing of whom it was for.
+    /// The connection budget refused a connection: the request was not sent, and nothing is known
+    /// about the peer.
     #[error("no socket free")]
     NoSocket,
     /// The request may have been executed, or may still be.
     #[error("no answer")]
     NoAnswer,
-    /// It was executed, and the answer is longer than may be.
+    /// The request was executed, and the response is longer than [`ClientLimits::body`].
     #[error("an answer that is too long")]
     TooLong,
 }
 
 impl ClientError {
-    /// It was surely not executed, and will not be.
+    /// Whether the request has certainly not been executed and will not be.
     pub fn is_unsent(self) -> bool {
         matches!(self, Self::NotSent | Self::NoSocket)
     }
 }
 
-struct Idle {
+/// An idle connection.
+struct IdleConnection {
     stream: TcpStream,
-    ticket: ConnectionPermit,
+    permit: ConnectionPermit,
     since: Instant,
 }
 
-/// Open connections that nothing goes on on.
+/// The idle connections of a client, by address.
 #[derive(Default)]
 struct Pool {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
-    swept: Cell<Option<Instant>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
+    last_sweep: Cell<Option<Instant>>,
 }
 
 impl Pool {
-    fn close(&self, address: SocketAddr, key: ConnectionId) {
+    /// Closes an idle connection that the budget evicts.
+    fn close(&self, address: SocketAddr, id: ConnectionId) {
         let closed = {
             let mut idle = self.idle.borrow_mut();
             let Some(list) = idle.get_mut(&address) else {
                 return;
             };
-            let place = list.iter().position(|i| i.ticket.key() == key);
-            let closed = place.map(|n| list.swap_remove(n));
+            let position = list.iter().position(|idle| idle.permit.id() == id);
+            let closed = position.map(|index| list.swap_remove(index));
             if list.is_empty() {
                 idle.remove(&address);
             }
             closed
         };
-        // Its place in the account is given back only after the pool is whole again.
+        // Dropping the permit changes the budget, which must not happen while the pool is borrowed.
         drop(closed);
     }
 
-    /// Closes what has been idle for too long, once a second. Guards against connections to hosts
-    /// that nothing is sent to any more.
-    fn sweep(&self, limits: &ClientLimits) {
+    /// Closes connections that have been idle for too long, at most once in
+    /// [`EXPIRY_CHECK_INTERVAL`]. Guards against connections to hosts that receive no requests any
+    /// more.
+    fn close_expired(&self, limits: &ClientLimits) {
         let now = Instant::now();
-        let lately = |t: Instant| now - t < Duration::from_secs(1);
-        if self.swept.get().is_some_and(lately) {
+        let is_recent = |t: Instant| now - t < EXPIRY_CHECK_INTERVAL;
+        if self.last_sweep.get().is_some_and(is_recent) {
             return;
         }
-        self.swept.set(Some(now));
-        let mut gone = Vec::new();
+        self.last_sweep.set(Some(now));
+        let mut expired = Vec::new();
         self.idle.borrow_mut().retain(|_, list| {
             for n in (0..list.len()).rev() {
                 if now - list[n].since >= limits.idle {
-                    gone.push(list.swap_remove(n));
+                    expired.push(list.swap_remove(n));
                 }
             }
             !list.is_empty()
@@ -119,28 +133,30 @@
     }
 }
 
+/// An HTTP client with a pool of idle connections. The controller has one for all its peers.
 pub struct Client {
     limits: ClientLimits,
-    sockets: ConnectionTracker,
+    connections: ConnectionTracker,
     class_of: Rc<dyn Fn(SocketAddr) -> Class>,
     pool: Rc<Pool>,
 }
 
 impl Client {
-    /// `class_of`: what connections to an address are for.
+    /// Creates a client. `class_of` gives the class of connections to an address.
     pub fn new(
         limits: ClientLimits,
-        sockets: ConnectionTracker,
+        connections: ConnectionTracker,
         class_of: impl Fn(SocketAddr) -> Class + 'static,
     ) -> Self {
         Self {
             limits,
-            sockets,
+            connections,
             class_of: Rc::new(class_of),
             pool: Rc::new(Pool::default()),
         }
     }
 
+    /// Takes a usable idle connection from the pool.
     fn take_idle(
         &self,
         address: SocketAddr,
@@ -157,73 +173,79 @@
                 }
                 found?
             };
-            // A peer that has closed, or sent what nobody asked for, is not used again. Guards
-            // against requests on connections to a former life of a process.
-            let fresh = match found.stream.try_read(&mut probe) {
+            // A connection that the peer closed, or on which it sent unsolicited bytes, is not used
+            // again. Guards against requests to an earlier incarnation of a process.
+            let is_usable = match found.stream.try_read(&mut probe) {
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
                     found.since.elapsed() < self.limits.idle
                 }
                 _ => false,
             };
-            if fresh && found.ticket.begins(class) {
-                return Some((found.stream, found.ticket));
+            if is_usable && found.permit.start_request(class) {
+                return Some((found.stream, found.permit));
             }
         }
     }
 
-    fn keep(&self, address: SocketAddr, stream: TcpStream, ticket: ConnectionPermit) {
+    /// Returns a connection to the pool, unless the pool of the address is full or the budget
+    /// wants it closed.
+    fn keep(&self, address: SocketAddr, stream: TcpStream, permit: ConnectionPermit) {
         let open = |pool: &Pool| pool.idle.borrow().get(&address).map_or(0, Vec::len);
         if open(&self.pool) >= self.limits.idle_per_address {
             return;
         }
-        let (pool, key) = (Rc::downgrade(&self.pool), ticket.key());
+        let (pool, id) = (Rc::downgrade(&self.pool), permit.id());
         let close = move || {
             if let Some(pool) = pool.upgrade() {
-                pool.close(address, key);
+                pool.close(address, id);
             }
         };
-        if ticket.ends(close) {
+        if permit.finish_request(close) {
             let since = Instant::now();
-            let idle = Idle {
+            let connection = IdleConnection {
                 stream,
-                ticket,
+                permit,
                 since,
             };
             let mut all = self.pool.idle.borrow_mut();
-            all.entry(address).or_default().push(idle);
+            all.entry(address).or_default().push(connection);
         }
     }
 
-    /// Sends one request and waits for its answer, `limit` in all.
+    /// Sends one request and waits for its response, at most `limit` in total.
+    ///
+    /// # Errors
+    ///
+    /// [`ClientError`], which says whether the request can have been executed.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: &Request,
         limit: Duration,
     ) -> Result<Response, ClientError> {
-        let by = Instant::now() + limit;
-        self.pool.sweep(&self.limits);
+        let deadline = Instant::now() + limit;
+        self.pool.close_expired(&self.limits);
         let class = (self.class_of)(address);
-        let (mut stream, ticket) = match self.take_idle(address, class) {
+        let (mut stream, permit) = match self.take_idle(address, class) {
             Some(found) => found,
             None => {
-                let Some(ticket) = self.sockets.open(class) else {
+                let Some(permit) = self.connections.open(class) else {
                     return Err(ClientError::NoSocket);
                 };
-                let connect_by = by.min(Instant::now() + self.limits.connect);
-                match timeout_at(connect_by, TcpStream::connect(address)).await {
+                let connect_deadline = deadline.min(Instant::now() + self.limits.connect);
+                match timeout_at(connect_deadline, TcpStream::connect(address)).await {
                     Ok(Ok(stream)) => {
                         let _ = stream.set_nodelay(true);
-                        (stream, ticket)
+                        (stream, permit)
                     }
                     _ => return Err(ClientError::NotSent),
                 }
             }
         };
-        match timeout_at(by, self.exchange(&mut stream, address, request)).await {
+        match timeout_at(deadline, self.exchange(&mut stream, address, request)).await {
             Ok(Ok((response, keep))) => {
                 if keep {
-                    self.keep(address, stream, ticket);
+                    self.keep(address, stream, permit);
                 }
                 Ok(response)
             }
@@ -234,6 +256,8 @@
         }
     }
 
+    /// Sends a request on a connection and reads the response; true with it if the connection can
+    /// be kept alive.
     async fn exchange(
         &self,
         stream: &mut TcpStream,
@@ -256,8 +280,8 @@
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
             match parse_response(&buffer).map_err(bad)? {
-                // An interim answer precedes the real one.
-                Some((head, used)) if head.status < 200 => {
+                // An interim response precedes the final one.
+                Some((head, used)) if head.status < FINAL_STATUS_MIN => {
                     buffer.drain(..used);
                     if let Some(found) = parse_response(&buffer).map_err(bad)? {
                         break found;
--- a/crates/jasperhill-http/src/connections.rs
+++ b/crates/jasperhill-http/src/connections.rs
@@ -1,5 +1,8 @@
-//! The face of the account of sockets: tickets that connections hold, and the way to those that
-//! have to make way. What is decided stands in `jasperhill-connections`.
+//! The connection tracker: applies the decisions of the connection budget to actual connections.
+//!
+//! [`ConnectionTracker`] owns the [`ConnectionBudget`] of the process and the callbacks that close
+//! idle connections when they are evicted. The client and the server hold a [`ConnectionPermit`] for
+//! each connection. Single-threaded: no borrow is held while a callback runs.
 
 use jasperhill_connections::{
     BudgetPlan, Class, ClassUsage, ConnectionBudget, ConnectionId, Input, Output, PlanInputs,
@@ -9,127 +12,158 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-type Hook = Rc<dyn Fn()>;
+/// The budget's time at the origin. Any constant would do: the budget only compares times.
+const CLOCK_OFFSET: Micros = Micros::from_secs(3_600);
 
+/// Closes an idle connection.
+type CloseCallback = Rc<dyn Fn()>;
+
+/// The state behind all handles of one tracker.
 struct Shared {
+    /// The origin of the times that the budget sees.
     origin: Instant,
-    account: RefCell<ConnectionBudget>,
-    /// What closes an idle connection that has to make way.
-    hooks: RefCell<SecondaryMap<ConnectionId, Hook>>,
-    sizes: RefCell<PlanInputs>,
+    budget: RefCell<ConnectionBudget>,
+    /// How to close each idle connection when it is evicted.
+    close_callbacks: RefCell<SecondaryMap<ConnectionId, CloseCallback>>,
+    plan_inputs: RefCell<PlanInputs>,
 }
 
-/// All connections of this process.
+/// A handle to the connections of this process; clones share the same budget.
 #[derive(Clone)]
 pub struct ConnectionTracker(Rc<Shared>);
 
-/// A place in the account, given back when dropped.
+/// The connections of a process, all classes together (counts).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionTotals {
+    /// Open now.
+    pub open: usize,
+    /// The most that were open at the same time.
+    pub peak: usize,
+    /// The most that the platform allows.
+    pub max_connections: usize,
+}
+
+/// The right to one open connection; dropping it reports the connection as closed.
 pub struct ConnectionPermit {
-    sockets: ConnectionTracker,
-    key: ConnectionId,
+    tracker: ConnectionTracker,
+    id: ConnectionId,
 }
 
 impl ConnectionTracker {
-    /// `overdue`: when a silent worker's connection may make way.
-    pub fn new(sizes: PlanInputs, overdue: Duration) -> Self {
-        let overdue = Micros(overdue.as_micros().try_into().unwrap_or(u64::MAX));
+    /// Creates a tracker without connections. An idle connection of a worker may be evicted after
+    /// `worker_idle_timeout`.
+    pub fn new(plan_inputs: PlanInputs, worker_idle_timeout: Duration) -> Self {
+        let worker_idle_timeout = Micros(
+            worker_idle_timeout
+                .as_micros()
+                .try_into()
+                .unwrap_or(u64::MAX),
+        );
         Self(Rc::new(Shared {
             origin: Instant::now(),
-            account: RefCell::new(ConnectionBudget::new(BudgetPlan::new(sizes), overdue)),
-            hooks: RefCell::new(SecondaryMap::new()),
-            sizes: RefCell::new(sizes),
+            budget: RefCell::new(ConnectionBudget::new(
+                BudgetPlan::new(plan_inputs),
+                worker_idle_timeout,
+            )),
+            close_callbacks: RefCell::new(SecondaryMap::new()),
+            plan_inputs: RefCell::new(plan_inputs),
         }))
     }
 
     fn now(&self) -> Micros {
-        let since = self.0.origin.elapsed().as_micros();
-        Micros::from_secs(3_600) + Micros(since.try_into().unwrap_or(u64::MAX))
+        let elapsed = self.0.origin.elapsed().as_micros();
+        CLOCK_OFFSET + Micros(elapsed.try_into().unwrap_or(u64::MAX))
     }
 
     fn apply(&self, input: Input) -> Output {
         let now = self.now();
-        self.0.account.borrow_mut().apply(input, now)
+        self.0.budget.borrow_mut().apply(input, now)
     }
 
-    /// A place for one more connection. Whoever has to make way for it is closed first.
+    /// Admits one more connection of the class; `None` if there is no capacity. An idle connection
+    /// that is evicted for it is closed first.
     pub fn open(&self, class: Class) -> Option<ConnectionPermit> {
-        let Output::Granted(key, gone) = self.apply(Input::Open(class)) else {
+        let Output::Granted(id, evicted) = self.apply(Input::Open(class)) else {
             return None;
         };
-        if let Some(gone) = gone {
-            let hook = self.0.hooks.borrow_mut().remove(gone);
-            if let Some(close) = hook {
+        if let Some(evicted) = evicted {
+            let callback = self.0.close_callbacks.borrow_mut().remove(evicted);
+            if let Some(close) = callback {
                 close();
             }
         }
-        let sockets = self.clone();
-        Some(ConnectionPermit { sockets, key })
+        let tracker = self.clone();
+        Some(ConnectionPermit { tracker, id })
     }
 
-    /// So many machines are known.
+    /// Recomputes the plan for this number of known machines.
     pub fn resize(&self, machines: usize) {
-        let mut sizes = self.0.sizes.borrow_mut();
-        if sizes.machines != machines {
-            sizes.machines = machines;
+        let mut plan_inputs = self.0.plan_inputs.borrow_mut();
+        if plan_inputs.machines != machines {
+            plan_inputs.machines = machines;
             self.0
-                .account
+                .budget
                 .borrow_mut()
-                .replace_plan(BudgetPlan::new(*sizes));
+                .replace_plan(BudgetPlan::new(*plan_inputs));
         }
     }
 
+    /// The usage of one class.
     pub fn usage(&self, class: Class) -> ClassUsage {
-        self.0.account.borrow().usage(class)
+        self.0.budget.borrow().usage(class)
     }
 
-    /// All open ones, the most at a time, and the platform's limit.
-    pub fn totals(&self) -> (usize, usize, usize) {
-        let account = self.0.account.borrow();
-        (
-            account.open(),
-            account.peak(),
-            account.plan().max_connections,
-        )
+    /// The connections of all classes together.
+    pub fn totals(&self) -> ConnectionTotals {
+        let budget = self.0.budget.borrow();
+        ConnectionTotals {
+            open: budget.open(),
+            peak: budget.peak(),
+            max_connections: budget.plan().max_connections,
+        }
     }
 
-    /// The classes in which somebody was refused within this time.
-    pub fn at_bound(&self, within: Duration) -> Vec<Class> {
+    /// The classes in which a connection or request was refused within this time, for readiness
+    /// and logs.
+    pub fn recently_refused(&self, within: Duration) -> Vec<Class> {
         let now = self.now();
         let within = Micros(within.as_micros().try_into().unwrap_or(u64::MAX));
-        let lately = |c: &Class| {
-            let last = self.usage(*c).last_refused;
-            last.is_some_and(|t| now - t < within)
+        let is_recent = |class: &Class| {
+            let last_refused = self.usage(*class).last_refused;
+            last_refused.is_some_and(|at| now - at < within)
         };
-        Class::ALL.into_iter().filter(lately).collect()
+        Class::ALL.into_iter().filter(is_recent).collect()
     }
 }
 
 impl ConnectionPermit {
-    pub fn key(&self) -> ConnectionId {
-        self.key
+    /// Identifies the connection in the budget.
+    pub fn id(&self) -> ConnectionId {
+        self.id
     }
 
-    /// A request is under way; false if there is no room to carry it out.
-    pub fn begins(&self, class: Class) -> bool {
-        self.sockets.0.hooks.borrow_mut().remove(self.key);
-        self.sockets.apply(Input::RequestStarted(self.key, class)) != Output::Overloaded
+    /// Reports that a request starts on the connection; false if it must not be executed for want
+    /// of capacity.
+    pub fn start_request(&self, class: Class) -> bool {
+        self.tracker.0.close_callbacks.borrow_mut().remove(self.id);
+        self.tracker.apply(Input::RequestStarted(self.id, class)) != Output::Overloaded
     }
 
-    /// Nothing is under way; true if the connection may stay open. `close` is called when it has
-    /// to make way before the next request begins.
-    pub fn ends(&self, close: impl Fn() + 'static) -> bool {
-        let stays = self.sockets.apply(Input::RequestFinished(self.key)) == Output::KeepAlive;
-        if stays {
-            let mut hooks = self.sockets.0.hooks.borrow_mut();
-            hooks.insert(self.key, Rc::new(close));
+    /// Reports that the request has finished; true if the connection is kept alive. `close` is
+    /// called if the connection is evicted before the next request starts.
+    pub fn finish_request(&self, close: impl Fn() + 'static) -> bool {
+        let keep_alive = self.tracker.apply(Input::RequestFinished(self.id)) == Output::KeepAlive;
+        if keep_alive {
+            let mut close_callbacks = self.tracker.0.close_callbacks.borrow_mut();
+            close_callbacks.insert(self.id, Rc::new(close));
         }
-        stays
+        keep_alive
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.sockets.0.hooks.borrow_mut().remove(self.key);
-        self.sockets.apply(Input::Closed(self.key));
+        self.tracker.0.close_callbacks.borrow_mut().remove(self.id);
+        self.tracker.apply(Input::Closed(self.id));
     }
 }
--- a/crates/jasperhill-http/src/head.rs
+++ b/crates/jasperhill-http/src/head.rs
@@ -1,18 +1,26 @@
-//! Requests, responses and the parsing of their heads. Pure.
+//! Requests, responses, and the parsing of their heads. Pure and stateless: the client and the
+//! server read the bytes and pass them here.
 
-/// No head is longer.
+/// The most bytes of a head; longer ones are refused.
 pub const HEAD_MAX: usize = 8 * 1024;
+/// The most headers of a head (count); a head with more is refused as malformed.
 const HEADERS_MAX: usize = 48;
 
+/// The method of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
+    /// `GET`.
     Get,
+    /// `POST`.
     Post,
+    /// `DELETE`.
     Delete,
+    /// Any other method; none is supported.
     Other,
 }
 
 impl Method {
+    /// The method as sent on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
@@ -23,15 +31,19 @@
     }
 }
 
+/// A request with its body.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// Its method.
     pub method: Method,
     /// Path with query, as sent.
     pub target: String,
+    /// The body, at most [`crate::BODY_MAX`] bytes when received.
     pub body: Vec<u8>,
 }
 
 impl Request {
+    /// Creates a request.
     pub fn new(method: Method, target: impl Into<String>, body: Vec<u8>) -> Self {
         Self {
             method,
@@ -39,23 +51,32 @@
             body,
         }
     }
+
+    /// The path of the target, without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 }
 
+/// A response with its body.
 #[derive(Clone, Debug)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The body.
     pub body: Vec<u8>,
-    /// `Retry-After`, in seconds.
+    /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u32>,
+    /// The `Allow` header: the supported methods.
     pub allow: Option<&'static str>,
+    /// Whether the body is CBOR; else it is JSON.
     pub cbor: bool,
+    /// Whether the connection is closed after this response.
     pub close: bool,
 }
 
 impl Response {
+    /// Creates a JSON response that keeps the connection alive.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -66,31 +87,38 @@
             close: false,
         }
     }
+
+    /// Adds a `Retry-After` header.
     pub fn retry_after(mut self, seconds: u32) -> Self {
         self.retry_after = Some(seconds);
         self
     }
+
+    /// Adds an `Allow` header.
     pub fn allow(mut self, methods: &'static str) -> Self {
         self.allow = Some(methods);
         self
     }
+
+    /// Closes the connection after this response.
     pub fn close(mut self) -> Self {
         self.close = true;
         self
     }
 
+    /// The response as sent on the wire; says `Connection: close` unless `keep_alive`.
     pub fn encode(&self, keep_alive: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(160 + self.body.len());
-        let kind = if self.cbor {
+        let content_type = if self.cbor {
             "application/cbor"
         } else {
             "application/json"
         };
         out.extend_from_slice(
             format!(
-                "HTTP/1.1 {} {}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n",
+                "HTTP/1.1 {} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
                 self.status,
-                reason(self.status),
+                reason_phrase(self.status),
                 self.body.len()
             )
             .as_bytes(),
@@ -110,7 +138,8 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -133,43 +162,64 @@
 /// How a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// By `Content-Length`, in bytes.
     Length(usize),
+    /// By `Transfer-Encoding: chunked`.
     Chunked,
+    /// By the end of the connection; responses only.
     UntilClose,
 }
 
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
+    /// The method.
     pub method: Method,
+    /// Path with query, as sent.
     pub target: String,
+    /// How the body is delimited.
     pub framing: Framing,
+    /// Whether the client keeps the connection open.
     pub keep_alive: bool,
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
+/// The head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
+    /// The status code; 0 if there is none.
     pub status: u16,
+    /// How the body is delimited.
     pub framing: Framing,
+    /// Whether the server keeps the connection open.
     pub keep_alive: bool,
 }
 
+/// Why a head is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
+    /// It is not HTTP/1, has too many headers, or contradicts itself about the body.
     #[error("malformed head")]
     Malformed,
+    /// It is longer than [`HEAD_MAX`] bytes.
     #[error("head too long")]
     TooLong,
 }
 
-struct Common {
+/// The headers that requests and responses have in common.
+struct CommonHeaders {
     framing: Option<Framing>,
     keep_alive: bool,
     expects_continue: bool,
 }
 
-fn common(headers: &[httparse::Header<'_>], version: u8) -> Result<Common, HeadError> {
-    let mut out = Common {
+/// Reads the headers that concern the body and the connection; `version` is the minor version.
+fn parse_common_headers(
+    headers: &[httparse::Header<'_>],
+    version: u8,
+) -> Result<CommonHeaders, HeadError> {
+    let mut out = CommonHeaders {
         framing: None,
         keep_alive: version == 1,
         expects_continue: false,
@@ -209,7 +259,12 @@
     Ok(out)
 }
 
-/// `Ok(None)` when more bytes are needed; otherwise the head and its length.
+/// Parses the head of a request, and returns it with its length in bytes; `None` if more bytes are
+/// needed. The server calls it after each read.
+///
+/// # Errors
+///
+/// [`HeadError`] if the head is malformed or longer than [`HEAD_MAX`] bytes.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -220,7 +275,7 @@
         Err(httparse::Error::TooManyHeaders) => return Err(HeadError::TooLong),
         Err(_) => return Err(HeadError::Malformed),
     };
-    let c = common(parsed.headers, parsed.version.unwrap_or(1))?;
+    let common = parse_common_headers(parsed.headers, parsed.version.unwrap_or(1))?;
     let method = match parsed.method {
         Some("GET") => Method::Get,
         Some("POST") => Method::Post,
@@ -230,13 +285,19 @@
     let head = RequestHead {
         method,
         target: parsed.path.unwrap_or("/").to_owned(),
-        framing: c.framing.unwrap_or(Framing::Length(0)),
-        keep_alive: c.keep_alive,
-        expects_continue: c.expects_continue,
+        framing: common.framing.unwrap_or(Framing::Length(0)),
+        keep_alive: common.keep_alive,
+        expects_continue: common.expects_continue,
     };
     Ok(Some((head, length)))
 }
 
+/// Parses the head of a response, and returns it with its length in bytes; `None` if more bytes are
+/// needed. The client calls it after each read.
+///
+/// # Errors
+///
+/// [`HeadError`] if the head is malformed or longer than [`HEAD_MAX`] bytes.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, HeadError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -246,14 +307,14 @@
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(HeadError::Malformed),
     };
-    let c = common(parsed.headers, parsed.version.unwrap_or(1))?;
+    let common = parse_common_headers(parsed.headers, parsed.version.unwrap_or(1))?;
     let status = parsed.code.unwrap_or(0);
-    let framing = match (status, c.framing) {
+    let framing = match (status, common.framing) {
         (204 | 304, _) => Framing::Length(0),
         (_, Some(framing)) => framing,
         (_, None) => Framing::UntilClose,
     };
-    let keep_alive = c.keep_alive && framing != Framing::UntilClose;
+    let keep_alive = common.keep_alive && framing != Framing::UntilClose;
     Ok(Some((
         ResponseHead {
             status,
@@ -263,69 +324,3 @@
         length,
     )))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn seeded() -> ProptestConfig {
-        ProptestConfig {
-            cases: 256,
-            rng_seed: proptest::test_runner::RngSeed::Fixed(7),
-            failure_persistence: None,
-            ..ProptestConfig::default()
-        }
-    }
-
-    proptest! {
-        #![proptest_config(seeded())]
-
-        #[test]
-        fn any_bytes_are_parsed_or_refused_but_never_panic(
-            bytes in proptest::collection::vec(any::<u8>(), 0..600)
-        ) {
-            let _ = parse_request(&bytes);
-            let _ = parse_response(&bytes);
-        }
-
-        #[test]
-        fn heads_survive_being_cut_anywhere(
-            path in "/[a-z0-9/_-]{0,40}", length in 0usize..100_000, cut in 0usize..200
-        ) {
-            let text = format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n");
-            let bytes = text.as_bytes();
-            let (head, used) = parse_request(bytes).unwrap().unwrap();
-            prop_assert_eq!(used, bytes.len());
-            prop_assert_eq!(head.target, path);
-            prop_assert_eq!(head.framing, Framing::Length(length));
-            let cut = cut.min(bytes.len() - 1);
-            prop_assert_eq!(parse_request(&bytes[..cut]).unwrap(), None);
-        }
-
-        #[test]
-        fn responses_round_trip(status in 200u16..599, body in proptest::collection::vec(any::<u8>(), 0..300)) {
-            prop_assume!(status != 204 && status != 304);
-            let bytes = Response::new(status, body.clone()).encode(true);
-            let (head, used) = parse_response(&bytes).unwrap().unwrap();
-            prop_assert_eq!(head.status, status);
-            prop_assert_eq!(head.framing, Framing::Length(body.len()));
-            prop_assert_eq!(&bytes[used..], &body[..]);
-        }
-    }
-
-    #[test]
-    fn two_framings_are_refused() {
-        let head = b"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n";
-        assert_eq!(parse_request(head), Err(HeadError::Malformed));
-        let head = b"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n";
-        assert_eq!(parse_request(head), Err(HeadError::Malformed));
-    }
-
-    #[test]
-    fn an_endless_head_is_refused() {
-        let mut head = b"GET / HTTP/1.1\r\nX: ".to_vec();
-        head.resize(HEAD_MAX, b'a');
-        assert_eq!(parse_request(&head), Err(HeadError::TooLong));
-    }
-}
--- a/crates/jasperhill-http/src/server.rs
+++ b/crates/jasperhill-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: bounded connections, heads, bodies and times.
+//! The HTTP server: connections, heads, bodies and times are bounded.
 
 use crate::{
     BODY_MAX,
@@ -14,14 +14,23 @@
     time::{Instant, timeout, timeout_at},
 };
 
+/// The pause after a failed `accept`, short beside the time of a request.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long a refused client may go on sending before its connection is closed.
+const LINGER_MAX: Duration = Duration::from_millis(500);
+/// The most bytes of the line that starts a chunk.
+const CHUNK_LINE_MAX: usize = 256;
+
+/// Time limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
     /// From the first byte of a request to its last.
     pub request: Duration,
-    /// Before the first request, and between requests.
-    pub speechless: Duration,
+    /// From the start of a connection to its first request.
+    pub first_request: Duration,
+    /// Between requests, except on connections of workers.
     pub idle: Duration,
-    /// The same for workers, who report at least so often.
+    /// Between requests of a worker, which sends heartbeats more often than this.
     pub idle_worker: Duration,
     /// For writing a response.
     pub write: Duration,
@@ -31,7 +40,7 @@
     fn default() -> Self {
         Self {
             request: Duration::from_secs(5),
-            speechless: Duration::from_secs(10),
+            first_request: Duration::from_secs(10),
             idle: Duration::from_secs(60),
             idle_worker: Duration::from_secs(60),
             write: Duration::from_secs(5),
@@ -39,19 +48,25 @@
     }
 }
 
-/// Where connections come in, and what for.
+/// What a listener serves, for the connection budget.
 #[derive(Clone)]
-pub struct Door {
-    pub sockets: ConnectionTracker,
-    /// What a connection is for by its first request, and by each one after.
+pub struct Endpoint {
+    /// The connections of the process.
+    pub connections: ConnectionTracker,
+    /// The class of a connection by its latest request.
     pub class_of: fn(&Request) -> Class,
-    /// What it counts as before.
-    pub entry: Class,
+    /// The class of a connection before its first request.
+    pub initial_class: Class,
 }
 
-/// Accepts connections for as long as it is polled. Needs a `LocalSet`.
-pub async fn serve<H, F>(listener: TcpListener, door: Door, limits: ServerLimits, handler: H)
-where
+/// Accepts connections for as long as it is polled, and answers their requests by `handler`. Must
+/// run in a `LocalSet`: each connection is a local task.
+pub async fn serve<H, F>(
+    listener: TcpListener,
+    endpoint: Endpoint,
+    limits: ServerLimits,
+    handler: H,
+) where
     H: Fn(Request) -> F + Clone + 'static,
     F: Future<Output = Response> + 'static,
 {
@@ -59,42 +74,48 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // Out of sockets, mostly: a pause lets others finish, without spinning.
+                // Usually out of file descriptors: the pause lets others finish without spinning.
                 tracing::debug!(%error, "accept failed");
-                tokio::time::sleep(Duration::from_millis(50)).await;
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
-        // Closed at once where there is no room: whoever it was tries another controller.
-        let Some(ticket) = door.sockets.open(door.entry) else {
+        // Closed at once without capacity: the client tries another controller.
+        let Some(permit) = endpoint.connections.open(endpoint.initial_class) else {
             continue;
         };
-        let (class_of, handler) = (door.class_of, handler.clone());
+        let (class_of, handler) = (endpoint.class_of, handler.clone());
         tokio::task::spawn_local(async move {
-            let _ = connection(stream, ticket, class_of, limits, handler).await;
+            let _ = serve_connection(stream, permit, class_of, limits, handler).await;
         });
     }
 }
 
+/// A response with an error, which closes the connection.
 fn error(status: u16, reason: &str) -> Response {
     Response::new(status, format!("{{\"error\":\"{reason}\"}}").into_bytes()).close()
 }
 
+/// The outcome of waiting for a request.
 enum Incoming {
+    /// A request; true if the connection can be kept alive after it.
     Request(Request, bool),
+    /// Not a valid request: the response to send before closing.
     Refused(Response),
+    /// The connection ended, was idle for too long, or was evicted.
     Closed,
 }
 
-/// Marks a connection idle; false if it is to be closed.
-fn rests(ticket: &ConnectionPermit, leave: &Rc<Notify>) -> bool {
-    let leave = leave.clone();
-    ticket.ends(move || leave.notify_one())
+/// Marks a connection as idle; false if it must be closed.
+fn mark_idle(permit: &ConnectionPermit, evicted: &Rc<Notify>) -> bool {
+    let evicted = evicted.clone();
+    permit.finish_request(move || evicted.notify_one())
 }
 
-async fn connection<H, F>(
+/// Serves one connection until it is closed.
+async fn serve_connection<H, F>(
     mut stream: TcpStream,
-    ticket: ConnectionPermit,
+    permit: ConnectionPermit,
     class_of: fn(&Request) -> Class,
     limits: ServerLimits,
     handler: H,
@@ -105,13 +126,13 @@
 {
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
-    let leave = Rc::new(Notify::new());
-    let mut wait = limits.speechless;
-    if !rests(&ticket, &leave) {
+    let evicted = Rc::new(Notify::new());
+    let mut idle_timeout = limits.first_request;
+    if !mark_idle(&permit, &evicted) {
         return Ok(());
     }
     loop {
-        match read_request(&mut stream, &mut buffer, &leave, wait, limits).await? {
+        match read_request(&mut stream, &mut buffer, &evicted, idle_timeout, limits).await? {
             Incoming::Closed => return Ok(()),
             Incoming::Refused(response) => {
                 let _ = timeout(limits.write, stream.write_all(&response.encode(false))).await;
@@ -120,19 +141,19 @@
             }
             Incoming::Request(request, keep_alive) => {
                 let class = class_of(&request);
-                wait = match class {
+                idle_timeout = match class {
                     Class::Heartbeats => limits.idle_worker,
                     _ => limits.idle,
                 };
-                let response = if ticket.begins(class) {
+                let response = if permit.start_request(class) {
                     handler(request).await
                 } else {
-                    // Guards against users who are kept waiting, or wait for nothing, where there
-                    // is no room: they are told at once.
+                    // Guards against users that wait in vain without capacity: they are refused at
+                    // once.
                     error(503, "no room").retry_after(1)
                 };
-                // What has to make way does so with an answer that says it, where it can.
-                let keep_alive = keep_alive && !response.close && rests(&ticket, &leave);
+                // Where possible, a connection is closed with a response that announces it.
+                let keep_alive = keep_alive && !response.close && mark_idle(&permit, &evicted);
                 let bytes = response.encode(keep_alive);
                 match timeout(limits.write, stream.write_all(&bytes)).await {
                     Ok(done) => done?,
@@ -156,7 +177,7 @@
     let _ = stream.shutdown().await;
     let mut left = 4 * BODY_MAX;
     let mut sink = [0u8; 4096];
-    let _ = timeout(Duration::from_millis(500), async {
+    let _ = timeout(LINGER_MAX, async {
         while left > 0 {
             match stream.read(&mut sink).await {
                 Ok(n) if n > 0 => left = left.saturating_sub(n),
@@ -167,31 +188,36 @@
     .await;
 }
 
+/// Waits for the next request and reads it.
 async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    leave: &Notify,
-    wait: Duration,
+    evicted: &Notify,
+    idle_timeout: Duration,
     limits: ServerLimits,
 ) -> std::io::Result<Incoming> {
-    let mut by = None;
+    let mut deadline = None;
     if buffer.is_empty() {
         tokio::select! {
-            read = timeout(wait, stream.read_buf(buffer)) => match read {
-                Ok(Ok(n)) if n > 0 => by = Some(Instant::now() + limits.request),
+            read = timeout(idle_timeout, stream.read_buf(buffer)) => match read {
+                Ok(Ok(n)) if n > 0 => deadline = Some(Instant::now() + limits.request),
                 _ => return Ok(Incoming::Closed),
             },
-            () = leave.notified() => return Ok(Incoming::Closed),
+            () = evicted.notified() => return Ok(Incoming::Closed),
         }
     }
-    let by = by.unwrap_or_else(|| Instant::now() + limits.request);
-    match timeout_at(by, read_rest(stream, buffer)).await {
+    let deadline = deadline.unwrap_or_else(|| Instant::now() + limits.request);
+    match timeout_at(deadline, receive_request(stream, buffer)).await {
         Ok(result) => result,
         Err(_) => Ok(Incoming::Refused(error(408, "too slow"))),
     }
 }
 
-async fn read_rest(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<Incoming> {
+/// Reads a request, of which some bytes may be in the buffer.
+async fn receive_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> std::io::Result<Incoming> {
     let (head, used) = loop {
         match parse_request(buffer) {
             Ok(Some(found)) => break found,
@@ -250,12 +276,19 @@
     ))
 }
 
+/// Why a chunked body is refused.
 pub(crate) enum ChunkError {
+    /// It is longer than allowed.
     TooLong,
+    /// A chunk is malformed.
     Malformed,
 }
 
-/// Reads a chunked body to its end, trailers included.
+/// Reads a chunked body of at most `max` bytes to its end, trailers included.
+///
+/// # Errors
+///
+/// The outer error is that of the connection, the inner one that of the body.
 pub(crate) async fn read_chunked(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -266,10 +299,10 @@
         let (skip, size) = loop {
             match httparse::parse_chunk_size(buffer) {
                 Ok(httparse::Status::Complete(found)) => break found,
-                Ok(httparse::Status::Partial) if buffer.len() < 256 => {}
+                Ok(httparse::Status::Partial) if buffer.len() < CHUNK_LINE_MAX => {}
                 _ => return Ok(Err(ChunkError::Malformed)),
             }
-            more(stream, buffer).await?;
+            read_more(stream, buffer).await?;
         };
         buffer.drain(..skip);
         if size == 0 {
@@ -282,7 +315,7 @@
                 } else if buffer.len() > HEAD_MAX {
                     return Ok(Err(ChunkError::Malformed));
                 } else {
-                    more(stream, buffer).await?;
+                    read_more(stream, buffer).await?;
                 }
             }
         }
@@ -290,14 +323,15 @@
             return Ok(Err(ChunkError::TooLong));
         };
         while buffer.len() < size + 2 {
-            more(stream, buffer).await?;
+            read_more(stream, buffer).await?;
         }
         body.extend(buffer.drain(..size));
         buffer.drain(..2);
     }
 }
 
-async fn more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<()> {
+/// Reads more bytes into the buffer; the end of the connection is an error.
+async fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<()> {
     if stream.read_buf(buffer).await? == 0 {
         return Err(std::io::ErrorKind::UnexpectedEof.into());
     }
--- a/crates/jasperhill-http/tests/loopback.rs
+++ b/crates/jasperhill-http/tests/loopback.rs
@@ -2,7 +2,7 @@
 
 use jasperhill_connections::{Class, PlanInputs};
 use jasperhill_http::{
-    Client, ClientError, ClientLimits, ConnectionTracker, Door, Method, Request, Response,
+    Client, ClientError, ClientLimits, ConnectionTracker, Endpoint, Method, Request, Response,
     ServerLimits, serve,
 };
 use std::{future::Future, net::SocketAddr, time::Duration};
@@ -47,14 +47,14 @@
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let door = Door {
-            sockets: connection_tracker(max_connections),
+        let endpoint = Endpoint {
+            connections: connection_tracker(max_connections),
             class_of,
-            entry: Class::Accepted,
+            initial_class: Class::Accepted,
         };
         spawn_local(serve(
             listener,
-            door,
+            endpoint,
             limits,
             |request: Request| async move {
                 Response::new(
@@ -180,12 +180,15 @@
         let client = |class| Client::new(ClientLimits::default(), own.clone(), move |_| class);
         let request = Request::new(Method::Get, "/", Vec::new());
         let limit = Duration::from_secs(5);
-        let orders = client(Class::Commands).call(address, &request, limit).await;
-        assert_eq!(orders.unwrap_err(), ClientError::NoSocket);
+        let commands = client(Class::Commands).call(address, &request, limit).await;
+        assert_eq!(commands.unwrap_err(), ClientError::NoSocket);
         assert!(ClientError::NoSocket.is_unsent() && !ClientError::NoAnswer.is_unsent());
         let state = client(Class::State).call(address, &request, limit).await;
         assert_eq!(state.unwrap().status, 200);
-        assert_eq!(own.at_bound(Duration::from_secs(5)), [Class::Commands]);
+        assert_eq!(
+            own.recently_refused(Duration::from_secs(5)),
+            [Class::Commands]
+        );
     });
 }
 
--- a/crates/jasperhill-testkit/src/cluster/network.rs
+++ b/crates/jasperhill-testkit/src/cluster/network.rs
@@ -8,7 +8,9 @@
 };
 use jasperhill_connections::Class;
 use jasperhill_controller::{Transport, transport::Call};
-use jasperhill_http::{ClientError, ConnectionTracker, Request, Response, client::ANSWER_MAX};
+use jasperhill_http::{
+    ClientError, ConnectionTracker, Request, Response, client::RESPONSE_BODY_MAX,
+};
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{
     task::spawn_local,
@@ -44,7 +46,9 @@
             };
             match timeout(limit, world.clone().carry(node, to, request, limit)).await {
                 Ok(result) => match result {
-                    Ok(answer) if answer.body.len() > ANSWER_MAX => Err(ClientError::TooLong),
+                    Ok(answer) if answer.body.len() > RESPONSE_BODY_MAX => {
+                        Err(ClientError::TooLong)
+                    }
                     Ok(answer) => {
                         self.lines.keep(to, ends);
                         Ok(answer)
--- a/crates/jasperhill-testkit/src/connections.rs
+++ b/crates/jasperhill-testkit/src/connections.rs
@@ -87,7 +87,8 @@
     pub fn begins(&self, request: &Request) -> bool {
         let class = class_of(request);
         let ends = self.ends.borrow();
-        ends.as_ref().is_none_or(|(_, ticket)| ticket.begins(class))
+        ends.as_ref()
+            .is_none_or(|(_, ticket)| ticket.start_request(class))
     }
 
     /// Its answer has gone; false if the connection closes with it.
@@ -102,7 +103,7 @@
             .ends
             .borrow()
             .as_ref()
-            .is_some_and(|(_, t)| t.ends(close));
+            .is_some_and(|(_, t)| t.finish_request(close));
         if !stays {
             self.close();
         }
@@ -149,7 +150,7 @@
         });
         let found = self.idle.borrow_mut().get_mut(&to).and_then(Vec::pop);
         if let Some((ends, _)) = found
-            && ends.1.begins(class)
+            && ends.1.start_request(class)
         {
             return Ok(ends);
         }
@@ -159,18 +160,18 @@
     }
 
     pub fn keep(&self, to: SocketAddr, ends: Ends) {
-        let (idle, key) = (Rc::downgrade(&self.idle), ends.1.key());
+        let (idle, key) = (Rc::downgrade(&self.idle), ends.1.id());
         let close = move || {
             if let Some(idle) = idle.upgrade() {
                 let gone = idle.borrow_mut().get_mut(&to).and_then(|list| {
-                    let n = list.iter().position(|((_, t), _)| t.key() == key)?;
+                    let n = list.iter().position(|((_, t), _)| t.id() == key)?;
                     Some(list.swap_remove(n))
                 });
                 drop(gone);
             }
         };
         let held = self.idle.borrow().get(&to).map_or(0, Vec::len);
-        if held < IDLE_PER_ADDRESS && ends.1.ends(close) {
+        if held < IDLE_PER_ADDRESS && ends.1.finish_request(close) {
             let mut idle = self.idle.borrow_mut();
             idle.entry(to).or_default().push((ends, Instant::now()));
         }
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Parser, Subcommand};
 use jasperhill_connections::Class;
 use jasperhill_controller::{Clock, Controller, HttpTransport, Settings, SettingsError, transport};
-use jasperhill_http::{Door, ServerLimits, serve};
+use jasperhill_http::{Endpoint, ServerLimits, serve};
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, rc::Rc, time::Duration};
 use tokio::{
     net::{TcpListener, TcpSocket},
@@ -198,23 +198,23 @@
             idle_worker: Duration::from_micros(settings.heartbeat_interval.scale(2.5).0),
             ..ServerLimits::default()
         };
-        let door = Door {
-            sockets: sockets.clone(),
+        let endpoint = Endpoint {
+            connections: sockets.clone(),
             class_of: transport::class_of,
-            entry: Class::Accepted,
+            initial_class: Class::Accepted,
         };
-        let mesh_door = Door {
-            sockets: sockets.clone(),
+        let mesh_endpoint = Endpoint {
+            connections: sockets.clone(),
             class_of: |_| Class::Mesh,
-            entry: Class::Mesh,
+            initial_class: Class::Mesh,
         };
         let net = Rc::new(HttpTransport::new(&settings, sockets));
         let controller = Rc::new(Controller::start(settings, Clock::system(), net));
         let mesh = controller.clone();
         tokio::join!(
-            serve(users, door, limits, move |request| controller
+            serve(users, endpoint, limits, move |request| controller
                 .handle(request)),
-            serve(peers, mesh_door, limits, move |request| mesh
+            serve(peers, mesh_endpoint, limits, move |request| mesh
                 .handle_mesh(request)),
         );
         Ok(())
