--- a/crates/jasperhill-membership/src/reachability/queries.rs
+++ b/crates/jasperhill-membership/src/reachability/queries.rs
@@ -1,6 +1,6 @@
 //! What follows from the links that are known: who reaches whom, and by which way.
 
-use super::{CONTACT_VALID, LinkId, PEER_REPORT_VALID, Reachability};
+use super::{CONTACT_VALID, LinkId, PEER_REPORT_VALID, PeerReport, Reachability};
 use crate::link::LinkHealth;
 use jasperhill_wire::{
     Member, Micros, Name, Revision,
