--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -4,6 +4,8 @@
 //!
 //! `cargo bench -p jasperhill-scheduler --bench pass`
 
+#![expect(missing_docs, reason = "the benchmark's group is made by a macro")]
+
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use jasperhill_scheduler::{
     HeartbeatSource, MachineSpec, Partition, SchedulerConfig, TeamLimits, Tuning, host::HostInput,
@@ -166,6 +168,7 @@
     part
 }
 
+#[expect(clippy::too_many_lines, reason = "one measured setting after another")]
 fn passes(c: &mut Criterion) {
     let mut group = c.benchmark_group("pass");
     group.sample_size(10);
--- a/crates/jasperhill-scheduler/src/cycle/mod.rs
+++ b/crates/jasperhill-scheduler/src/cycle/mod.rs
@@ -57,7 +57,7 @@
             simulation_starts: RefCell::new(vec![None; self.hosts.len()]),
             victims: RefCell::default(),
             slots,
-            unconfirmed_use: unconfirmed_use,
+            unconfirmed_use,
             infeasible: Vec::new(),
             gangs_without_hosts: Vec::new(),
             gangs_without_victims: Vec::new(),
--- a/crates/jasperhill-scheduler/src/cycle/tests.rs
+++ b/crates/jasperhill-scheduler/src/cycle/tests.rs
@@ -86,6 +86,10 @@
     )
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "the parts of one generated partition, one after another"
+)]
 fn build(s: &Setting) -> Partition {
     let spec = Rc::new(MachineSpec {
         machine_type: "box".into(),
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -68,13 +68,22 @@
     /// The record of an unfinished job is seen for the first time. `fate` is what the records
     /// say of another job, now.
     Accepted {
+        /// The job.
         id: &'a JobId,
+        /// What it depends on.
         needs: &'a [JobId],
+        /// What passes back to those.
         terms: JobUrgency,
+        /// What the records say of another job, now.
         fate: &'a dyn Fn(&JobId) -> RecordedOutcome,
     },
     /// The record of a job has become final.
-    Ended { id: &'a JobId, done: bool },
+    Ended {
+        /// The job.
+        id: &'a JobId,
+        /// It is done; else it is cancelled.
+        done: bool,
+    },
 }
 
 /// What became of other jobs.
--- a/crates/jasperhill-scheduler/src/failures.rs
+++ b/crates/jasperhill-scheduler/src/failures.rs
@@ -33,9 +33,13 @@
     /// `ran` is the longest that a failed task had run. `hosts` are absolved of its failures
     /// for as long as it is suspect.
     BackingOff {
+        /// How many tries have failed since it backs off.
         level: u32,
+        /// The next try is not before this.
         next: Micros,
+        /// The longest that a failed task had run.
         ran: Micros,
+        /// Hosts that are excused for its failures.
         hosts: BTreeSet<HostId>,
     },
 }
@@ -45,8 +49,11 @@
 pub enum Input<'a> {
     /// A task failed there after running for so long. `serves`: the host has served others.
     Failed {
+        /// Where it failed.
         host: &'a HostId,
+        /// The host has served other jobs lately.
         serves: bool,
+        /// How long it had run.
         ran: Micros,
     },
     /// A task has completed.
--- a/crates/jasperhill-scheduler/src/host/mod.rs
+++ b/crates/jasperhill-scheduler/src/host/mod.rs
@@ -31,7 +31,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingState {
     /// Has not shown our token yet. `unconfirmed tasks`: a predecessor may have started anything there.
-    Unfenced { unconfirmed: bool },
+    Unfenced {
+        /// A predecessor may have started tasks there.
+        unconfirmed: bool,
+    },
     /// Has shown our token: its heartbeats say all that runs there.
     Fenced,
     /// Its lease has surely lapsed: nothing runs there.
--- a/crates/jasperhill-scheduler/src/pace.rs
+++ b/crates/jasperhill-scheduler/src/pace.rs
@@ -72,14 +72,22 @@
     #[default]
     Steady,
     /// Takes so many times as long.
-    Slow { times: f64 },
+    Slow {
+        /// How many times as long its tasks take.
+        times: f64,
+    },
 }
 
 /// What changes the pace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
     /// The odds, as a logarithm, that it is slow, and how slow it then is.
-    Weighed { odds: f64, times: f64 },
+    Weighed {
+        /// The logarithm of the odds that it is slow.
+        odds: f64,
+        /// How many times as long its tasks take, if so.
+        times: f64,
+    },
     /// A task that began after the verdict ended in time.
     EndedInTime,
 }
--- a/crates/jasperhill-scheduler/src/recovery.rs
+++ b/crates/jasperhill-scheduler/src/recovery.rs
@@ -15,8 +15,11 @@
     /// Some replicas are lost, since a moment. `overtaken`: replicas that found no room while
     /// lesser work that started meanwhile was where they could have been.
     Incomplete {
+        /// When the first was lost.
         since: Micros,
+        /// How many were lost.
         lost: u32,
+        /// How many found no room because of lesser work started since.
         overtaken: u32,
     },
 }
--- a/crates/jasperhill-scheduler/src/starvation.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -67,8 +67,11 @@
 pub enum Input<'a> {
     /// The first task of a job starts, after it had waited.
     Begun {
+        /// The job.
         id: &'a JobId,
+        /// Its class.
         class: &'a Name,
+        /// Its team.
         team: &'a Name,
     },
     /// All that waits now, for a look around.
--- a/crates/jasperhill-testkit/src/lib.rs
+++ b/crates/jasperhill-testkit/src/lib.rs
@@ -3,6 +3,14 @@
 //! repeats. The protocol's rules are asserted at every step; a broken one is recorded in
 //! `Outcome::broken`.
 
+#![expect(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc,
+    clippy::too_many_lines,
+    reason = "the stand-ins are not gone through yet: docs/ROADMAP.md lists them"
+)]
+
 pub mod behaviour;
 pub mod cloud;
 pub mod cluster;
--- a/crates/jasperhill-testkit/tests/combined_faults.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults.rs
@@ -360,6 +360,7 @@
 /// A start sent straight is held up for longer than a cancellation has; its job is cancelled a
 /// second after it was sent, which whoever sent it knows; the record of its host can't be written, so
 /// that the token stays. What the worker makes of it when it comes.
+#[expect(clippy::too_many_lines, reason = "one history, step by step")]
 fn a_start_comes_late(guarded: bool) -> u16 {
     let bounds = LeaseTerms {
         lease: Micros::from_secs(16),
