--- /dev/null
+++ b/crates/jasperhill/src/check.rs
@@ -0,0 +1,49 @@
+//! The subcommand `check`: prints the settings as the controller understands them. The
+//! output is a fixed format.
+
+use jasperhill_controller::Settings;
+use jasperhill_wire::Micros;
+
+/// Prints the settings as understood, one topic a line, to standard output.
+pub fn print_settings(settings: &Settings) {
+    let secs = |duration: Micros| duration.as_secs_f64();
+    println!(
+        "member {} in {}, users and workers at {}, mesh at {}",
+        settings.member, settings.site, settings.bind, settings.mesh
+    );
+    for peer in &settings.peers {
+        println!("peer {} at {}", peer.member, peer.address);
+    }
+    println!("state service {}, cloud {}", settings.state, settings.cloud);
+    println!(
+        "kept to: {} requests and {} changes a second, {} bytes a value, {} changes a transaction",
+        settings.state_rps, settings.state_write_rps, settings.value_bytes, settings.txn_ops
+    );
+    println!(
+        "{} partitions, zones {:?}, {} teams",
+        settings.size,
+        settings.zones,
+        settings.teams.len()
+    );
+    for (team, partition) in jasperhill_scheduler::sharding::split(&settings.teams, settings.size) {
+        println!("team {team} in partition {partition}");
+    }
+    println!(
+        "workers report every {} s, lease {} s, cancellations within {} s",
+        secs(settings.heartbeat_interval),
+        secs(settings.lease),
+        secs(settings.cancel)
+    );
+    println!(
+        "session {} s, mirror at most {} s old",
+        secs(settings.session()),
+        secs(settings.cache_age_max())
+    );
+    let tuning = &settings.operator.tuning;
+    println!(
+        "uncertainty factor {}, headroom {}, idle machines kept {} s",
+        tuning.uncertainty,
+        tuning.headroom,
+        secs(tuning.idle_keep)
+    );
+}
