--- a/crates/jasperhill-controller/src/settings/mod.rs
+++ b/crates/jasperhill-controller/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The settings that the platform hands over, checked, and the operators' own.
 //!
-//! [`Settings::parse`] reads the platform's file in two steps: [`file`] deserializes it and
-//! [`check`] checks each value. What follows from settings is computed here. Settings never
+//! [`Settings::parse`] reads the platform's file in two steps: `file` deserializes it and
+//! `check` checks each value. What follows from settings is computed here. Settings never
 //! change while a controller runs.
 
 mod check;
--- a/crates/jasperhill-scheduler/src/cycle/context.rs
+++ b/crates/jasperhill-scheduler/src/cycle/context.rs
@@ -73,7 +73,7 @@
     pub now: Micros,
     /// What may run unconfirmed.
     pub unconfirmed: UnconfirmedTasks,
-    /// One for every host, in the order of [`Partition::hosts`]; none comes or goes meanwhile.
+    /// One for every host, in the order of `Partition::hosts`; none comes or goes meanwhile.
     pub slots: Vec<HostSlot>,
     /// What teams may be using unseen.
     pub(super) unconfirmed_use: BTreeMap<Name, Resources>,
--- a/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
+++ b/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
@@ -25,7 +25,7 @@
 
 impl Partition {
     /// A heartbeat is overdue, and it may be lost: what it runs can't start elsewhere yet. Keeping
-    /// some room costs little, so this is sooner than [`crate::SchedulerConfig::silence`].
+    /// some room costs little, so this is sooner than [`crate::SchedulerConfig::silence_limit`].
     pub(crate) fn is_silent(&self, host: &Host, now: Micros) -> bool {
         let heard = now - host.last_heard;
         match host.fencing {
--- a/crates/jasperhill-scheduler/src/cycle/mod.rs
+++ b/crates/jasperhill-scheduler/src/cycle/mod.rs
@@ -1,5 +1,5 @@
 //! A scheduling cycle over a partition: [`Partition::run_cycle`] goes through its stages in order.
-//! Each stage is a file here; [`context::Cycle`] is what they keep track of together.
+//! Each stage is a file here; `context::Cycle` is what they keep track of together.
 
 pub(crate) mod admission;
 pub(crate) mod context;
