--- a/crates/jasperhill-scheduler/src/cycle/admission.rs
+++ b/crates/jasperhill-scheduler/src/cycle/admission.rs
@@ -1,5 +1,6 @@
-//! Admission control for work with deadlines: the admission test, reservations in the hosts' queues
-//! by simulating their schedules, and the starts of reserved tasks.
+//! Admission control and reservations for jobs with deadlines: the admission test, the reservations
+//! in the hosts' queues, which are chosen by simulating the hosts' schedules, and the start of
+//! reserved tasks.
 
 use crate::{
     config::fetch_time,
@@ -20,38 +21,45 @@
     rc::Rc,
 };
 
-/// Tasks of one job that are reserved in one cycle; the rest follows in later ones.
-const RESERVATIONS_MAX: u64 = 256;
+/// Maximum number of tasks of one job that are reserved in one cycle. Later cycles reserve the
+/// rest.
+const MAX_RESERVATIONS_PER_CYCLE: u64 = 256;
 
-/// The deadline of what has missed its own.
-pub(crate) const NO_DEADLINE: Micros = Micros::from_secs(86_400);
+/// Deadline, relative to the current time, that replaces the deadline of a job that has missed its
+/// own.
+pub(crate) const MISSED_DEADLINE_EXTENSION: Micros = Micros::from_secs(86_400);
 
-/// What a host would make of one more reservation: fewer new misses first, then the lower
-/// density, then the host's place.
+/// Outcome of the schedule simulation on one host with an additional reservation. Ordered by fewer
+/// new misses, then by lower density, then by slot index.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Rank {
-    missed: usize,
-    dense: f64,
+struct HostRank {
+    /// Number of reservations that miss their adjusted deadlines only because of the additional
+    /// one.
+    new_misses: usize,
+    /// Density of the queue: the sum of estimated run time over time to deadline.
+    queue_density: f64,
+    /// Slot index of the host.
     slot: usize,
 }
 
-impl Eq for Rank {}
-impl PartialOrd for Rank {
+impl Eq for HostRank {}
+impl PartialOrd for HostRank {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Rank {
+impl Ord for HostRank {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.missed
-            .cmp(&other.missed)
-            .then(self.dense.total_cmp(&other.dense))
+        self.new_misses
+            .cmp(&other.new_misses)
+            .then(self.queue_density.total_cmp(&other.queue_density))
             .then(self.slot.cmp(&other.slot))
     }
 }
 
 impl Partition {
-    /// The reservation that a task would have on this host.
+    /// Returns the reservation that a task of `request` would get on this host. The adjusted
+    /// deadline is `due` less the start delay times the uncertainty factor.
     pub(crate) fn reservation(
         &self,
         host: &Host,
@@ -69,7 +77,8 @@
         }
     }
 
-    /// What holds room on a host and until about when, the soonest to end last.
+    /// Returns the tasks that hold resources on a host and their expected ends, ordered with the
+    /// soonest to end last.
     pub(crate) fn occupied(&self, host: &Host, now: Micros) -> Vec<Occupied> {
         let mut occupied: Vec<Occupied> = host
             .tasks
@@ -80,17 +89,17 @@
                     (Some(_), Some((grace, since))) => {
                         (since + grace).max(now) + Micros::from_secs(1)
                     }
-                    (Some(j), None) if j.is_service() => Micros::MAX,
-                    (Some(j), None) => {
-                        let (started, wait) = match (t.running, t.state) {
+                    (Some(job), None) if job.is_service() => Micros::MAX,
+                    (Some(job), None) => {
+                        let (started, delay) = match (t.running, t.state) {
                             (Some(started), _) => (started, Micros::ZERO),
                             (None, TaskState::Fetching | TaskState::Ordered) => {
-                                (now, start_delay(host, &j.request, now))
+                                (now, start_delay(host, &job.request, now))
                             }
                             _ => (now, Micros::ZERO),
                         };
-                        let estimate = self.estimate(&j.request).scale(host.slowness.max(1.0));
-                        now + wait + remaining(estimate, now - started)
+                        let estimate = self.estimate(&job.request).scale(host.slowness.max(1.0));
+                        now + delay + remaining(estimate, now - started)
                     }
                     (None, _) => now + Micros::from_secs(2),
                 };
@@ -104,46 +113,55 @@
         occupied
     }
 
-    /// What the schedule simulations on a host begin with.
+    /// Computes the initial state of the schedule simulations on a host.
     pub(crate) fn simulation_start_of(&self, host: &Host, now: Micros) -> SimulationStart {
         let running: Rc<[Occupied]> = self.occupied(host, now).into();
         SimulationStart {
-            misses: count_missed(now, host.free_resources(), &running, &host.queue),
+            missed_reservations: count_missed(now, host.free_resources(), &running, &host.queue),
             running,
         }
     }
 
-    /// The schedule simulation on one host with one more reservation: new misses, and the density.
-    fn rank(&self, cycle: &Cycle, host: &Host, slot: usize, reservation: &Reservation) -> Rank {
+    /// Simulates the schedule of a host with an additional reservation and returns the number of
+    /// new misses and the density of the queue.
+    fn rank_host(
+        &self,
+        cycle: &Cycle,
+        host: &Host,
+        slot: usize,
+        reservation: &Reservation,
+    ) -> HostRank {
         let now = cycle.now;
-        let room = host.free_resources();
-        if host.queue.is_empty() && reservation.each.fits(&room) {
-            // Starts at once: nothing else bears on it.
-            let missed = usize::from(now + reservation.estimate > reservation.adjusted_deadline);
-            let dense = density(now, [reservation]);
-            return Rank {
-                missed,
-                dense,
+        let free = host.free_resources();
+        if host.queue.is_empty() && reservation.each.fits(&free) {
+            // The task starts at once, so no other reservation affects it.
+            let new_misses =
+                usize::from(now + reservation.estimate > reservation.adjusted_deadline);
+            let queue_density = density(now, [reservation]);
+            return HostRank {
+                new_misses,
+                queue_density,
                 slot,
             };
         }
-        let begin = cycle.simulation_start(slot, || self.simulation_start_of(host, now));
+        let start = cycle.simulation_start(slot, || self.simulation_start_of(host, now));
         let (head, tail) = host
             .queue
             .split_at(insert_position(&host.queue, reservation));
-        let with = || head.iter().chain([reservation]).chain(tail);
-        Rank {
-            missed: count_missed(now, room, &begin.running, with()).saturating_sub(begin.misses),
-            dense: density(now, with()),
+        let with_new = || head.iter().chain([reservation]).chain(tail);
+        HostRank {
+            new_misses: count_missed(now, free, &start.running, with_new())
+                .saturating_sub(start.missed_reservations),
+            queue_density: density(now, with_new()),
             slot,
         }
     }
 
-    /// Reserves hosts for pending tasks of an admitted job, as far as the team's limit goes. The
-    /// schedule simulation over all hosts is made once for the job: its tasks are equal, and a
-    /// reservation changes the outcome only on the host that got it.
+    /// Reserves hosts for pending tasks of an admitted job, up to the team's limit. All hosts are
+    /// simulated once for the job: its tasks are equal, and a reservation changes the outcome only
+    /// on the host that holds it.
     ///
-    /// An admitted task that would miss everywhere goes where the fewest do.
+    /// A task that would cause a miss on every host goes to the host with the fewest new misses.
     pub(crate) fn reserve(&mut self, cycle: &Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.pending() == 0 {
@@ -152,17 +170,17 @@
         let request = job.request.clone();
         let Some(due) = job.due else { return };
         let due = if job.missed_deadline {
-            cycle.now + NO_DEADLINE
+            cycle.now + MISSED_DEADLINE_EXTENSION
         } else {
             due
         };
-        let taken = job.reserved.len() as u64;
-        if !self.may_start(cycle, &request, taken + 1) {
+        let already_reserved = job.reserved.len() as u64;
+        if !self.may_start(cycle, &request, already_reserved + 1) {
             return;
         }
         let mut hosts = self.ranked_hosts(cycle, job, due);
-        for more in 1..=RESERVATIONS_MAX {
-            if !self.may_start(cycle, &request, taken + more) {
+        for additional in 1..=MAX_RESERVATIONS_PER_CYCLE {
+            if !self.may_start(cycle, &request, already_reserved + additional) {
                 return;
             }
             let Some(index) = self.jobs.get_mut(id).and_then(Job::next_pending) else {
@@ -180,58 +198,59 @@
                 insert_by_deadline(&mut host.queue, reservation.clone());
             }
             self.set_step(&task, TaskStep::Reserved(chosen.clone()));
-            cycle.invalidate(slot);
+            cycle.invalidate_slot(slot);
             if let Some(host) = self.hosts.get(&chosen) {
-                hosts.push(Reverse(self.rank(cycle, host, slot, &reservation)));
+                hosts.push(Reverse(self.rank_host(cycle, host, slot, &reservation)));
             }
         }
     }
 
-    /// The hosts that could take a task of the job, the best first.
-    fn ranked_hosts(&self, cycle: &Cycle, job: &Job, due: Micros) -> BinaryHeap<Reverse<Rank>> {
+    /// Returns the hosts that could run a task of the job, best host first.
+    fn ranked_hosts(&self, cycle: &Cycle, job: &Job, due: Micros) -> BinaryHeap<Reverse<HostRank>> {
         let request = &job.request;
         let zones = self.zone_capacity(job);
         let any_task = TaskId::new(&request.id, 0);
         self.with_slots(cycle)
             .filter(|(_, slot, host)| {
-                slot.usable
+                slot.is_usable
                     && Self::is_feasible(job, host)
                     && zones.allows(&host.zone)
                     && request.each.fits(&host.spec.capacity)
             })
             .map(|(slot, _, host)| {
                 let reservation = self.reservation(host, &any_task, request, due, cycle.now);
-                Reverse(self.rank(cycle, host, slot, &reservation))
+                Reverse(self.rank_host(cycle, host, slot, &reservation))
             })
             .collect()
     }
 
-    /// Takes the best host for this task out of the ranked ones; its slot and name.
+    /// Removes the best host for a task from the ranked hosts and returns its slot index and id.
+    /// Returns `None` if no ranked host accepts the task.
     fn pop_best_for(
         &self,
         cycle: &Cycle,
-        hosts: &mut BinaryHeap<Reverse<Rank>>,
+        hosts: &mut BinaryHeap<Reverse<HostRank>>,
         task: &TaskId,
     ) -> Option<(usize, HostId)> {
-        let mut passed_over = Vec::new();
+        let mut refusing = Vec::new();
         let mut chosen = None;
         while let Some(Reverse(rank)) = hosts.pop() {
             let id = &cycle.slots[rank.slot].id;
-            // A host that still lists this task as exited refuses it.
+            // A host that still lists this task as exited would refuse it.
             let is_listed = |host: &Host| host.tasks.contains_key(task);
             if self.hosts.get(id).is_some_and(is_listed) {
-                passed_over.push(Reverse(rank));
+                refusing.push(Reverse(rank));
             } else {
                 chosen = Some((rank.slot, id.clone()));
                 break;
             }
         }
-        hosts.extend(passed_over);
+        hosts.extend(refusing);
         chosen
     }
 
-    /// Starts reserved tasks: from the head of their hosts' queues, and on any host that has
-    /// room and no queue of its own.
+    /// Starts reserved tasks of a job, each on the host of its reservation if the task fits there,
+    /// otherwise on another host that has free capacity and an empty queue.
     pub(crate) fn start_reserved(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
@@ -241,69 +260,84 @@
         if !self.may_start(cycle, &request, 1) {
             return;
         }
-        let mut spare = self.candidates(cycle, job, true);
-        let reserved = Self::reserved_that_may_start(cycle, job, spare.is_empty());
+        let mut candidates = self.candidates(cycle, job, true);
+        let reserved = Self::reserved_that_may_start(cycle, job, candidates.is_empty());
         if reserved.is_empty() {
             return;
         }
         let mut zones = self.zone_capacity(job);
-        // The hosts of its own reservations that have room; few when the fleet is full.
-        let mut homes: BTreeMap<&HostId, Option<usize>> = BTreeMap::new();
-        for (i, home) in &reserved {
-            let at = *homes.entry(home).or_insert_with(|| {
-                cycle
-                    .slot(home)
-                    .filter(|at| cycle.fits(*at, id, &request.each))
-            });
+        // Hosts of the job's own reservations that have free capacity. There are few when the fleet
+        // is full.
+        let mut slots_of_reserved_hosts: BTreeMap<&HostId, Option<usize>> = BTreeMap::new();
+        for (index, reserved_host) in &reserved {
+            let slot = *slots_of_reserved_hosts
+                .entry(reserved_host)
+                .or_insert_with(|| {
+                    cycle
+                        .slot(reserved_host)
+                        .filter(|slot| cycle.fits(*slot, id, &request.each))
+                });
             let Some(job) = self.jobs.get(id) else { return };
-            let home_fits = at.filter(|at| {
-                cycle.fits(*at, id, &request.each)
-                    && self.hosts.get(home).is_some_and(|h| {
+            let own_slot = slot.filter(|slot| {
+                cycle.fits(*slot, id, &request.each)
+                    && self.hosts.get(reserved_host).is_some_and(|h| {
                         Self::is_feasible(job, h)
                             && zones.allows(&h.zone)
-                            && !h.tasks.contains_key(&TaskId::new(id, *i))
+                            && !h.tasks.contains_key(&TaskId::new(id, *index))
                     })
             });
-            let target =
-                home_fits.or_else(|| self.best(cycle, &mut spare, &zones, (id, &request.each), *i));
+            let target = own_slot.or_else(|| {
+                self.best_candidate(cycle, &mut candidates, &zones, (id, &request.each), *index)
+            });
             let Some(slot) = target else { continue };
-            self.start(cycle, id, *i, slot, None);
-            // Only a start changes what the team may.
+            self.start(cycle, id, *index, slot, None);
+            // Only a start changes what the team's limit still allows.
             if !self.may_start(cycle, &request, 1) {
                 return;
             }
             if let Some(zone) = self.zone_of(&cycle.slots[slot].id) {
                 zones.add(&zone);
             }
-            self.rescore(cycle, &mut spare, slot, &request, true);
+            self.rescore_candidate(cycle, &mut candidates, slot, &request, true);
         }
     }
 
-    /// The reserved tasks that could start now, with the hosts of their reservations. Guards against
-    /// a walk through thousands of reservations in every cycle where all hosts are full: without
-    /// spare hosts only those can start whose own host has capacity now.
-    fn reserved_that_may_start(cycle: &Cycle, job: &Job, has_no_spare: bool) -> Vec<(u32, HostId)> {
+    /// Returns the reserved tasks that could start now, with the hosts of their reservations. If no
+    /// other host has free capacity, only tasks whose own host has capacity now can start; the
+    /// check prevents a walk through thousands of reservations in every cycle while all hosts are
+    /// full.
+    fn reserved_that_may_start(
+        cycle: &Cycle,
+        job: &Job,
+        has_no_candidates: bool,
+    ) -> Vec<(u32, HostId)> {
         let request = &job.request;
         let slots = cycle.slots.iter().enumerate();
         let with_capacity: HashSet<&HostId> = slots
-            .filter(|(i, _)| cycle.fits(*i, &request.id, &request.each))
+            .filter(|(slot_index, _)| cycle.fits(*slot_index, &request.id, &request.each))
             .map(|(_, slot)| &slot.id)
             .collect();
         job.reserved
             .iter()
-            .filter(|(_, home)| !has_no_spare || with_capacity.contains(home))
-            .map(|(index, home)| (*index, home.clone()))
+            .filter(|(_, reserved_host)| {
+                !has_no_candidates || with_capacity.contains(reserved_host)
+            })
+            .map(|(index, reserved_host)| (*index, reserved_host.clone()))
             .collect()
     }
 
-    /// The admission test for a job with a deadline that nobody has accepted yet.
-    /// `elastic`: how many more machines can be had, after how long. `release`: how long until
-    /// the jobs that it needs are expected to be done. The schedule simulation is then played from that
-    /// moment on: what ends before it holds no room, and what is reserved has not begun.
+    /// Runs the admission test for a job with a deadline that has not been accepted yet. A job
+    /// without a deadline is always admitted.
+    ///
+    /// `elastic` is the number of additional machines that can be rented and the time until they
+    /// are available. `release` is the time until the job's dependencies are expected to be done.
+    /// The schedules are simulated from that moment on: tasks that end before it hold no resources,
+    /// and reserved tasks are assumed not to have started.
     ///
-    /// Its tasks are equal and those on one host do not bear on another, so that the job
-    /// passes if the hosts together can take as many as it has, whatever their order: each
-    /// is played until it would miss, and no further host once there is enough.
+    /// The tasks of a job are equal and tasks on one host do not affect another host. The job
+    /// therefore passes if the hosts together can take all of its tasks, in any order. Tasks are
+    /// added to each host until one would cause a miss, and no further host is examined once enough
+    /// tasks are placed.
     pub fn admit(
         &self,
         request: &JobRequest,
@@ -317,92 +351,103 @@
         };
         let due = submitted + deadline;
         let estimate = self.estimate(request);
-        let at = now + release;
-        if due - at <= estimate {
+        let starts_at = now + release;
+        if due - starts_at <= estimate {
             return AdmissionDecision::Refuse;
         }
-        // What lies beyond the team's limit waits unadmitted: only the part within it is tested.
+        // Tasks beyond the team's limit wait unadmitted, so only the tasks within the limit are
+        // tested.
         let Some(team) = self.config.team(&request.team) else {
             return AdmissionDecision::Refuse;
         };
         let used = self.team_use(&request.team);
-        let mut tested = 0;
-        while tested < request.tasks.min(RESERVATIONS_MAX as u32)
-            && team.allows(&(used + request.each.times(u64::from(tested) + 1)))
+        let mut tasks_within_limit = 0;
+        while tasks_within_limit < request.tasks.min(MAX_RESERVATIONS_PER_CYCLE as u32)
+            && team.allows(&(used + request.each.times(u64::from(tasks_within_limit) + 1)))
         {
-            tested += 1;
+            tasks_within_limit += 1;
         }
         let hosts = || {
             self.hosts
                 .values()
-                .filter(|h| h.is_usable(now, &self.config))
-                .filter(|h| request.allows_host(&h.spec.machine_type, &h.zone, h.spot))
-                .filter(|h| request.each.fits(&h.spec.capacity))
+                .filter(|host| host.is_usable(now, &self.config))
+                .filter(|host| request.allows_host(&host.spec.machine_type, &host.zone, host.spot))
+                .filter(|host| request.each.fits(&host.spec.capacity))
         };
-        let (mut found, mut late) = (0, 0);
+        let (mut placeable, mut missed) = (0, 0);
         for host in hosts() {
-            if found >= tested {
+            if placeable >= tasks_within_limit {
                 return AdmissionDecision::Admit;
             }
-            let (can, misses) = self.takes(host, request, due, at, tested - found);
-            found += can;
-            late += misses;
+            let (admissible, missed_on_host) = self.count_admissible_tasks(
+                host,
+                request,
+                due,
+                starts_at,
+                tasks_within_limit - placeable,
+            );
+            placeable += admissible;
+            missed += missed_on_host;
         }
-        if found >= tested {
+        if placeable >= tasks_within_limit {
             return AdmissionDecision::Admit;
         }
-        // Work that is late already takes its part of the machines that could be rented now.
+        // Reservations that miss their deadlines already take their share of the machines that
+        // could be rented now.
         let rented = self
-            .rentable(request, due, (now, at), elastic)
-            .saturating_sub(late as u64);
-        if u64::from(tested - found) <= rented {
+            .tasks_on_rented_machines(request, due, (now, starts_at), elastic)
+            .saturating_sub(missed as u64);
+        if u64::from(tasks_within_limit - placeable) <= rented {
             AdmissionDecision::Admit
         } else {
             AdmissionDecision::Refuse
         }
     }
 
-    /// How many tasks of a job a host can take without a new miss, at most `most`, and how
-    /// many reservations miss there already.
-    fn takes(
+    /// Returns how many tasks of a job, at most `max_tasks`, a host can take without a new miss,
+    /// and how many reservations on the host miss their deadlines already.
+    fn count_admissible_tasks(
         &self,
         host: &Host,
         request: &JobRequest,
         due: Micros,
         now: Micros,
-        most: u32,
+        max_tasks: u32,
     ) -> (u32, usize) {
-        let (room, running) = (host.free_resources(), self.occupied(host, now));
-        let before = count_missed(now, room, &running, &host.queue);
+        let (free, running) = (host.free_resources(), self.occupied(host, now));
+        let missed_before = count_missed(now, free, &running, &host.queue);
         let reservation = self.reservation(host, &TaskId::new(&request.id, 0), request, due, now);
-        let at = insert_position(&host.queue, &reservation);
-        let (head, tail) = host.queue.split_at(at);
-        let mut can = 0;
-        while can < most {
-            let more = std::iter::repeat_n(&reservation, can as usize + 1);
-            if count_missed(now, room, &running, head.iter().chain(more).chain(tail)) > before {
+        let position = insert_position(&host.queue, &reservation);
+        let (head, tail) = host.queue.split_at(position);
+        let mut admissible = 0;
+        while admissible < max_tasks {
+            let added = std::iter::repeat_n(&reservation, admissible as usize + 1);
+            if count_missed(now, free, &running, head.iter().chain(added).chain(tail))
+                > missed_before
+            {
                 break;
             }
-            can += 1;
+            admissible += 1;
         }
-        (can, before)
+        (admissible, missed_before)
     }
 
-    /// Tasks for which machines could be rented now: they begin empty, and late.
-    fn rentable(
+    /// Returns the number of the job's tasks that would end in time on machines rented now. A
+    /// rented machine is empty at first, and available only after its boot time and the fetch of
+    /// the image. It is counted for at most two tasks in succession.
+    fn tasks_on_rented_machines(
         &self,
         request: &JobRequest,
         due: Micros,
-        (now, at): (Micros, Micros),
+        (now, starts_at): (Micros, Micros),
         elastic: (u32, Micros),
     ) -> u64 {
-        let spec = self
-            .specs
-            .values()
-            .find(|s| request.allows_type(&s.machine_type) && request.each.fits(&s.capacity));
+        let spec = self.specs.values().find(|spec| {
+            request.allows_type(&spec.machine_type) && request.each.fits(&spec.capacity)
+        });
         let Some(spec) = spec else { return 0 };
         let estimate = self.estimate(request);
-        let ready = (now + elastic.1).max(at)
+        let ready = (now + elastic.1).max(starts_at)
             + fetch_time(request.image_gb, spec).scale(self.config.tuning.uncertainty);
         if ready + estimate > due {
             return 0;
--- a/crates/jasperhill-scheduler/src/cycle/context.rs
+++ b/crates/jasperhill-scheduler/src/cycle/context.rs
@@ -1,4 +1,6 @@
-//! What a scheduling cycle keeps track of.
+//! State of one scheduling cycle, shared by its stages: the free capacity of every host and values
+//! cached for the duration of the cycle. Free capacity only shrinks during a cycle, so a resource
+//! request that fits nowhere need not be checked again.
 
 use crate::{
     host::LISTED_MAX, job::Job, partition::UnconfirmedTasks, schedule_simulation::Occupied,
@@ -9,215 +11,243 @@
 };
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
-/// Work that could be stopped.
+/// A task that could be preempted.
 pub(crate) struct Victim {
-    /// Work lost by stopping it.
+    /// Cost of stopping the task, expressed as lost run time.
     pub lost_work: Micros,
-    /// Which task.
+    /// The task to stop.
     pub task: TaskId,
-    /// What it takes.
-    pub each: Resources,
-    /// The time that it needs to save a checkpoint.
+    /// Resources that stopping the task frees.
+    pub resources: Resources,
+    /// Time that the task needs to save a checkpoint before it stops.
     pub grace: Micros,
 }
 
-/// A host as a cycle sees it.
+/// Capacity of one host as the current cycle has left it.
 pub(crate) struct HostSlot {
-    /// The host.
+    /// Id of the host.
     pub id: HostId,
-    /// It may get new tasks.
-    pub usable: bool,
-    /// Room left.
+    /// Whether the host accepts new tasks.
+    pub is_usable: bool,
+    /// Resources that are still free.
     pub free: Resources,
-    /// Tasks that its worker lists.
-    pub listed: usize,
-    /// Kept free for a waiting gang.
-    pub reserved: Option<JobId>,
+    /// Number of tasks listed by the host's worker, including those started in this cycle.
+    pub listed_tasks: usize,
+    /// Waiting gang for which the host is kept free; `None` if no gang has reserved the host.
+    pub reserved_for: Option<JobId>,
 }
 
-/// What the schedule simulations on a host begin with. Made once, until something starts or stops there:
-/// many jobs are played on every host in one cycle.
+/// Initial state of the schedule simulations on one host. It is computed once and cached until a
+/// task starts or stops on the host, because many jobs are simulated on every host in one cycle.
 #[derive(Clone)]
 pub(crate) struct SimulationStart {
-    /// What holds resources there, the soonest to end last.
+    /// Tasks that hold resources on the host, ordered by expected end with the soonest last.
     pub running: Rc<[Occupied]>,
-    /// Reservations that miss already.
-    pub misses: usize,
+    /// Number of existing reservations that would miss their adjusted deadlines.
+    pub missed_reservations: usize,
 }
 
-/// By slot, if known.
-pub(super) type Victims = Vec<Option<Rc<[Victim]>>>;
+/// Cached preemption victims by slot index; `None` if the victims of a host have not been computed.
+pub(super) type VictimsBySlot = Vec<Option<Rc<[Victim]>>>;
 
-/// A gang for which there was nothing in this cycle, so that there is nothing for one like it
-/// that is as large and no more important. Room, and what could be stopped, only shrink.
+/// A gang that could not be placed in this cycle. A similar gang that is at least as large and no
+/// more important cannot be placed either, because free capacity and the set of possible victims
+/// only shrink during a cycle.
 pub(super) struct InfeasibleGang {
     priority: Priority,
     request: Rc<JobRequest>,
 }
 
 impl InfeasibleGang {
-    fn covers(&self, priority: Priority, r: &JobRequest) -> bool {
-        let known = &self.request;
+    /// Returns whether a gang with this priority and request is at least as hard to place as this
+    /// one.
+    fn is_no_harder_than(&self, priority: Priority, request: &JobRequest) -> bool {
+        let own = &self.request;
         self.priority <= priority
-            && known.tasks <= r.tasks
-            && known.each.fits(&r.each)
-            && known.types == r.types
-            && known.zone == r.zone
-            && (known.one_zone, known.spread, known.spot) == (r.one_zone, r.spread, r.spot)
+            && own.tasks <= request.tasks
+            && own.each.fits(&request.each)
+            && own.types == request.types
+            && own.zone == request.zone
+            && (own.one_zone, own.spread, own.spot)
+                == (request.one_zone, request.spread, request.spot)
     }
 }
 
-/// The part of a team's limit that is kept for a waiting gang for the rest of a cycle.
+/// The part of a team's limit that is reserved for a waiting gang for the rest of a cycle.
 pub(crate) struct QuotaReservation {
-    /// The gang.
+    /// The gang that holds the reservation.
     pub job: JobId,
-    /// All of its tasks together.
+    /// Resources of all tasks of the gang together.
     pub resources: Resources,
 }
 
-/// What a cycle keeps track of.
+/// State of one scheduling cycle.
 pub(crate) struct Cycle {
-    /// The time of the cycle.
+    /// Time at which the cycle runs.
     pub now: Micros,
-    /// What may run unconfirmed.
+    /// Tasks that may be running on hosts whose state is not yet confirmed.
     pub unconfirmed: UnconfirmedTasks,
-    /// One for every host, in the order of `Partition::hosts`; none comes or goes meanwhile.
+    /// One slot for every host, in the order of `Partition::hosts`. No host is added or removed
+    /// during a cycle.
     pub slots: Vec<HostSlot>,
-    /// What teams may be using unseen.
+    /// Resources that unconfirmed tasks may be using, by team.
     pub(super) unconfirmed_use: BTreeMap<Name, Resources>,
-    /// What of their limits teams keep for a waiting gang; by team.
+    /// Part of a team's limit that is reserved for a waiting gang, by team.
     pub(super) quota_reservations: BTreeMap<Name, QuotaReservation>,
-    /// How many gangs of each team were looked at for that.
+    /// Number of gangs, by team, that have been examined in this cycle for a reservation of the
+    /// team's limit.
     pub(super) quota_attempts: BTreeMap<Name, u32>,
-    /// Amounts for which no host has room. Room only shrinks during a cycle, so these stay
-    /// true: what waits behind a full fleet costs one comparison, not a look at every host.
-    pub(super) infeasible: Vec<Resources>,
-    /// By slot, until something starts or stops there.
+    /// Resource requests for which no host has free capacity. Free capacity only shrinks during a
+    /// cycle, so these stay infeasible: for a job that waits on a full fleet, one comparison
+    /// replaces a scan of all hosts.
+    pub(super) infeasible_requests: Vec<Resources>,
+    /// Cached initial simulation states by slot index; cleared when a task starts or stops on the
+    /// host.
     pub(super) simulation_starts: RefCell<Vec<Option<SimulationStart>>>,
-    /// What could be stopped on each host for work of a priority, gangs of several tasks included
-    /// or not; made once like the beginnings.
-    pub(super) victims: RefCell<BTreeMap<(Priority, bool), Victims>>,
-    /// Gangs without seats, and those for which no room can be made.
+    /// Cached preemption victims, by the priority of the preempting job and by whether gangs of
+    /// several tasks are included.
+    pub(super) victims: RefCell<BTreeMap<(Priority, bool), VictimsBySlot>>,
+    /// Gangs for which no set of hosts was found in this cycle.
     pub(super) gangs_without_hosts: Vec<InfeasibleGang>,
-    /// Gangs for which nothing that could be stopped suffices.
+    /// Gangs for which preempting every possible victim would not free enough capacity.
     pub(super) gangs_without_victims: Vec<InfeasibleGang>,
-    /// Gangs that keep hosts free, and how many hosts.
+    /// Number of gangs that have reserved hosts in this cycle, and number of hosts reserved for
+    /// gangs.
     pub reserved_for_gangs: (usize, usize),
 }
 
 impl Cycle {
-    /// The slot of a host.
+    /// Returns the slot index of a host, or `None` if the host is not in the partition.
     pub fn slot(&self, host: &HostId) -> Option<usize> {
-        self.slots.binary_search_by(|s| s.id.cmp(host)).ok()
+        self.slots.binary_search_by(|slot| slot.id.cmp(host)).ok()
     }
-    /// Whether a task of this job fits on the host of slot `i` now.
-    pub fn fits(&self, i: usize, job: &JobId, each: &Resources) -> bool {
-        self.slots.get(i).is_some_and(|s| {
-            s.usable
-                && s.listed < LISTED_MAX
-                && each.fits(&s.free)
-                && s.reserved.as_ref().is_none_or(|j| j == job)
+    /// Returns whether a task that needs `each` can start for this job on the host of `slot` now:
+    /// the host is usable, lists fewer tasks than its maximum, has enough free resources and is not
+    /// reserved for another job.
+    pub fn fits(&self, slot: usize, job: &JobId, each: &Resources) -> bool {
+        self.slots.get(slot).is_some_and(|host| {
+            host.is_usable
+                && host.listed_tasks < LISTED_MAX
+                && each.fits(&host.free)
+                && host
+                    .reserved_for
+                    .as_ref()
+                    .is_none_or(|reserved_for| reserved_for == job)
         })
     }
-    /// A task takes this much on the host of slot `i` from now on.
-    pub fn take(&mut self, i: usize, each: &Resources) {
-        self.invalidate(i);
-        if let Some(slot) = self.slots.get_mut(i) {
-            slot.free -= *each;
-            slot.listed += 1;
+    /// Subtracts a task's resources from the free resources of `slot` and counts the task as
+    /// listed.
+    pub fn allocate(&mut self, slot: usize, each: &Resources) {
+        self.invalidate_slot(slot);
+        if let Some(host) = self.slots.get_mut(slot) {
+            host.free -= *each;
+            host.listed_tasks += 1;
         }
     }
-    /// The schedule simulations on this host begin differently now.
-    pub fn invalidate(&self, i: usize) {
-        if let Some(begin) = self.simulation_starts.borrow_mut().get_mut(i) {
-            *begin = None;
+    /// Drops the cached simulation state and victims of a host, because its tasks or queue have
+    /// changed.
+    pub fn invalidate_slot(&self, slot: usize) {
+        if let Some(start) = self.simulation_starts.borrow_mut().get_mut(slot) {
+            *start = None;
         }
-        for known in self.victims.borrow_mut().values_mut() {
-            if let Some(victims) = known.get_mut(i) {
-                *victims = None;
+        for victims_by_slot in self.victims.borrow_mut().values_mut() {
+            if let Some(entry) = victims_by_slot.get_mut(slot) {
+                *entry = None;
             }
         }
     }
-    /// As [`Self::invalidate`], by the host.
+    /// Does the same as [`Self::invalidate_slot`] for a host given by its id.
     pub fn invalidate_host(&self, host: &HostId) {
-        if let Some(i) = self.slot(host) {
-            self.invalidate(i);
+        if let Some(slot) = self.slot(host) {
+            self.invalidate_slot(slot);
         }
     }
-    /// What could be stopped on the host of slot `i` for work of this priority; made once.
+    /// Returns the victims on the host of `slot` for work of this priority. Calls `compute` only if
+    /// no cached value exists.
     pub fn victims(
         &self,
-        i: usize,
-        than: Priority,
-        whole: bool,
-        make: impl FnOnce() -> Vec<Victim>,
+        slot: usize,
+        priority: Priority,
+        include_gangs: bool,
+        compute: impl FnOnce() -> Vec<Victim>,
     ) -> Rc<[Victim]> {
-        let mut all = self.victims.borrow_mut();
-        let known = all.entry((than, whole)).or_default();
-        known.resize(self.slots.len(), None);
-        match known.get_mut(i) {
+        let mut cache = self.victims.borrow_mut();
+        let victims_by_slot = cache.entry((priority, include_gangs)).or_default();
+        victims_by_slot.resize(self.slots.len(), None);
+        match victims_by_slot.get_mut(slot) {
             Some(Some(victims)) => victims.clone(),
-            Some(place) => place.insert(make().into()).clone(),
-            None => make().into(),
+            Some(entry) => entry.insert(compute().into()).clone(),
+            None => compute().into(),
         }
     }
-    /// What schedule simulations on the host of slot `i` begin with; made once.
+    /// Returns the initial simulation state of the host of `slot`. Calls `compute` only if no
+    /// cached value exists.
     pub fn simulation_start(
         &self,
-        i: usize,
-        make: impl FnOnce() -> SimulationStart,
+        slot: usize,
+        compute: impl FnOnce() -> SimulationStart,
     ) -> SimulationStart {
-        let known = self.simulation_starts.borrow().get(i).cloned().flatten();
-        known.unwrap_or_else(|| {
-            let begin = make();
-            if let Some(place) = self.simulation_starts.borrow_mut().get_mut(i) {
-                *place = Some(begin.clone());
+        let cached = self.simulation_starts.borrow().get(slot).cloned().flatten();
+        cached.unwrap_or_else(|| {
+            let start = compute();
+            if let Some(entry) = self.simulation_starts.borrow_mut().get_mut(slot) {
+                *entry = Some(start.clone());
             }
-            begin
+            start
         })
     }
-    /// A gang at least as easy to place has found no hosts in this cycle.
-    pub fn is_gang_without_hosts(&self, priority: Priority, r: &JobRequest) -> bool {
+    /// Returns whether a gang that is at least as easy to place has found no hosts in this cycle.
+    pub fn is_gang_without_hosts(&self, priority: Priority, request: &JobRequest) -> bool {
         self.gangs_without_hosts
             .iter()
-            .any(|h| h.covers(priority, r))
+            .any(|gang| gang.is_no_harder_than(priority, request))
     }
-    /// This gang has found no hosts.
+    /// Records that no hosts were found for a gang in this cycle.
     pub fn note_gang_without_hosts(&mut self, priority: Priority, request: &Rc<JobRequest>) {
         let request = request.clone();
         self.gangs_without_hosts
             .push(InfeasibleGang { priority, request });
     }
-    /// A gang at least as easy to place has found nothing to preempt in this cycle.
-    pub fn is_gang_without_victims(&self, priority: Priority, r: &JobRequest) -> bool {
+    /// Returns whether preemption could not free enough capacity in this cycle for a gang that is
+    /// at least as easy to place.
+    pub fn is_gang_without_victims(&self, priority: Priority, request: &JobRequest) -> bool {
         self.gangs_without_victims
             .iter()
-            .any(|h| h.covers(priority, r))
+            .any(|gang| gang.is_no_harder_than(priority, request))
     }
-    /// This gang has found nothing to preempt.
+    /// Records that preemption cannot free enough capacity for a gang in this cycle.
     pub fn note_gang_without_victims(&mut self, priority: Priority, request: &Rc<JobRequest>) {
         let request = request.clone();
         self.gangs_without_victims
             .push(InfeasibleGang { priority, request });
     }
-    /// No usable host has room for this.
+    /// Returns whether no usable host has enough free resources for `each`, and caches a negative
+    /// result.
     pub fn is_infeasible(&mut self, each: &Resources) -> bool {
-        if self.infeasible.iter().any(|h| h.fits(each)) {
+        if self
+            .infeasible_requests
+            .iter()
+            .any(|known| known.fits(each))
+        {
             return true;
         }
-        let none = !self.slots.iter().any(|s| s.usable && each.fits(&s.free));
-        if none {
-            self.infeasible.push(*each);
+        let fits_nowhere = !self
+            .slots
+            .iter()
+            .any(|slot| slot.is_usable && each.fits(&slot.free));
+        if fits_nowhere {
+            self.infeasible_requests.push(*each);
         }
-        none
+        fits_nowhere
     }
-    /// How many hosts may get new tasks.
-    pub fn usable(&self) -> usize {
-        self.slots.iter().filter(|s| s.usable).count()
+    /// Returns the number of hosts that accept new tasks.
+    pub fn usable_hosts(&self) -> usize {
+        self.slots.iter().filter(|slot| slot.is_usable).count()
     }
 }
 
-/// Work that may stop lesser work.
-pub(crate) fn is_urgent(job: &Job) -> bool {
+/// Returns whether the job has production or high priority. Such a job may start on a host where
+/// reservations are queued.
+pub(crate) fn has_high_priority(job: &Job) -> bool {
     job.priority() <= Priority::High
 }
--- a/crates/jasperhill-scheduler/src/cycle/drain.rs
+++ b/crates/jasperhill-scheduler/src/cycle/drain.rs
@@ -1,5 +1,5 @@
-//! Emptying hosts that are more than needed: their replicas move, one at a time per host,
-//! to where they can go on at once.
+//! Draining of surplus hosts. Service replicas move off a draining host one at a time, to hosts
+//! where they can start at once; other tasks run to their end.
 
 use crate::{
     cycle::placement::ZoneCapacity,
@@ -9,62 +9,66 @@
 };
 use jasperhill_wire::{HostId, Micros, TaskId};
 
-/// A replica that has run for less is not moved.
-const SETTLED: Micros = Micros::from_secs(90);
-/// Hosts that hold more are not emptied.
-const TASKS_MOST: usize = 4;
-/// Hosts looked at closely in one go.
-const LOOKED_AT: usize = 64;
-/// A host that could not be emptied in this time is used again; one that is not expected to be
-/// empty by then is not chosen.
-const DRAIN_FOR: Micros = Micros::from_secs(90);
+/// A replica that has run for less than this time is not moved.
+const MIN_REPLICA_RUN_TIME: Micros = Micros::from_secs(90);
+/// Hosts with more tasks than this are not drained.
+const MAX_TASKS_TO_DRAIN: usize = 4;
+/// Maximum number of hosts examined in detail per call.
+const MAX_HOSTS_EXAMINED: usize = 64;
+/// Time after which a host that is still draining is used again. A host that is not expected to be
+/// empty within this time is not chosen.
+const DRAIN_TIMEOUT: Micros = Micros::from_secs(90);
 impl Partition {
-    /// Chooses hosts to be emptied, when there are more than are needed: those that are empty
-    /// the soonest, if all their replicas can go on at once elsewhere. `surplus`: how many are
-    /// too many, in all and ordinary ones; when that has shrunk, the fullest are used again.
+    /// Chooses surplus hosts to drain: the hosts that become empty soonest, provided that all their
+    /// replicas can start at once elsewhere. `surplus` is the number of surplus hosts in total and
+    /// the number of on-demand hosts among them. When the surplus has shrunk, the draining hosts
+    /// with the most tasks are used again.
     ///
-    /// What is too many would only collect work that keeps it. Guards against a fleet that
-    /// shrinks slower than its load because hosts that wait for a long task hold up others.
+    /// A surplus host that is not drained keeps receiving work that prevents its release. Draining
+    /// prevents the fleet from shrinking more slowly than its load, which happens when hosts with
+    /// one long task keep other hosts from becoming empty.
     pub fn drain_surplus(&mut self, now: Micros, surplus: (usize, usize)) {
-        let (mut most, mut ordinary) = surplus;
+        let (mut surplus_left, mut on_demand_left) = surplus;
         if self.has_unconfirmed_tasks() {
             return;
         }
-        let mut under_way: Vec<(usize, HostId, bool)> = self
+        let mut draining: Vec<(usize, HostId, bool)> = self
             .hosts
             .values()
-            .filter(|h| h.draining.is_some())
-            .map(|h| (h.tasks_on(), h.id.clone(), h.spot))
+            .filter(|host| host.draining.is_some())
+            .map(|host| (host.tasks_on(), host.id.clone(), host.spot))
             .collect();
-        under_way.sort();
-        for (_, id, spot) in under_way {
-            if most > 0 && (spot || ordinary > 0) {
-                most -= 1;
-                ordinary -= usize::from(!spot);
+        draining.sort();
+        for (_, id, spot) in draining {
+            if surplus_left > 0 && (spot || on_demand_left > 0) {
+                surplus_left -= 1;
+                on_demand_left -= usize::from(!spot);
             } else if let Some(host) = self.hosts.get_mut(&id) {
                 host.draining = None;
                 self.changed = true;
             }
         }
-        if most == 0 {
+        if surplus_left == 0 {
             return;
         }
         let config = self.config.clone();
         let mut soonest: Vec<(Micros, usize, &Host)> = self
             .hosts
             .values()
-            .filter(|h| (1..=TASKS_MOST).contains(&h.tasks_on()))
-            .filter(|h| h.is_usable(now, &config) && h.queue.is_empty())
-            .filter(|h| h.spot || ordinary > 0)
-            .map(|h| (self.batch_until(h, now), h.tasks_on(), h))
-            .filter(|(until, ..)| *until < now + DRAIN_FOR)
+            .filter(|host| (1..=MAX_TASKS_TO_DRAIN).contains(&host.tasks_on()))
+            .filter(|host| host.is_usable(now, &config) && host.queue.is_empty())
+            .filter(|host| host.spot || on_demand_left > 0)
+            .map(|host| (self.last_batch_task_end(host, now), host.tasks_on(), host))
+            .filter(|(ends_at, ..)| *ends_at < now + DRAIN_TIMEOUT)
             .collect();
-        soonest.sort_by_key(|(until, tasks, h)| (*until, *tasks, &h.id));
+        soonest.sort_by_key(|(ends_at, tasks, host)| (*ends_at, *tasks, &host.id));
         let mut chosen = Vec::new();
-        for (.., host) in soonest.into_iter().take(LOOKED_AT) {
-            if chosen.len() < most && (host.spot || ordinary > 0) && self.can_be_drained(host, now)
+        for (.., host) in soonest.into_iter().take(MAX_HOSTS_EXAMINED) {
+            if chosen.len() < surplus_left
+                && (host.spot || on_demand_left > 0)
+                && self.can_be_drained(host, now)
             {
-                ordinary -= usize::from(!host.spot);
+                on_demand_left -= usize::from(!host.spot);
                 chosen.push(host.id.clone());
             }
         }
@@ -75,49 +79,67 @@
         }
     }
 
-    /// When the last task there that ends by itself is expected to.
-    fn batch_until(&self, host: &Host, now: Micros) -> Micros {
-        let ends = self.occupied(host, now).into_iter().map(|o| o.until);
+    /// Returns when the last task on the host that ends by itself is expected to end, or `now` if
+    /// there is none.
+    fn last_batch_task_end(&self, host: &Host, now: Micros) -> Micros {
+        let ends = self.occupied(host, now).into_iter().map(|task| task.until);
         ends.filter(|until| *until < Micros::MAX)
             .max()
             .unwrap_or(now)
     }
 
-    /// All replicas there can move; the rest ends by itself.
+    /// Returns whether all replicas on the host can move elsewhere. Other tasks end by themselves.
     fn can_be_drained(&self, host: &Host, now: Micros) -> bool {
         host.tasks
             .iter()
-            .filter(|(_, t)| t.holds_resources())
-            .all(|(task, t)| {
-                self.jobs.get(&task.job).is_some_and(|j| {
-                    !j.is_service()
-                        || (t.running.is_some_and(|r| now - r > SETTLED)
-                            && self.has_other_host(j, task, &host.id, now))
+            .filter(|(_, on_host)| on_host.holds_resources())
+            .all(|(task, on_host)| {
+                self.jobs.get(&task.job).is_some_and(|job| {
+                    !job.is_service()
+                        || (on_host
+                            .running
+                            .is_some_and(|started| now - started > MIN_REPLICA_RUN_TIME)
+                            && self.has_other_host(job, task, &host.id, now))
                 })
             })
     }
 
-    /// Another host is there where this replica would run at once.
+    /// Returns whether another host is available where this replica could start at once.
     fn has_other_host(&self, job: &Job, task: &TaskId, from: &HostId, now: Micros) -> bool {
-        let r = &job.request;
-        // The one that moves does not count where it is.
-        let others = job.live.iter().filter(|(i, _)| **i != task.index);
-        let zones = ZoneCapacity::among(r, others.map(|(_, h)| h), |h| self.zone_of(h));
+        let request = &job.request;
+        // The replica that moves does not count in its present zone.
+        let other_replicas = job.live.iter().filter(|(index, _)| **index != task.index);
+        let zones =
+            ZoneCapacity::for_hosts(request, other_replicas.map(|(_, host)| host), |host| {
+                self.zone_of(host)
+            });
         self.hosts
             .values()
-            .filter(|h| &h.id != from && h.tasks_on() > 0 && h.is_usable(now, &self.config))
-            .filter(|h| r.each.fits(&h.free_resources()) && h.has_image(&r.image))
-            .any(|h| {
-                Self::is_feasible(job, h) && !h.tasks.contains_key(task) && zones.allows(&h.zone)
+            .filter(|candidate| {
+                &candidate.id != from
+                    && candidate.tasks_on() > 0
+                    && candidate.is_usable(now, &self.config)
+            })
+            .filter(|candidate| {
+                request.each.fits(&candidate.free_resources())
+                    && candidate.has_image(&request.image)
+            })
+            .any(|candidate| {
+                Self::is_feasible(job, candidate)
+                    && !candidate.tasks.contains_key(task)
+                    && zones.allows(&candidate.zone)
             })
     }
 
-    /// Moves replicas off draining hosts, one at a time each, so that each is away only for
-    /// the moment between its stop and its start where the image is.
+    /// Moves replicas off draining hosts, one at a time per host. Each replica is down only between
+    /// its stop and its start on a host that already has the image.
     pub(crate) fn move_replicas(&mut self, now: Micros) {
         let mut stops = Vec::new();
         for host in self.hosts.values_mut() {
-            if host.draining.is_some_and(|t| now - t > DRAIN_FOR) {
+            if host
+                .draining
+                .is_some_and(|since| now - since > DRAIN_TIMEOUT)
+            {
                 host.draining = None;
             }
         }
@@ -125,16 +147,16 @@
             if host
                 .tasks
                 .values()
-                .any(|t| t.holds_resources() && t.stopping.is_some())
+                .any(|on_host| on_host.holds_resources() && on_host.stopping.is_some())
             {
                 continue;
             }
-            let next = host.tasks.iter().find(|(task, t)| {
-                t.holds_resources()
-                    && self.jobs.get(&task.job).is_some_and(|j| {
-                        j.is_service()
-                            && j.pending() == 0
-                            && self.has_other_host(j, task, &host.id, now)
+            let next = host.tasks.iter().find(|(task, on_host)| {
+                on_host.holds_resources()
+                    && self.jobs.get(&task.job).is_some_and(|job| {
+                        job.is_service()
+                            && job.pending() == 0
+                            && self.has_other_host(job, task, &host.id, now)
                     })
             });
             if let Some((task, _)) = next {
@@ -144,8 +166,8 @@
         if stops.is_empty() {
             return;
         }
-        let services = self.jobs.values().filter(|j| j.is_service());
-        let replicas = services.map(|j| j.live.len()).sum();
+        let services = self.jobs.values().filter(|job| job.is_service());
+        let replicas = services.map(|job| job.live.len()).sum();
         for (host, task) in stops {
             if !self.move_budget.take(replicas, now) {
                 return;
--- a/crates/jasperhill-scheduler/src/cycle/gang.rs
+++ b/crates/jasperhill-scheduler/src/cycle/gang.rs
@@ -1,8 +1,10 @@
-//! Gangs: started whole or not at all, and hosts kept free for those that wait.
+//! Gang scheduling: all tasks of a gang start together or none does. Hosts that become free soonest
+//! are reserved for waiting gangs, because small tasks would otherwise take the capacity as it
+//! becomes free.
 
 use crate::{
     cycle::context::Cycle,
-    cycle::placement::{ZoneCapacity, cost, unproven_penalty},
+    cycle::placement::{ZoneCapacity, start_cost_ms, unproven_host_penalty_ms},
     host::{Host, LISTED_MAX},
     job::{GangHosts, Job},
     partition::Partition,
@@ -10,15 +12,18 @@
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, user::JobRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long the choice of hosts kept for a waiting gang stands before it is made anew.
-const CHOICE_LASTS: Micros = Micros::from_secs(1);
-/// Gangs that may keep hosts however few there are.
-const HOLDING_GANGS: usize = 2;
-/// Beyond these, no more than this part of the hosts is kept.
-const GANG_HOSTS_PART: usize = 8;
+/// Time for which the hosts chosen for a waiting gang are kept before they are chosen again.
+const HOST_CHOICE_LIFETIME: Micros = Micros::from_secs(1);
+/// Number of gangs that may reserve hosts regardless of the number of usable hosts.
+const MIN_RESERVING_GANGS: usize = 2;
+/// Further gangs may reserve hosts as long as the hosts reserved for gangs are at most the usable
+/// hosts divided by this number.
+const GANG_HOSTS_DIVISOR: usize = 8;
 
 impl Partition {
-    /// Starts a gang whole or not at all.
+    /// Starts all tasks of a gang, or none if there is no capacity for all. A gang that cannot
+    /// start may reserve hosts and its part of the team's limit, and may preempt work of lower
+    /// priority.
     pub(crate) fn start_gang(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
@@ -33,22 +38,23 @@
         }
         let mut best: Option<(u64, Vec<usize>)> = None;
         let priority = job.priority();
-        let looked =
+        let has_searched =
             !cycle.is_infeasible(&request.each) && !cycle.is_gang_without_hosts(priority, &request);
-        if looked {
+        if has_searched {
             for zones in self.zone_sets(cycle, &request) {
-                if let Some((cost, slots)) = self.find_hosts(cycle, job, &request, &zones)
-                    && best.as_ref().is_none_or(|(c, _)| cost < *c)
+                if let Some((cost, slots)) = self.find_gang_hosts(cycle, job, &request, &zones)
+                    && best.as_ref().is_none_or(|(best_cost, _)| cost < *best_cost)
                 {
                     best = Some((cost, slots));
                 }
             }
         }
-        // Where it is listed itself does not count for others.
+        // The search skips hosts that list or are avoided by this gang itself, so a negative result
+        // does not apply to other gangs.
         if best.is_none()
-            && looked
+            && has_searched
             && !job.failures.avoids_any()
-            && !self.hosts.values().any(|h| h.lists_job(id))
+            && !self.hosts.values().any(|host| host.lists_job(id))
         {
             cycle.note_gang_without_hosts(priority, &request);
         }
@@ -60,40 +66,52 @@
                     job.gang_hosts = None;
                     job.preempting.clear();
                 }
-                for (i, slot) in slots.into_iter().enumerate() {
-                    self.start(cycle, id, i as u32, slot, Some(attempt));
+                for (index, slot) in slots.into_iter().enumerate() {
+                    self.start(cycle, id, index as u32, slot, Some(attempt));
                 }
             }
-            // Nobody is preempted for what fails wherever it runs.
+            // A gang that is backing off after failures may fail on any host, so nothing is
+            // preempted for it.
             None if job.failures.is_backing_off() => {}
             None => {
-                self.choose_hosts(cycle, id, &request);
+                self.choose_hosts_to_reserve(cycle, id, &request);
                 self.preempt_for_gang(cycle, id);
                 self.reserve_for_gang(cycle, id);
             }
         }
     }
 
-    /// The sets of zones that a gang may be spread over.
+    /// Returns the sets of zones over which a gang may be placed: one set per zone if all tasks
+    /// must be in one zone, otherwise a single set of all zones. Only zones with enough free
+    /// resources for one task count.
     fn zone_sets(&self, cycle: &Cycle, request: &JobRequest) -> Vec<BTreeSet<Name>> {
         let zones: BTreeSet<Name> = self
             .with_slots(cycle)
-            .filter(|(_, slot, _)| slot.usable && request.each.fits(&slot.free))
-            .map(|(_, _, h)| &h.zone)
-            .filter(|z| request.zone.as_ref().is_none_or(|want| want == *z))
+            .filter(|(_, slot, _)| slot.is_usable && request.each.fits(&slot.free))
+            .map(|(_, _, host)| &host.zone)
+            .filter(|zone| {
+                request
+                    .zone
+                    .as_ref()
+                    .is_none_or(|required| required == *zone)
+            })
             .collect::<BTreeSet<&Name>>()
             .into_iter()
             .cloned()
             .collect();
         if request.one_zone {
-            zones.into_iter().map(|z| BTreeSet::from([z])).collect()
+            zones
+                .into_iter()
+                .map(|zone| BTreeSet::from([zone]))
+                .collect()
         } else {
             vec![zones]
         }
     }
 
-    /// Hosts for every task of a gang within these zones, with room now.
-    fn find_hosts(
+    /// Returns the slots of hosts with free capacity for every task of a gang within these zones,
+    /// and the highest cost among the hosts. Returns `None` if there is not enough capacity.
+    fn find_gang_hosts(
         &self,
         cycle: &Cycle,
         job: &Job,
@@ -102,159 +120,187 @@
     ) -> Option<(u64, Vec<usize>)> {
         let fitting: Vec<(usize, Resources, &Host)> = self
             .with_slots(cycle)
-            .filter(|(i, _, _)| cycle.fits(*i, &request.id, &request.each))
+            .filter(|(slot_index, _, _)| cycle.fits(*slot_index, &request.id, &request.each))
             .filter(|(_, _, host)| zones.contains(&host.zone) && Self::is_feasible(job, host))
             .filter(|(_, _, host)| !host.lists_job(&request.id))
-            .map(|(i, slot, host)| (i, slot.free, host))
+            .map(|(slot_index, slot, host)| (slot_index, slot.free, host))
             .collect();
-        // Most waiting gangs end here, before any host is judged.
-        let places: u64 = fitting
+        // Most waiting gangs are turned away here, before the cost of any host is computed.
+        let task_places: u64 = fitting
             .iter()
-            .map(|(_, room, _)| request.each.count_in(room).min(u64::from(request.tasks)))
+            .map(|(_, free, _)| request.each.count_in(free).min(u64::from(request.tasks)))
             .sum();
-        if places < u64::from(request.tasks) {
+        if task_places < u64::from(request.tasks) {
             return None;
         }
         let mut candidates: Vec<_> = fitting
             .into_iter()
-            .map(|(i, room, host)| {
-                let cost =
-                    cost(host, &room, request, cycle.now) + unproven_penalty(job, host, cycle.now);
-                (cost, i, host, room)
+            .map(|(slot_index, free, host)| {
+                let cost_ms = start_cost_ms(host, &free, request, cycle.now)
+                    + unproven_host_penalty_ms(job, host, cycle.now);
+                (cost_ms, slot_index, host, free)
             })
             .collect();
-        candidates.sort_by_key(|(cost, i, _, _)| (*cost, *i));
+        candidates.sort_by_key(|(cost_ms, slot_index, _, _)| (*cost_ms, *slot_index));
         let mut slots = Vec::new();
-        let mut by_zone: BTreeMap<&Name, u32> = BTreeMap::new();
-        let mut worst = 0;
-        for (cost, i, host, mut room) in candidates {
-            let mut more = LISTED_MAX.saturating_sub(cycle.slots[i].listed);
-            while slots.len() < request.tasks as usize && request.each.fits(&room) && more > 0 {
-                more -= 1;
-                let used = by_zone.entry(&host.zone).or_default();
-                if *used >= request.zone_cap() {
+        let mut tasks_by_zone: BTreeMap<&Name, u32> = BTreeMap::new();
+        let mut highest_cost_ms = 0;
+        for (cost_ms, slot_index, host, mut free) in candidates {
+            let mut listable_tasks =
+                LISTED_MAX.saturating_sub(cycle.slots[slot_index].listed_tasks);
+            while slots.len() < request.tasks as usize
+                && request.each.fits(&free)
+                && listable_tasks > 0
+            {
+                listable_tasks -= 1;
+                let in_zone = tasks_by_zone.entry(&host.zone).or_default();
+                if *in_zone >= request.zone_cap() {
                     break;
                 }
-                *used += 1;
-                room -= request.each;
-                worst = worst.max(cost);
-                slots.push(i);
+                *in_zone += 1;
+                free -= request.each;
+                highest_cost_ms = highest_cost_ms.max(cost_ms);
+                slots.push(slot_index);
             }
         }
-        (slots.len() == request.tasks as usize).then_some((worst, slots))
+        (slots.len() == request.tasks as usize).then_some((highest_cost_ms, slots))
     }
 
-    /// Chooses the hosts that are free the soonest for a waiting gang, so that small work does
-    /// not hold it up for ever. Looked up again only now and then.
-    fn choose_hosts(&mut self, cycle: &mut Cycle, id: &JobId, request: &JobRequest) {
+    /// Chooses the hosts that become free soonest for a waiting gang, so that small tasks do not
+    /// delay it indefinitely. An earlier choice is kept until it expires or one of its hosts
+    /// becomes unavailable.
+    fn choose_hosts_to_reserve(&mut self, cycle: &mut Cycle, id: &JobId, request: &JobRequest) {
         let Some(job) = self.jobs.get(id) else { return };
-        let stands = job.gang_hosts.as_ref().is_some_and(|k| {
-            cycle.now < k.until
-                && k.hosts.iter().all(|h| {
-                    cycle.slot(h).is_some_and(|i| {
-                        let slot = &cycle.slots[i];
-                        slot.usable && slot.reserved.as_ref().is_none_or(|j| j == id)
+        let is_choice_valid = job.gang_hosts.as_ref().is_some_and(|chosen| {
+            cycle.now < chosen.until
+                && chosen.hosts.iter().all(|host| {
+                    cycle.slot(host).is_some_and(|slot_index| {
+                        let slot = &cycle.slots[slot_index];
+                        slot.is_usable
+                            && slot
+                                .reserved_for
+                                .as_ref()
+                                .is_none_or(|reserved_for| reserved_for == id)
                     })
                 })
         });
-        if stands || !self.may_reserve_for_gang(cycle, request) {
+        if is_choice_valid || !self.may_reserve_for_gang(cycle, request) {
             return;
         }
-        let mut ready: Vec<(Micros, usize, &Host)> = self
+        let mut ready_hosts: Vec<(Micros, usize, &Host)> = self
             .with_slots(cycle)
-            .filter(|(_, slot, _)| slot.usable && slot.reserved.is_none())
-            .filter(|(_, _, h)| Self::is_feasible(job, h))
-            .filter_map(|(i, _, h)| Some((self.free_at(cycle, (i, h), &request.each)?, i, h)))
+            .filter(|(_, slot, _)| slot.is_usable && slot.reserved_for.is_none())
+            .filter(|(_, _, host)| Self::is_feasible(job, host))
+            .filter_map(|(slot_index, _, host)| {
+                Some((
+                    self.expected_free_at(cycle, (slot_index, host), &request.each)?,
+                    slot_index,
+                    host,
+                ))
+            })
             .collect();
-        ready.sort_by_key(|(t, i, _)| (*t, *i));
+        ready_hosts.sort_by_key(|(free_at, slot_index, _)| (*free_at, *slot_index));
         let zone = request
             .one_zone
-            .then(|| self.soonest_zone(&ready, request.tasks as usize))
+            .then(|| self.earliest_free_zone(&ready_hosts, request.tasks as usize))
             .flatten();
-        let mut zones = ZoneCapacity::of(job, |_| None);
-        let (mut hosts, mut at): (Vec<HostId>, Micros) = (Vec::new(), cycle.now);
-        for (t, _, h) in &ready {
+        let mut zones = ZoneCapacity::for_job(job, |_| None);
+        let (mut hosts, mut ready_at): (Vec<HostId>, Micros) = (Vec::new(), cycle.now);
+        for (free_at, _, host) in &ready_hosts {
             if hosts.len() == request.tasks as usize {
                 break;
             }
-            if zone.as_ref().is_none_or(|z| z == &h.zone) && zones.allows(&h.zone) {
-                zones.add(&h.zone);
-                hosts.push(h.id.clone());
-                at = at.max(*t);
+            if zone.as_ref().is_none_or(|required| required == &host.zone)
+                && zones.allows(&host.zone)
+            {
+                zones.add(&host.zone);
+                hosts.push(host.id.clone());
+                ready_at = ready_at.max(*free_at);
             }
         }
-        let whole = hosts.len() == request.tasks as usize;
+        let is_complete = hosts.len() == request.tasks as usize;
         if let Some(job) = self.jobs.get_mut(id) {
-            job.gang_hosts = whole.then_some(GangHosts {
+            job.gang_hosts = is_complete.then_some(GangHosts {
                 hosts,
-                until: cycle.now + CHOICE_LASTS,
-                ready: at,
+                until: cycle.now + HOST_CHOICE_LIFETIME,
+                ready: ready_at,
             });
         }
     }
 
-    /// The zone where that many hosts are free the soonest.
-    fn soonest_zone(&self, ready: &[(Micros, usize, &Host)], tasks: usize) -> Option<Name> {
+    /// Returns the zone in which `tasks` hosts become free soonest. `ready_hosts` is ordered by the
+    /// time at which the hosts become free.
+    fn earliest_free_zone(
+        &self,
+        ready_hosts: &[(Micros, usize, &Host)],
+        tasks: usize,
+    ) -> Option<Name> {
         let mut counts: BTreeMap<&Name, usize> = BTreeMap::new();
-        for (_, _, h) in ready {
-            let n = counts.entry(&h.zone).or_default();
-            *n += 1;
-            if *n == tasks {
-                return Some(h.zone.clone());
+        for (_, _, host) in ready_hosts {
+            let count = counts.entry(&host.zone).or_default();
+            *count += 1;
+            if *count == tasks {
+                return Some(host.zone.clone());
             }
         }
         None
     }
 
+    /// Returns whether another gang may reserve hosts in this cycle.
     fn may_reserve_for_gang(&self, cycle: &Cycle, request: &JobRequest) -> bool {
         let (gangs, hosts) = cycle.reserved_for_gangs;
-        gangs < HOLDING_GANGS || hosts + request.tasks as usize <= cycle.usable() / GANG_HOSTS_PART
+        gangs < MIN_RESERVING_GANGS
+            || hosts + request.tasks as usize <= cycle.usable_hosts() / GANG_HOSTS_DIVISOR
     }
 
-    /// Keeps the chosen hosts for the rest of the cycle.
+    /// Reserves the hosts chosen for the gang, and its part of the team's limit, for the rest of
+    /// the cycle.
     fn reserve_for_gang(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        let Some(kept) = &job.gang_hosts else { return };
+        let Some(chosen) = &job.gang_hosts else {
+            return;
+        };
         if job.preempting.is_empty() && !self.may_reserve_for_gang(cycle, &job.request) {
             return;
         }
-        let hosts = kept.hosts.clone();
+        let hosts = chosen.hosts.clone();
         self.reserve_quota(cycle, id);
         cycle.reserved_for_gangs.0 += 1;
         cycle.reserved_for_gangs.1 += hosts.len();
         for host in &hosts {
-            if let Some(i) = cycle.slot(host)
-                && cycle.slots[i].reserved.is_none()
+            if let Some(slot_index) = cycle.slot(host)
+                && cycle.slots[slot_index].reserved_for.is_none()
             {
-                cycle.slots[i].reserved = Some(id.clone());
+                cycle.slots[slot_index].reserved_for = Some(id.clone());
             }
         }
     }
 
-    /// When the host is expected to have room for this, if ever.
-    fn free_at(
+    /// Returns when the host is expected to have free resources for one task, or `None` if running
+    /// tasks that never end hold too much.
+    fn expected_free_at(
         &self,
         cycle: &Cycle,
         (slot, host): (usize, &Host),
         each: &Resources,
     ) -> Option<Micros> {
         let now = cycle.now;
-        let mut room = host.free_resources();
-        if each.fits(&room) {
+        let mut free = host.free_resources();
+        if each.fits(&free) {
             return Some(now);
         }
-        let mut at = now;
-        let begin = cycle.simulation_start(slot, || self.simulation_start_of(host, now));
-        for o in begin.running.iter().rev() {
-            if each.fits(&room) {
-                return Some(at);
+        let mut free_at = now;
+        let start = cycle.simulation_start(slot, || self.simulation_start_of(host, now));
+        for task in start.running.iter().rev() {
+            if each.fits(&free) {
+                return Some(free_at);
             }
-            if o.until == Micros::MAX {
+            if task.until == Micros::MAX {
                 return None;
             }
-            at = o.until;
-            room += o.each;
+            free_at = task.until;
+            free += task.each;
         }
-        each.fits(&room).then_some(at)
+        each.fits(&free).then_some(free_at)
     }
 }
--- a/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
+++ b/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
@@ -1,7 +1,7 @@
-//! What production has lost and may be losing. Owns the count of it, from the loss until every
-//! replica runs again, and the room that is kept for replicas on hosts that have gone silent:
-//! these may not start elsewhere before the lease has lapsed, and what starts on the free room
-//! meanwhile would stand in their way.
+//! Recovery of production replicas after host losses. Tracks the number of lost replicas, from the
+//! first loss until every replica runs again, and reserves capacity for replicas on silent hosts. A
+//! replica on a silent host may not start elsewhere before the host's lease has lapsed; without the
+//! reservation, other work would take the free capacity in the meantime.
 
 use crate::{
     cycle::context::Cycle,
@@ -12,45 +12,58 @@
 };
 use jasperhill_wire::{HostId, JobId, Micros, TaskId, user::Priority};
 
-/// How long the choice of rooms that are kept stands before it is made anew.
-const KEPT_FOR: Micros = Micros::from_secs(1);
-/// The least that a replica may wait: once it has run, or is overdue, every second counts.
-const MIN_WAIT: Micros = Micros::from_secs(1);
-/// After a takeover, a host that has not answered for so long.
-const UNANSWERED: Micros = Micros::from_secs(4);
-/// A job that was there before a takeover for so long counts as one that ran.
-const SETTLED: Micros = Micros::from_secs(60);
-/// Replicas that were overtaken and are remembered.
-const OVERTAKEN_MAX: usize = 10_000;
+/// Time for which the capacity reserved for replicas at risk is kept before it is chosen again.
+const RESERVED_CAPACITY_LIFETIME: Micros = Micros::from_secs(1);
+/// Lower bound on the time that a replica may wait. A replica that has run before, or whose
+/// objective has passed, is already late, so every second counts.
+const MIN_REPLICA_WAIT: Micros = Micros::from_secs(1);
+/// After a takeover, a host that has not answered for this time counts as silent.
+const UNANSWERED_TIMEOUT: Micros = Micros::from_secs(4);
+/// A job that existed at the takeover and was submitted longer ago than this counts as having run.
+const MIN_AGE_TO_COUNT_AS_RUN: Micros = Micros::from_secs(60);
+/// Maximum number of overtaken replicas that are remembered. An overtaken replica found no capacity
+/// because work of lower priority had started since the loss.
+const MAX_OVERTAKEN_REPLICAS: usize = 10_000;
 
 impl Partition {
-    /// A heartbeat is overdue, and it may be lost: what it runs can't start elsewhere yet. Keeping
-    /// some room costs little, so this is sooner than [`crate::SchedulerConfig::silence_limit`].
+    /// Returns whether a heartbeat of the host is overdue, so that the host may be lost while its
+    /// tasks cannot start elsewhere yet. Reserving capacity costs little, so this threshold is
+    /// shorter than [`crate::SchedulerConfig::silence_limit`].
     pub(crate) fn is_silent(&self, host: &Host, now: Micros) -> bool {
-        let heard = now - host.last_heard;
+        let since_heard = now - host.last_heard;
         match host.fencing {
             FencingState::Lapsed => false,
-            // Asked directly since the takeover, and asked again.
-            FencingState::Unfenced { .. } => heard >= UNANSWERED.min(self.config.silence_limit()),
-            FencingState::Fenced => heard >= self.config.report.scale(1.5) + Micros::from_secs(1),
+            // The host has been asked for its state directly and repeatedly since the takeover.
+            FencingState::Unfenced { .. } => {
+                since_heard >= UNANSWERED_TIMEOUT.min(self.config.silence_limit())
+            }
+            FencingState::Fenced => {
+                since_heard >= self.config.report.scale(1.5) + Micros::from_secs(1)
+            }
         }
     }
 
-    /// How long a task of this job may wait for an image before lesser work is preempted for it
-    /// where it could start at once: what is left of the time that the objectives give.
+    /// Returns how long a task of this job may wait for an image before work of lower priority is
+    /// preempted for it on a host where it could start at once. This is the remaining time within
+    /// the class's start objective, but at least [`MIN_REPLICA_WAIT`] unless the objective is
+    /// shorter.
     pub(crate) fn longest_wait(&self, job: &Job, now: Micros) -> Micros {
-        let patience = self.config.longest_start_delay(&job.request.class);
+        let objective = self.config.longest_start_delay(&job.request.class);
         if job.ran_whole {
-            return MIN_WAIT.min(patience);
+            return MIN_REPLICA_WAIT.min(objective);
         }
-        ((job.submitted + patience) - now).max(MIN_WAIT.min(patience))
+        ((job.submitted + objective) - now).max(MIN_REPLICA_WAIT.min(objective))
     }
 
+    /// Returns whether all tasks of the job have run at the same time, or can be assumed to have
+    /// run before the takeover.
     fn has_run(&self, job: &Job, now: Micros) -> bool {
-        job.ran_whole || (job.created <= self.since && now - job.submitted > SETTLED)
+        job.ran_whole
+            || (job.created <= self.since && now - job.submitted > MIN_AGE_TO_COUNT_AS_RUN)
     }
 
-    /// Replicas of a production service that is to run.
+    /// Returns whether the job is a production service that should be running: not terminating, not
+    /// waiting for dependencies and not backing off after failures.
     fn is_recoverable(job: &Job) -> bool {
         job.is_service()
             && job.priority() == Priority::Production
@@ -59,13 +72,14 @@
             && !job.failures.is_backing_off()
     }
 
-    /// Looks after the losses: every cycle while there are any, and costs nothing otherwise.
+    /// Updates the number of missing replicas and records an event once all of them run again. Runs
+    /// in every cycle while replicas are missing and does nothing otherwise.
     pub(crate) fn update_recovery(&mut self, now: Micros) {
         if !self.recovery.is_incomplete() {
             return;
         }
         let mut missing = 0;
-        for job in self.jobs.values().filter(|j| Self::is_recoverable(j)) {
+        for job in self.jobs.values().filter(|job| Self::is_recoverable(job)) {
             if self.has_run(job, now) {
                 missing += job.request.tasks - (job.running.len() as u32).min(job.request.tasks);
             }
@@ -76,9 +90,9 @@
         }
     }
 
-    /// A replica finds no room: counted if lesser work that was started since the loss is where
-    /// it could be.
-    pub(crate) fn record_blocked_replica(&mut self, cycle: &Cycle, id: &JobId, i: u32) {
+    /// Records that a replica found no capacity, if work of lower priority that was started since
+    /// the loss runs on a host where the replica could run.
+    pub(crate) fn record_blocked_replica(&mut self, cycle: &Cycle, id: &JobId, index: u32) {
         let Recovery::Incomplete { since, .. } = self.recovery else {
             return;
         };
@@ -86,111 +100,128 @@
         if !self.has_run(job, cycle.now) {
             return;
         }
-        let task = TaskId::new(id, i);
-        let lesser = |t: &TaskId| {
-            let other = self.jobs.get(&t.job);
-            other.is_some_and(|o| o.priority() > Priority::Production)
+        let task = TaskId::new(id, index);
+        let has_lower_priority = |other_task: &TaskId| {
+            let other = self.jobs.get(&other_task.job);
+            other.is_some_and(|other| other.priority() > Priority::Production)
         };
-        let taken = self.with_slots(cycle).any(|(_, slot, host)| {
-            slot.usable
+        let is_overtaken = self.with_slots(cycle).any(|(_, slot, host)| {
+            slot.is_usable
                 && Self::is_feasible(job, host)
-                && host
-                    .tasks
-                    .iter()
-                    .any(|(t, on)| on.holds_resources() && on.ordered >= since && lesser(t))
+                && host.tasks.iter().any(|(other_task, state)| {
+                    state.holds_resources()
+                        && state.ordered >= since
+                        && has_lower_priority(other_task)
+                })
         });
-        if taken && self.replica_recovery.overtaken.len() < OVERTAKEN_MAX {
-            let news = self.replica_recovery.overtaken.insert(task);
-            if news {
+        if is_overtaken && self.replica_recovery.overtaken.len() < MAX_OVERTAKEN_REPLICAS {
+            let is_new = self.replica_recovery.overtaken.insert(task);
+            if is_new {
                 self.recovery.apply(Input::Overtaken, cycle.now);
             }
         }
     }
 
-    /// How many replicas of a job may be lost without its being certain.
-    fn at_risk(&self, job: &Job, unconfirmed: &UnconfirmedTasks, now: Micros) -> u32 {
-        let silent = |id: &HostId| {
+    /// Returns how many replicas of a job may be lost although the loss is not confirmed.
+    fn replicas_at_risk(&self, job: &Job, unconfirmed: &UnconfirmedTasks, now: Micros) -> u32 {
+        let is_silent = |id: &HostId| {
             let host = self.hosts.get(id);
-            host.is_none_or(|h| self.is_silent(h, now))
+            host.is_none_or(|host| self.is_silent(host, now))
         };
-        let on_silent = job.live.values().filter(|h| silent(h)).count() as u32;
-        // After a takeover: what no host that answers runs is on one that does not.
-        let unseen = if self.may_run_unconfirmed(job, unconfirmed) {
+        let on_silent = job.live.values().filter(|host| is_silent(host)).count() as u32;
+        // After a takeover, a replica that no answering host lists may be on a host that has not
+        // answered.
+        let unlisted = if self.may_run_unconfirmed(job, unconfirmed) {
             job.pending()
         } else {
             0
         };
-        on_silent + unseen
+        on_silent + unlisted
     }
 
-    /// Keeps room for replicas that may be lost, for the rest of the cycle: production is
-    /// served already, and what follows is lesser work.
+    /// Reserves capacity for replicas that may be lost, for the rest of the cycle. It is called
+    /// after all production jobs have been served, so only work of lower priority is held back.
     pub(crate) fn reserve_capacity_for_losses(&mut self, cycle: &mut Cycle) {
         let now = cycle.now;
         if now >= self.replica_recovery.until {
-            self.replica_recovery.until = now + KEPT_FOR;
+            self.replica_recovery.until = now + RESERVED_CAPACITY_LIFETIME;
             self.replica_recovery.reserved.clear();
-            let may_return = |h: &Host| {
-                self.is_silent(h, now) && (h.tasks_on() > 0 || h.has_unconfirmed_tasks())
+            let may_have_lost_tasks = |host: &Host| {
+                self.is_silent(host, now) && (host.tasks_on() > 0 || host.has_unconfirmed_tasks())
             };
-            if self.hosts.values().any(may_return) {
-                self.replica_recovery.reserved = self.choose_capacity(cycle);
+            if self.hosts.values().any(may_have_lost_tasks) {
+                self.replica_recovery.reserved = self.choose_capacity_for_replicas(cycle);
             }
         } else {
-            let kept = std::mem::take(&mut self.replica_recovery.reserved);
-            for k in &kept {
-                if let Some(i) = cycle.slot(&k.host)
-                    && cycle.slots[i].usable
-                    && k.each.fits(&cycle.slots[i].free)
+            let reserved = std::mem::take(&mut self.replica_recovery.reserved);
+            for capacity in &reserved {
+                if let Some(slot) = cycle.slot(&capacity.host)
+                    && cycle.slots[slot].is_usable
+                    && capacity.each.fits(&cycle.slots[slot].free)
                 {
-                    cycle.take(i, &k.each);
+                    cycle.allocate(slot, &capacity.each);
                 }
             }
-            self.replica_recovery.reserved = kept;
+            self.replica_recovery.reserved = reserved;
         }
     }
 
-    /// The rooms where the replicas at risk would start the soonest; they are taken.
-    fn choose_capacity(&self, cycle: &mut Cycle) -> Vec<ReservedCapacity> {
-        let mut kept = Vec::new();
+    /// Chooses the capacity on which the replicas at risk would start soonest, and subtracts it
+    /// from the free capacity of the cycle.
+    fn choose_capacity_for_replicas(&self, cycle: &mut Cycle) -> Vec<ReservedCapacity> {
+        let mut chosen = Vec::new();
         for job in self.jobs.values().filter(|j| Self::is_recoverable(j)) {
-            let many = self.at_risk(job, &cycle.unconfirmed, cycle.now);
-            if many == 0 || cycle.is_infeasible(&job.request.each) {
+            let at_risk = self.replicas_at_risk(job, &cycle.unconfirmed, cycle.now);
+            if at_risk == 0 || cycle.is_infeasible(&job.request.each) {
                 continue;
             }
-            let r = job.request.clone();
-            let safe = job.live.values().filter(|id| {
+            let request = job.request.clone();
+            let hosts_not_silent = job.live.values().filter(|id| {
                 let host = self.hosts.get(*id);
-                host.is_some_and(|h| !self.is_silent(h, cycle.now))
+                host.is_some_and(|host| !self.is_silent(host, cycle.now))
             });
-            let mut zones =
-                crate::cycle::placement::ZoneCapacity::among(&r, safe, |h| self.zone_of(h));
+            let mut zones = crate::cycle::placement::ZoneCapacity::for_hosts(
+                &request,
+                hosts_not_silent,
+                |host| self.zone_of(host),
+            );
             let mut candidates = self.candidates(cycle, job, false);
-            // Any task of it: a replica that is there already does not come twice.
-            let none = r.tasks;
-            for _ in 0..many {
-                let best = self.best(cycle, &mut candidates, &zones, (&r.id, &r.each), none);
-                let Some(i) = best else { break };
-                let Some(host) = cycle.slots.get(i).map(|s| s.id.clone()) else {
+            // An index beyond all tasks, because a reservation is not for a particular task: no
+            // host lists this index, so no host is excluded for listing one of the job's replicas.
+            let no_task = request.tasks;
+            for _ in 0..at_risk {
+                let best = self.best_candidate(
+                    cycle,
+                    &mut candidates,
+                    &zones,
+                    (&request.id, &request.each),
+                    no_task,
+                );
+                let Some(slot) = best else { break };
+                let Some(host) = cycle.slots.get(slot).map(|s| s.id.clone()) else {
                     break;
                 };
-                cycle.take(i, &r.each);
+                cycle.allocate(slot, &request.each);
                 if let Some(zone) = self.zone_of(&host) {
                     zones.add(&zone);
                 }
-                kept.push(ReservedCapacity { host, each: r.each });
-                self.rescore(cycle, &mut candidates, i, &r, false);
+                chosen.push(ReservedCapacity {
+                    host,
+                    each: request.each,
+                });
+                self.rescore_candidate(cycle, &mut candidates, slot, &request, false);
             }
         }
-        kept
+        chosen
     }
 
-    /// A replica that ran is gone without having been told to stop.
+    /// Records the loss of a task if it was a running replica of a production service. Called when
+    /// a replica is gone without having been told to stop.
     pub(crate) fn record_lost_replica(&mut self, task: &TaskId, now: Micros) {
-        let ran = |j: &Job| {
-            Self::is_recoverable(j) && self.has_run(j, now) && j.running.contains(&task.index)
+        let was_running = |job: &Job| {
+            Self::is_recoverable(job) && self.has_run(job, now) && job.running.contains(&task.index)
         };
-        if self.jobs.get(&task.job).is_some_and(ran) {
+        if self.jobs.get(&task.job).is_some_and(was_running) {
             self.recovery.apply(Input::Lost, now);
         }
     }
--- a/crates/jasperhill-scheduler/src/cycle/mod.rs
+++ b/crates/jasperhill-scheduler/src/cycle/mod.rs
@@ -1,5 +1,9 @@
-//! A scheduling cycle over a partition: [`Partition::run_cycle`] goes through its stages in order.
-//! Each stage is a file here; `context::Cycle` is what they keep track of together.
+//! The scheduling cycle of a partition. [`Partition::run_cycle`] expires leases, stops work that
+//! must stop, orders the jobs that may start and starts or reserves their tasks, most important job
+//! first.
+//!
+//! Every stage is a submodule. The stages share [`context::Cycle`], which holds the free capacity
+//! of the hosts as the cycle has left it and the results cached for the duration of the cycle.
 
 pub(crate) mod admission;
 pub(crate) mod context;
@@ -24,30 +28,32 @@
 use jasperhill_wire::{Attempt, JobId, Micros, Name, Resources, TaskId, user::Shape};
 use std::{cell::RefCell, collections::BTreeMap};
 
-/// Events kept in one cycle; beyond, the log would say nothing more.
-const EVENTS_MAX: usize = 256;
+/// Maximum number of events kept from one cycle. Further events would add no information to the
+/// log.
+const MAX_EVENTS_PER_CYCLE: usize = 256;
 
 impl Partition {
-    /// The hosts as they are now.
+    /// Returns the state for a new cycle: a slot for every host with its current free resources,
+    /// and the resources that unconfirmed tasks may be using, by team.
     pub(crate) fn begin_cycle(&self, now: Micros) -> Cycle {
         let unconfirmed = self.unconfirmed_tasks();
         let mut unconfirmed_use: BTreeMap<Name, Resources> = BTreeMap::new();
         for job in self
             .jobs
             .values()
-            .filter(|j| self.may_run_unconfirmed(j, &unconfirmed))
+            .filter(|job| self.may_run_unconfirmed(job, &unconfirmed))
         {
             *unconfirmed_use.entry(job.request.team.clone()).or_default() += job.unconfirmed_use();
         }
         let slots = self
             .hosts
             .values()
-            .map(|h| HostSlot {
-                id: h.id.clone(),
-                usable: h.is_usable(now, &self.config),
-                free: h.free_resources(),
-                listed: h.listed(),
-                reserved: None,
+            .map(|host| HostSlot {
+                id: host.id.clone(),
+                is_usable: host.is_usable(now, &self.config),
+                free: host.free_resources(),
+                listed_tasks: host.listed(),
+                reserved_for: None,
             })
             .collect();
         Cycle {
@@ -59,14 +65,14 @@
             unconfirmed_use,
             quota_reservations: BTreeMap::new(),
             quota_attempts: BTreeMap::new(),
-            infeasible: Vec::new(),
+            infeasible_requests: Vec::new(),
             gangs_without_hosts: Vec::new(),
             gangs_without_victims: Vec::new(),
             reserved_for_gangs: (0, 0),
         }
     }
 
-    /// Every host with its slot.
+    /// Iterates over all hosts with their slot index and slot.
     pub(crate) fn with_slots<'a>(
         &'a self,
         cycle: &'a Cycle,
@@ -76,10 +82,11 @@
             .iter()
             .zip(self.hosts.values())
             .enumerate()
-            .map(|(i, (slot, host))| (i, slot, host))
+            .map(|(slot_index, (slot, host))| (slot_index, slot, host))
     }
 
-    /// Starts what can be started. Call when something has changed, and now and then.
+    /// Runs one scheduling cycle at `now`, which stops and starts tasks where needed. The caller
+    /// runs it whenever the partition has changed, and periodically.
     pub fn run_cycle(&mut self, now: Micros) {
         self.changed = false;
         self.expire_leases(now);
@@ -96,10 +103,10 @@
         self.backlog = order.len();
         self.expire_preemptions(now);
         self.update_recovery(now);
-        let mut has_reserved = false;
+        let mut has_reserved_for_losses = false;
         for (rank, id) in &order {
-            if !rank.is_production() && !has_reserved {
-                has_reserved = true;
+            if !rank.is_production() && !has_reserved_for_losses {
+                has_reserved_for_losses = true;
                 self.reserve_capacity_for_losses(&mut cycle);
             }
             let Some(job) = self.jobs.get(id) else {
@@ -107,7 +114,8 @@
             };
             match job.request.shape {
                 Shape::Gang => self.start_gang(&mut cycle, id),
-                // A job that is backing off gets no reservation: it would hold up others' simulations.
+                // A job that is backing off gets no reservation, because the reserved task would
+                // take up capacity in the schedule simulations of other jobs.
                 Shape::Service | Shape::Array
                     if job.due.is_none() || job.failures.is_backing_off() =>
                 {
@@ -119,10 +127,10 @@
                 }
             }
         }
-        self.events.truncate(EVENTS_MAX);
+        self.events.truncate(MAX_EVENTS_PER_CYCLE);
     }
 
-    /// The jobs with tasks that may start, the most important first.
+    /// Returns the jobs that have tasks to start and may start them now, most important first.
     fn jobs_in_order(&mut self, cycle: &Cycle) -> Vec<(JobRank, JobId)> {
         let now = cycle.now;
         let mut order: Vec<(JobRank, JobId)> = self
@@ -140,7 +148,8 @@
             .collect();
         self.update_starvation(cycle, &order);
         for (rank, id) in &mut order {
-            // Guards against a class or team that never gets its turn behind others' work.
+            // Boosting prevents the work of other groups from starving a class or team
+            // indefinitely.
             if self.starvation.is_boosted(id) {
                 rank.boost();
             }
@@ -149,7 +158,8 @@
         order
     }
 
-    /// Looks who of those that could start has fallen behind.
+    /// Re-evaluates which groups of jobs are starved, if an evaluation is due, and records an event
+    /// for every group that became starved or stopped being starved.
     fn update_starvation(&mut self, cycle: &Cycle, order: &[(JobRank, JobId)]) {
         if !self.starvation.is_due(cycle.now) {
             return;
@@ -160,23 +170,27 @@
             .filter(|job| job.live.is_empty() && !job.failures.is_backing_off())
             .filter_map(|job| self.waiting_job(cycle, &usage, job))
             .collect();
-        let least = self.config.tuning.least_share;
-        let was = self.starvation.starved(least);
-        self.starvation
-            .apply(starvation::Input::Evaluate(&waiting), least, cycle.now);
-        let is = self.starvation.starved(least);
-        for group in is.difference(&was) {
-            let standing = self.starvation.shares().get(group).copied();
-            let note = Event::Starved(group.clone(), standing);
-            self.events.push(note);
+        let minimum_share = self.config.tuning.least_share;
+        let starved_before = self.starvation.starved(minimum_share);
+        self.starvation.apply(
+            starvation::Input::Evaluate(&waiting),
+            minimum_share,
+            cycle.now,
+        );
+        let starved_now = self.starvation.starved(minimum_share);
+        for group in starved_now.difference(&starved_before) {
+            let share = self.starvation.shares().get(group).copied();
+            let event = Event::Starved(group.clone(), share);
+            self.events.push(event);
         }
-        let caught_up = was.difference(&is).cloned();
+        let caught_up = starved_before.difference(&starved_now).cloned();
         self.events
-            .extend(caught_up.map(|g| Event::Starved(g, None)));
+            .extend(caught_up.map(|group| Event::Starved(group, None)));
     }
 
-    /// A waiting job as the starvation guard counts it. One at its team's limit counts only for its
-    /// class, or for jobs of its size, where the others of the team have more than their part.
+    /// Returns the starvation guard's view of a waiting job. A job held back by its team's limit
+    /// counts only towards its class, or towards jobs of its size, and only if that group uses less
+    /// than an equal share of the limit. Returns `None` if the team is unknown.
     fn waiting_job<'a>(
         &self,
         cycle: &Cycle,
@@ -187,7 +201,7 @@
         let team = self.config.team(&request.team)?;
         let mut groups = Group::all_of(&request.class, &request.team, request.tasks).to_vec();
         if !self.may_start(cycle, request, job.tasks_to_begin()) {
-            groups.retain(|group| usage.is_below_equal_part(team, group));
+            groups.retain(|group| usage.is_below_equal_share(team, group));
         }
         Some(WaitingJob {
             id: &request.id,
@@ -197,38 +211,40 @@
         })
     }
 
-    /// A gang that has lost a task stops the rest; a new attempt waits for the last of them.
+    /// Stops the remaining tasks of gangs that have lost a task. The next attempt of a gang starts
+    /// only after the last of its old tasks has stopped.
     fn stop_broken_gangs(&mut self, now: Micros) {
         let unconfirmed = self.unconfirmed_tasks();
         let broken: Vec<JobId> = self
             .jobs
             .values()
-            .filter(|j| {
-                j.is_gang()
-                    && j.termination.is_none()
-                    && !j.live.is_empty()
-                    && j.unsaved.is_empty()
-                    && j.pending() > 0
-                    && !self.may_run_unconfirmed(j, &unconfirmed)
+            .filter(|job| {
+                job.is_gang()
+                    && job.termination.is_none()
+                    && !job.live.is_empty()
+                    && job.unsaved.is_empty()
+                    && job.pending() > 0
+                    && !self.may_run_unconfirmed(job, &unconfirmed)
             })
-            .map(|j| j.request.id.clone())
+            .map(|job| job.request.id.clone())
             .collect();
         for id in broken {
             self.stop_all(&id, Micros::ZERO, now);
         }
     }
 
-    /// Jobs with tasks to start that can't end in time any more queue last from now on.
+    /// Marks the jobs that have tasks to start and can no longer end before their deadline. These
+    /// jobs lose their reservations and are queued last from now on.
     fn mark_missed_deadlines(&mut self, now: Micros) {
         let missed: Vec<JobId> = self
             .jobs
             .values()
-            .filter(|j| !j.missed_deadline && (j.pending() > 0 || !j.reserved.is_empty()))
-            .filter(|j| {
-                j.due
-                    .is_some_and(|due| now + self.estimate(&j.request) > due)
+            .filter(|job| !job.missed_deadline && (job.pending() > 0 || !job.reserved.is_empty()))
+            .filter(|job| {
+                job.due
+                    .is_some_and(|due| now + self.estimate(&job.request) > due)
             })
-            .map(|j| j.request.id.clone())
+            .map(|job| job.request.id.clone())
             .collect();
         for id in missed {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -236,61 +252,67 @@
             };
             job.missed_deadline = true;
             let reserved: Vec<u32> = job.reserved.keys().copied().collect();
-            for i in reserved {
-                self.release_reservation(&id, i);
+            for index in reserved {
+                self.release_reservation(&id, index);
             }
         }
     }
 
-    /// Reservations on hosts that can't be used any more are made anew.
+    /// Releases the reservations on unusable hosts, so that the tasks get new reservations on other
+    /// hosts.
     fn release_unusable_reservations(&mut self, cycle: &Cycle) {
-        let lost: Vec<TaskId> = self
+        let affected: Vec<TaskId> = self
             .with_slots(cycle)
-            .filter(|(_, slot, h)| !slot.usable && !h.queue.is_empty())
-            .flat_map(|(_, _, h)| h.queue.iter().map(|b| b.task.clone()))
+            .filter(|(_, slot, host)| !slot.is_usable && !host.queue.is_empty())
+            .flat_map(|(_, _, host)| {
+                host.queue
+                    .iter()
+                    .map(|reservation| reservation.task.clone())
+            })
             .collect();
-        for task in lost {
+        for task in affected {
             self.release_reservation(&task.job, task.index);
         }
     }
 
-    /// Starts task `i` of a job on the host of this slot. `attempt`: a gang's; a new one if absent.
+    /// Starts task `index` of a job on the host of `slot`. `attempt` is the attempt shared by the
+    /// tasks of a gang; `None` starts a new attempt.
     pub(crate) fn start(
         &mut self,
         cycle: &mut Cycle,
         id: &JobId,
-        i: u32,
+        index: u32,
         slot: usize,
         attempt: Option<Attempt>,
     ) {
         let Some(host) = cycle.slots.get(slot).map(|s| s.id.clone()) else {
             return;
         };
-        let task = TaskId::new(id, i);
+        let task = TaskId::new(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if let Some(place) = job.preempting.iter().position(|(h, _)| h == &host) {
-            job.preempting.swap_remove(place);
+        if let Some(position) = job.preempting.iter().position(|(h, _)| h == &host) {
+            job.preempting.swap_remove(position);
         }
         let request = job.request.clone();
         if job.live.is_empty() {
-            let least = self.config.tuning.least_share;
-            let begun = starvation::Input::Begun {
+            let minimum_share = self.config.tuning.least_share;
+            let input = starvation::Input::Begun {
                 id,
                 class: &request.class,
                 team: &request.team,
                 tasks: request.tasks,
             };
-            self.starvation.apply(begun, least, cycle.now);
+            self.starvation.apply(input, minimum_share, cycle.now);
         }
         job.last_started = cycle.now;
         let each = request.each;
         let attempt = attempt.unwrap_or_else(|| self.next_attempt());
-        if let Some(home) = self.jobs.get(id).and_then(|j| j.reserved.get(&i)) {
-            cycle.invalidate_host(home);
+        if let Some(reserved_host) = self.jobs.get(id).and_then(|j| j.reserved.get(&index)) {
+            cycle.invalidate_host(reserved_host);
         }
-        self.release_reservation(id, i);
+        self.release_reservation(id, index);
         self.set_step(&task, TaskStep::Live(host.clone()));
         let image = (request.image.clone(), request.image_gb);
         self.apply(
@@ -298,7 +320,7 @@
             HostInput::Start(task, attempt, each, image),
             cycle.now,
         );
-        cycle.take(slot, &each);
+        cycle.allocate(slot, &each);
         self.dirty.insert(host);
     }
 }
--- a/crates/jasperhill-scheduler/src/cycle/placement.rs
+++ b/crates/jasperhill-scheduler/src/cycle/placement.rs
@@ -1,7 +1,9 @@
-//! Which hosts suit a task that starts now, and which suits best.
+//! Placement of tasks that start immediately: the cost of a host for a task, the zone constraints
+//! of a job, and the choice of the cheapest host. Also starts the tasks of services and of arrays
+//! without a deadline, preempting other work for production tasks where necessary.
 
 use crate::{
-    cycle::context::{Cycle, is_urgent},
+    cycle::context::{Cycle, has_high_priority},
     host::Host,
     job::Job,
     partition::Partition,
@@ -9,50 +11,66 @@
 use jasperhill_wire::{HostId, JobId, Micros, Name, Resources, TaskId, user::JobRequest};
 use std::{cmp::Reverse, collections::BinaryHeap};
 
-/// What it is worth to leave an empty machine whole.
-const BREAK_MS: u64 = 4_000;
+/// Penalty, in milliseconds of start delay, for placing a small task on an empty machine.
+const WHOLE_MACHINE_PENALTY_MS: u64 = 4_000;
 
-/// What it is worth to leave one accelerator the CPUs that its work needs.
-const SPOIL_MS: f64 = 16_000.0;
+/// Penalty, in milliseconds of start delay, for leaving one accelerator without the CPUs that its
+/// work needs.
+const STRANDED_ACCELERATOR_PENALTY_MS: f64 = 16_000.0;
 
-/// How many of a host's accelerators a task without any would leave idle, because the CPUs of
-/// their share are gone. Nothing while it runs beside work that has all accelerators, or on a
-/// machine that has none.
-fn spoils(host: &Host, room: &Resources, each: &Resources) -> f64 {
+/// Returns how many of a host's free accelerators a task without accelerators would strand, because
+/// it takes the CPUs that belong to their share. Returns 0 if the task needs accelerators, if work
+/// that holds all accelerators already runs on the host, or if the machine has none.
+fn stranded_accelerators(host: &Host, free: &Resources, each: &Resources) -> f64 {
     let capacity = &host.spec.capacity;
     if each.gpus > 0 || capacity.gpus == 0 || capacity.cpus == 0 {
         return 0.0;
     }
-    let share = capacity.cpus as f64 / capacity.gpus as f64;
-    let served = |cpus: u64| (room.gpus as f64).min(cpus as f64 / share);
-    (served(room.cpus) - served(room.cpus.saturating_sub(each.cpus))) / 1e6
+    let cpus_per_accelerator = capacity.cpus as f64 / capacity.gpus as f64;
+    let usable_accelerators =
+        |cpus: u64| (free.gpus as f64).min(cpus as f64 / cpus_per_accelerator);
+    (usable_accelerators(free.cpus) - usable_accelerators(free.cpus.saturating_sub(each.cpus)))
+        / 1e6
 }
 
-/// The expected wait for the image.
+/// Returns the expected wait for the job's image on the host.
 pub fn start_delay(host: &Host, request: &JobRequest, now: Micros) -> Micros {
     host.image_wait(&request.image, request.image_gb, now)
 }
 
-/// How well a host suits a task that starts now, in milliseconds of wait that it is worth:
-/// quick to start, then tightly packed, so that whole machines stay free for gangs.
-pub(crate) fn cost(host: &Host, room: &Resources, request: &JobRequest, now: Micros) -> u64 {
+/// Returns the cost of starting a task on a host now, in milliseconds of equivalent start delay;
+/// lower is better. The cost prefers a quick start, then tight packing, so that whole machines stay
+/// free for gangs.
+pub(crate) fn start_cost_ms(
+    host: &Host,
+    free: &Resources,
+    request: &JobRequest,
+    now: Micros,
+) -> u64 {
     let delay = start_delay(host, request, now).scale(host.slowness.clamp(1.0, 2.0));
-    let slow = if host.slowness > 1.5 { 30_000 } else { 0 };
-    // Work that may run on cheap machines leaves the ordinary ones to the rest.
-    let kind = if request.spot != host.spot { 2_000 } else { 0 };
-    let small = request.each.count_in(&host.spec.capacity) >= 2;
-    let breaks = if small && room == &host.spec.capacity {
-        BREAK_MS
+    let slow_host_ms = if host.slowness > 1.5 { 30_000 } else { 0 };
+    // Jobs that may run on spot machines leave the on-demand machines to other jobs.
+    let market_ms = if request.spot != host.spot { 2_000 } else { 0 };
+    let is_small = request.each.count_in(&host.spec.capacity) >= 2;
+    let whole_machine_ms = if is_small && free == &host.spec.capacity {
+        WHOLE_MACHINE_PENALTY_MS
     } else {
         0
     };
-    let spoilt = SPOIL_MS * spoils(host, room, &request.each);
-    let tight = 1_000.0 * (1.0 - request.each.share_of(room).min(1.0));
-    delay.0 / 1_000 + slow + kind + breaks + (spoilt + tight) as u64
+    let stranded_ms =
+        STRANDED_ACCELERATOR_PENALTY_MS * stranded_accelerators(host, free, &request.each);
+    let packing_ms = 1_000.0 * (1.0 - request.each.share_of(free).min(1.0));
+    delay.0 / 1_000
+        + slow_host_ms
+        + market_ms
+        + whole_machine_ms
+        + (stranded_ms + packing_ms) as u64
 }
 
-/// A suspect job is tried where others succeed, so that the try tells something.
-pub(crate) fn unproven_penalty(job: &Job, host: &Host, now: Micros) -> u64 {
+/// Returns the penalty, in milliseconds, for placing a job that is backing off after failures on a
+/// host that has not recently run tasks of other jobs successfully, or on which other jobs have
+/// failed. On a proven host, another failure shows that the job is at fault and not the host.
+pub(crate) fn unproven_host_penalty_ms(job: &Job, host: &Host, now: Micros) -> u64 {
     if job.failures.is_backing_off() && !host.has_served_others(&job.request.id, now) {
         60_000
     } else {
@@ -60,192 +78,211 @@
     }
 }
 
-/// How many more tasks of a job each zone may hold, kept up to date while tasks start, so
-/// that the job's other tasks are looked up once and not for every host.
+/// Number of further tasks of a job that each zone may hold. The counts are updated as tasks start,
+/// so that the job's live tasks are looked up once and not for every host.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneCapacity {
-    /// `None`: any number anywhere.
-    cap: Option<u32>,
+    /// Maximum number of tasks per zone; `None` if the job has no zone constraint.
+    max_per_zone: Option<u32>,
+    /// Whether all tasks of the job must be in the same zone.
     one_zone: bool,
-    /// A task is on a host whose zone is not known.
-    lost: bool,
-    here: Vec<(Name, u32)>,
+    /// Whether a task is on a host whose zone is not known.
+    has_unknown_zone: bool,
+    /// Number of tasks by zone.
+    tasks_by_zone: Vec<(Name, u32)>,
 }
 
 impl ZoneCapacity {
-    /// For the live tasks of a job.
-    pub fn of(job: &Job, zone_of: impl Fn(&HostId) -> Option<Name>) -> Self {
-        Self::among(&job.request, job.live.values(), zone_of)
+    /// Counts the live tasks of a job. `zone_of` returns the zone of a host, or `None` if it is not
+    /// known.
+    pub fn for_job(job: &Job, zone_of: impl Fn(&HostId) -> Option<Name>) -> Self {
+        Self::for_hosts(&job.request, job.live.values(), zone_of)
     }
 
-    /// For tasks on these hosts.
-    pub fn among<'a>(
-        r: &JobRequest,
+    /// Counts one task of `request` on each of the given hosts.
+    pub fn for_hosts<'a>(
+        request: &JobRequest,
         hosts: impl Iterator<Item = &'a HostId>,
         zone_of: impl Fn(&HostId) -> Option<Name>,
     ) -> Self {
-        let mut rooms = Self {
-            cap: (r.one_zone || r.spread).then(|| r.zone_cap()),
-            one_zone: r.one_zone,
-            lost: false,
-            here: Vec::new(),
+        let mut capacity = Self {
+            max_per_zone: (request.one_zone || request.spread).then(|| request.zone_cap()),
+            one_zone: request.one_zone,
+            has_unknown_zone: false,
+            tasks_by_zone: Vec::new(),
         };
-        if rooms.cap.is_some() {
+        if capacity.max_per_zone.is_some() {
             for host in hosts {
                 match zone_of(host) {
-                    Some(zone) => rooms.add(&zone),
-                    None => rooms.lost = true,
+                    Some(zone) => capacity.add(&zone),
+                    None => capacity.has_unknown_zone = true,
                 }
             }
         }
-        rooms
+        capacity
     }
 
-    /// One more task is in this zone.
+    /// Counts one more task in a zone.
     pub fn add(&mut self, zone: &Name) {
-        match self.here.iter_mut().find(|(z, _)| z == zone) {
+        match self.tasks_by_zone.iter_mut().find(|(z, _)| z == zone) {
             Some((_, n)) => *n += 1,
-            None => self.here.push((zone.clone(), 1)),
+            None => self.tasks_by_zone.push((zone.clone(), 1)),
         }
     }
 
-    /// Whether one more task may go to this zone.
+    /// Returns whether one more task may go to this zone.
     pub fn allows(&self, zone: &Name) -> bool {
-        let Some(cap) = self.cap else { return true };
-        if self.one_zone && (self.lost || self.here.iter().any(|(z, n)| z != zone && *n > 0)) {
-            // One of them is elsewhere, or who knows where.
+        let Some(max_per_zone) = self.max_per_zone else {
+            return true;
+        };
+        if self.one_zone
+            && (self.has_unknown_zone
+                || self.tasks_by_zone.iter().any(|(z, n)| z != zone && *n > 0))
+        {
+            // A task of the job is in another zone, or in an unknown one.
             return false;
         }
-        self.here
+        self.tasks_by_zone
             .iter()
             .find(|(z, _)| z == zone)
             .map_or(0, |(_, n)| *n)
-            < cap
+            < max_per_zone
     }
 }
 
-/// The hosts that could take a task of one job now, the most suitable first. Tasks of a job
-/// are equal, so that only the host that took one has to be judged anew.
-pub(crate) struct Candidates {
-    heap: BinaryHeap<Reverse<(u64, usize)>>,
+/// Hosts that could take a task of one job now, cheapest first. The tasks of a job are equal, so
+/// only the host that has taken a task needs a new cost.
+pub(crate) struct CandidateHosts {
+    /// Cost in milliseconds and slot index of every host.
+    by_cost: BinaryHeap<Reverse<(u64, usize)>>,
 }
 
-impl Candidates {
-    /// No host is left.
+impl CandidateHosts {
+    /// Returns whether no host is left.
     pub fn is_empty(&self) -> bool {
-        self.heap.is_empty()
+        self.by_cost.is_empty()
     }
 }
 
 impl Partition {
-    /// The zone of a host; `None` for one that is not in this partition.
+    /// Returns the zone of a host, or `None` if the host is not in this partition.
     pub(crate) fn zone_of(&self, host: &HostId) -> Option<Name> {
         self.hosts.get(host).map(|h| h.zone.clone())
     }
 
-    /// What the zones may still hold of this job.
+    /// Returns how many further tasks of this job each zone may hold.
     pub(crate) fn zone_capacity(&self, job: &Job) -> ZoneCapacity {
-        ZoneCapacity::of(job, |h| self.zone_of(h))
+        ZoneCapacity::for_job(job, |h| self.zone_of(h))
     }
 
-    /// Whether tasks of this job may go to this host, as far as that does not depend on where
-    /// the others are.
+    /// Returns whether tasks of this job may go to this host, regardless of where the job's other
+    /// tasks run.
     pub(crate) fn is_feasible(job: &Job, host: &Host) -> bool {
         job.request
             .allows_host(&host.spec.machine_type, &host.zone, host.spot)
             && !job.failures.avoids(&host.id)
     }
 
-    /// `behind_none`: only hosts where no admitted work waits.
-    pub(crate) fn candidates(&self, cycle: &Cycle, job: &Job, behind_none: bool) -> Candidates {
-        let r = &job.request;
-        let heap = self
+    /// Returns the hosts where a task of the job could start now. With `require_empty_queue`, only
+    /// hosts without queued reservations of admitted jobs.
+    pub(crate) fn candidates(
+        &self,
+        cycle: &Cycle,
+        job: &Job,
+        require_empty_queue: bool,
+    ) -> CandidateHosts {
+        let request = &job.request;
+        let by_cost = self
             .with_slots(cycle)
-            .filter(|(i, _, _)| cycle.fits(*i, &r.id, &r.each))
-            .filter(|(_, _, host)| !behind_none || host.queue.is_empty())
+            .filter(|(slot_index, _, _)| cycle.fits(*slot_index, &request.id, &request.each))
+            .filter(|(_, _, host)| !require_empty_queue || host.queue.is_empty())
             .filter(|(_, _, host)| Self::is_feasible(job, host))
-            .map(|(i, slot, host)| {
-                let cost =
-                    cost(host, &slot.free, r, cycle.now) + unproven_penalty(job, host, cycle.now);
-                Reverse((cost, i))
+            .map(|(slot_index, slot, host)| {
+                let cost_ms = start_cost_ms(host, &slot.free, request, cycle.now)
+                    + unproven_host_penalty_ms(job, host, cycle.now);
+                Reverse((cost_ms, slot_index))
             })
             .collect();
-        Candidates { heap }
+        CandidateHosts { by_cost }
     }
 
-    /// The best candidate for task `i`.
-    pub(crate) fn best(
+    /// Returns the slot of the cheapest candidate that accepts task `index`, and leaves it among
+    /// the candidates. Drops candidates that have no capacity left or whose zone is full.
+    pub(crate) fn best_candidate(
         &self,
         cycle: &Cycle,
-        candidates: &mut Candidates,
+        candidates: &mut CandidateHosts,
         zones: &ZoneCapacity,
         (id, each): (&JobId, &Resources),
-        i: u32,
+        index: u32,
     ) -> Option<usize> {
-        let mut aside = Vec::new();
-        let mut found = None;
-        while let Some(Reverse((cost, slot))) = candidates.heap.pop() {
+        let mut still_fitting = Vec::new();
+        let mut best = None;
+        while let Some(Reverse((cost_ms, slot))) = candidates.by_cost.pop() {
             let Some(host) = cycle.slots.get(slot).and_then(|s| self.hosts.get(&s.id)) else {
                 continue;
             };
-            // Full, or full for this job: it stays so while the cycle goes on.
+            // The host or its zone is full for this job and stays so for the rest of the cycle.
             if !zones.allows(&host.zone) || !cycle.fits(slot, id, each) {
                 continue;
             }
-            aside.push(Reverse((cost, slot)));
-            if !host.tasks.contains_key(&TaskId::new(id, i)) {
-                found = Some(slot);
+            still_fitting.push(Reverse((cost_ms, slot)));
+            if !host.tasks.contains_key(&TaskId::new(id, index)) {
+                best = Some(slot);
                 break;
             }
         }
-        candidates.heap.extend(aside);
-        found
+        candidates.by_cost.extend(still_fitting);
+        best
     }
 
-    /// A task was started on this candidate: it is judged anew.
-    pub(crate) fn rescore(
+    /// Recomputes the cost of a candidate on which a task was started, or removes the candidate if
+    /// no further task fits.
+    pub(crate) fn rescore_candidate(
         &self,
         cycle: &Cycle,
-        candidates: &mut Candidates,
+        candidates: &mut CandidateHosts,
         slot: usize,
         request: &JobRequest,
-        behind_none: bool,
+        require_empty_queue: bool,
     ) {
-        let old = candidates
-            .heap
+        let is_cheapest = candidates
+            .by_cost
             .peek()
             .is_some_and(|Reverse((_, top))| *top == slot);
-        if old {
-            candidates.heap.pop();
+        if is_cheapest {
+            candidates.by_cost.pop();
         } else {
-            candidates.heap.retain(|Reverse((_, s))| *s != slot);
+            candidates.by_cost.retain(|Reverse((_, s))| *s != slot);
         }
         if !cycle.fits(slot, &request.id, &request.each) {
             return;
         }
         if let Some(host) = cycle.slots.get(slot).and_then(|s| self.hosts.get(&s.id))
-            && (!behind_none || host.queue.is_empty())
+            && (!require_empty_queue || host.queue.is_empty())
         {
-            let room = &cycle.slots[slot].free;
-            let cost = cost(host, room, request, cycle.now);
-            candidates.heap.push(Reverse((cost, slot)));
+            let free = &cycle.slots[slot].free;
+            let cost_ms = start_cost_ms(host, free, request, cycle.now);
+            candidates.by_cost.push(Reverse((cost_ms, slot)));
         }
     }
 
-    /// Deadline-free tasks that start alone: services and plain arrays.
+    /// Starts tasks of services and arrays that have no deadline. These tasks start independently
+    /// of each other. Production tasks may preempt other work.
     pub(crate) fn start_without_deadline(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
-        let production = job.is_production();
-        let suspect = job.failures.is_backing_off();
-        if cycle.is_infeasible(&request.each) && !production {
+        let is_production = job.is_production();
+        let is_backing_off = job.failures.is_backing_off();
+        if cycle.is_infeasible(&request.each) && !is_production {
             return;
         }
-        // The rest queues last: never ahead of admitted work that waits there.
-        let behind_none = !is_urgent(job);
-        let mut candidates = self.candidates(cycle, job, behind_none);
+        // Jobs of normal or low priority queue last: they never start ahead of admitted work that
+        // is reserved on the host.
+        let require_empty_queue = !has_high_priority(job);
+        let mut candidates = self.candidates(cycle, job, require_empty_queue);
         let mut zones = self.zone_capacity(job);
-        let patience = self.longest_wait(job, cycle.now);
+        let longest_wait = self.longest_wait(job, cycle.now);
         loop {
             let Some(job) = self.jobs.get_mut(id) else {
                 return;
@@ -253,34 +290,38 @@
             if job.startable() == 0 {
                 return;
             }
-            let Some(i) = job.next_pending() else { return };
-            let (pending, making) = (job.pending() as usize, job.preempting.len());
+            let Some(index) = job.next_pending() else {
+                return;
+            };
+            let (pending, preemptions) = (job.pending() as usize, job.preempting.len());
             if !self.may_start(cycle, &request, 1) {
                 return;
             }
-            let best = self.best(cycle, &mut candidates, &zones, (id, &request.each), i);
-            let wait = best
+            let best =
+                self.best_candidate(cycle, &mut candidates, &zones, (id, &request.each), index);
+            let delay = best
                 .and_then(|slot| self.hosts.get(&cycle.slots[slot].id))
                 .map_or(Micros::MAX, |h| start_delay(h, &request, cycle.now));
-            // Production does not wait for an image where stopping lesser work elsewhere lets
-            // it start at once; room is made for as many of its tasks as wait.
-            if production && wait > patience && !suspect {
+            // A production task does not wait for an image if it can start at once elsewhere by
+            // preempting work of lower priority. Preemption is started for at most as many tasks as
+            // are waiting.
+            if is_production && delay > longest_wait && !is_backing_off {
                 if best.is_none() {
-                    self.record_blocked_replica(cycle, id, i);
+                    self.record_blocked_replica(cycle, id, index);
                 }
-                if making >= pending {
+                if preemptions >= pending {
                     return;
                 }
-                if self.preempt_for_replica(cycle, id, i, &zones, wait) {
+                if self.preempt_for_replica(cycle, id, index, &zones, delay) {
                     continue;
                 }
             }
             let Some(slot) = best else { return };
-            self.start(cycle, id, i, slot, None);
+            self.start(cycle, id, index, slot, None);
             if let Some(zone) = self.zone_of(&cycle.slots[slot].id) {
                 zones.add(&zone);
             }
-            self.rescore(cycle, &mut candidates, slot, &request, behind_none);
+            self.rescore_candidate(cycle, &mut candidates, slot, &request, require_empty_queue);
         }
     }
 }
--- a/crates/jasperhill-scheduler/src/cycle/preemption.rs
+++ b/crates/jasperhill-scheduler/src/cycle/preemption.rs
@@ -1,4 +1,6 @@
-//! Preemption: lesser work is stopped for production tasks and gangs that find no capacity.
+//! Preemption: stops work of lower priority for production tasks and gangs that find no free
+//! capacity. Hosts on which capacity is being freed are remembered for the preempting job until it
+//! starts or a timeout passes.
 
 use crate::{
     cycle::{
@@ -12,91 +14,116 @@
 use jasperhill_wire::{HostId, JobId, Micros, Name, TaskId, user::Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds: delays are compared by whole seconds before the work that is lost.
+/// Microseconds per second. Start delays are compared in whole seconds, before the work that is
+/// lost.
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// How long after the last victim must be gone the freed capacity is waited for.
-const FREED_CAPACITY_LASTS: Micros = Micros::from_secs(4);
-/// Capacity that comes by itself this soon is waited for.
-const SOON: Micros = Micros::from_secs(3);
+/// Time after the expected end of the last victim for which the freed capacity is still awaited.
+const FREED_CAPACITY_TIMEOUT: Micros = Micros::from_secs(4);
+/// Nothing is preempted for a gang whose chosen hosts become free without preemption within this
+/// time.
+const FREE_SOON_WITHIN: Micros = Micros::from_secs(3);
 
-/// What stopping normal instead of low work is counted as.
-const MORE_IMPORTANT: Micros = Micros::from_secs(20);
-/// What has not run for so long has hardly started, and what stopping it is counted as.
-const FRESH: Micros = Micros::from_secs(30);
-const FRESH_COST: Micros = Micros::from_secs(10);
+/// Cost added for stopping work of normal instead of low priority.
+const NORMAL_PRIORITY_COST: Micros = Micros::from_secs(20);
+/// Tasks that have run for less than this time count as just started.
+const RECENT_START: Micros = Micros::from_secs(30);
+/// Cost added for stopping a task that has just started, whose start would have been for nothing.
+const RECENT_START_COST: Micros = Micros::from_secs(10);
 
-/// What a replica that finds no capacity looks for.
+/// Requirements of a replica that found no free capacity.
 struct ReplicaSearch<'a> {
+    /// Job of the replica.
     job: &'a Job,
+    /// The replica to place.
     task: TaskId,
+    /// Zones that may take another replica of the job.
     zones: &'a ZoneCapacity,
-    /// How long it waits where it could go already; [`Micros::MAX`]: it can go nowhere.
-    wait: Micros,
-    /// How long it may wait before lesser work is stopped for it.
+    /// Start delay on the best host with free capacity; [`Micros::MAX`] if there is no such host.
+    current_delay: Micros,
+    /// Longest start delay for which work of lower priority is not preempted.
     longest_wait: Micros,
 }
 
-/// Where a replica could go once these victims are gone.
+/// Placement of a replica on a host after the given victims have stopped.
 struct ReplicaPlacement {
-    /// The start delay in whole seconds, then the work that is lost.
+    /// Start delay in whole seconds, then the lost work.
     cost: (u64, Micros),
+    /// Slot index of the host.
     slot: usize,
+    /// Tasks to stop on the host.
     victims: Vec<TaskId>,
+    /// Longest time that a victim needs to save a checkpoint.
     grace: Micros,
 }
 
-/// A place for one more task of a gang: what it costs, where, and who must go for it.
+/// Placement of one task of a gang: its cost, its host and the victims to stop.
 struct CandidatePlacement {
-    /// Microseconds of delay and of work that is lost.
+    /// Start delay plus lost work, in microseconds.
     cost: u64,
-    /// The slot of the host.
-    at: usize,
+    /// Slot index of the host.
+    slot: usize,
+    /// Tasks to stop on the host for this placement.
     victims: Vec<TaskId>,
+    /// Longest time that a victim needs to save a checkpoint.
     grace: Micros,
 }
 
-/// Places for tasks of a gang.
+/// Possible placements for the tasks of a gang.
 #[derive(Default)]
 struct GangCandidates {
-    /// By zone if all tasks must be in one, else under an empty name.
+    /// Placements by zone if all tasks must be in one zone, otherwise all under an empty zone name.
     by_zone: BTreeMap<Name, Vec<CandidatePlacement>>,
-    /// Some host still lists a task of the gang.
+    /// Whether some host still lists a task of the gang.
     is_listed: bool,
 }
 
 impl Partition {
-    /// What could be stopped on a host for work of this priority, the least loss first.
-    /// `whole`: also gangs of several tasks, which are stopped whole.
-    fn victims(&self, host: &Host, than: Priority, whole: bool, now: Micros) -> Vec<Victim> {
+    /// Returns the tasks on a host that could be stopped for work of this priority, least loss
+    /// first. With `include_gangs`, also tasks of gangs with several tasks, which are stopped as a
+    /// whole.
+    fn victims(
+        &self,
+        host: &Host,
+        priority: Priority,
+        include_gangs: bool,
+        now: Micros,
+    ) -> Vec<Victim> {
         let mut victims: Vec<Victim> = host
             .tasks
             .iter()
-            // What is stopping already makes room for somebody else.
-            .filter(|(_, t)| t.holds_resources() && t.stopping.is_none())
-            .filter_map(|(task, t)| {
+            // A task that is already stopping frees its capacity for another job.
+            .filter(|(_, on_host)| on_host.holds_resources() && on_host.stopping.is_none())
+            .filter_map(|(task, on_host)| {
                 let other = self.jobs.get(&task.job)?;
                 let size = if other.is_gang() {
                     other.request.tasks
                 } else {
                     1
                 };
-                let lower = other.priority() > than && !other.is_service();
-                (lower && (whole || size == 1)).then(|| {
-                    let (lost, grace) = if other.checkpoints() {
+                let is_preemptible = other.priority() > priority && !other.is_service();
+                (is_preemptible && (include_gangs || size == 1)).then(|| {
+                    let (lost_work, grace) = if other.checkpoints() {
                         (other.request.checkpoint_time, other.request.checkpoint_time)
                     } else {
-                        (now - t.running.unwrap_or(now), Micros::ZERO)
+                        (now - on_host.running.unwrap_or(now), Micros::ZERO)
                     };
-                    // The least important goes first; a start undone so soon was for nothing.
-                    let rank = u64::from(other.priority() == Priority::Normal);
-                    let fresh = t.running.is_none_or(|r| now - r < FRESH);
-                    let lost = lost
-                        + Micros(MORE_IMPORTANT.0 * rank)
-                        + if fresh { FRESH_COST } else { Micros::ZERO };
+                    // Low-priority work is stopped first. Stopping a task shortly after its start
+                    // wastes the start.
+                    let normal_priority = u64::from(other.priority() == Priority::Normal);
+                    let is_recent_start = on_host
+                        .running
+                        .is_none_or(|started| now - started < RECENT_START);
+                    let lost_work = lost_work
+                        + Micros(NORMAL_PRIORITY_COST.0 * normal_priority)
+                        + if is_recent_start {
+                            RECENT_START_COST
+                        } else {
+                            Micros::ZERO
+                        };
                     Victim {
-                        lost_work: Micros(lost.0.saturating_mul(u64::from(size))),
+                        lost_work: Micros(lost_work.0.saturating_mul(u64::from(size))),
                         task: task.clone(),
-                        each: t.each,
+                        resources: on_host.each,
                         grace,
                     }
                 })
@@ -106,12 +133,14 @@
         victims
     }
 
+    /// Stops the victims on a host and invalidates the cached state of every host that is affected.
+    /// `reason` is the reason given for the stop.
     fn stop_victims(
         &mut self,
         cycle: &Cycle,
         host: &HostId,
         victims: &[TaskId],
-        why: &'static str,
+        reason: &'static str,
     ) {
         cycle.invalidate_host(host);
         for task in victims {
@@ -120,21 +149,25 @@
             };
             other.preempted += 1;
             if other.is_gang() {
-                other.live.values().for_each(|h| cycle.invalidate_host(h));
+                other
+                    .live
+                    .values()
+                    .for_each(|host| cycle.invalidate_host(host));
             }
-            self.stop_with_grace(host, task, why, cycle.now);
+            self.stop_with_grace(host, task, reason, cycle.now);
         }
     }
 
-    /// Stops work of lower priority for a production task that finds no free capacity. True if
-    /// capacity is now being freed where the wait is shorter than `wait`.
+    /// Stops work of lower priority for a production task that finds no free capacity. Returns
+    /// whether capacity is now being freed on a host with a shorter start delay than
+    /// `current_delay`.
     pub(crate) fn preempt_for_replica(
         &mut self,
         cycle: &mut Cycle,
         id: &JobId,
         index: u32,
         zones: &ZoneCapacity,
-        wait: Micros,
+        current_delay: Micros,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -149,16 +182,16 @@
             job,
             task: TaskId::new(id, index),
             zones: &zones,
-            wait,
+            current_delay,
             longest_wait: self.longest_wait(job, cycle.now),
         };
         let mut best: Option<ReplicaPlacement> = None;
-        for (at, slot, host) in self.with_slots(cycle) {
-            let found = self.replica_placement(cycle, &search, (at, slot, host));
-            if let Some(found) = found
-                && best.as_ref().is_none_or(|best| found.cost < best.cost)
+        for (slot_index, slot, host) in self.with_slots(cycle) {
+            let placement = self.replica_placement(cycle, &search, (slot_index, slot, host));
+            if let Some(placement) = placement
+                && best.as_ref().is_none_or(|best| placement.cost < best.cost)
             {
-                best = Some(found);
+                best = Some(placement);
             }
         }
         let each = job.request.each;
@@ -168,42 +201,48 @@
         let host = cycle.slots[best.slot].id.clone();
         self.stop_victims(cycle, &host, &best.victims, "preempted for production");
         if let Some(job) = self.jobs.get_mut(id) {
-            let until = cycle.now + best.grace + FREED_CAPACITY_LASTS;
+            let until = cycle.now + best.grace + FREED_CAPACITY_TIMEOUT;
             job.preempting.push((host, until));
         }
-        cycle.take(best.slot, &each);
+        cycle.allocate(best.slot, &each);
         true
     }
 
-    /// What it would take to place a replica on this host; `None` if that can't be, or is no
-    /// sooner than where it could go already.
+    /// Returns the cheapest placement of a replica on this host by preemption. Returns `None` if
+    /// preemption on this host is not possible, would free too little, or would not let the replica
+    /// start sooner than on the best host with free capacity.
     fn replica_placement(
         &self,
         cycle: &Cycle,
         search: &ReplicaSearch<'_>,
-        (at, slot, host): (usize, &HostSlot, &Host),
+        (slot_index, slot, host): (usize, &HostSlot, &Host),
     ) -> Option<ReplicaPlacement> {
         let (request, priority) = (&search.job.request, search.job.priority());
-        if !slot.usable
-            || slot.reserved.as_ref().is_some_and(|job| job != &request.id)
+        if !slot.is_usable
+            || slot
+                .reserved_for
+                .as_ref()
+                .is_some_and(|job| job != &request.id)
             || !Self::is_feasible(search.job, host)
             || !search.zones.allows(&host.zone)
             || host.tasks.contains_key(&search.task)
         {
             return None;
         }
-        let has_nowhere = search.wait == Micros::MAX;
+        let has_no_free_host = search.current_delay == Micros::MAX;
         let delay = start_delay(host, request, cycle.now);
-        // Where it would start late all the same, lesser work is not stopped for it: in a cold
-        // start every image is still on its way, and such work would be stopped again and again.
-        let is_late = delay + search.longest_wait >= search.wait || delay > search.longest_wait;
-        if !has_nowhere && is_late {
+        // Work of lower priority is not preempted for a replica that would start late anyway.
+        // During a cold start every image is still being fetched, and such work would otherwise be
+        // stopped again and again.
+        let starts_late =
+            delay + search.longest_wait >= search.current_delay || delay > search.longest_wait;
+        if !has_no_free_host && starts_late {
             return None;
         }
-        // Gangs of several tasks go only where there is no capacity at all: a replica never waits
-        // for a machine that lesser work of any shape holds.
-        let victims = cycle.victims(at, priority, has_nowhere, || {
-            self.victims(host, priority, has_nowhere, cycle.now)
+        // Gangs of several tasks are stopped only if the replica finds no capacity at all. A
+        // replica never waits for a machine that work of lower priority holds, whatever its shape.
+        let victims = cycle.victims(slot_index, priority, has_no_free_host, || {
+            self.victims(host, priority, has_no_free_host, cycle.now)
         });
         let (mut free, mut chosen) = (slot.free, Vec::new());
         let (mut lost_work, mut grace) = (Micros::ZERO, Micros::ZERO);
@@ -211,28 +250,30 @@
             if request.each.fits(&free) {
                 break;
             }
-            free += victim.each;
+            free += victim.resources;
             lost_work += victim.lost_work;
             grace = grace.max(victim.grace);
             chosen.push(victim.task.clone());
         }
         let delay = delay + grace;
-        let is_sooner = has_nowhere || delay + search.longest_wait < search.wait;
+        let is_sooner = has_no_free_host || delay + search.longest_wait < search.current_delay;
         (request.each.fits(&free) && !chosen.is_empty() && is_sooner).then_some(ReplicaPlacement {
             cost: (delay.0 / MICROS_PER_SECOND, lost_work),
-            slot: at,
+            slot: slot_index,
             victims: chosen,
             grace,
         })
     }
 
-    /// Stops lesser work for a gang that does not find capacity for all of its tasks. The hosts
-    /// are held for it until it starts or the capacity has not come about in time.
+    /// Stops work of lower priority for a gang that does not find capacity for all of its tasks.
+    /// The hosts are reserved for the gang until it starts, or until the capacity has not become
+    /// free in time.
     pub(crate) fn preempt_for_gang(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let (request, priority) = (job.request.clone(), job.priority());
-        let held = job.gang_hosts.as_ref();
-        let has_hosts_soon = held.is_some_and(|held| held.ready <= cycle.now + SOON);
+        let gang_hosts = job.gang_hosts.as_ref();
+        let has_hosts_soon =
+            gang_hosts.is_some_and(|gang_hosts| gang_hosts.ready <= cycle.now + FREE_SOON_WITHIN);
         if !job.preempting.is_empty()
             || has_hosts_soon
             || cycle.is_gang_without_victims(priority, &request)
@@ -241,20 +282,25 @@
         }
         let candidates = self.gang_candidates(cycle, job);
         match self.cheapest_gang_placement(cycle, job, candidates.by_zone) {
-            Some(chosen) => self.clear_for_gang(cycle, id, &chosen),
-            // Where it is itself does not count for others.
+            Some(chosen) => self.preempt_and_reserve_for_gang(cycle, id, &chosen),
+            // The search skips hosts that list or are avoided by this gang itself, so a negative
+            // result does not apply to other gangs.
             None if candidates.is_listed || job.failures.avoids_any() => {}
             None => cycle.note_gang_without_victims(priority, &request),
         }
     }
 
-    /// The places on every host that one more task of a gang could take, free ones first.
+    /// Returns the possible placements of the gang's tasks on all hosts, placements without victims
+    /// first on every host.
     fn gang_candidates(&self, cycle: &Cycle, job: &Job) -> GangCandidates {
         let request = &job.request;
         let mut candidates = GangCandidates::default();
-        for (at, slot, host) in self.with_slots(cycle) {
-            if !slot.usable
-                || slot.reserved.as_ref().is_some_and(|j| j != &request.id)
+        for (slot_index, slot, host) in self.with_slots(cycle) {
+            if !slot.is_usable
+                || slot
+                    .reserved_for
+                    .as_ref()
+                    .is_some_and(|reserved_for| reserved_for != &request.id)
                 || !Self::is_feasible(job, host)
                 || !request.each.fits(&host.spec.capacity)
             {
@@ -269,59 +315,61 @@
             } else {
                 Name::from("")
             };
-            let places = candidates.by_zone.entry(zone).or_default();
-            places.extend(self.gang_places(cycle, job, (at, slot, host)));
+            let placements = candidates.by_zone.entry(zone).or_default();
+            placements.extend(self.gang_placements_on_host(cycle, job, (slot_index, slot, host)));
         }
         candidates
     }
 
-    /// The places on one host, those without victims first; no more than the gang has tasks.
-    fn gang_places(
+    /// Returns the possible placements on one host, at most as many as the gang has tasks.
+    /// Placements without victims come first.
+    fn gang_placements_on_host(
         &self,
         cycle: &Cycle,
         job: &Job,
-        (at, slot, host): (usize, &HostSlot, &Host),
+        (slot_index, slot, host): (usize, &HostSlot, &Host),
     ) -> Vec<CandidatePlacement> {
         let (request, priority) = (&job.request, job.priority());
         let wanted = request.tasks as usize;
         let delay = start_delay(host, request, cycle.now).0;
         let mut free = slot.free;
-        let mut places = Vec::new();
-        while places.len() < wanted && request.each.fits(&free) {
+        let mut placements = Vec::new();
+        while placements.len() < wanted && request.each.fits(&free) {
             free -= request.each;
-            places.push(CandidatePlacement {
+            placements.push(CandidatePlacement {
                 cost: delay,
-                at,
+                slot: slot_index,
                 victims: Vec::new(),
                 grace: Micros::ZERO,
             });
         }
-        let victims = cycle.victims(at, priority, true, || {
+        let victims = cycle.victims(slot_index, priority, true, || {
             self.victims(host, priority, true, cycle.now)
         });
         let (mut stopped, mut lost_work, mut grace) = (Vec::new(), 0, Micros::ZERO);
         for victim in victims.iter() {
-            if places.len() >= wanted {
+            if placements.len() >= wanted {
                 break;
             }
-            free += victim.each;
+            free += victim.resources;
             lost_work += victim.lost_work.0;
             grace = grace.max(victim.grace);
             stopped.push(victim.task.clone());
             if request.each.fits(&free) {
                 free -= request.each;
-                places.push(CandidatePlacement {
+                placements.push(CandidatePlacement {
                     cost: delay + grace.0 + lost_work,
-                    at,
+                    slot: slot_index,
                     victims: std::mem::take(&mut stopped),
                     grace,
                 });
             }
         }
-        places
+        placements
     }
 
-    /// Places for all tasks of a gang, in the zone or zones where they cost the least together.
+    /// Returns placements for all tasks of a gang with the lowest total cost, in a single zone if
+    /// the gang requires it. Returns `None` if no zone has enough placements.
     fn cheapest_gang_placement(
         &self,
         cycle: &Cycle,
@@ -330,17 +378,18 @@
     ) -> Option<Vec<CandidatePlacement>> {
         let wanted = job.request.tasks as usize;
         let mut best: Option<(u64, Vec<CandidatePlacement>)> = None;
-        for mut places in by_zone.into_values() {
-            places.sort_by_key(|place| (place.cost, place.at, place.victims.len()));
-            let mut zones = ZoneCapacity::of(job, |_| None);
+        for mut placements in by_zone.into_values() {
+            placements
+                .sort_by_key(|placement| (placement.cost, placement.slot, placement.victims.len()));
+            let mut zones = ZoneCapacity::for_job(job, |_| None);
             let (mut total, mut chosen) = (0, Vec::new());
-            for place in places {
-                let zone = self.zone_of(&cycle.slots[place.at].id);
+            for placement in placements {
+                let zone = self.zone_of(&cycle.slots[placement.slot].id);
                 let zone = zone.unwrap_or_else(|| Name::from(""));
                 if chosen.len() < wanted && zones.allows(&zone) {
                     zones.add(&zone);
-                    total += place.cost;
-                    chosen.push(place);
+                    total += placement.cost;
+                    chosen.push(placement);
                 }
             }
             let is_cheaper = best.as_ref().is_none_or(|(cost, _)| total < *cost);
@@ -351,17 +400,25 @@
         best.map(|(_, chosen)| chosen)
     }
 
-    /// Stops the victims on the chosen hosts, and holds these for the gang.
-    fn clear_for_gang(&mut self, cycle: &mut Cycle, id: &JobId, chosen: &[CandidatePlacement]) {
-        let grace = chosen.iter().map(|place| place.grace).max();
+    /// Stops the victims on the chosen hosts and reserves these hosts for the gang.
+    fn preempt_and_reserve_for_gang(
+        &mut self,
+        cycle: &mut Cycle,
+        id: &JobId,
+        chosen: &[CandidatePlacement],
+    ) {
+        let grace = chosen.iter().map(|placement| placement.grace).max();
         let grace = grace.unwrap_or_default();
-        let until = cycle.now + grace + FREED_CAPACITY_LASTS;
-        let slots: BTreeSet<usize> = chosen.iter().map(|place| place.at).collect();
-        for place in chosen {
-            let host = cycle.slots[place.at].id.clone();
-            self.stop_victims(cycle, &host, &place.victims, "preempted for a gang");
+        let until = cycle.now + grace + FREED_CAPACITY_TIMEOUT;
+        let slots: BTreeSet<usize> = chosen.iter().map(|placement| placement.slot).collect();
+        for placement in chosen {
+            let host = cycle.slots[placement.slot].id.clone();
+            self.stop_victims(cycle, &host, &placement.victims, "preempted for a gang");
         }
-        let hosts: Vec<HostId> = slots.iter().map(|at| cycle.slots[*at].id.clone()).collect();
+        let hosts: Vec<HostId> = slots
+            .iter()
+            .map(|slot_index| cycle.slots[*slot_index].id.clone())
+            .collect();
         if let Some(job) = self.jobs.get_mut(id) {
             job.preempting = hosts.iter().map(|host| (host.clone(), until)).collect();
             job.gang_hosts = Some(GangHosts {
@@ -372,7 +429,8 @@
         }
     }
 
-    /// Room that has not come about in time is not waited for any longer.
+    /// Stops waiting for capacity that has not become free in time, and for all capacity awaited by
+    /// jobs that have no pending task or are terminating.
     pub(crate) fn expire_preemptions(&mut self, now: Micros) {
         for job in self.jobs.values_mut() {
             if job.preempting.is_empty() {
--- a/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
+++ b/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
@@ -1,12 +1,13 @@
-//! Slow machines, recognised while their tasks still run. Workers report states and no progress,
-//! so that all there is to go by is how long a task has been running, against what the job's
-//! other tasks took, or else against its estimate.
+//! Detection of slow machines while their tasks still run. Workers report task states but no
+//! progress, so the only evidence is how long a task has been running, compared with the run times
+//! of the job's other tasks or else with the job's estimate.
 //!
-//! One long task says little: run times vary, and estimates are wrong by half. What convicts a
-//! machine is several tasks that overrun there while nothing has ended in time, weighed by how
-//! often tasks of their classes overrun anywhere. Tasks of one job count once unless others of
-//! the job have ended elsewhere: it may be the job that is long. Owns the moments at which tasks
-//! overrun, the classes' shares of overruns, and what follows for the machine.
+//! A single long task is weak evidence: run times vary, and estimates are wrong by half. A machine
+//! is considered slow when several of its tasks overrun while no task has ended in time there,
+//! weighted by how often tasks of the same classes overrun on any machine. Tasks of one job count
+//! once unless other tasks of the job have ended on other hosts, because the job itself may be
+//! long. This module owns the times at which tasks overrun, the share of overruns per class, and
+//! the response to a slow machine.
 
 use crate::{
     host::TaskState,
@@ -20,169 +21,202 @@
 use std::collections::BTreeSet;
 
 impl Partition {
-    /// How long a task of this job should run on a machine of the usual pace, and whether that
-    /// is known from its others.
-    fn expected_run(&self, job: &Job, here: &HostId) -> Option<(Micros, bool)> {
+    /// Returns the expected run time of a task of this job on a machine of normal speed, and
+    /// whether it is derived from the job's other tasks rather than from the estimate. Returns
+    /// `None` if no expectation exists.
+    fn expected_run_time(&self, job: &Job, host: &HostId) -> Option<(Micros, bool)> {
         if job.is_service() || job.failures.is_backing_off() {
             return None;
         }
-        if let Some(elapsed) = job.sibling_run_times.elapsed(here) {
+        if let Some(elapsed) = job.sibling_run_times.elapsed(host) {
             return Some((elapsed.max(LEAST), true));
         }
-        // What was stopped before goes on where it was: its estimate says too much.
+        // A preempted task continues from its checkpoint, so the estimate of the full run time is
+        // too long.
         (job.preempted == 0 && job.request.estimate > Micros::ZERO)
             .then(|| (self.estimate(&job.request).max(LEAST), false))
     }
 
-    /// A task is seen running: it is looked at again when it overruns.
+    /// Schedules a check for the time at which a task that was reported running would overrun.
     pub(crate) fn watch_task(&mut self, host: &HostId, task: &TaskId) {
-        let started = self.hosts.get(host).and_then(|h| {
-            let t = h.tasks.get(task)?;
-            Some((t.running?, t.attempt))
+        let started = self.hosts.get(host).and_then(|host_state| {
+            let on_host = host_state.tasks.get(task)?;
+            Some((on_host.running?, on_host.attempt))
         });
         let expected = self
             .jobs
             .get(&task.job)
-            .and_then(|j| self.expected_run(j, host));
+            .and_then(|job| self.expected_run_time(job, host));
         if let (Some((started, attempt)), Some((expected, _))) = (started, expected) {
-            let at = started + expected.scale(OVER);
+            let overruns_at = started + expected.scale(OVER);
             self.overrun_watch
                 .due
-                .insert((at, host.clone(), task.clone(), attempt));
+                .insert((overruns_at, host.clone(), task.clone(), attempt));
         }
     }
 
-    /// A task has ended by itself after so many times its expected run: its class learns, and
-    /// the machine is absolved if it was in time.
+    /// Records that a task ended by itself after `times` its expected run time. Updates the share
+    /// of overruns of its class, and the host's pace if the task ended in time.
     pub(crate) fn learn_overrun(&mut self, host: &HostId, task: &TaskId, times: f64, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(h) = self.hosts.get_mut(host) else {
+        let Some(host_state) = self.hosts.get_mut(host) else {
             return;
         };
-        let Some(started) = h.tasks.get(task).and_then(|t| t.running) else {
+        let Some(started) = host_state
+            .tasks
+            .get(task)
+            .and_then(|on_host| on_host.running)
+        else {
             return;
         };
         let class = job.request.class.clone();
-        if !h.pace.is_slow() {
+        if !host_state.pace.is_slow() {
             job.sibling_run_times.note(host, now - started);
         }
         if times <= IN_TIME {
-            h.last_in_time = Some(now);
-            if h.slow_since.is_none_or(|at| started >= at) {
-                h.pace.apply(Input::EndedInTime);
+            host_state.last_in_time = Some(now);
+            if host_state
+                .slow_since
+                .is_none_or(|slow_since| started >= slow_since)
+            {
+                host_state.pace.apply(Input::EndedInTime);
             }
         }
-        let tail = self.overrun_watch.tails.entry(class).or_insert(TAIL_FIRST);
-        *tail += LEARNS * (f64::from(u8::from(times >= OVER)) - *tail);
+        let overrun_share = self.overrun_watch.tails.entry(class).or_insert(TAIL_FIRST);
+        *overrun_share += LEARNS * (f64::from(u8::from(times >= OVER)) - *overrun_share);
     }
 
-    /// Looks at the machines where a task overruns by now.
+    /// Evaluates the hosts on which a task has overrun by `now`.
     pub(crate) fn check_overruns(&mut self, now: Micros) {
         let mut hosts = BTreeSet::new();
         while self
             .overrun_watch
             .due
             .first()
-            .is_some_and(|(at, ..)| *at <= now)
+            .is_some_and(|(overruns_at, ..)| *overruns_at <= now)
         {
             let Some((_, host, task, attempt)) = self.overrun_watch.due.pop_first() else {
                 break;
             };
-            let running = self.hosts.get(&host).and_then(|h| {
-                let t = h.tasks.get(&task).filter(|t| t.attempt == attempt)?;
-                (t.state == TaskState::Running && t.stopping.is_none()).then_some(t.running?)
+            let running = self.hosts.get(&host).and_then(|host_state| {
+                let on_host = host_state
+                    .tasks
+                    .get(&task)
+                    .filter(|on_host| on_host.attempt == attempt)?;
+                (on_host.state == TaskState::Running && on_host.stopping.is_none())
+                    .then_some(on_host.running?)
             });
             let expected = self
                 .jobs
                 .get(&task.job)
-                .and_then(|j| self.expected_run(j, &host));
+                .and_then(|job| self.expected_run_time(job, &host));
             let (Some(started), Some((expected, _))) = (running, expected) else {
                 continue;
             };
-            let at = started + expected.scale(OVER);
-            if at > now {
-                // More is known by now, and more time is due to it.
-                self.overrun_watch.due.insert((at, host, task, attempt));
+            let overruns_at = started + expected.scale(OVER);
+            if overruns_at > now {
+                // The expected run time has grown since the check was scheduled, so the check is
+                // postponed.
+                self.overrun_watch
+                    .due
+                    .insert((overruns_at, host, task, attempt));
             } else {
                 hosts.insert(host);
             }
         }
         for host in hosts {
-            self.weigh_evidence(&host, now);
+            self.evaluate_host_pace(&host, now);
         }
     }
 
-    /// The odds that this machine is slow, from all that runs there.
-    fn odds(&self, id: &HostId, now: Micros) -> (f64, f64) {
+    /// Returns the log odds that the host is slow and the median ratio of run time to expected run
+    /// time. Both are computed from the host's running tasks that have overrun while no task has
+    /// ended in time on the host for a while. The log odds are 0 if there are fewer than two such
+    /// tasks.
+    fn slowness_evidence(&self, id: &HostId, now: Micros) -> (f64, f64) {
         let Some(host) = self.hosts.get(id) else {
             return (0.0, 1.0);
         };
-        let (mut odds, mut times) = (0.0, Vec::new());
-        let mut counted = BTreeSet::new();
-        for (task, t) in &host.tasks {
-            let Some(started) = t.running.filter(|_| t.state == TaskState::Running) else {
+        let (mut log_odds, mut slowdowns) = (0.0, Vec::new());
+        let mut counted_jobs = BTreeSet::new();
+        for (task, on_host) in &host.tasks {
+            let Some(started) = on_host
+                .running
+                .filter(|_| on_host.state == TaskState::Running)
+            else {
                 continue;
             };
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let Some((expected, by_others)) = self.expected_run(job, id) else {
+            let Some((expected, is_from_siblings)) = self.expected_run_time(job, id) else {
                 continue;
             };
             let quiet_since = host.last_in_time.unwrap_or(Micros::ZERO).max(started);
-            let over = (now - started).as_secs_f64() / expected.as_secs_f64();
-            if over < OVER || now - quiet_since < expected.scale(QUIET) {
+            let slowdown = (now - started).as_secs_f64() / expected.as_secs_f64();
+            if slowdown < OVER || now - quiet_since < expected.scale(QUIET) {
                 continue;
             }
-            times.push(over);
-            if by_others || counted.insert(&task.job) {
-                odds += (SLOW_OVERRUNS / self.overrun_watch.tail(&job.request.class)).ln();
+            slowdowns.push(slowdown);
+            if is_from_siblings || counted_jobs.insert(&task.job) {
+                log_odds += (SLOW_OVERRUNS / self.overrun_watch.tail(&job.request.class)).ln();
             }
         }
-        times.sort_by(f64::total_cmp);
-        let middle = times.get(times.len() / 2).copied().unwrap_or(1.0);
-        (if times.len() < 2 { 0.0 } else { odds }, middle)
+        slowdowns.sort_by(f64::total_cmp);
+        let median = slowdowns.get(slowdowns.len() / 2).copied().unwrap_or(1.0);
+        (if slowdowns.len() < 2 { 0.0 } else { log_odds }, median)
     }
 
-    fn weigh_evidence(&mut self, id: &HostId, now: Micros) {
-        let slow = self.hosts.values().filter(|h| h.pace.is_slow()).count();
-        if slow >= (self.hosts.len() / SLOW_PART).max(1) {
+    /// Marks the host as slow if the evidence suffices, and moves its checkpointing tasks to other
+    /// hosts. Does nothing if the share of slow hosts has reached its maximum, one in
+    /// [`SLOW_PART`].
+    fn evaluate_host_pace(&mut self, id: &HostId, now: Micros) {
+        let slow_hosts = self
+            .hosts
+            .values()
+            .filter(|host| host.pace.is_slow())
+            .count();
+        if slow_hosts >= (self.hosts.len() / SLOW_PART).max(1) {
             return;
         }
-        let (odds, times) = self.odds(id, now);
+        let (log_odds, slowdown) = self.slowness_evidence(id, now);
         let Some(host) = self.hosts.get_mut(id) else {
             return;
         };
-        if !host.pace.apply(Input::Weighed { odds, times }) {
+        if !host.pace.apply(Input::Weighed {
+            odds: log_odds,
+            times: slowdown,
+        }) {
             return;
         }
         host.slow_since = Some(now);
-        host.slowness = host.slowness.max(times.min(SLOWEST));
-        self.events.push(Event::HostSlow(id.clone(), times));
+        host.slowness = host.slowness.max(slowdown.min(SLOWEST));
+        self.events.push(Event::HostSlow(id.clone(), slowdown));
         self.move_checkpointing_tasks(id, now);
     }
 
-    /// Work that can save goes on elsewhere: it loses nothing but the time to save.
+    /// Stops tasks that can save a checkpoint, so that they continue on another host. They lose
+    /// only the time needed to save.
     fn move_checkpointing_tasks(&mut self, id: &HostId, now: Micros) {
         let Some(host) = self.hosts.get(id) else {
             return;
         };
-        let mut moves = Vec::new();
-        for (task, t) in &host.tasks {
+        let mut to_move = Vec::new();
+        for (task, on_host) in &host.tasks {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            if t.state == TaskState::Running
-                && t.stopping.is_none()
+            if on_host.state == TaskState::Running
+                && on_host.stopping.is_none()
                 && job.checkpoints()
                 && job.preempted == 0
             {
-                moves.push(task.clone());
+                to_move.push(task.clone());
             }
         }
-        for task in moves {
+        for task in to_move {
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 job.preempted += 1;
             }
--- a/crates/jasperhill-scheduler/src/cycle/team_quota.rs
+++ b/crates/jasperhill-scheduler/src/cycle/team_quota.rs
@@ -1,8 +1,9 @@
-//! Team limits in a cycle: who may start more, and what of a limit is reserved for a gang that waits
-//! for its part of it.
+//! Team limits in a scheduling cycle: checks whether a job may start more tasks within its team's
+//! limit, and reserves part of a limit for a waiting gang.
 //!
-//! A gang needs its whole part at once, while other work of its team takes whatever becomes free,
-//! task by task. Without a reservation a team that is kept at its limit by arrays starts no gang.
+//! A gang needs its whole part of the limit at once, while other work of the team takes capacity
+//! task by task as it becomes free. Without a reservation, a team that its arrays keep at the limit
+//! would never start a gang.
 
 use crate::{
     config::TeamLimits,
@@ -15,24 +16,24 @@
 use jasperhill_wire::{JobId, Micros, Name, Resources, user::JobRequest};
 use std::collections::{BTreeMap, btree_map::Entry};
 
-/// Gangs of a team that are looked at in one cycle for a reservation. Guards against a look at all
-/// jobs for each of many gangs that wait.
-const ATTEMPTS_MAX: u32 = 4;
-/// What ends within this time is waited for; what runs for longer is not.
-const ENDS_SOON: Micros = Micros::from_secs(30);
+/// Maximum number of gangs of a team that are examined for a reservation in one cycle. Every
+/// examination walks through all jobs, which would be too expensive for many waiting gangs.
+const MAX_QUOTA_ATTEMPTS: u32 = 4;
+/// A gang waits for tasks that are expected to end within this time, not for tasks that run longer.
+const ENDS_SOON_WITHIN: Micros = Micros::from_secs(30);
 
-/// What the classes of a team, and the sizes of jobs within them, use of the team's limit.
+/// Usage of the teams' limits by the classes of each team and by the job sizes within each class.
 #[derive(Default)]
 pub(crate) struct LimitUsage {
-    /// By team and group; nothing for a group that only waits.
+    /// Resources used, by team and group; zero for a group whose jobs are all waiting.
     used: BTreeMap<(Name, Group), Resources>,
-    /// The classes that have work, by team.
+    /// Totals over the classes that have jobs, by team.
     classes: BTreeMap<Name, GroupTotals>,
-    /// The sizes that have work, by team and class.
+    /// Totals over the job sizes that have jobs, by team and class.
     sizes: BTreeMap<(Name, Name), GroupTotals>,
 }
 
-/// Groups that share something, together.
+/// Number and total usage of the groups that share a limit.
 #[derive(Clone, Copy, Default)]
 struct GroupTotals {
     groups: usize,
@@ -40,6 +41,7 @@
 }
 
 impl LimitUsage {
+    /// Adds the live tasks of a job to the usage of its class and of its job size.
     fn add(&mut self, job: &Job) {
         let request = &job.request;
         let used = request.each.times(job.live.len() as u64);
@@ -52,17 +54,18 @@
                     .or_default(),
                 Group::Team(_) => continue,
             };
-            let known = self.used.entry((request.team.clone(), group));
-            totals.groups += usize::from(matches!(known, Entry::Vacant(_)));
+            let entry = self.used.entry((request.team.clone(), group));
+            totals.groups += usize::from(matches!(entry, Entry::Vacant(_)));
             totals.used += used;
-            *known.or_default() += used;
+            *entry.or_default() += used;
         }
     }
 
-    /// This class or size of jobs uses less of its team's limit than an equal part for each that has
-    /// work: it waits for others, although the limit is its own team's.
-    pub fn is_below_equal_part(&self, team: &TeamLimits, group: &Group) -> bool {
-        // Sizes share what their class has, classes what the team may have.
+    /// Returns whether a class or job size uses less than an equal share of its team's limit, the
+    /// shares being equal among the classes or sizes that have jobs. Such a group waits because of
+    /// other groups, although all of them belong to the same team.
+    pub fn is_below_equal_share(&self, team: &TeamLimits, group: &Group) -> bool {
+        // Sizes share the resources that their class uses; classes share the team's limit.
         let (groups, whole) = match group {
             Group::Class(_) => {
                 let classes = self.classes.get(&team.name);
@@ -74,15 +77,16 @@
             }
             Group::Team(_) => return false,
         };
-        let own = self.used.get(&(team.name.clone(), group.clone()));
-        let own = own.copied().unwrap_or_default().share_of(&whole);
-        groups > 0 && own * (groups as f64) < 1.0
+        let own_share = self.used.get(&(team.name.clone(), group.clone()));
+        let own_share = own_share.copied().unwrap_or_default().share_of(&whole);
+        groups > 0 && own_share * (groups as f64) < 1.0
     }
 }
 
 impl Partition {
-    /// So many more tasks may start or be reserved: all that the job needs is done, and its team
-    /// stays within its limit, of which nothing is taken that is reserved for another job.
+    /// Returns whether `tasks` more tasks of a job may start or be reserved: the job's dependencies
+    /// are done, and the team stays within its limit. Resources reserved for another job of the
+    /// team count as used.
     pub(crate) fn may_start(&self, cycle: &Cycle, request: &JobRequest, tasks: u64) -> bool {
         let is_open = |job: &Job| job.readiness == Readiness::Open;
         if !self.jobs.get(&request.id).is_some_and(is_open) {
@@ -92,28 +96,31 @@
             return false;
         };
         let used = self.used_by_team.get(&request.team).copied();
-        let unseen = cycle.unconfirmed_use.get(&request.team).copied();
+        let unconfirmed = cycle.unconfirmed_use.get(&request.team).copied();
         let reserved = cycle.quota_reservations.get(&request.team);
         let reserved = reserved.filter(|reservation| reservation.job != request.id);
         let mut wanted = request.each.times(tasks);
         wanted += used.unwrap_or_default();
-        wanted += unseen.unwrap_or_default();
-        wanted += reserved.map(|r| r.resources).unwrap_or_default();
+        wanted += unconfirmed.unwrap_or_default();
+        wanted += reserved
+            .map(|reservation| reservation.resources)
+            .unwrap_or_default();
         team.allows(&wanted)
     }
 
-    /// Reserves a gang's part of its team's limit for the rest of the cycle, if no gang before it
-    /// in the order has done so, its part is free soon, and there are hosts that could take it.
+    /// Reserves a gang's part of its team's limit for the rest of the cycle. Does nothing if
+    /// another gang of the team already holds a reservation, if the part does not become free soon,
+    /// if the hosts could not run the whole gang, or if the team's reservation window is closed.
     pub(crate) fn reserve_quota(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
         let attempts = cycle.quota_attempts.entry(request.team.clone());
         let attempts = attempts.or_default();
         *attempts += 1;
-        if *attempts > ATTEMPTS_MAX
+        if *attempts > MAX_QUOTA_ATTEMPTS
             || cycle.quota_reservations.contains_key(&request.team)
             || !self.has_quota_soon(cycle, job)
-            || !self.has_hosts_for_whole(cycle, job)
+            || !self.fits_on_empty_hosts(cycle, job)
         {
             return;
         }
@@ -133,54 +140,55 @@
             .insert(request.team.clone(), reservation);
     }
 
-    /// The gang is within its team's limit once what is expected to end soon has ended.
+    /// Returns whether the gang is within its team's limit once the jobs that are expected to end
+    /// soon have ended.
     fn has_quota_soon(&self, cycle: &Cycle, gang: &Job) -> bool {
         let request = &gang.request;
         let Some(team) = self.config.team(&request.team) else {
             return false;
         };
         let used = self.used_by_team.get(&request.team).copied();
-        let unseen = cycle.unconfirmed_use.get(&request.team).copied();
-        let mut lasting = used.unwrap_or_default();
-        lasting += unseen.unwrap_or_default();
+        let unconfirmed = cycle.unconfirmed_use.get(&request.team).copied();
+        let mut remaining = used.unwrap_or_default();
+        remaining += unconfirmed.unwrap_or_default();
         for job in self.jobs.values() {
-            let is_mate = job.request.team == request.team && !job.live.is_empty();
-            if is_mate && self.ends_soon(job, cycle.now) {
-                lasting -= job.request.each.times(job.live.len() as u64);
+            let is_teammate = job.request.team == request.team && !job.live.is_empty();
+            if is_teammate && self.ends_soon(job, cycle.now) {
+                remaining -= job.request.each.times(job.live.len() as u64);
             }
         }
-        lasting += request.each.times(u64::from(request.tasks));
-        team.allows(&lasting)
+        remaining += request.each.times(u64::from(request.tasks));
+        team.allows(&remaining)
     }
 
-    /// The tasks that run now are expected to end soon.
+    /// Returns whether the running tasks of a job are expected to end soon.
     fn ends_soon(&self, job: &Job, now: Micros) -> bool {
-        let ends = job.last_started + self.estimate(&job.request);
-        job.termination.is_some() || (!job.is_service() && ends < now + ENDS_SOON)
+        let expected_end = job.last_started + self.estimate(&job.request);
+        job.termination.is_some() || (!job.is_service() && expected_end < now + ENDS_SOON_WITHIN)
     }
 
-    /// The hosts would suffice for all tasks of this gang if nothing else ran there.
-    fn has_hosts_for_whole(&self, cycle: &Cycle, job: &Job) -> bool {
+    /// Returns whether the usable hosts could run all tasks of this gang if they were empty.
+    fn fits_on_empty_hosts(&self, cycle: &Cycle, job: &Job) -> bool {
         let request = &job.request;
-        let mut by_zone: BTreeMap<&Name, u64> = BTreeMap::new();
+        let mut places_by_zone: BTreeMap<&Name, u64> = BTreeMap::new();
         for (_, slot, host) in self.with_slots(cycle) {
-            if slot.usable && Self::is_feasible(job, host) {
-                let places = request.each.count_in(&host.spec.capacity);
-                let known = by_zone.entry(&host.zone).or_default();
-                *known = known.saturating_add(places);
+            if slot.is_usable && Self::is_feasible(job, host) {
+                let task_places = request.each.count_in(&host.spec.capacity);
+                let in_zone = places_by_zone.entry(&host.zone).or_default();
+                *in_zone = in_zone.saturating_add(task_places);
             }
         }
-        let usable = |places: &u64| (*places).min(u64::from(request.zone_cap()));
-        let places = by_zone.values().map(usable);
-        let found = if request.one_zone {
-            places.max().unwrap_or(0)
+        let capped = |task_places: &u64| (*task_places).min(u64::from(request.zone_cap()));
+        let task_places = places_by_zone.values().map(capped);
+        let total = if request.one_zone {
+            task_places.max().unwrap_or(0)
         } else {
-            places.sum()
+            task_places.sum()
         };
-        found >= u64::from(request.tasks)
+        total >= u64::from(request.tasks)
     }
 
-    /// What classes and sizes of jobs use of their teams' limits.
+    /// Returns the usage of the teams' limits by class and job size.
     pub(crate) fn limit_usage(&self) -> LimitUsage {
         let mut usage = LimitUsage::default();
         let jobs = self.jobs.values();
--- a/crates/jasperhill-scheduler/src/cycle/tests.rs
+++ b/crates/jasperhill-scheduler/src/cycle/tests.rs
@@ -1,11 +1,12 @@
-//! The decisions written plainly, every host judged for every task, to compare with what the
-//! indexed ones come to. Tests only.
+//! Compares the scheduling decisions with straightforward reference implementations that evaluate
+//! every host for every task. The scheduler avoids that work with heaps and cached simulations, and
+//! must still decide the same.
 
 use crate::{
     config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, fetch_time},
-    cycle::admission::NO_DEADLINE,
+    cycle::admission::MISSED_DEADLINE_EXTENSION,
     cycle::context::Cycle,
-    cycle::placement::cost,
+    cycle::placement::start_cost_ms,
     host::HeartbeatSource,
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
@@ -22,12 +23,12 @@
 
 const NOW: Micros = Micros::from_secs(10_000);
 
-/// What a generated partition is made of.
+/// Parameters of a generated partition.
 #[derive(Clone, Debug)]
-struct Setting {
-    /// Per host: zone, spot, image held, tasks that run there, slowness in tenths.
+struct GeneratedPartition {
+    /// For each host: zone, spot, cached image, number of running tasks, slowness in tenths.
     hosts: Vec<(bool, bool, u8, u8, u8)>,
-    /// Reservations that are there already: host, seconds to the deadline, estimate.
+    /// Existing reservations: host index, seconds to the adjusted deadline, estimate in seconds.
     reserved: Vec<(usize, u64, u64)>,
     request: JobRequest,
     submitted_ago: u64,
@@ -64,7 +65,7 @@
     }
 }
 
-fn setting(shape: Shape) -> impl Strategy<Value = Setting> {
+fn generated_partition(shape: Shape) -> impl Strategy<Value = GeneratedPartition> {
     let hosts = proptest::collection::vec(
         (any::<bool>(), any::<bool>(), 0u8..3, 0u8..9, 5u8..30),
         1..14,
@@ -76,7 +77,7 @@
         move |(hosts, reserved, tasks, image, flags, (estimate, left), submitted_ago)| {
             let deadline = (shape == Shape::Array).then_some(left);
             let times = (estimate, deadline);
-            Setting {
+            GeneratedPartition {
                 hosts,
                 reserved,
                 request: request("job-new", shape, tasks, image, flags, times),
@@ -90,7 +91,8 @@
     clippy::too_many_lines,
     reason = "the parts of one generated partition, one after another"
 )]
-fn build(s: &Setting) -> Partition {
+/// Builds a partition with the generated hosts, running tasks, reservations and the new job.
+fn build_partition(s: &GeneratedPartition) -> Partition {
     let spec = Rc::new(MachineSpec {
         machine_type: "box".into(),
         capacity: Resources::from_units(16.0, 8.0, 64.0),
@@ -183,9 +185,9 @@
     part
 }
 
-/// The schedule simulation over all hosts for one task; among those with the fewest new misses the
-/// lowest density, the first of equals.
-fn choose(
+/// Simulates all hosts for one task. Returns the host with the lowest density among those with the
+/// fewest new misses, and the first of equals, with the task's reservation there.
+fn choose_host_exhaustively(
     part: &Partition,
     cycle: &Cycle,
     task: &TaskId,
@@ -217,18 +219,23 @@
     best.map(|(_, _, host, reservation)| (host, reservation))
 }
 
-fn book(part: &mut Partition, cycle: &Cycle, id: &JobId) {
+/// Reference reservation: simulates all hosts again for every task.
+fn reserve_exhaustively(part: &mut Partition, cycle: &Cycle, id: &JobId) {
     let Some(job) = part.jobs.get(id) else { return };
     let (request, missed) = (job.request.clone(), job.missed_deadline);
     let Some(due) = job.due else { return };
-    let due = if missed { cycle.now + NO_DEADLINE } else { due };
+    let due = if missed {
+        cycle.now + MISSED_DEADLINE_EXTENSION
+    } else {
+        due
+    };
     let mut taken = 0;
     while part.may_start(cycle, &request, taken + 1) {
         let Some(i) = part.jobs.get_mut(id).and_then(Job::next_pending) else {
             return;
         };
         let task = TaskId::new(id, i);
-        let Some((host, reservation)) = choose(part, cycle, &task, due) else {
+        let Some((host, reservation)) = choose_host_exhaustively(part, cycle, &task, due) else {
             return;
         };
         if let Some(host) = part.hosts.get_mut(&host) {
@@ -239,8 +246,9 @@
     }
 }
 
-/// Task after task on the host of the lowest density that stays without a new miss.
-fn admit(
+/// Reference admission test: places one task after another on the host with the lowest density that
+/// has no new miss, then on rented machines.
+fn admit_task_by_task(
     part: &Partition,
     request: &JobRequest,
     submitted: Micros,
@@ -302,8 +310,9 @@
     AdmissionDecision::Admit
 }
 
-/// Task after task on the cheapest host that has room and no queue.
-fn start_loose(part: &mut Partition, cycle: &mut Cycle, id: &JobId) {
+/// Reference placement: starts one task after another on the cheapest host that has free capacity
+/// and an empty queue.
+fn start_exhaustively(part: &mut Partition, cycle: &mut Cycle, id: &JobId) {
     loop {
         let Some(job) = part.jobs.get_mut(id) else {
             return;
@@ -320,7 +329,7 @@
             .filter(|(i, _, _)| cycle.fits(*i, id, &request.each))
             .filter(|(_, _, h)| h.queue.is_empty())
             .filter(|(_, _, h)| Partition::is_feasible(job, h) && zones.allows(&h.zone))
-            .min_by_key(|(i, slot, h)| (cost(h, &slot.free, &request, cycle.now), *i))
+            .min_by_key(|(i, slot, h)| (start_cost_ms(h, &slot.free, &request, cycle.now), *i))
             .map(|(i, _, _)| i);
         match best {
             Some(slot) => part.start(cycle, id, i, slot, None),
@@ -329,9 +338,10 @@
     }
 }
 
-type Placed = Vec<(HostId, Vec<TaskId>, Vec<Reservation>)>;
+/// Tasks and reservations of every host.
+type HostContents = Vec<(HostId, Vec<TaskId>, Vec<Reservation>)>;
 
-fn placed(part: &Partition) -> Placed {
+fn host_contents(part: &Partition) -> HostContents {
     let on = |h: &crate::Host| h.tasks.keys().cloned().collect();
     part.hosts
         .values()
@@ -339,7 +349,7 @@
         .collect()
 }
 
-fn few() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: proptest::test_runner::RngSeed::Fixed(17),
         failure_persistence: None,
@@ -349,35 +359,41 @@
 }
 
 proptest! {
-    #![proptest_config(few())]
+    #![proptest_config(proptest_config())]
 
+    /// The scheduler simulates all hosts once per job and afterwards only the host that got the
+    /// last reservation. Fails if an outdated simulation result leads to another choice of hosts.
     #[test]
-    fn bookings_are_those_of_the_plain_forward_run(s in setting(Shape::Array)) {
-        let (mut indexed, mut plainly) = (build(&s), build(&s));
+    fn reservations_equal_exhaustive_simulation(s in generated_partition(Shape::Array)) {
+        let (mut indexed, mut reference) = (build_partition(&s), build_partition(&s));
         let cycle = indexed.begin_cycle(NOW);
         indexed.reserve(&cycle, &s.request.id);
-        book(&mut plainly, &cycle, &s.request.id);
-        prop_assert_eq!(placed(&indexed), placed(&plainly));
+        reserve_exhaustively(&mut reference, &cycle, &s.request.id);
+        prop_assert_eq!(host_contents(&indexed), host_contents(&reference));
     }
 
+    /// The scheduler fills the hosts one after another and stops at the number of tasks. Fails if
+    /// its decision depends on the order in which tasks are placed.
     #[test]
-    fn the_admission_test_says_what_task_after_task_says(
-        s in setting(Shape::Array), machines in 0u32..4
+    fn admission_equals_task_by_task_simulation(
+        s in generated_partition(Shape::Array), machines in 0u32..4
     ) {
-        let part = build(&s);
+        let part = build_partition(&s);
         let submitted = NOW - Micros::from_secs(s.submitted_ago);
         let elastic = (machines, Micros::from_secs(20));
-        let plainly = admit(&part, &s.request, submitted, elastic);
-        prop_assert_eq!(part.admit(&s.request, submitted, NOW, Micros::ZERO, elastic), plainly);
+        let reference = admit_task_by_task(&part, &s.request, submitted, elastic);
+        prop_assert_eq!(part.admit(&s.request, submitted, NOW, Micros::ZERO, elastic), reference);
     }
 
+    /// The scheduler keeps candidate hosts in a heap and recomputes only the host that took a task.
+    /// Fails if an outdated cost or constraint leads to another choice of hosts.
     #[test]
-    fn starts_are_those_of_the_plain_choice(s in setting(Shape::Service)) {
-        let (mut indexed, mut plainly) = (build(&s), build(&s));
+    fn starts_equal_exhaustive_host_choice(s in generated_partition(Shape::Service)) {
+        let (mut indexed, mut reference) = (build_partition(&s), build_partition(&s));
         let mut cycle = indexed.begin_cycle(NOW);
         indexed.start_without_deadline(&mut cycle, &s.request.id);
-        let mut cycle = plainly.begin_cycle(NOW);
-        start_loose(&mut plainly, &mut cycle, &s.request.id);
-        prop_assert_eq!(placed(&indexed), placed(&plainly));
+        let mut cycle = reference.begin_cycle(NOW);
+        start_exhaustively(&mut reference, &mut cycle, &s.request.id);
+        prop_assert_eq!(host_contents(&indexed), host_contents(&reference));
     }
 }
