--- a/crates/jasperhill-scheduler/src/cycle/admission.rs
+++ b/crates/jasperhill-scheduler/src/cycle/admission.rs
@@ -83,15 +83,15 @@
         let mut occupied: Vec<Occupied> = host
             .tasks
             .iter()
-            .filter(|(_, t)| t.holds_resources())
-            .map(|(task, t)| {
-                let until = match (self.jobs.get(&task.job), t.stopping) {
+            .filter(|(_, host_task)| host_task.holds_resources())
+            .map(|(task, host_task)| {
+                let until = match (self.jobs.get(&task.job), host_task.stopping) {
                     (Some(_), Some((grace, since))) => {
                         (since + grace).max(now) + Micros::from_secs(1)
                     }
                     (Some(job), None) if job.is_service() => Micros::MAX,
                     (Some(job), None) => {
-                        let (started, delay) = match (t.running, t.state) {
+                        let (started, delay) = match (host_task.running, host_task.state) {
                             (Some(started), _) => (started, Micros::ZERO),
                             (None, TaskState::Fetching | TaskState::Ordered) => {
                                 (now, start_delay(host, &job.request, now))
@@ -105,11 +105,11 @@
                 };
                 Occupied {
                     until,
-                    each: t.each,
+                    each: host_task.each,
                 }
             })
             .collect();
-        occupied.sort_by_key(|o| Reverse(o.until));
+        occupied.sort_by_key(|task| Reverse(task.until));
         occupied
     }
 
@@ -232,20 +232,20 @@
         hosts: &mut BinaryHeap<Reverse<HostRank>>,
         task: &TaskId,
     ) -> Option<(usize, HostId)> {
-        let mut refusing = Vec::new();
+        let mut refusing_hosts = Vec::new();
         let mut chosen = None;
         while let Some(Reverse(rank)) = hosts.pop() {
             let id = &cycle.slots[rank.slot].id;
             // A host that still lists this task as exited would refuse it.
             let is_listed = |host: &Host| host.tasks.contains_key(task);
             if self.hosts.get(id).is_some_and(is_listed) {
-                refusing.push(Reverse(rank));
+                refusing_hosts.push(Reverse(rank));
             } else {
                 chosen = Some((rank.slot, id.clone()));
                 break;
             }
         }
-        hosts.extend(refusing);
+        hosts.extend(refusing_hosts);
         chosen
     }
 
@@ -280,16 +280,16 @@
             let Some(job) = self.jobs.get(id) else { return };
             let own_slot = slot.filter(|slot| {
                 cycle.fits(*slot, id, &request.each)
-                    && self.hosts.get(reserved_host).is_some_and(|h| {
-                        Self::is_feasible(job, h)
-                            && zones.allows(&h.zone)
-                            && !h.tasks.contains_key(&TaskId::new(id, *index))
+                    && self.hosts.get(reserved_host).is_some_and(|host| {
+                        Self::is_feasible(job, host)
+                            && zones.allows(&host.zone)
+                            && !host.tasks.contains_key(&TaskId::new(id, *index))
                     })
             });
-            let target = own_slot.or_else(|| {
+            let chosen_slot = own_slot.or_else(|| {
                 self.best_candidate(cycle, &mut candidates, &zones, (id, &request.each), *index)
             });
-            let Some(slot) = target else { continue };
+            let Some(slot) = chosen_slot else { continue };
             self.start(cycle, id, *index, slot, None);
             // Only a start changes what the team's limit still allows.
             if !self.may_start(cycle, &request, 1) {
@@ -313,14 +313,14 @@
     ) -> Vec<(u32, HostId)> {
         let request = &job.request;
         let slots = cycle.slots.iter().enumerate();
-        let with_capacity: HashSet<&HostId> = slots
+        let hosts_with_capacity: HashSet<&HostId> = slots
             .filter(|(slot_index, _)| cycle.fits(*slot_index, &request.id, &request.each))
             .map(|(_, slot)| &slot.id)
             .collect();
         job.reserved
             .iter()
             .filter(|(_, reserved_host)| {
-                !has_no_candidates || with_capacity.contains(reserved_host)
+                !has_no_candidates || hosts_with_capacity.contains(reserved_host)
             })
             .map(|(index, reserved_host)| (*index, reserved_host.clone()))
             .collect()
@@ -344,7 +344,7 @@
         submitted: Micros,
         now: Micros,
         release: Micros,
-        elastic: (u32, Micros),
+        elastic_capacity: (u32, Micros),
     ) -> AdmissionDecision {
         let Some(deadline) = request.deadline else {
             return AdmissionDecision::Admit;
@@ -395,7 +395,7 @@
         // Reservations that miss their deadlines already take their share of the machines that
         // could be rented now.
         let rented = self
-            .tasks_on_rented_machines(request, due, (now, starts_at), elastic)
+            .tasks_on_rented_machines(request, due, (now, starts_at), elastic_capacity)
             .saturating_sub(missed as u64);
         if u64::from(tasks_within_limit - placeable) <= rented {
             AdmissionDecision::Admit
@@ -440,19 +440,21 @@
         request: &JobRequest,
         due: Micros,
         (now, starts_at): (Micros, Micros),
-        elastic: (u32, Micros),
+        elastic_capacity: (u32, Micros),
     ) -> u64 {
         let spec = self.specs.values().find(|spec| {
             request.allows_type(&spec.machine_type) && request.each.fits(&spec.capacity)
         });
         let Some(spec) = spec else { return 0 };
         let estimate = self.estimate(request);
-        let ready = (now + elastic.1).max(starts_at)
+        let ready = (now + elastic_capacity.1).max(starts_at)
             + fetch_time(request.image_gb, spec).scale(self.config.tuning.uncertainty);
         if ready + estimate > due {
             return 0;
         }
-        let waves = ((due - ready).0 / estimate.0.max(1)).clamp(1, 2);
-        u64::from(elastic.0) * request.each.count_in(&spec.capacity).min(1 << 20) * waves
+        let tasks_in_succession = ((due - ready).0 / estimate.0.max(1)).clamp(1, 2);
+        u64::from(elastic_capacity.0)
+            * request.each.count_in(&spec.capacity).min(1 << 20)
+            * tasks_in_succession
     }
 }
--- a/crates/jasperhill-scheduler/src/cycle/context.rs
+++ b/crates/jasperhill-scheduler/src/cycle/context.rs
@@ -62,13 +62,13 @@
     /// Returns whether a gang with this priority and request is at least as hard to place as this
     /// one.
     fn is_no_harder_than(&self, priority: Priority, request: &JobRequest) -> bool {
-        let own = &self.request;
+        let infeasible = &self.request;
         self.priority <= priority
-            && own.tasks <= request.tasks
-            && own.each.fits(&request.each)
-            && own.types == request.types
-            && own.zone == request.zone
-            && (own.one_zone, own.spread, own.spot)
+            && infeasible.tasks <= request.tasks
+            && infeasible.each.fits(&request.each)
+            && infeasible.types == request.types
+            && infeasible.zone == request.zone
+            && (infeasible.one_zone, infeasible.spread, infeasible.spot)
                 == (request.one_zone, request.spread, request.spot)
     }
 }
@@ -197,7 +197,7 @@
         })
     }
     /// Returns whether a gang that is at least as easy to place has found no hosts in this cycle.
-    pub fn is_gang_without_hosts(&self, priority: Priority, request: &JobRequest) -> bool {
+    pub fn lacks_hosts_for_gang(&self, priority: Priority, request: &JobRequest) -> bool {
         self.gangs_without_hosts
             .iter()
             .any(|gang| gang.is_no_harder_than(priority, request))
@@ -210,7 +210,7 @@
     }
     /// Returns whether preemption could not free enough capacity in this cycle for a gang that is
     /// at least as easy to place.
-    pub fn is_gang_without_victims(&self, priority: Priority, request: &JobRequest) -> bool {
+    pub fn lacks_victims_for_gang(&self, priority: Priority, request: &JobRequest) -> bool {
         self.gangs_without_victims
             .iter()
             .any(|gang| gang.is_no_harder_than(priority, request))
--- a/crates/jasperhill-scheduler/src/cycle/drain.rs
+++ b/crates/jasperhill-scheduler/src/cycle/drain.rs
@@ -25,8 +25,8 @@
     /// with the most tasks are used again.
     ///
     /// A surplus host that is not drained keeps receiving work that prevents its release. Draining
-    /// prevents the fleet from shrinking more slowly than its load, which happens when hosts with
-    /// one long task keep other hosts from becoming empty.
+    /// prevents the fleet from shrinking more slowly than its load because hosts that wait for a
+    /// long task hold up other hosts.
     pub fn drain_surplus(&mut self, now: Micros, surplus: (usize, usize)) {
         let (mut surplus_left, mut on_demand_left) = surplus;
         if self.has_unconfirmed_tasks() {
@@ -52,7 +52,7 @@
             return;
         }
         let config = self.config.clone();
-        let mut soonest: Vec<(Micros, usize, &Host)> = self
+        let mut drainable_hosts: Vec<(Micros, usize, &Host)> = self
             .hosts
             .values()
             .filter(|host| (1..=MAX_TASKS_TO_DRAIN).contains(&host.tasks_on()))
@@ -61,9 +61,9 @@
             .map(|host| (self.last_batch_task_end(host, now), host.tasks_on(), host))
             .filter(|(ends_at, ..)| *ends_at < now + DRAIN_TIMEOUT)
             .collect();
-        soonest.sort_by_key(|(ends_at, tasks, host)| (*ends_at, *tasks, &host.id));
+        drainable_hosts.sort_by_key(|(ends_at, tasks, host)| (*ends_at, *tasks, &host.id));
         let mut chosen = Vec::new();
-        for (.., host) in soonest.into_iter().take(MAX_HOSTS_EXAMINED) {
+        for (.., host) in drainable_hosts.into_iter().take(MAX_HOSTS_EXAMINED) {
             if chosen.len() < surplus_left
                 && (host.spot || on_demand_left > 0)
                 && self.can_be_drained(host, now)
@@ -82,8 +82,9 @@
     /// Returns when the last task on the host that ends by itself is expected to end, or `now` if
     /// there is none.
     fn last_batch_task_end(&self, host: &Host, now: Micros) -> Micros {
-        let ends = self.occupied(host, now).into_iter().map(|task| task.until);
-        ends.filter(|until| *until < Micros::MAX)
+        let end_times = self.occupied(host, now).into_iter().map(|task| task.until);
+        end_times
+            .filter(|until| *until < Micros::MAX)
             .max()
             .unwrap_or(now)
     }
@@ -92,20 +93,20 @@
     fn can_be_drained(&self, host: &Host, now: Micros) -> bool {
         host.tasks
             .iter()
-            .filter(|(_, on_host)| on_host.holds_resources())
-            .all(|(task, on_host)| {
+            .filter(|(_, host_task)| host_task.holds_resources())
+            .all(|(task, host_task)| {
                 self.jobs.get(&task.job).is_some_and(|job| {
                     !job.is_service()
-                        || (on_host
+                        || (host_task
                             .running
                             .is_some_and(|started| now - started > MIN_REPLICA_RUN_TIME)
-                            && self.has_other_host(job, task, &host.id, now))
+                            && self.can_move_replica(job, task, &host.id, now))
                 })
             })
     }
 
     /// Returns whether another host is available where this replica could start at once.
-    fn has_other_host(&self, job: &Job, task: &TaskId, from: &HostId, now: Micros) -> bool {
+    fn can_move_replica(&self, job: &Job, task: &TaskId, from: &HostId, now: Micros) -> bool {
         let request = &job.request;
         // The replica that moves does not count in its present zone.
         let other_replicas = job.live.iter().filter(|(index, _)| **index != task.index);
@@ -134,7 +135,7 @@
     /// Moves replicas off draining hosts, one at a time per host. Each replica is down only between
     /// its stop and its start on a host that already has the image.
     pub(crate) fn move_replicas(&mut self, now: Micros) {
-        let mut stops = Vec::new();
+        let mut replicas_to_move = Vec::new();
         for host in self.hosts.values_mut() {
             if host
                 .draining
@@ -143,32 +144,32 @@
                 host.draining = None;
             }
         }
-        for host in self.hosts.values().filter(|h| h.draining.is_some()) {
+        for host in self.hosts.values().filter(|host| host.draining.is_some()) {
             if host
                 .tasks
                 .values()
-                .any(|on_host| on_host.holds_resources() && on_host.stopping.is_some())
+                .any(|host_task| host_task.holds_resources() && host_task.stopping.is_some())
             {
                 continue;
             }
-            let next = host.tasks.iter().find(|(task, on_host)| {
-                on_host.holds_resources()
+            let next = host.tasks.iter().find(|(task, host_task)| {
+                host_task.holds_resources()
                     && self.jobs.get(&task.job).is_some_and(|job| {
                         job.is_service()
                             && job.pending() == 0
-                            && self.has_other_host(job, task, &host.id, now)
+                            && self.can_move_replica(job, task, &host.id, now)
                     })
             });
             if let Some((task, _)) = next {
-                stops.push((host.id.clone(), task.clone()));
+                replicas_to_move.push((host.id.clone(), task.clone()));
             }
         }
-        if stops.is_empty() {
+        if replicas_to_move.is_empty() {
             return;
         }
         let services = self.jobs.values().filter(|job| job.is_service());
         let replicas = services.map(|job| job.live.len()).sum();
-        for (host, task) in stops {
+        for (host, task) in replicas_to_move {
             if !self.move_budget.take(replicas, now) {
                 return;
             }
--- a/crates/jasperhill-scheduler/src/cycle/gang.rs
+++ b/crates/jasperhill-scheduler/src/cycle/gang.rs
@@ -16,8 +16,8 @@
 const HOST_CHOICE_LIFETIME: Micros = Micros::from_secs(1);
 /// Number of gangs that may reserve hosts regardless of the number of usable hosts.
 const MIN_RESERVING_GANGS: usize = 2;
-/// Further gangs may reserve hosts as long as the hosts reserved for gangs are at most the usable
-/// hosts divided by this number.
+/// Once [`MIN_RESERVING_GANGS`] gangs have reserved hosts, another gang may do so only while the
+/// hosts reserved for gangs are at most the usable hosts divided by this number.
 const GANG_HOSTS_DIVISOR: usize = 8;
 
 impl Partition {
@@ -39,7 +39,7 @@
         let mut best: Option<(u64, Vec<usize>)> = None;
         let priority = job.priority();
         let has_searched =
-            !cycle.is_infeasible(&request.each) && !cycle.is_gang_without_hosts(priority, &request);
+            !cycle.is_infeasible(&request.each) && !cycle.lacks_hosts_for_gang(priority, &request);
         if has_searched {
             for zones in self.zone_sets(cycle, &request) {
                 if let Some((cost, slots)) = self.find_gang_hosts(cycle, job, &request, &zones)
@@ -118,7 +118,7 @@
         request: &JobRequest,
         zones: &BTreeSet<Name>,
     ) -> Option<(u64, Vec<usize>)> {
-        let fitting: Vec<(usize, Resources, &Host)> = self
+        let fitting_hosts: Vec<(usize, Resources, &Host)> = self
             .with_slots(cycle)
             .filter(|(slot_index, _, _)| cycle.fits(*slot_index, &request.id, &request.each))
             .filter(|(_, _, host)| zones.contains(&host.zone) && Self::is_feasible(job, host))
@@ -126,14 +126,14 @@
             .map(|(slot_index, slot, host)| (slot_index, slot.free, host))
             .collect();
         // Most waiting gangs are turned away here, before the cost of any host is computed.
-        let task_places: u64 = fitting
+        let task_places: u64 = fitting_hosts
             .iter()
             .map(|(_, free, _)| request.each.count_in(free).min(u64::from(request.tasks)))
             .sum();
         if task_places < u64::from(request.tasks) {
             return None;
         }
-        let mut candidates: Vec<_> = fitting
+        let mut candidates: Vec<_> = fitting_hosts
             .into_iter()
             .map(|(slot_index, free, host)| {
                 let cost_ms = start_cost_ms(host, &free, request, cycle.now)
@@ -235,9 +235,9 @@
         ready_hosts: &[(Micros, usize, &Host)],
         tasks: usize,
     ) -> Option<Name> {
-        let mut counts: BTreeMap<&Name, usize> = BTreeMap::new();
+        let mut hosts_by_zone: BTreeMap<&Name, usize> = BTreeMap::new();
         for (_, _, host) in ready_hosts {
-            let count = counts.entry(&host.zone).or_default();
+            let count = hosts_by_zone.entry(&host.zone).or_default();
             *count += 1;
             if *count == tasks {
                 return Some(host.zone.clone());
--- a/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
+++ b/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
@@ -170,7 +170,7 @@
     /// from the free capacity of the cycle.
     fn choose_capacity_for_replicas(&self, cycle: &mut Cycle) -> Vec<ReservedCapacity> {
         let mut chosen = Vec::new();
-        for job in self.jobs.values().filter(|j| Self::is_recoverable(j)) {
+        for job in self.jobs.values().filter(|job| Self::is_recoverable(job)) {
             let at_risk = self.replicas_at_risk(job, &cycle.unconfirmed, cycle.now);
             if at_risk == 0 || cycle.is_infeasible(&job.request.each) {
                 continue;
@@ -188,17 +188,17 @@
             let mut candidates = self.candidates(cycle, job, false);
             // An index beyond all tasks, because a reservation is not for a particular task: no
             // host lists this index, so no host is excluded for listing one of the job's replicas.
-            let no_task = request.tasks;
+            let unlisted_index = request.tasks;
             for _ in 0..at_risk {
                 let best = self.best_candidate(
                     cycle,
                     &mut candidates,
                     &zones,
                     (&request.id, &request.each),
-                    no_task,
+                    unlisted_index,
                 );
                 let Some(slot) = best else { break };
-                let Some(host) = cycle.slots.get(slot).map(|s| s.id.clone()) else {
+                let Some(host) = cycle.slots.get(slot).map(|slot| slot.id.clone()) else {
                     break;
                 };
                 cycle.allocate(slot, &request.each);
--- a/crates/jasperhill-scheduler/src/cycle/mod.rs
+++ b/crates/jasperhill-scheduler/src/cycle/mod.rs
@@ -2,8 +2,8 @@
 //! must stop, orders the jobs that may start and starts or reserves their tasks, most important job
 //! first.
 //!
-//! Every stage is a submodule. The stages share [`context::Cycle`], which holds the free capacity
-//! of the hosts as the cycle has left it and the results cached for the duration of the cycle.
+//! Every stage is a submodule. The stages share `context::Cycle`, which holds the free capacity of
+//! the hosts as the cycle has left it and the results cached for the duration of the cycle.
 
 pub(crate) mod admission;
 pub(crate) mod context;
@@ -99,7 +99,7 @@
         let mut cycle = self.begin_cycle(now);
         self.release_unusable_reservations(&cycle);
         self.mark_missed_deadlines(now);
-        let order = self.jobs_in_order(&cycle);
+        let order = self.jobs_by_rank(&cycle);
         self.backlog = order.len();
         self.expire_preemptions(now);
         self.update_recovery(now);
@@ -131,7 +131,7 @@
     }
 
     /// Returns the jobs that have tasks to start and may start them now, most important first.
-    fn jobs_in_order(&mut self, cycle: &Cycle) -> Vec<(JobRank, JobId)> {
+    fn jobs_by_rank(&mut self, cycle: &Cycle) -> Vec<(JobRank, JobId)> {
         let now = cycle.now;
         let mut order: Vec<(JobRank, JobId)> = self
             .jobs
@@ -215,7 +215,7 @@
     /// only after the last of its old tasks has stopped.
     fn stop_broken_gangs(&mut self, now: Micros) {
         let unconfirmed = self.unconfirmed_tasks();
-        let broken: Vec<JobId> = self
+        let broken_gangs: Vec<JobId> = self
             .jobs
             .values()
             .filter(|job| {
@@ -228,7 +228,7 @@
             })
             .map(|job| job.request.id.clone())
             .collect();
-        for id in broken {
+        for id in broken_gangs {
             self.stop_all(&id, Micros::ZERO, now);
         }
     }
@@ -261,7 +261,7 @@
     /// Releases the reservations on unusable hosts, so that the tasks get new reservations on other
     /// hosts.
     fn release_unusable_reservations(&mut self, cycle: &Cycle) {
-        let affected: Vec<TaskId> = self
+        let tasks_to_release: Vec<TaskId> = self
             .with_slots(cycle)
             .filter(|(_, slot, host)| !slot.is_usable && !host.queue.is_empty())
             .flat_map(|(_, _, host)| {
@@ -270,7 +270,7 @@
                     .map(|reservation| reservation.task.clone())
             })
             .collect();
-        for task in affected {
+        for task in tasks_to_release {
             self.release_reservation(&task.job, task.index);
         }
     }
@@ -285,14 +285,18 @@
         slot: usize,
         attempt: Option<Attempt>,
     ) {
-        let Some(host) = cycle.slots.get(slot).map(|s| s.id.clone()) else {
+        let Some(host) = cycle.slots.get(slot).map(|slot| slot.id.clone()) else {
             return;
         };
         let task = TaskId::new(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if let Some(position) = job.preempting.iter().position(|(h, _)| h == &host) {
+        if let Some(position) = job
+            .preempting
+            .iter()
+            .position(|(preempted_host, _)| preempted_host == &host)
+        {
             job.preempting.swap_remove(position);
         }
         let request = job.request.clone();
@@ -309,7 +313,7 @@
         job.last_started = cycle.now;
         let each = request.each;
         let attempt = attempt.unwrap_or_else(|| self.next_attempt());
-        if let Some(reserved_host) = self.jobs.get(id).and_then(|j| j.reserved.get(&index)) {
+        if let Some(reserved_host) = self.jobs.get(id).and_then(|job| job.reserved.get(&index)) {
             cycle.invalidate_host(reserved_host);
         }
         self.release_reservation(id, index);
--- a/crates/jasperhill-scheduler/src/cycle/placement.rs
+++ b/crates/jasperhill-scheduler/src/cycle/placement.rs
@@ -50,7 +50,7 @@
     let delay = start_delay(host, request, now).scale(host.slowness.clamp(1.0, 2.0));
     let slow_host_ms = if host.slowness > 1.5 { 30_000 } else { 0 };
     // Jobs that may run on spot machines leave the on-demand machines to other jobs.
-    let market_ms = if request.spot != host.spot { 2_000 } else { 0 };
+    let spot_mismatch_ms = if request.spot != host.spot { 2_000 } else { 0 };
     let is_small = request.each.count_in(&host.spec.capacity) >= 2;
     let whole_machine_ms = if is_small && free == &host.spec.capacity {
         WHOLE_MACHINE_PENALTY_MS
@@ -62,7 +62,7 @@
     let packing_ms = 1_000.0 * (1.0 - request.each.share_of(free).min(1.0));
     delay.0 / 1_000
         + slow_host_ms
-        + market_ms
+        + spot_mismatch_ms
         + whole_machine_ms
         + (stranded_ms + packing_ms) as u64
 }
@@ -88,7 +88,7 @@
     one_zone: bool,
     /// Whether a task is on a host whose zone is not known.
     has_unknown_zone: bool,
-    /// Number of tasks by zone.
+    /// Number of the job's tasks in each zone that holds any.
     tasks_by_zone: Vec<(Name, u32)>,
 }
 
@@ -124,8 +124,12 @@
 
     /// Counts one more task in a zone.
     pub fn add(&mut self, zone: &Name) {
-        match self.tasks_by_zone.iter_mut().find(|(z, _)| z == zone) {
-            Some((_, n)) => *n += 1,
+        match self
+            .tasks_by_zone
+            .iter_mut()
+            .find(|(known, _)| known == zone)
+        {
+            Some((_, tasks)) => *tasks += 1,
             None => self.tasks_by_zone.push((zone.clone(), 1)),
         }
     }
@@ -137,15 +141,18 @@
         };
         if self.one_zone
             && (self.has_unknown_zone
-                || self.tasks_by_zone.iter().any(|(z, n)| z != zone && *n > 0))
+                || self
+                    .tasks_by_zone
+                    .iter()
+                    .any(|(other, tasks)| other != zone && *tasks > 0))
         {
             // A task of the job is in another zone, or in an unknown one.
             return false;
         }
         self.tasks_by_zone
             .iter()
-            .find(|(z, _)| z == zone)
-            .map_or(0, |(_, n)| *n)
+            .find(|(other, _)| other == zone)
+            .map_or(0, |(_, tasks)| *tasks)
             < max_per_zone
     }
 }
@@ -167,12 +174,12 @@
 impl Partition {
     /// Returns the zone of a host, or `None` if the host is not in this partition.
     pub(crate) fn zone_of(&self, host: &HostId) -> Option<Name> {
-        self.hosts.get(host).map(|h| h.zone.clone())
+        self.hosts.get(host).map(|known| known.zone.clone())
     }
 
     /// Returns how many further tasks of this job each zone may hold.
     pub(crate) fn zone_capacity(&self, job: &Job) -> ZoneCapacity {
-        ZoneCapacity::for_job(job, |h| self.zone_of(h))
+        ZoneCapacity::for_job(job, |host| self.zone_of(host))
     }
 
     /// Returns whether tasks of this job may go to this host, regardless of where the job's other
@@ -301,7 +308,7 @@
                 self.best_candidate(cycle, &mut candidates, &zones, (id, &request.each), index);
             let delay = best
                 .and_then(|slot| self.hosts.get(&cycle.slots[slot].id))
-                .map_or(Micros::MAX, |h| start_delay(h, &request, cycle.now));
+                .map_or(Micros::MAX, |host| start_delay(host, &request, cycle.now));
             // A production task does not wait for an image if it can start at once elsewhere by
             // preempting work of lower priority. Preemption is started for at most as many tasks as
             // are waiting.
--- a/crates/jasperhill-scheduler/src/cycle/preemption.rs
+++ b/crates/jasperhill-scheduler/src/cycle/preemption.rs
@@ -17,7 +17,7 @@
 /// Microseconds per second. Start delays are compared in whole seconds, before the work that is
 /// lost.
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Time after the expected end of the last victim for which the freed capacity is still awaited.
+/// Time after the latest end of the last victim for which the freed capacity is still awaited.
 const FREED_CAPACITY_TIMEOUT: Micros = Micros::from_secs(4);
 /// Nothing is preempted for a gang whose chosen hosts become free without preemption within this
 /// time.
@@ -26,11 +26,12 @@
 /// Cost added for stopping work of normal instead of low priority.
 const NORMAL_PRIORITY_COST: Micros = Micros::from_secs(20);
 /// Tasks that have run for less than this time count as just started.
-const RECENT_START: Micros = Micros::from_secs(30);
+const RECENT_START_AGE: Micros = Micros::from_secs(30);
 /// Cost added for stopping a task that has just started, whose start would have been for nothing.
 const RECENT_START_COST: Micros = Micros::from_secs(10);
 
-/// Requirements of a replica that found no free capacity.
+/// Requirements of a replica that finds no free capacity, or only on hosts where it would wait long
+/// for its image.
 struct ReplicaSearch<'a> {
     /// Job of the replica.
     job: &'a Job,
@@ -92,8 +93,8 @@
             .tasks
             .iter()
             // A task that is already stopping frees its capacity for another job.
-            .filter(|(_, on_host)| on_host.holds_resources() && on_host.stopping.is_none())
-            .filter_map(|(task, on_host)| {
+            .filter(|(_, host_task)| host_task.holds_resources() && host_task.stopping.is_none())
+            .filter_map(|(task, host_task)| {
                 let other = self.jobs.get(&task.job)?;
                 let size = if other.is_gang() {
                     other.request.tasks
@@ -105,16 +106,16 @@
                     let (lost_work, grace) = if other.checkpoints() {
                         (other.request.checkpoint_time, other.request.checkpoint_time)
                     } else {
-                        (now - on_host.running.unwrap_or(now), Micros::ZERO)
+                        (now - host_task.running.unwrap_or(now), Micros::ZERO)
                     };
                     // Low-priority work is stopped first. Stopping a task shortly after its start
                     // wastes the start.
-                    let normal_priority = u64::from(other.priority() == Priority::Normal);
-                    let is_recent_start = on_host
+                    let is_normal_priority = u64::from(other.priority() == Priority::Normal);
+                    let is_recent_start = host_task
                         .running
-                        .is_none_or(|started| now - started < RECENT_START);
+                        .is_none_or(|started| now - started < RECENT_START_AGE);
                     let lost_work = lost_work
-                        + Micros(NORMAL_PRIORITY_COST.0 * normal_priority)
+                        + Micros(NORMAL_PRIORITY_COST.0 * is_normal_priority)
                         + if is_recent_start {
                             RECENT_START_COST
                         } else {
@@ -123,13 +124,13 @@
                     Victim {
                         lost_work: Micros(lost_work.0.saturating_mul(u64::from(size))),
                         task: task.clone(),
-                        resources: on_host.each,
+                        resources: host_task.each,
                         grace,
                     }
                 })
             })
             .collect();
-        victims.sort_by_key(|v| v.lost_work);
+        victims.sort_by_key(|victim| victim.lost_work);
         victims
     }
 
@@ -158,9 +159,9 @@
         }
     }
 
-    /// Stops work of lower priority for a production task that finds no free capacity. Returns
-    /// whether capacity is now being freed on a host with a shorter start delay than
-    /// `current_delay`.
+    /// Stops work of lower priority for a production task that finds no free capacity, or only on
+    /// hosts where it would wait long for its image. Returns whether capacity is now being freed on
+    /// a host with a shorter start delay than `current_delay`.
     pub(crate) fn preempt_for_replica(
         &mut self,
         cycle: &mut Cycle,
@@ -276,7 +277,7 @@
             gang_hosts.is_some_and(|gang_hosts| gang_hosts.ready <= cycle.now + FREE_SOON_WITHIN);
         if !job.preempting.is_empty()
             || has_hosts_soon
-            || cycle.is_gang_without_victims(priority, &request)
+            || cycle.lacks_victims_for_gang(priority, &request)
         {
             return;
         }
@@ -330,11 +331,11 @@
         (slot_index, slot, host): (usize, &HostSlot, &Host),
     ) -> Vec<CandidatePlacement> {
         let (request, priority) = (&job.request, job.priority());
-        let wanted = request.tasks as usize;
+        let task_count = request.tasks as usize;
         let delay = start_delay(host, request, cycle.now).0;
         let mut free = slot.free;
         let mut placements = Vec::new();
-        while placements.len() < wanted && request.each.fits(&free) {
+        while placements.len() < task_count && request.each.fits(&free) {
             free -= request.each;
             placements.push(CandidatePlacement {
                 cost: delay,
@@ -348,7 +349,7 @@
         });
         let (mut stopped, mut lost_work, mut grace) = (Vec::new(), 0, Micros::ZERO);
         for victim in victims.iter() {
-            if placements.len() >= wanted {
+            if placements.len() >= task_count {
                 break;
             }
             free += victim.resources;
@@ -376,7 +377,7 @@
         job: &Job,
         by_zone: BTreeMap<Name, Vec<CandidatePlacement>>,
     ) -> Option<Vec<CandidatePlacement>> {
-        let wanted = job.request.tasks as usize;
+        let task_count = job.request.tasks as usize;
         let mut best: Option<(u64, Vec<CandidatePlacement>)> = None;
         for mut placements in by_zone.into_values() {
             placements
@@ -386,14 +387,14 @@
             for placement in placements {
                 let zone = self.zone_of(&cycle.slots[placement.slot].id);
                 let zone = zone.unwrap_or_else(|| Name::from(""));
-                if chosen.len() < wanted && zones.allows(&zone) {
+                if chosen.len() < task_count && zones.allows(&zone) {
                     zones.add(&zone);
                     total += placement.cost;
                     chosen.push(placement);
                 }
             }
             let is_cheaper = best.as_ref().is_none_or(|(cost, _)| total < *cost);
-            if chosen.len() == wanted && is_cheaper {
+            if chosen.len() == task_count && is_cheaper {
                 best = Some((total, chosen));
             }
         }
--- a/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
+++ b/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
@@ -40,8 +40,8 @@
     /// Schedules a check for the time at which a task that was reported running would overrun.
     pub(crate) fn watch_task(&mut self, host: &HostId, task: &TaskId) {
         let started = self.hosts.get(host).and_then(|host_state| {
-            let on_host = host_state.tasks.get(task)?;
-            Some((on_host.running?, on_host.attempt))
+            let host_task = host_state.tasks.get(task)?;
+            Some((host_task.running?, host_task.attempt))
         });
         let expected = self
             .jobs
@@ -67,7 +67,7 @@
         let Some(started) = host_state
             .tasks
             .get(task)
-            .and_then(|on_host| on_host.running)
+            .and_then(|host_task| host_task.running)
         else {
             return;
         };
@@ -101,12 +101,12 @@
                 break;
             };
             let running = self.hosts.get(&host).and_then(|host_state| {
-                let on_host = host_state
+                let host_task = host_state
                     .tasks
                     .get(&task)
-                    .filter(|on_host| on_host.attempt == attempt)?;
-                (on_host.state == TaskState::Running && on_host.stopping.is_none())
-                    .then_some(on_host.running?)
+                    .filter(|host_task| host_task.attempt == attempt)?;
+                (host_task.state == TaskState::Running && host_task.stopping.is_none())
+                    .then_some(host_task.running?)
             });
             let expected = self
                 .jobs
@@ -141,10 +141,10 @@
         };
         let (mut log_odds, mut slowdowns) = (0.0, Vec::new());
         let mut counted_jobs = BTreeSet::new();
-        for (task, on_host) in &host.tasks {
-            let Some(started) = on_host
+        for (task, host_task) in &host.tasks {
+            let Some(started) = host_task
                 .running
-                .filter(|_| on_host.state == TaskState::Running)
+                .filter(|_| host_task.state == TaskState::Running)
             else {
                 continue;
             };
@@ -204,12 +204,12 @@
             return;
         };
         let mut to_move = Vec::new();
-        for (task, on_host) in &host.tasks {
+        for (task, host_task) in &host.tasks {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            if on_host.state == TaskState::Running
-                && on_host.stopping.is_none()
+            if host_task.state == TaskState::Running
+                && host_task.stopping.is_none()
                 && job.checkpoints()
                 && job.preempted == 0
             {
--- a/crates/jasperhill-scheduler/src/cycle/team_quota.rs
+++ b/crates/jasperhill-scheduler/src/cycle/team_quota.rs
@@ -65,8 +65,9 @@
     /// shares being equal among the classes or sizes that have jobs. Such a group waits because of
     /// other groups, although all of them belong to the same team.
     pub fn is_below_equal_share(&self, team: &TeamLimits, group: &Group) -> bool {
-        // Sizes share the resources that their class uses; classes share the team's limit.
-        let (groups, whole) = match group {
+        // Job sizes share the resources that their class uses; classes share the limit of their
+        // team.
+        let (groups, shared_resources) = match group {
             Group::Class(_) => {
                 let classes = self.classes.get(&team.name);
                 (classes.map_or(0, |totals| totals.groups), team.limit)
@@ -78,7 +79,10 @@
             Group::Team(_) => return false,
         };
         let own_share = self.used.get(&(team.name.clone(), group.clone()));
-        let own_share = own_share.copied().unwrap_or_default().share_of(&whole);
+        let own_share = own_share
+            .copied()
+            .unwrap_or_default()
+            .share_of(&shared_resources);
         groups > 0 && own_share * (groups as f64) < 1.0
     }
 }
@@ -99,13 +103,13 @@
         let unconfirmed = cycle.unconfirmed_use.get(&request.team).copied();
         let reserved = cycle.quota_reservations.get(&request.team);
         let reserved = reserved.filter(|reservation| reservation.job != request.id);
-        let mut wanted = request.each.times(tasks);
-        wanted += used.unwrap_or_default();
-        wanted += unconfirmed.unwrap_or_default();
-        wanted += reserved
+        let mut use_after_start = request.each.times(tasks);
+        use_after_start += used.unwrap_or_default();
+        use_after_start += unconfirmed.unwrap_or_default();
+        use_after_start += reserved
             .map(|reservation| reservation.resources)
             .unwrap_or_default();
-        team.allows(&wanted)
+        team.allows(&use_after_start)
     }
 
     /// Reserves a gang's part of its team's limit for the rest of the cycle. Does nothing if
@@ -149,16 +153,16 @@
         };
         let used = self.used_by_team.get(&request.team).copied();
         let unconfirmed = cycle.unconfirmed_use.get(&request.team).copied();
-        let mut remaining = used.unwrap_or_default();
-        remaining += unconfirmed.unwrap_or_default();
+        let mut remaining_use = used.unwrap_or_default();
+        remaining_use += unconfirmed.unwrap_or_default();
         for job in self.jobs.values() {
             let is_teammate = job.request.team == request.team && !job.live.is_empty();
             if is_teammate && self.ends_soon(job, cycle.now) {
-                remaining -= job.request.each.times(job.live.len() as u64);
+                remaining_use -= job.request.each.times(job.live.len() as u64);
             }
         }
-        remaining += request.each.times(u64::from(request.tasks));
-        team.allows(&remaining)
+        remaining_use += request.each.times(u64::from(request.tasks));
+        team.allows(&remaining_use)
     }
 
     /// Returns whether the running tasks of a job are expected to end soon.
--- a/crates/jasperhill-scheduler/src/cycle/tests.rs
+++ b/crates/jasperhill-scheduler/src/cycle/tests.rs
@@ -120,11 +120,11 @@
     let specs = Rc::new(BTreeMap::from([(Name::from("box"), spec)]));
     let mut part = Partition::new(0, Revision(5), config, specs);
     let flags = (1, false, false, true);
-    let filler = request("job-old", Shape::Array, 200, 0, flags, (30, None));
-    part.upsert_job(&Rc::new(filler), Revision(9), NOW, &[], (0, NOW));
+    let running_job = request("job-old", Shape::Array, 200, 0, flags, (30, None));
+    part.upsert_job(&Rc::new(running_job), Revision(9), NOW, &[], (0, NOW));
     let mut next = 0;
-    for (n, (zone, spot, image, tasks, slow)) in s.hosts.iter().enumerate() {
-        let id = HostId::new(&format!("n-{n:02}"));
+    for (host_index, (zone, spot, image, tasks, slow)) in s.hosts.iter().enumerate() {
+        let id = HostId::new(&format!("n-{host_index:02}"));
         let zone: Name = if *zone { "a" } else { "b" }.into();
         let record = HostRecord {
             assignment: HostAssignment::Partition(0),
@@ -135,9 +135,9 @@
             rewrites: 0,
         };
         part.upsert_host(&id, &record, Revision(4), false, NOW);
-        let mut listed = Vec::new();
+        let mut statuses = Vec::new();
         for _ in 0..*tasks {
-            listed.push(TaskStatus {
+            statuses.push(TaskStatus {
                 task: TaskId::new(&JobId::new("job-old"), next),
                 attempt: jasperhill_wire::Attempt(u64::from(next) + 1),
                 phase: TaskPhase::Running,
@@ -154,7 +154,7 @@
             sequence: 1,
             token: FencingToken(5),
             termination_notice: None,
-            tasks: listed,
+            tasks: statuses,
         };
         part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
         if let Some(host) = part.hosts.get_mut(&id) {
@@ -162,12 +162,12 @@
             host.slowness = f64::from(*slow) / 10.0;
         }
     }
-    for (i, (host, left, estimate)) in s.reserved.iter().enumerate() {
+    for (i, (host, seconds_left, estimate)) in s.reserved.iter().enumerate() {
         let id = HostId::new(&format!("n-{:02}", host % s.hosts.len()));
         let reservation = Reservation {
             task: TaskId::new(&JobId::new("job-other"), i as u32),
             each: Resources::from_units(1.0, 1.0, 4.0),
-            adjusted_deadline: NOW + Micros::from_secs(*left),
+            adjusted_deadline: NOW + Micros::from_secs(*seconds_left),
             estimate: Micros::from_secs(*estimate),
         };
         if let Some(host) = part.hosts.get_mut(&id) {
@@ -204,16 +204,16 @@
         let reservation = part.reservation(host, task, &job.request, due, cycle.now);
         let running = part.occupied(host, cycle.now);
         let mut queue = host.queue.clone();
-        let before = count_missed(cycle.now, host.free_resources(), &running, &queue);
+        let missed_before = count_missed(cycle.now, host.free_resources(), &running, &queue);
         insert_by_deadline(&mut queue, reservation.clone());
-        let missed =
-            count_missed(cycle.now, host.free_resources(), &running, &queue).saturating_sub(before);
-        let dense = density(cycle.now, &queue);
-        let better = |(m, d): (usize, f64)| {
-            (missed, dense).partial_cmp(&(m, d)) == Some(std::cmp::Ordering::Less)
+        let missed = count_missed(cycle.now, host.free_resources(), &running, &queue)
+            .saturating_sub(missed_before);
+        let queue_density = density(cycle.now, &queue);
+        let is_better = |(m, d): (usize, f64)| {
+            (missed, queue_density).partial_cmp(&(m, d)) == Some(std::cmp::Ordering::Less)
         };
-        if best.as_ref().is_none_or(|(m, d, ..)| better((*m, *d))) {
-            best = Some((missed, dense, host.id.clone(), reservation));
+        if best.as_ref().is_none_or(|(m, d, ..)| is_better((*m, *d))) {
+            best = Some((missed, queue_density, host.id.clone(), reservation));
         }
     }
     best.map(|(_, _, host, reservation)| (host, reservation))
@@ -229,12 +229,12 @@
     } else {
         due
     };
-    let mut taken = 0;
-    while part.may_start(cycle, &request, taken + 1) {
-        let Some(i) = part.jobs.get_mut(id).and_then(Job::next_pending) else {
+    let mut reserved_count = 0;
+    while part.may_start(cycle, &request, reserved_count + 1) {
+        let Some(index) = part.jobs.get_mut(id).and_then(Job::next_pending) else {
             return;
         };
-        let task = TaskId::new(id, i);
+        let task = TaskId::new(id, index);
         let Some((host, reservation)) = choose_host_exhaustively(part, cycle, &task, due) else {
             return;
         };
@@ -242,7 +242,7 @@
             insert_by_deadline(&mut host.queue, reservation);
         }
         part.set_step(&task, TaskStep::Reserved(host));
-        taken += 1;
+        reserved_count += 1;
     }
 }
 
@@ -252,7 +252,7 @@
     part: &Partition,
     request: &JobRequest,
     submitted: Micros,
-    elastic: (u32, Micros),
+    elastic_capacity: (u32, Micros),
 ) -> AdmissionDecision {
     let due = submitted + request.deadline.unwrap_or_default();
     let estimate = part.estimate(request);
@@ -261,48 +261,54 @@
     }
     let team = &part.config.teams[0];
     let used = part.team_use(&request.team);
-    let mut tested = 0;
-    while tested < request.tasks && team.allows(&(used + request.each.times(u64::from(tested) + 1)))
+    let mut tasks_within_limit = 0;
+    while tasks_within_limit < request.tasks
+        && team.allows(&(used + request.each.times(u64::from(tasks_within_limit) + 1)))
     {
-        tested += 1;
+        tasks_within_limit += 1;
     }
-    type Copy = (Vec<Occupied>, Vec<Reservation>, usize);
-    let mut copies: BTreeMap<HostId, Copy> = part
+    type SimulatedHost = (Vec<Occupied>, Vec<Reservation>, usize);
+    let mut simulated_hosts: BTreeMap<HostId, SimulatedHost> = part
         .hosts
         .values()
-        .filter(|h| request.allows_host(&h.spec.machine_type, &h.zone, h.spot))
-        .map(|h| {
-            let running = part.occupied(h, NOW);
-            let before = count_missed(NOW, h.free_resources(), &running, &h.queue);
-            (h.id.clone(), (running, h.queue.clone(), before))
+        .filter(|host| request.allows_host(&host.spec.machine_type, &host.zone, host.spot))
+        .map(|host| {
+            let running = part.occupied(host, NOW);
+            let missed_before = count_missed(NOW, host.free_resources(), &running, &host.queue);
+            (
+                host.id.clone(),
+                (running, host.queue.clone(), missed_before),
+            )
         })
         .collect();
     let spec = &part.specs[&Name::from("box")];
-    let ready = NOW + elastic.1 + fetch_time(request.image_gb, spec);
+    let ready = NOW + elastic_capacity.1 + fetch_time(request.image_gb, spec);
     let mut rented = 0;
     if ready + estimate <= due {
-        let waves = ((due - ready).0 / estimate.0.max(1)).clamp(1, 2);
-        rented = u64::from(elastic.0) * request.each.count_in(&spec.capacity) * waves;
+        let tasks_in_succession = ((due - ready).0 / estimate.0.max(1)).clamp(1, 2);
+        rented = u64::from(elastic_capacity.0)
+            * request.each.count_in(&spec.capacity)
+            * tasks_in_succession;
     }
-    let late: usize = copies.values().map(|c| c.2).sum();
-    rented = rented.saturating_sub(late as u64);
-    for i in 0..tested {
+    let missed: usize = simulated_hosts.values().map(|simulated| simulated.2).sum();
+    rented = rented.saturating_sub(missed as u64);
+    for i in 0..tasks_within_limit {
         let mut best: Option<(f64, HostId, Vec<Reservation>)> = None;
-        for (id, (running, queue, before)) in &copies {
+        for (id, (running, queue, missed_before)) in &simulated_hosts {
             let host = &part.hosts[id];
             let task = TaskId::new(&request.id, i);
             let mut queue = queue.clone();
             insert_by_deadline(&mut queue, part.reservation(host, &task, request, due, NOW));
-            if count_missed(NOW, host.free_resources(), running, &queue) > *before {
+            if count_missed(NOW, host.free_resources(), running, &queue) > *missed_before {
                 continue;
             }
-            let dense = density(NOW, &queue);
-            if best.as_ref().is_none_or(|(d, ..)| dense < *d) {
-                best = Some((dense, id.clone(), queue));
+            let queue_density = density(NOW, &queue);
+            if best.as_ref().is_none_or(|(d, ..)| queue_density < *d) {
+                best = Some((queue_density, id.clone(), queue));
             }
         }
         match best {
-            Some((_, id, queue)) => copies.get_mut(&id).unwrap().1 = queue,
+            Some((_, id, queue)) => simulated_hosts.get_mut(&id).unwrap().1 = queue,
             None if rented > 0 => rented -= 1,
             None => return AdmissionDecision::Refuse,
         }
@@ -327,9 +333,11 @@
         let best = part
             .with_slots(cycle)
             .filter(|(i, _, _)| cycle.fits(*i, id, &request.each))
-            .filter(|(_, _, h)| h.queue.is_empty())
-            .filter(|(_, _, h)| Partition::is_feasible(job, h) && zones.allows(&h.zone))
-            .min_by_key(|(i, slot, h)| (start_cost_ms(h, &slot.free, &request, cycle.now), *i))
+            .filter(|(_, _, host)| host.queue.is_empty())
+            .filter(|(_, _, host)| Partition::is_feasible(job, host) && zones.allows(&host.zone))
+            .min_by_key(|(i, slot, host)| {
+                (start_cost_ms(host, &slot.free, &request, cycle.now), *i)
+            })
             .map(|(i, _, _)| i);
         match best {
             Some(slot) => part.start(cycle, id, i, slot, None),
@@ -342,10 +350,10 @@
 type HostContents = Vec<(HostId, Vec<TaskId>, Vec<Reservation>)>;
 
 fn host_contents(part: &Partition) -> HostContents {
-    let on = |h: &crate::Host| h.tasks.keys().cloned().collect();
+    let task_ids = |host: &crate::Host| host.tasks.keys().cloned().collect();
     part.hosts
         .values()
-        .map(|h| (h.id.clone(), on(h), h.queue.clone()))
+        .map(|host| (host.id.clone(), task_ids(host), host.queue.clone()))
         .collect()
 }
 
