--- a/crates/jasperhill-scheduler/src/cycle/admission.rs
+++ b/crates/jasperhill-scheduler/src/cycle/admission.rs
@@ -433,8 +433,8 @@
     }
 
     /// Returns the number of the job's tasks that would end in time on machines rented now. A
-    /// rented machine is empty at first, and available only after its boot time and the fetch of
-    /// the image. It is counted for at most two tasks in succession.
+    /// rented machine is empty at first, and can start a task only once it is available and has
+    /// fetched the image. It is counted for at most two tasks in succession.
     fn tasks_on_rented_machines(
         &self,
         request: &JobRequest,
