--- a/crates/jasperhill-scheduler/src/cycle/tests.rs
+++ b/crates/jasperhill-scheduler/src/cycle/tests.rs
@@ -1,11 +1,12 @@
-//! The decisions written plainly, every host judged for every task, to compare with what the
-//! indexed ones come to. Tests only.
+//! Compares the scheduling decisions with straightforward reference implementations that evaluate
+//! every host for every task. The scheduler avoids that work with heaps and cached simulations, and
+//! must still decide the same.
 
 use crate::{
     config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, fetch_time},
-    cycle::admission::NO_DEADLINE,
+    cycle::admission::MISSED_DEADLINE_EXTENSION,
     cycle::context::Cycle,
-    cycle::placement::cost,
+    cycle::placement::start_cost_ms,
     host::HeartbeatSource,
     job::{Job, TaskStep},
     partition::{AdmissionDecision, Partition},
@@ -22,12 +23,12 @@
 
 const NOW: Micros = Micros::from_secs(10_000);
 
-/// What a generated partition is made of.
+/// Parameters of a generated partition.
 #[derive(Clone, Debug)]
-struct Setting {
-    /// Per host: zone, spot, image held, tasks that run there, slowness in tenths.
+struct GeneratedPartition {
+    /// For each host: zone, spot, cached image, number of running tasks, slowness in tenths.
     hosts: Vec<(bool, bool, u8, u8, u8)>,
-    /// Reservations that are there already: host, seconds to the deadline, estimate.
+    /// Existing reservations: host index, seconds to the adjusted deadline, estimate in seconds.
     reserved: Vec<(usize, u64, u64)>,
     request: JobRequest,
     submitted_ago: u64,
@@ -64,7 +65,7 @@
     }
 }
 
-fn setting(shape: Shape) -> impl Strategy<Value = Setting> {
+fn generated_partition(shape: Shape) -> impl Strategy<Value = GeneratedPartition> {
     let hosts = proptest::collection::vec(
         (any::<bool>(), any::<bool>(), 0u8..3, 0u8..9, 5u8..30),
         1..14,
@@ -76,7 +77,7 @@
         move |(hosts, reserved, tasks, image, flags, (estimate, left), submitted_ago)| {
             let deadline = (shape == Shape::Array).then_some(left);
             let times = (estimate, deadline);
-            Setting {
+            GeneratedPartition {
                 hosts,
                 reserved,
                 request: request("job-new", shape, tasks, image, flags, times),
@@ -90,7 +91,8 @@
     clippy::too_many_lines,
     reason = "the parts of one generated partition, one after another"
 )]
-fn build(s: &Setting) -> Partition {
+/// Builds a partition with the generated hosts, running tasks, reservations and the new job.
+fn build_partition(s: &GeneratedPartition) -> Partition {
     let spec = Rc::new(MachineSpec {
         machine_type: "box".into(),
         capacity: Resources::from_units(16.0, 8.0, 64.0),
@@ -118,11 +120,11 @@
     let specs = Rc::new(BTreeMap::from([(Name::from("box"), spec)]));
     let mut part = Partition::new(0, Revision(5), config, specs);
     let flags = (1, false, false, true);
-    let filler = request("job-old", Shape::Array, 200, 0, flags, (30, None));
-    part.upsert_job(&Rc::new(filler), Revision(9), NOW, &[], (0, NOW));
+    let running_job = request("job-old", Shape::Array, 200, 0, flags, (30, None));
+    part.upsert_job(&Rc::new(running_job), Revision(9), NOW, &[], (0, NOW));
     let mut next = 0;
-    for (n, (zone, spot, image, tasks, slow)) in s.hosts.iter().enumerate() {
-        let id = HostId::new(&format!("n-{n:02}"));
+    for (host_index, (zone, spot, image, tasks, slow)) in s.hosts.iter().enumerate() {
+        let id = HostId::new(&format!("n-{host_index:02}"));
         let zone: Name = if *zone { "a" } else { "b" }.into();
         let record = HostRecord {
             assignment: HostAssignment::Partition(0),
@@ -133,9 +135,9 @@
             rewrites: 0,
         };
         part.upsert_host(&id, &record, Revision(4), false, NOW);
-        let mut listed = Vec::new();
+        let mut statuses = Vec::new();
         for _ in 0..*tasks {
-            listed.push(TaskStatus {
+            statuses.push(TaskStatus {
                 task: TaskId::new(&JobId::new("job-old"), next),
                 attempt: jasperhill_wire::Attempt(u64::from(next) + 1),
                 phase: TaskPhase::Running,
@@ -152,7 +154,7 @@
             sequence: 1,
             token: FencingToken(5),
             termination_notice: None,
-            tasks: listed,
+            tasks: statuses,
         };
         part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
         if let Some(host) = part.hosts.get_mut(&id) {
@@ -160,12 +162,12 @@
             host.slowness = f64::from(*slow) / 10.0;
         }
     }
-    for (i, (host, left, estimate)) in s.reserved.iter().enumerate() {
+    for (i, (host, seconds_left, estimate)) in s.reserved.iter().enumerate() {
         let id = HostId::new(&format!("n-{:02}", host % s.hosts.len()));
         let reservation = Reservation {
             task: TaskId::new(&JobId::new("job-other"), i as u32),
             each: Resources::from_units(1.0, 1.0, 4.0),
-            adjusted_deadline: NOW + Micros::from_secs(*left),
+            adjusted_deadline: NOW + Micros::from_secs(*seconds_left),
             estimate: Micros::from_secs(*estimate),
         };
         if let Some(host) = part.hosts.get_mut(&id) {
@@ -183,9 +185,9 @@
     part
 }
 
-/// The schedule simulation over all hosts for one task; among those with the fewest new misses the
-/// lowest density, the first of equals.
-fn choose(
+/// Simulates all hosts for one task. Returns the host with the lowest density among those with the
+/// fewest new misses, and the first of equals, with the task's reservation there.
+fn choose_host_exhaustively(
     part: &Partition,
     cycle: &Cycle,
     task: &TaskId,
@@ -202,49 +204,55 @@
         let reservation = part.reservation(host, task, &job.request, due, cycle.now);
         let running = part.occupied(host, cycle.now);
         let mut queue = host.queue.clone();
-        let before = count_missed(cycle.now, host.free_resources(), &running, &queue);
+        let missed_before = count_missed(cycle.now, host.free_resources(), &running, &queue);
         insert_by_deadline(&mut queue, reservation.clone());
-        let missed =
-            count_missed(cycle.now, host.free_resources(), &running, &queue).saturating_sub(before);
-        let dense = density(cycle.now, &queue);
-        let better = |(m, d): (usize, f64)| {
-            (missed, dense).partial_cmp(&(m, d)) == Some(std::cmp::Ordering::Less)
+        let missed = count_missed(cycle.now, host.free_resources(), &running, &queue)
+            .saturating_sub(missed_before);
+        let queue_density = density(cycle.now, &queue);
+        let is_better = |(m, d): (usize, f64)| {
+            (missed, queue_density).partial_cmp(&(m, d)) == Some(std::cmp::Ordering::Less)
         };
-        if best.as_ref().is_none_or(|(m, d, ..)| better((*m, *d))) {
-            best = Some((missed, dense, host.id.clone(), reservation));
+        if best.as_ref().is_none_or(|(m, d, ..)| is_better((*m, *d))) {
+            best = Some((missed, queue_density, host.id.clone(), reservation));
         }
     }
     best.map(|(_, _, host, reservation)| (host, reservation))
 }
 
-fn book(part: &mut Partition, cycle: &Cycle, id: &JobId) {
+/// Reference reservation: simulates all hosts again for every task.
+fn reserve_exhaustively(part: &mut Partition, cycle: &Cycle, id: &JobId) {
     let Some(job) = part.jobs.get(id) else { return };
     let (request, missed) = (job.request.clone(), job.missed_deadline);
     let Some(due) = job.due else { return };
-    let due = if missed { cycle.now + NO_DEADLINE } else { due };
-    let mut taken = 0;
-    while part.may_start(cycle, &request, taken + 1) {
-        let Some(i) = part.jobs.get_mut(id).and_then(Job::next_pending) else {
+    let due = if missed {
+        cycle.now + MISSED_DEADLINE_EXTENSION
+    } else {
+        due
+    };
+    let mut reserved_count = 0;
+    while part.may_start(cycle, &request, reserved_count + 1) {
+        let Some(index) = part.jobs.get_mut(id).and_then(Job::next_pending) else {
             return;
         };
-        let task = TaskId::new(id, i);
-        let Some((host, reservation)) = choose(part, cycle, &task, due) else {
+        let task = TaskId::new(id, index);
+        let Some((host, reservation)) = choose_host_exhaustively(part, cycle, &task, due) else {
             return;
         };
         if let Some(host) = part.hosts.get_mut(&host) {
             insert_by_deadline(&mut host.queue, reservation);
         }
         part.set_step(&task, TaskStep::Reserved(host));
-        taken += 1;
+        reserved_count += 1;
     }
 }
 
-/// Task after task on the host of the lowest density that stays without a new miss.
-fn admit(
+/// Reference admission test: places one task after another on the host with the lowest density that
+/// has no new miss, then on rented machines.
+fn admit_task_by_task(
     part: &Partition,
     request: &JobRequest,
     submitted: Micros,
-    elastic: (u32, Micros),
+    elastic_capacity: (u32, Micros),
 ) -> AdmissionDecision {
     let due = submitted + request.deadline.unwrap_or_default();
     let estimate = part.estimate(request);
@@ -253,48 +261,54 @@
     }
     let team = &part.config.teams[0];
     let used = part.team_use(&request.team);
-    let mut tested = 0;
-    while tested < request.tasks && team.allows(&(used + request.each.times(u64::from(tested) + 1)))
+    let mut tasks_within_limit = 0;
+    while tasks_within_limit < request.tasks
+        && team.allows(&(used + request.each.times(u64::from(tasks_within_limit) + 1)))
     {
-        tested += 1;
+        tasks_within_limit += 1;
     }
-    type Copy = (Vec<Occupied>, Vec<Reservation>, usize);
-    let mut copies: BTreeMap<HostId, Copy> = part
+    type SimulatedHost = (Vec<Occupied>, Vec<Reservation>, usize);
+    let mut simulated_hosts: BTreeMap<HostId, SimulatedHost> = part
         .hosts
         .values()
-        .filter(|h| request.allows_host(&h.spec.machine_type, &h.zone, h.spot))
-        .map(|h| {
-            let running = part.occupied(h, NOW);
-            let before = count_missed(NOW, h.free_resources(), &running, &h.queue);
-            (h.id.clone(), (running, h.queue.clone(), before))
+        .filter(|host| request.allows_host(&host.spec.machine_type, &host.zone, host.spot))
+        .map(|host| {
+            let running = part.occupied(host, NOW);
+            let missed_before = count_missed(NOW, host.free_resources(), &running, &host.queue);
+            (
+                host.id.clone(),
+                (running, host.queue.clone(), missed_before),
+            )
         })
         .collect();
     let spec = &part.specs[&Name::from("box")];
-    let ready = NOW + elastic.1 + fetch_time(request.image_gb, spec);
+    let ready = NOW + elastic_capacity.1 + fetch_time(request.image_gb, spec);
     let mut rented = 0;
     if ready + estimate <= due {
-        let waves = ((due - ready).0 / estimate.0.max(1)).clamp(1, 2);
-        rented = u64::from(elastic.0) * request.each.count_in(&spec.capacity) * waves;
+        let tasks_in_succession = ((due - ready).0 / estimate.0.max(1)).clamp(1, 2);
+        rented = u64::from(elastic_capacity.0)
+            * request.each.count_in(&spec.capacity)
+            * tasks_in_succession;
     }
-    let late: usize = copies.values().map(|c| c.2).sum();
-    rented = rented.saturating_sub(late as u64);
-    for i in 0..tested {
+    let missed: usize = simulated_hosts.values().map(|simulated| simulated.2).sum();
+    rented = rented.saturating_sub(missed as u64);
+    for i in 0..tasks_within_limit {
         let mut best: Option<(f64, HostId, Vec<Reservation>)> = None;
-        for (id, (running, queue, before)) in &copies {
+        for (id, (running, queue, missed_before)) in &simulated_hosts {
             let host = &part.hosts[id];
             let task = TaskId::new(&request.id, i);
             let mut queue = queue.clone();
             insert_by_deadline(&mut queue, part.reservation(host, &task, request, due, NOW));
-            if count_missed(NOW, host.free_resources(), running, &queue) > *before {
+            if count_missed(NOW, host.free_resources(), running, &queue) > *missed_before {
                 continue;
             }
-            let dense = density(NOW, &queue);
-            if best.as_ref().is_none_or(|(d, ..)| dense < *d) {
-                best = Some((dense, id.clone(), queue));
+            let queue_density = density(NOW, &queue);
+            if best.as_ref().is_none_or(|(d, ..)| queue_density < *d) {
+                best = Some((queue_density, id.clone(), queue));
             }
         }
         match best {
-            Some((_, id, queue)) => copies.get_mut(&id).unwrap().1 = queue,
+            Some((_, id, queue)) => simulated_hosts.get_mut(&id).unwrap().1 = queue,
             None if rented > 0 => rented -= 1,
             None => return AdmissionDecision::Refuse,
         }
@@ -302,8 +316,9 @@
     AdmissionDecision::Admit
 }
 
-/// Task after task on the cheapest host that has room and no queue.
-fn start_loose(part: &mut Partition, cycle: &mut Cycle, id: &JobId) {
+/// Reference placement: starts one task after another on the cheapest host that has free capacity
+/// and an empty queue.
+fn start_exhaustively(part: &mut Partition, cycle: &mut Cycle, id: &JobId) {
     loop {
         let Some(job) = part.jobs.get_mut(id) else {
             return;
@@ -318,9 +333,11 @@
         let best = part
             .with_slots(cycle)
             .filter(|(i, _, _)| cycle.fits(*i, id, &request.each))
-            .filter(|(_, _, h)| h.queue.is_empty())
-            .filter(|(_, _, h)| Partition::is_feasible(job, h) && zones.allows(&h.zone))
-            .min_by_key(|(i, slot, h)| (cost(h, &slot.free, &request, cycle.now), *i))
+            .filter(|(_, _, host)| host.queue.is_empty())
+            .filter(|(_, _, host)| Partition::is_feasible(job, host) && zones.allows(&host.zone))
+            .min_by_key(|(i, slot, host)| {
+                (start_cost_ms(host, &slot.free, &request, cycle.now), *i)
+            })
             .map(|(i, _, _)| i);
         match best {
             Some(slot) => part.start(cycle, id, i, slot, None),
@@ -329,17 +346,18 @@
     }
 }
 
-type Placed = Vec<(HostId, Vec<TaskId>, Vec<Reservation>)>;
+/// Tasks and reservations of every host.
+type HostContents = Vec<(HostId, Vec<TaskId>, Vec<Reservation>)>;
 
-fn placed(part: &Partition) -> Placed {
-    let on = |h: &crate::Host| h.tasks.keys().cloned().collect();
+fn host_contents(part: &Partition) -> HostContents {
+    let task_ids = |host: &crate::Host| host.tasks.keys().cloned().collect();
     part.hosts
         .values()
-        .map(|h| (h.id.clone(), on(h), h.queue.clone()))
+        .map(|host| (host.id.clone(), task_ids(host), host.queue.clone()))
         .collect()
 }
 
-fn few() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: proptest::test_runner::RngSeed::Fixed(17),
         failure_persistence: None,
@@ -349,35 +367,41 @@
 }
 
 proptest! {
-    #![proptest_config(few())]
+    #![proptest_config(proptest_config())]
 
+    /// The scheduler simulates all hosts once per job and afterwards only the host that got the
+    /// last reservation. Fails if an outdated simulation result leads to another choice of hosts.
     #[test]
-    fn bookings_are_those_of_the_plain_forward_run(s in setting(Shape::Array)) {
-        let (mut indexed, mut plainly) = (build(&s), build(&s));
+    fn reservations_equal_exhaustive_simulation(s in generated_partition(Shape::Array)) {
+        let (mut indexed, mut reference) = (build_partition(&s), build_partition(&s));
         let cycle = indexed.begin_cycle(NOW);
         indexed.reserve(&cycle, &s.request.id);
-        book(&mut plainly, &cycle, &s.request.id);
-        prop_assert_eq!(placed(&indexed), placed(&plainly));
+        reserve_exhaustively(&mut reference, &cycle, &s.request.id);
+        prop_assert_eq!(host_contents(&indexed), host_contents(&reference));
     }
 
+    /// The scheduler fills the hosts one after another and stops at the number of tasks. Fails if
+    /// its decision depends on the order in which tasks are placed.
     #[test]
-    fn the_admission_test_says_what_task_after_task_says(
-        s in setting(Shape::Array), machines in 0u32..4
+    fn admission_equals_task_by_task_simulation(
+        s in generated_partition(Shape::Array), machines in 0u32..4
     ) {
-        let part = build(&s);
+        let part = build_partition(&s);
         let submitted = NOW - Micros::from_secs(s.submitted_ago);
         let elastic = (machines, Micros::from_secs(20));
-        let plainly = admit(&part, &s.request, submitted, elastic);
-        prop_assert_eq!(part.admit(&s.request, submitted, NOW, Micros::ZERO, elastic), plainly);
+        let reference = admit_task_by_task(&part, &s.request, submitted, elastic);
+        prop_assert_eq!(part.admit(&s.request, submitted, NOW, Micros::ZERO, elastic), reference);
     }
 
+    /// The scheduler keeps candidate hosts in a heap and recomputes only the host that took a task.
+    /// Fails if an outdated cost or constraint leads to another choice of hosts.
     #[test]
-    fn starts_are_those_of_the_plain_choice(s in setting(Shape::Service)) {
-        let (mut indexed, mut plainly) = (build(&s), build(&s));
+    fn starts_equal_exhaustive_host_choice(s in generated_partition(Shape::Service)) {
+        let (mut indexed, mut reference) = (build_partition(&s), build_partition(&s));
         let mut cycle = indexed.begin_cycle(NOW);
         indexed.start_without_deadline(&mut cycle, &s.request.id);
-        let mut cycle = plainly.begin_cycle(NOW);
-        start_loose(&mut plainly, &mut cycle, &s.request.id);
-        prop_assert_eq!(placed(&indexed), placed(&plainly));
+        let mut cycle = reference.begin_cycle(NOW);
+        start_exhaustively(&mut reference, &mut cycle, &s.request.id);
+        prop_assert_eq!(host_contents(&indexed), host_contents(&reference));
     }
 }
