--- a/crates/jasperhill-scheduler/src/host/commands.rs
+++ b/crates/jasperhill-scheduler/src/host/commands.rs
@@ -1,8 +1,9 @@
-//! Commands to a worker, as the host's state machine sees them: sent, answered, in doubt, settled.
+//! Handlers of [`Host::apply`] for commands to a worker: commands sent with heartbeat responses and by
+//! direct requests, unanswered requests, token changes, and orders to start or stop tasks.
 
 use super::{
-    CommandBasis, CommandDoubt, FencingState, Host, HostOutput, HostTask, InFlightCommands,
-    TaskState,
+    CommandBasis, FencingState, Host, HostOutput, HostTask, InFlightCommands, TaskState,
+    TokenRefresh,
 };
 use jasperhill_wire::{
     Attempt, FencingToken, Micros, Name, Resources, TaskId,
@@ -10,7 +11,8 @@
 };
 
 impl Host {
-    /// A heartbeat was answered 200, which renews the lease; the commands went with the answer.
+    /// Records that a heartbeat was answered with status 200, which renews the lease, and that the
+    /// response carried these commands.
     pub(super) fn on_answered(&mut self, commands: &[Command], now: Micros) {
         self.last_answer = self.last_answer.max(now);
         self.answered = Some(now);
@@ -19,13 +21,14 @@
                 && let Some(known) = self.tasks.get_mut(task)
                 && known.attempt == *attempt
             {
-                known.answered = true;
+                known.has_unacknowledged_start = true;
             }
         }
     }
 
-    /// Commands go out directly; `known`: as of when cancellations are known to the sender.
-    pub(super) fn on_direct_sent(&mut self, commands: Vec<Command>, known: Micros) {
+    /// Records the starts of a direct request. `known_as_of`: time up to which the sender knows job
+    /// cancellations.
+    pub(super) fn on_direct_sent(&mut self, commands: Vec<Command>, known_as_of: Micros) {
         let starts = commands.into_iter().filter_map(|command| match command {
             Command::Start(task, attempt) => Some((task, attempt)),
             Command::Stop(..) | Command::Clear(..) => None,
@@ -33,41 +36,44 @@
         let token = self.token;
         self.in_flight_commands = Some(InFlightCommands {
             starts: starts.collect(),
-            basis: CommandBasis { token, known },
+            basis: CommandBasis { token, known_as_of },
         });
     }
 
-    /// No answer came: the starts among the commands are in doubt, unless nothing can run there.
+    /// Marks the starts of an unanswered direct request as in doubt, unless the worker's lease has
+    /// expired and nothing can run there.
     pub(super) fn on_direct_unanswered(&mut self) {
         if let Some(in_flight) = self.in_flight_commands.take()
             && !in_flight.starts.is_empty()
             && self.fencing != FencingState::Lapsed
         {
-            self.doubted_starts.extend(in_flight.starts);
-            self.doubt_basis = Some(in_flight.basis);
-            self.command_doubt = CommandDoubt::NeedsToken;
+            self.in_doubt_starts.extend(in_flight.starts);
+            self.in_doubt_basis = Some(in_flight.basis);
+            self.token_refresh = TokenRefresh::Needed;
         }
     }
 
-    /// The host's record was rewritten: doubt ends once the host shows this token.
+    /// Takes over the token of the rewritten host record. If a raised token was needed, the host gets new
+    /// tasks again once its worker shows this token.
     pub(super) fn on_token_raised(&mut self, token: FencingToken) {
         if token > self.token {
             self.token = token;
-            if self.command_doubt == CommandDoubt::NeedsToken {
-                self.command_doubt = CommandDoubt::Until(token);
+            if self.token_refresh == TokenRefresh::Needed {
+                self.token_refresh = TokenRefresh::UntilShown(token);
             }
         }
     }
 
-    /// Guards against a machine that is given new work in each of its incarnations and hears of
-    /// none: it gets some again once it shows a token that it can only have heard now.
+    /// Withholds new tasks from a worker that does not receive the responses to its heartbeats, until it
+    /// shows a raised token, which proves that it has received a response. Otherwise such a machine
+    /// would be given new tasks in each of its incarnations and never learn of them.
     pub(super) fn on_not_receiving(&mut self) {
-        if self.command_doubt == CommandDoubt::None {
-            self.command_doubt = CommandDoubt::NeedsToken;
+        if self.token_refresh == TokenRefresh::NotNeeded {
+            self.token_refresh = TokenRefresh::Needed;
         }
     }
 
-    /// A task is to start here, which takes this much and needs this image.
+    /// Orders a task to start with these resources (`each`) and the image with this name and size in GB.
     pub(super) fn on_start(
         &mut self,
         task: TaskId,
@@ -77,8 +83,8 @@
         now: Micros,
     ) {
         self.idle_since = None;
-        if let Some(old) = self.tasks.remove(&task) {
-            self.stale.insert((task.clone(), old.attempt));
+        if let Some(previous) = self.tasks.remove(&task) {
+            self.stale.insert((task.clone(), previous.attempt));
         }
         let ordered = HostTask {
             attempt,
@@ -88,12 +94,13 @@
             running: None,
             stopping: None,
             image: Some(image),
-            answered: false,
+            has_unacknowledged_start: false,
         };
         self.tasks.insert(task, ordered);
     }
 
-    /// A task is to stop. One whose start was never sent is taken back on the spot.
+    /// Orders a task to stop within `grace`, or within the shorter grace period if it is stopping already.
+    /// A task whose start was never sent is removed at once.
     pub(super) fn on_stop(
         &mut self,
         task: &TaskId,
@@ -103,8 +110,8 @@
     ) {
         let never_sent = self.tasks.get(task).is_some_and(|known| {
             known.state == TaskState::Ordered
-                && !known.answered
-                && !self.may_start_later(task, known.attempt)
+                && !known.has_unacknowledged_start
+                && !self.may_still_start(task, known.attempt)
         });
         if never_sent {
             self.tasks.remove(task);
@@ -115,7 +122,7 @@
         if let Some(known) = self.tasks.get_mut(task) {
             match known.stopping {
                 None => known.stopping = Some((grace, now)),
-                Some((old, since)) if grace < old => known.stopping = Some((grace, since)),
+                Some((current, since)) if grace < current => known.stopping = Some((grace, since)),
                 Some(_) => {}
             }
         }
--- a/crates/jasperhill-scheduler/src/host/heartbeat.rs
+++ b/crates/jasperhill-scheduler/src/host/heartbeat.rs
@@ -1,6 +1,7 @@
-//! What a worker's heartbeat, or its answer to a direct request, changes in the host's state machine.
+//! Handlers of [`Host::apply`] for a worker's status, which arrives in heartbeats and in responses to
+//! direct requests.
 
-use super::{CommandDoubt, FencingState, HeartbeatSource, Host, HostOutput, HostTask, TaskState};
+use super::{FencingState, HeartbeatSource, Host, HostOutput, HostTask, TaskState, TokenRefresh};
 use jasperhill_wire::{
     Attempt, Micros, Resources, TaskId,
     worker::{ExitCause, Heartbeat, TaskPhase, TaskStatus},
@@ -8,7 +9,8 @@
 use std::collections::BTreeSet;
 
 impl Host {
-    /// Nothing of an earlier incarnation is left, or the lease has surely lapsed.
+    /// Drops all tasks because the worker began a new incarnation, which leaves nothing of earlier ones,
+    /// or because its lease has certainly expired.
     pub(super) fn drop_all_tasks(&mut self, outputs: &mut Vec<HostOutput>) {
         for (task, known) in std::mem::take(&mut self.tasks) {
             if known.holds_resources() {
@@ -16,17 +18,18 @@
             }
         }
         self.stale.clear();
-        // Late direct commands carry the old incarnation and die at the worker.
-        self.clear_command_doubt();
+        // Late direct commands carry the old incarnation, so the worker discards them.
+        self.clear_in_doubt_commands();
     }
 
-    fn clear_command_doubt(&mut self) {
-        self.command_doubt = CommandDoubt::None;
-        self.doubted_starts.clear();
-        self.doubt_basis = None;
+    /// Forgets all commands in doubt and the need for a raised token.
+    fn clear_in_doubt_commands(&mut self) {
+        self.token_refresh = TokenRefresh::NotNeeded;
+        self.in_doubt_starts.clear();
+        self.in_doubt_basis = None;
     }
 
-    /// Takes in what the worker says, unless something later is known already.
+    /// Applies the worker's status unless a later one was applied already.
     pub(super) fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -37,26 +40,26 @@
         let order = (heartbeat.incarnation, heartbeat.sequence);
         let known = self.incarnation.map(|known| (known, self.sequence));
         if known.is_some_and(|known| order <= known) {
-            // Late: as old as the moment it was sent.
+            // The message was delayed and describes an earlier state than the one known.
             return;
         }
-        self.note_incarnation(heartbeat, source, now, outputs);
+        self.update_incarnation(heartbeat, source, now, outputs);
         self.sequence = heartbeat.sequence;
         self.last_heard = now;
         self.address.clone_from(&heartbeat.address);
         self.terminates_at = heartbeat.termination_notice.map(|notice| now + notice);
-        self.note_token(heartbeat, outputs);
+        self.update_token_state(heartbeat, outputs);
         let mut listed = BTreeSet::new();
         for status in &heartbeat.tasks {
             listed.insert((status.task.clone(), status.attempt));
             self.on_task_status(status, now, outputs);
         }
         self.stale.retain(|key| listed.contains(key));
-        self.settle_unlisted(&listed, source, outputs);
+        self.resolve_unlisted_tasks(&listed, source, outputs);
     }
 
-    /// Which incarnation speaks, and whether of its own accord.
-    fn note_incarnation(
+    /// Records the worker's incarnation and, for a periodic heartbeat, the time at which it was received.
+    fn update_incarnation(
         &mut self,
         heartbeat: &Heartbeat,
         source: HeartbeatSource,
@@ -67,7 +70,7 @@
             .incarnation
             .is_some_and(|known| heartbeat.incarnation > known);
         if is_new {
-            // A larger incarnation proves that all earlier tasks are gone.
+            // A larger incarnation proves that all tasks of earlier incarnations have ended.
             self.drop_all_tasks(outputs);
         }
         match source {
@@ -76,25 +79,26 @@
             HeartbeatSource::Direct => {}
         }
         if self.incarnation != Some(heartbeat.incarnation) {
-            // The lease of an incarnation that we did not know runs from its beginning, which may
-            // be long after our last answer. Guards against taking the new one for lapsed with the
-            // old one, while what was sent to it directly runs.
+            // The lease of a new incarnation runs from the start of that incarnation, which may be
+            // long after this controller's last response. Without this, the new incarnation would be
+            // considered expired together with the old one while tasks sent to it directly run.
             self.last_answer = self.last_answer.max(now);
         }
         self.incarnation = Some(heartbeat.incarnation);
     }
 
-    /// Which token the worker shows, and what that settles.
-    fn note_token(&mut self, heartbeat: &Heartbeat, outputs: &mut Vec<HostOutput>) {
-        if let CommandDoubt::Until(token) = self.command_doubt
+    /// Compares the token that the worker shows with this controller's: updates the fencing state and
+    /// determines whether the token must be raised.
+    fn update_token_state(&mut self, heartbeat: &Heartbeat, outputs: &mut Vec<HostOutput>) {
+        if let TokenRefresh::UntilShown(token) = self.token_refresh
             && heartbeat.token >= token
         {
-            self.clear_command_doubt();
+            self.clear_in_doubt_commands();
         }
-        if heartbeat.token > self.token && self.command_doubt == CommandDoubt::None {
-            // Commands with our token are dropped there, and our answers renew no lease: the
-            // record is rewritten, which raises the token above any that was ever shown.
-            self.command_doubt = CommandDoubt::NeedsToken;
+        if heartbeat.token > self.token && self.token_refresh == TokenRefresh::NotNeeded {
+            // The worker drops commands with this controller's smaller token, and responses with it renew
+            // no lease. Rewriting the record raises the token above any that was ever shown.
+            self.token_refresh = TokenRefresh::Needed;
         }
         if heartbeat.token >= self.token && self.fencing != FencingState::Fenced {
             self.fencing = FencingState::Fenced;
@@ -102,8 +106,10 @@
         }
     }
 
-    /// What becomes of tasks that the worker does not list.
-    fn settle_unlisted(
+    /// Handles tasks that are known here but missing from the worker's list: cleared tasks are removed,
+    /// started ones are reported as lost, and unconfirmed starts are left to
+    /// [`Host::resolve_unlisted_start`].
+    fn resolve_unlisted_tasks(
         &mut self,
         listed: &BTreeSet<(TaskId, Attempt)>,
         source: HeartbeatSource,
@@ -120,15 +126,15 @@
                 continue;
             };
             match known.state {
-                // Cleared.
+                // The worker has executed the clear command.
                 TaskState::Exited(_) => {
                     self.tasks.remove(&task);
                 }
-                TaskState::Ordered => self.settle_ordered(task, source, outputs),
+                TaskState::Ordered => self.resolve_unlisted_start(task, source, outputs),
                 TaskState::Fetching
                 | TaskState::Waiting
                 | TaskState::Running
-                | TaskState::Saving => {
+                | TaskState::Checkpointing => {
                     self.tasks.remove(&task);
                     outputs.push(HostOutput::Ended(task, None));
                 }
@@ -136,10 +142,11 @@
         }
     }
 
-    /// A task that was told to start is not listed. A heartbeat that follows an answer settles it:
-    /// the worker has executed or dropped the start. A direct answer may overtake it, and settles
-    /// nothing.
-    fn settle_ordered(
+    /// Handles a task that was ordered to start and is missing from the worker's list.
+    ///
+    /// A heartbeat after the response that carried the start proves that the worker has executed or
+    /// dropped it. A direct response proves nothing, because it may overtake that response.
+    fn resolve_unlisted_start(
         &mut self,
         task: TaskId,
         source: HeartbeatSource,
@@ -148,20 +155,20 @@
         let Some(known) = self.tasks.get(&task) else {
             return;
         };
-        let may_start = self.may_start_later(&task, known.attempt)
-            || (known.answered && source == HeartbeatSource::Direct);
-        if known.stopping.is_some() && !may_start {
+        let may_still_start = self.may_still_start(&task, known.attempt)
+            || (known.has_unacknowledged_start && source == HeartbeatSource::Direct);
+        if known.stopping.is_some() && !may_still_start {
             self.tasks.remove(&task);
             let cause = ExitCause::Stopped { saved: false };
             outputs.push(HostOutput::Ended(task, Some(cause)));
         } else if source == HeartbeatSource::Heartbeat
             && let Some(known) = self.tasks.get_mut(&task)
         {
-            known.answered = false;
+            known.has_unacknowledged_start = false;
         }
     }
 
-    /// One task that the worker lists.
+    /// Applies the status of one task that the worker lists.
     fn on_task_status(&mut self, status: &TaskStatus, now: Micros, outputs: &mut Vec<HostOutput>) {
         let state = TaskState::from(status.phase);
         match self.tasks.get(&status.task) {
@@ -172,7 +179,7 @@
         }
     }
 
-    /// A task and attempt that are known here.
+    /// Applies the status of a task whose attempt is known here.
     fn on_known_task(
         &mut self,
         status: &TaskStatus,
@@ -184,8 +191,8 @@
             return;
         };
         let held_resources = known.holds_resources();
-        let before = std::mem::replace(&mut known.state, state);
-        known.answered = false;
+        let previous_state = std::mem::replace(&mut known.state, state);
+        known.has_unacknowledged_start = false;
         if state == TaskState::Running && known.running.is_none() {
             known.running = Some(now);
         }
@@ -195,20 +202,20 @@
             }
             TaskState::Exited(_) => {}
             _ if !held_resources => {
-                // Guards against a task that is back after its end, as by a late command, and that
-                // nobody counts or stops.
+                // The task runs again after it exited, for example because of a late start command.
+                // It is reported as found; otherwise it would be neither counted nor stopped.
                 known.stopping = None;
                 outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
                 self.idle_since = None;
             }
-            TaskState::Running if before != state => {
+            TaskState::Running if previous_state != state => {
                 outputs.push(HostOutput::Running(status.task.clone()));
             }
             _ => {}
         }
     }
 
-    /// A task that is not known here, or another attempt of one that is.
+    /// Applies the status of a task that is not known here, or of another attempt of a known task.
     fn on_unknown_task(
         &mut self,
         status: &TaskStatus,
@@ -222,19 +229,19 @@
                 self.stale.insert((status.task.clone(), status.attempt));
                 return;
             }
-            // A result from before a takeover counts as well.
-            let found = HostTask::found(status.attempt, state, now);
+            // A result from before a failover counts as well.
+            let found = HostTask::from_report(status.attempt, state, now);
             self.tasks.insert(status.task.clone(), found);
             outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
             outputs.push(HostOutput::Ended(status.task.clone(), Some(cause)));
             return;
         }
         if known.is_some_and(HostTask::holds_resources) {
-            // Another attempt of what we ordered here: the command will be refused as busy, so the
-            // one that is there is the one that counts.
+            // The worker runs another attempt of a task that was ordered to start here. It will refuse
+            // the start command as busy, so the running attempt replaces the ordered one.
             outputs.push(HostOutput::Ended(status.task.clone(), None));
         }
-        let found = HostTask::found(status.attempt, state, now);
+        let found = HostTask::from_report(status.attempt, state, now);
         self.tasks.insert(status.task.clone(), found);
         outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
         self.idle_since = None;
@@ -247,15 +254,15 @@
             TaskPhase::Fetching => Self::Fetching,
             TaskPhase::Waiting => Self::Waiting,
             TaskPhase::Running => Self::Running,
-            TaskPhase::Checkpointing => Self::Saving,
+            TaskPhase::Checkpointing => Self::Checkpointing,
             TaskPhase::Exited(cause) => Self::Exited(cause),
         }
     }
 }
 
 impl HostTask {
-    /// One that was found on the host; what it takes is not known yet.
-    fn found(attempt: Attempt, state: TaskState, now: Micros) -> Self {
+    /// Creates the entry of a task that was found on the host, whose resources are not known yet.
+    fn from_report(attempt: Attempt, state: TaskState, now: Micros) -> Self {
         Self {
             attempt,
             state,
@@ -264,7 +271,7 @@
             running: (state == TaskState::Running).then_some(now),
             stopping: None,
             image: None,
-            answered: false,
+            has_unacknowledged_start: false,
         }
     }
 }
--- a/crates/jasperhill-scheduler/src/host/mod.rs
+++ b/crates/jasperhill-scheduler/src/host/mod.rs
@@ -1,5 +1,8 @@
-//! The host machine: what a worker runs, may run and has been told. Every change of its
-//! state goes through [`Host::apply`].
+//! The state machine of a host: the tasks that its worker runs, the tasks that it may run, and the
+//! commands that were sent to it.
+//!
+//! [`Host`] holds the state, [`HostInput`] lists the events that change it, and [`HostOutput`] the
+//! resulting changes of tasks. Every change of a host's state goes through [`Host::apply`].
 
 mod commands;
 mod heartbeat;
@@ -20,221 +23,242 @@
     rc::Rc,
 };
 
-/// Tasks that a worker may list, exited ones that are not cleared yet included: a heartbeat with
-/// more could outgrow the 64 KiB that a request body may have, and a host whose heartbeats are
-/// refused is lost with all that runs there.
+/// Maximum number of tasks in a worker's heartbeat, including exited tasks that are not cleared yet.
+///
+/// A heartbeat with more tasks could exceed the limit of 64 KiB for a request body. A host whose
+/// heartbeats are refused is lost with all tasks that run on it.
 pub const LISTED_MAX: usize = 440;
-/// Commands in one message, which may not outgrow 64 KiB either; the rest follows.
-const ORDERS_MAX: usize = 600;
+/// Maximum number of commands in one message, which must not exceed 64 KiB either. The remaining
+/// commands are sent in later messages.
+const MAX_COMMANDS_PER_MESSAGE: usize = 600;
 
-/// How well a host is known.
+/// Whether a host is known to obey the token of this controller, so that all its tasks are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingState {
-    /// Has not shown our token yet. `unconfirmed tasks`: a predecessor may have started anything there.
+    /// The worker has not shown this controller's token yet.
     Unfenced {
-        /// A predecessor may have started tasks there.
+        /// Whether a previous owner of the partition may have started tasks on the host.
         unconfirmed: bool,
     },
-    /// Has shown our token: its heartbeats say all that runs there.
+    /// The worker has shown this controller's token: its heartbeats list all tasks that run there.
     Fenced,
-    /// Its lease has surely lapsed: nothing runs there.
+    /// The worker's lease has certainly expired: no task runs there.
     Lapsed,
 }
 
-/// How a worker's status came.
+/// The message by which a worker's status was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// By a heartbeat of its own accord.
+    /// A heartbeat that the worker sent periodically.
     Heartbeat,
-    /// As the answer to a direct request.
+    /// The worker's response to a direct request of the controller.
     Direct,
 }
 
-/// Where a task stands on a host.
+/// The state of a task on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// Told to start, not yet reported.
+    /// Ordered to start, and not yet listed by the worker.
     Ordered,
-    /// Its image is being pulled.
+    /// The worker pulls the task's image.
     Fetching,
-    /// It waits for the other tasks of its gang.
+    /// The task waits for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It saves a checkpoint before it stops.
-    Saving,
-    /// It is over, and listed until it is cleared.
+    /// The task saves a checkpoint before it stops.
+    Checkpointing,
+    /// The task has exited; the worker lists it until it is told to clear it.
     Exited(ExitCause),
 }
 
-/// A task on a host, as the worker lists it or was told.
+/// A task that a worker lists or was ordered to start.
 #[derive(Clone, Debug)]
 pub struct HostTask {
-    /// Which start of the task.
+    /// Identifies this start of the task.
     pub attempt: Attempt,
-    /// Where it stands.
+    /// The last known state of the task.
     pub state: TaskState,
-    /// What it takes.
+    /// Resources that the task takes; zero for a task that was found on the host until its job is
+    /// known.
     pub each: Resources,
-    /// When it was ordered.
+    /// When the task was ordered to start, or found on the host.
     pub ordered: Micros,
-    /// When it was first seen running.
+    /// When the task was first seen running; `None` if it was not seen running yet.
     pub running: Option<Micros>,
-    /// Told to stop: with which grace, since when.
+    /// The grace period of the stop command and when it was first issued; `None` if the task is not
+    /// being stopped.
     pub stopping: Option<(Micros, Micros)>,
-    /// The image it needs, with its size.
+    /// Name of the task's image and its size in GB; `None` if not known.
     pub image: Option<(Name, f64)>,
-    /// A `run` went out in the answer to a heartbeat that the worker has not followed up yet.
-    answered: bool,
+    /// Whether the start command was sent in the response to a heartbeat, and no later heartbeat has
+    /// shown its effect yet.
+    has_unacknowledged_start: bool,
 }
 
 impl HostTask {
-    /// Holds resources, or may.
+    /// Returns whether the task holds resources of the host or may hold them.
     pub fn holds_resources(&self) -> bool {
         !matches!(self.state, TaskState::Exited(_))
     }
 }
 
-/// Starts that are on their way, or may be.
+/// Start commands of a direct request that the worker has not answered yet.
 #[derive(Clone, Debug)]
 struct InFlightCommands {
     starts: Vec<(TaskId, Attempt)>,
     basis: CommandBasis,
 }
 
-/// What a start was sent under.
+/// The knowledge of the controller at the time when it sent start commands.
 #[derive(Clone, Copy, Debug)]
 struct CommandBasis {
+    /// Token of the host at that time.
     token: FencingToken,
-    /// As of when whoever sent it knew of cancellations.
-    known: Micros,
+    /// Time up to which the sender knew all job cancellations.
+    known_as_of: Micros,
 }
 
-/// Commands sent directly whose fate is unknown.
+/// Whether the worker must show a raised token before the host gets new tasks, as when direct commands
+/// were left unanswered and may still be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CommandDoubt {
-    None,
+enum TokenRefresh {
+    /// The current token is sufficient.
+    NotNeeded,
     /// The host's record must be rewritten to raise the token.
-    NeedsToken,
-    /// Over once the host shows this token.
-    Until(FencingToken),
+    Needed,
+    /// The token was raised; the worker has not shown this token yet.
+    UntilShown(FencingToken),
 }
 
-/// What changes a host.
+/// An event that changes the state of a host.
 #[derive(Debug)]
 pub enum HostInput<'a> {
-    /// The worker says what it runs.
+    /// The worker reported its status.
     Heartbeat(&'a Heartbeat, HeartbeatSource),
-    /// A heartbeat was answered 200 with these commands.
+    /// A heartbeat was answered with status 200 and these commands.
     Answered(&'a [Command]),
-    /// Another controller may answer its heartbeats until then.
+    /// Another controller may answer the worker's heartbeats until this time.
     LeaseDelegated(Micros),
-    /// Commands go out directly; what is known of the store, and so of cancellations, is as of then.
+    /// These commands are sent in a direct request. The time is that up to which the controller knows
+    /// the contents of the state store, and so all job cancellations.
     DirectSent(Vec<Command>, Micros),
-    /// The direct commands were executed, or surely were not (their report comes separately).
+    /// The direct commands were executed, or certainly were not. The worker's status, if any, is a
+    /// separate [`HostInput::Heartbeat`].
     DirectSettled,
-    /// No answer: they may be executed at any time.
+    /// The direct request was not answered: its commands may be executed at any time.
     DirectUnanswered,
-    /// The record was rewritten.
+    /// The host's record was rewritten, which gives the host this token.
     TokenRaised(FencingToken),
-    /// It has begun a new session although its heartbeats were answered: it does not hear.
+    /// The worker began a new incarnation although its heartbeats were answered: it does not receive
+    /// the responses.
     NotReceiving,
-    /// The lease has surely lapsed, or the machine is gone.
+    /// The worker's lease has certainly expired, or the machine is gone.
     Gone,
-    /// Start this task, which takes this much and needs this image.
+    /// This attempt of the task is to start. It takes these resources and needs the image with this
+    /// name and size in GB.
     Start(TaskId, Attempt, Resources, (Name, f64)),
-    /// Stop this task.
+    /// The task is to stop within this grace period.
     Stop(&'a TaskId, Micros),
 }
 
-/// What became of a task.
+/// A change of a task, or of the host's fencing, that the partition must act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostOutput {
-    /// On the host without our having known.
+    /// The worker lists this attempt of a task, which was not known to be on the host.
     Found(TaskId, Attempt),
-    /// It is seen running.
+    /// The task was seen running.
     Running(TaskId),
-    /// Not on the host any more. `None`: lost.
+    /// The task no longer runs on the host. `None`: it was lost without an exit status.
     Ended(TaskId, Option<ExitCause>),
-    /// The worker has shown our token: all that runs there is known.
+    /// The worker has shown this controller's token: all tasks that run there are known.
     Fenced,
 }
 
-/// The state machine of one host. Times are of the steady clock.
+/// The state machine of one host. All times are readings of the controller's monotonic clock.
 #[derive(Debug)]
 pub struct Host {
-    /// Its name at the cloud.
+    /// Name of the machine at the cloud provider.
     pub id: HostId,
-    /// Where its worker takes direct requests, as it last said.
+    /// Address at which the worker accepts direct requests, as last reported by the worker.
     pub address: String,
-    /// Its machine type.
+    /// Machine type with its capacity.
     pub spec: Rc<MachineSpec>,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: Name,
-    /// The cloud may take it back at any time.
+    /// Whether this is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
-    /// Its assignment by its record; out of use before that is written.
+    /// Assignment in the host's record; a host is out of use before its record is written.
     pub assignment: HostAssignment,
-    /// The token under which this controller commands it.
+    /// Fencing token with which this controller sends commands to the worker.
     pub token: FencingToken,
-    /// How well it is known.
+    /// Whether the worker is known to obey `token`.
     pub fencing: FencingState,
-    /// The worker's incarnation that was last heard.
+    /// Incarnation of the worker in its latest status; `None` before the first status.
     pub incarnation: Option<u64>,
+    /// Sequence number of the latest status within `incarnation`.
     sequence: u64,
-    /// What it lists or was told to start; one attempt of each task.
+    /// Tasks that the worker lists or was ordered to start, with one attempt of each.
     pub tasks: BTreeMap<TaskId, HostTask>,
-    /// What its tasks take together, and how many of them are on it or wait for an image:
-    /// running sums, so that a cycle over many hosts need not look at every task.
+    /// Resources that all tasks take together. This total and the two counts after it are kept up to
+    /// date so that a scheduling cycle over many hosts does not iterate over every task.
     used: Resources,
-    tasks_holding: usize,
-    fetching: usize,
-    /// Exited tasks of earlier attempts, still listed by the worker.
+    /// Number of tasks that hold resources or may hold them.
+    tasks_holding_resources: usize,
+    /// Number of tasks whose image is still to be pulled.
+    tasks_awaiting_image: usize,
+    /// Exited attempts of tasks of which another attempt is known; the worker still lists them.
     stale: BTreeSet<(TaskId, Attempt)>,
-    command_doubt: CommandDoubt,
-    doubted_starts: BTreeSet<(TaskId, Attempt)>,
-    /// What they were sent under.
-    doubt_basis: Option<CommandBasis>,
+    /// Whether a raised token is needed before the host gets new tasks.
+    token_refresh: TokenRefresh,
+    /// Starts of unanswered direct requests, which the worker may still execute.
+    in_doubt_starts: BTreeSet<(TaskId, Attempt)>,
+    /// Token and state of knowledge under which the latest of `in_doubt_starts` were sent; `None` if no
+    /// start is in doubt.
+    in_doubt_basis: Option<CommandBasis>,
+    /// Starts of the direct request that is under way; `None` if there is no request.
     in_flight_commands: Option<InFlightCommands>,
-    /// When the worker was last heard, in either way.
+    /// When the worker's latest status was received, by heartbeat or by direct response; before that,
+    /// when this state was created.
     pub last_heard: Micros,
-    /// When a heartbeat last came from it here by its own doing, or may have, to an owner before. `None`:
-    /// it is new here, or known by direct answers alone to have begun a session: nobody may renew that.
+    /// When a periodic heartbeat was last received here, or may have been received by the previous
+    /// owner. `None`: the host is new to this partition, or its incarnation is known only by direct
+    /// responses, so that possibly nobody renews its lease.
     last_heartbeat: Option<Micros>,
-    /// The last moment at which anyone can have renewed its lease.
+    /// The latest time at which any controller can have renewed the worker's lease.
     pub last_answer: Micros,
-    /// When a heartbeat of it was last answered here.
+    /// When this controller last answered a heartbeat of the worker; `None` if it never did.
     pub answered: Option<Micros>,
-    /// When the cloud takes it back, if that is announced.
+    /// When the cloud reclaims the machine; `None` if no termination is announced.
     pub terminates_at: Option<Micros>,
-    /// Images seen there, the most recent last.
+    /// Names and sizes in GB of images in the host's cache, the most recently used last.
     pub images: Vec<(Name, f64)>,
-    /// Admitted tasks reserved here, in order of adjusted deadline.
+    /// Reservations of admitted tasks on this host, in order of adjusted deadline.
     pub queue: Vec<crate::schedule_simulation::Reservation>,
-    /// When it last became empty.
+    /// When the host last became idle; `None` while tasks hold resources.
     pub idle_since: Option<Micros>,
-    /// Being emptied so that it can be given up, since when.
+    /// Since when the host is drained so that it can be returned; `None` if it is not drained.
     pub draining: Option<Micros>,
-    /// The jobs of its errors in a row, one for each error, and quarantined until.
+    /// Jobs of the failures since the last completed task, one entry for each failure.
     pub recent_failures: Vec<JobId>,
-    /// It gets no new tasks until then, for its failures.
+    /// Time until which the host gets no new tasks because of its failures; `None` if it is not in
+    /// quarantine.
     pub quarantined_until: Option<Micros>,
-    /// When the last task that completed here was started.
+    /// Latest start time among the tasks that completed on this host.
     pub last_success_started: Option<Micros>,
-    /// Run times against expectation, smoothed; above 1 is slow.
+    /// Smoothed ratio of actual to expected run times; above 1 is slow.
     pub slowness: f64,
-    /// Whether it keeps pace by what runs there, since when it does not, and when a task last
-    /// ended in time.
+    /// Whether the host is slow, judged by tasks that still run.
     pub pace: Pace,
-    /// Since when it is taken for slow.
+    /// Since when the host is considered slow; `None` if it is not.
     pub slow_since: Option<Micros>,
-    /// When a task last ended in time there.
+    /// When a task on this host last ended within its expected time; `None` if none has.
     pub last_in_time: Option<Micros>,
 }
 
 impl Host {
-    /// A host that has not shown its token yet. `ghosts`: a predecessor may have started tasks
-    /// there.
+    /// Creates the state of a host whose worker has not shown `token` yet. `unconfirmed`: whether a
+    /// previous owner of the partition may have started tasks on the host.
     pub fn new(
         id: HostId,
         record: &HostRecord,
@@ -256,12 +280,12 @@
             sequence: 0,
             tasks: BTreeMap::new(),
             used: Resources::default(),
-            tasks_holding: 0,
-            fetching: 0,
+            tasks_holding_resources: 0,
+            tasks_awaiting_image: 0,
             stale: BTreeSet::new(),
-            command_doubt: CommandDoubt::None,
-            doubted_starts: BTreeSet::new(),
-            doubt_basis: None,
+            token_refresh: TokenRefresh::NotNeeded,
+            in_doubt_starts: BTreeSet::new(),
+            in_doubt_basis: None,
             in_flight_commands: None,
             last_heard: now,
             last_heartbeat: unconfirmed.then_some(now),
@@ -282,146 +306,165 @@
         }
     }
 
-    /// A predecessor may have started tasks there that are not known.
+    /// Returns whether a previous owner may have started tasks there that are not known.
     pub fn has_unconfirmed_tasks(&self) -> bool {
         self.fencing == FencingState::Unfenced { unconfirmed: true }
     }
-    /// Its record must be rewritten to raise the token.
+    /// Returns whether the host's record must be rewritten to raise the token.
     pub fn needs_token(&self) -> bool {
-        self.command_doubt == CommandDoubt::NeedsToken
+        self.token_refresh == TokenRefresh::Needed
     }
-    /// Starts that were sent directly may be carried out at any time.
+    /// Returns whether the host gets no new tasks until its worker shows a raised token, as when
+    /// unanswered direct starts may still be executed.
     pub fn in_doubt(&self) -> bool {
-        self.command_doubt != CommandDoubt::None
+        self.token_refresh != TokenRefresh::NotNeeded
     }
-    /// A direct request is under way.
+    /// Returns whether a direct request to the worker is under way.
     pub fn in_flight(&self) -> bool {
         self.in_flight_commands.is_some()
     }
-    /// Nothing runs, may run or is reserved there.
+    /// Returns whether no task holds resources of the host or could still turn out to run there.
+    /// Reservations in `queue` don't count.
     pub fn is_empty(&self) -> bool {
-        self.tasks_holding == 0
-            && self.command_doubt == CommandDoubt::None
+        self.tasks_holding_resources == 0
+            && self.token_refresh == TokenRefresh::NotNeeded
             && self.in_flight_commands.is_none()
             && !self.has_unconfirmed_tasks()
     }
 
-    /// May get new tasks.
+    /// Returns whether the host may get new tasks.
     pub fn is_usable(&self, now: Micros, config: &SchedulerConfig) -> bool {
         self.fencing == FencingState::Fenced
             && matches!(self.assignment, HostAssignment::Partition(_))
             && self.terminates_at.is_none()
-            && self.command_doubt == CommandDoubt::None
+            && self.token_refresh == TokenRefresh::NotNeeded
             && self.draining.is_none()
             && self.quarantined_until.is_none_or(|t| now >= t)
-            // Guards against a machine that answers and reaches nobody: what it is given straight,
-            // its lease kills.
+            // A worker may answer direct requests although its heartbeats reach no controller. Its
+            // lease then expires, which kills the tasks that were started there.
             && self.last_heartbeat.is_some_and(|t| now - t < config.silence_limit())
     }
 
-    /// What its tasks take together.
+    /// Returns the resources that all tasks of the host take together.
     pub fn used(&self) -> Resources {
         self.used
     }
-    /// Tasks that hold resources, or may.
+    /// Returns the number of tasks that hold resources or may hold them.
     pub fn tasks_on(&self) -> usize {
-        self.tasks_holding
+        self.tasks_holding_resources
     }
 
-    /// Brings the running sums up to the tasks.
-    fn recount(&mut self) {
-        (self.used, self.tasks_holding, self.fetching) = (Resources::default(), 0, 0);
+    /// Recomputes the resource total and the task counts from `tasks`.
+    fn update_task_totals(&mut self) {
+        (
+            self.used,
+            self.tasks_holding_resources,
+            self.tasks_awaiting_image,
+        ) = (Resources::default(), 0, 0);
         for t in self.tasks.values().filter(|t| t.holds_resources()) {
             self.used += t.each;
-            self.tasks_holding += 1;
-            let waits = matches!(t.state, TaskState::Ordered | TaskState::Fetching);
-            self.fetching += usize::from(waits && t.image.is_some());
+            self.tasks_holding_resources += 1;
+            let awaits_image = matches!(t.state, TaskState::Ordered | TaskState::Fetching);
+            self.tasks_awaiting_image += usize::from(awaits_image && t.image.is_some());
         }
     }
 
-    /// Says what a task found here takes and needs.
-    pub(crate) fn describe(&mut self, task: &TaskId, each: Resources, image: (Name, f64)) {
+    /// Sets the resources and the image of a task that was found on the host.
+    pub(crate) fn set_requirements(&mut self, task: &TaskId, each: Resources, image: (Name, f64)) {
         if let Some(t) = self.tasks.get_mut(task) {
             t.each = each;
             t.image = Some(image);
         }
-        self.recount();
+        self.update_task_totals();
     }
 
-    /// Tasks in its heartbeats, or soon in them.
+    /// Returns the number of tasks that the worker lists in its heartbeats or soon will.
     pub fn listed(&self) -> usize {
         self.tasks.len() + self.stale.len()
     }
 
-    /// Lists some task of this job.
+    /// Returns whether the host has any task of this job, including exited ones.
     pub fn lists_job(&self, job: &JobId) -> bool {
         let first = TaskId::new(job, 0);
         let next = self.tasks.range(first..).next();
         next.is_some_and(|(task, _)| &task.job == job)
     }
 
-    /// What its tasks leave.
+    /// Returns the resources that no task takes.
     pub fn free_resources(&self) -> Resources {
-        let mut room = self.spec.capacity;
-        room -= self.used;
-        room
+        let mut free = self.spec.capacity;
+        free -= self.used;
+        free
     }
-    /// Whether a direct `run` of this attempt may still be executed.
-    fn may_start_later(&self, task: &TaskId, attempt: Attempt) -> bool {
+    /// Returns whether the worker may still execute a directly sent start of this attempt.
+    fn may_still_start(&self, task: &TaskId, attempt: Attempt) -> bool {
         let key = (task.clone(), attempt);
-        self.doubted_starts.contains(&key)
+        self.in_doubt_starts.contains(&key)
             || self
                 .in_flight_commands
                 .as_ref()
                 .is_some_and(|f| f.starts.contains(&key))
     }
 
-    /// As of when cancellations were known to whoever sent starts that may still be carried out
-    /// under the present token. Guards against leases that are renewed for as long as such a start
-    /// is on its way: its job may be cancelled meanwhile, and it would begin however much later.
-    /// `None`: nothing is under way, or an answer raises the token above it.
+    /// Returns the time up to which job cancellations were known when the outstanding direct starts
+    /// under the current token were sent; the earliest such time if there are several.
+    ///
+    /// A caller renews the lease only for a bounded time after it. If leases were renewed for as long
+    /// as such a start is in transit, its job could be cancelled in the meantime and the task still
+    /// start, however much later.
+    ///
+    /// `None`: no start is outstanding, or the token was raised since, so that the next heartbeat
+    /// response invalidates the start.
     pub fn in_flight_known_as_of(&self) -> Option<Micros> {
-        let flight = self
+        let in_flight = self
             .in_flight_commands
             .as_ref()
             .filter(|f| !f.starts.is_empty());
-        let under = [flight.map(|f| f.basis), self.doubt_basis];
-        let present = under
+        let bases = [in_flight.map(|f| f.basis), self.in_doubt_basis];
+        let current = bases
             .into_iter()
             .flatten()
-            .filter(|u| u.token >= self.token);
-        present.map(|u| u.known).min()
+            .filter(|basis| basis.token >= self.token);
+        current.map(|basis| basis.known_as_of).min()
     }
 
-    /// All outstanding commands. Level-triggered: repeated until the heartbeats show the effect.
-    /// `durable` says whether a finished task's result is safe.
-    pub fn commands(&self, durable: impl Fn(&TaskId, ExitCause) -> bool) -> Vec<Command> {
-        let mut out = Vec::new();
+    /// Returns the outstanding commands for the worker, limited to the size of one message.
+    ///
+    /// Commands are level-triggered: they are repeated until the heartbeats show their effect.
+    /// `is_durable` returns whether the result of an exited task is stored, so that the worker may
+    /// forget the task.
+    pub fn commands(&self, is_durable: impl Fn(&TaskId, ExitCause) -> bool) -> Vec<Command> {
+        let mut commands = Vec::new();
         for (task, attempt) in &self.stale {
-            // Guards against `clear` before a late `run` of the same attempt: the worker
-            // would have forgotten it and start it once more.
-            if !self.may_start_later(task, *attempt) {
-                out.push(Command::Clear(task.clone(), *attempt));
+            // A clear that precedes a late start of the same attempt would make the worker forget
+            // the task and then run it a second time.
+            if !self.may_still_start(task, *attempt) {
+                commands.push(Command::Clear(task.clone(), *attempt));
             }
         }
         for (task, t) in &self.tasks {
             match (t.state, t.stopping) {
                 (TaskState::Exited(cause), _)
-                    if !self.may_start_later(task, t.attempt) && durable(task, cause) =>
+                    if !self.may_still_start(task, t.attempt) && is_durable(task, cause) =>
                 {
-                    out.push(Command::Clear(task.clone(), t.attempt));
+                    commands.push(Command::Clear(task.clone(), t.attempt));
                 }
                 (TaskState::Exited(_), _) => {}
-                (_, Some((grace, _))) => out.push(Command::Stop(task.clone(), t.attempt, grace)),
-                (TaskState::Ordered, None) => out.push(Command::Start(task.clone(), t.attempt)),
+                (_, Some((grace, _))) => {
+                    commands.push(Command::Stop(task.clone(), t.attempt, grace))
+                }
+                (TaskState::Ordered, None) => {
+                    commands.push(Command::Start(task.clone(), t.attempt))
+                }
                 _ => {}
             }
         }
-        out.truncate(ORDERS_MAX);
-        out
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
+        commands
     }
 
-    /// The one function that changes a host's state.
+    /// Applies an event to the host and returns the resulting changes. The only function that changes
+    /// the state of tasks, commands and fencing.
     pub fn apply(&mut self, input: HostInput<'_>, now: Micros) -> Vec<HostOutput> {
         let mut outputs = Vec::new();
         match input {
@@ -430,7 +473,9 @@
             }
             HostInput::Answered(commands) => self.on_answered(commands, now),
             HostInput::LeaseDelegated(until) => self.last_answer = self.last_answer.max(until),
-            HostInput::DirectSent(commands, known) => self.on_direct_sent(commands, known),
+            HostInput::DirectSent(commands, known_as_of) => {
+                self.on_direct_sent(commands, known_as_of)
+            }
             HostInput::DirectSettled => self.in_flight_commands = None,
             HostInput::DirectUnanswered => self.on_direct_unanswered(),
             HostInput::TokenRaised(token) => self.on_token_raised(token),
@@ -444,8 +489,8 @@
             }
             HostInput::Stop(task, grace) => self.on_stop(task, grace, now, &mut outputs),
         }
-        self.recount();
-        if self.idle_since.is_none() && self.tasks_holding == 0 {
+        self.update_task_totals();
+        if self.idle_since.is_none() && self.tasks_holding_resources == 0 {
             self.idle_since = Some(now);
         }
         outputs
--- a/crates/jasperhill-scheduler/src/partition/events.rs
+++ b/crates/jasperhill-scheduler/src/partition/events.rs
@@ -1,4 +1,4 @@
-//! What a partition answers and tells.
+//! Results of a partition for its caller: admission decisions and events for the log.
 
 use crate::{
     recovery::Recovered,
@@ -6,37 +6,37 @@
 };
 use jasperhill_wire::{HostId, JobId, Micros, TaskId};
 
-/// The answer of the admission test.
+/// The result of the admission test for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It can be done in time.
+    /// The job can finish by its deadline.
     Admit,
-    /// It, or an admitted job, would miss its deadline.
+    /// The job, or one that was admitted before, would miss its deadline.
     Refuse,
 }
 
-/// Something that operators want to read about.
+/// An event that is logged for operators.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Its lease has expired.
+    /// The lease of this host's worker has expired.
     HostLost(HostId),
-    /// It fails what it starts.
+    /// The host was quarantined because the tasks that it starts fail.
     HostQuarantined(HostId),
-    /// It fails wherever it runs.
+    /// The job backs off because it fails on every host.
     JobBackingOff(JobId),
-    /// A task failed after running for so long.
+    /// A task failed on this host after running for this time.
     Failed(TaskId, HostId, Micros),
-    /// A task is stopped, and why.
+    /// A task is stopped on this host for this reason.
     Stopped(TaskId, HostId, &'static str),
-    /// A worker runs what it should not, and why not; it is stopped.
+    /// A worker runs a task that it should not, for this reason; the task is stopped.
     UnexpectedTask(TaskId, HostId, &'static str),
-    /// Its tasks take so many times as long.
+    /// The host is slow: its tasks take this many times as long as expected.
     HostSlow(HostId, f64),
-    /// A class or team is behind its floor, or no more.
+    /// A job class or team is below its minimum share, and by how much; `None`: it is no longer below.
     Starved(Group, Option<ServedShare>),
-    /// Production is whole again.
+    /// Production jobs have recovered from a loss of replicas.
     ProductionRecovered(Recovered),
-    /// After a takeover: no host can run what is not known any more. After how long, and on
-    /// how many hosts only because their leases lapsed.
+    /// After a failover, no host can run unknown tasks any more: the time that this took, and the number
+    /// of hosts for which it is known only because their leases expired.
     AllHostsConfirmed(Micros, usize),
 }
--- a/crates/jasperhill-scheduler/src/partition/hosts.rs
+++ b/crates/jasperhill-scheduler/src/partition/hosts.rs
@@ -1,12 +1,13 @@
-//! Hosts of a partition: expired leases, announced terminations, stops with grace, spare ones.
+//! Operations on the hosts of a partition: expiry of leases, announced terminations, stops with a grace
+//! period, and the test whether a host may be returned.
 
 use super::{Event, Partition};
 use crate::host::{FencingState, HostInput};
 use jasperhill_wire::{HostId, Micros, TaskId, record::HostAssignment};
 
 impl Partition {
-    /// How many hosts can't get new tasks, by reason: not known yet, lapsed, in doubt, not
-    /// heard, quarantined or under notice, being emptied.
+    /// Returns the number of hosts that can't get new tasks, by reason: worker has not shown the current
+    /// token, lease expired, commands in doubt, silent, quarantined or about to be terminated, draining.
     pub fn unusable(&self, now: Micros) -> [usize; 6] {
         let mut counts = [0; 6];
         for h in self.hosts.values() {
@@ -27,22 +28,23 @@
         counts
     }
 
-    /// Hosts whose leases have surely lapsed, and when the next one could.
+    /// Marks the hosts whose leases have certainly expired and reports them as lost.
     pub fn expire_leases(&mut self, now: Micros) {
-        let lapse = self.config.lease_expiry();
-        let gone: Vec<HostId> = self
+        let lease_expiry = self.config.lease_expiry();
+        let expired: Vec<HostId> = self
             .hosts
             .values()
-            .filter(|h| h.fencing != FencingState::Lapsed && now >= h.last_answer + lapse)
+            .filter(|h| h.fencing != FencingState::Lapsed && now >= h.last_answer + lease_expiry)
             .map(|h| h.id.clone())
             .collect();
-        for id in gone {
+        for id in expired {
             self.apply(&id, HostInput::Gone, now);
             self.events.push(Event::HostLost(id));
         }
     }
 
-    /// Puts a host under notice aside: what can save is stopped while there is time.
+    /// Stops the tasks that can save checkpoints on hosts whose termination is announced, while there is
+    /// time to save.
     pub(crate) fn stop_before_termination(&mut self, now: Micros) {
         let mut stops = Vec::new();
         for host in self.hosts.values().filter(|h| h.terminates_at.is_some()) {
@@ -60,7 +62,8 @@
         }
     }
 
-    /// Stops a task, and its gang with it, with the time to save if it can.
+    /// Stops a task, or all tasks of its job if that is a gang. Jobs that save checkpoints get a grace
+    /// period of their checkpoint time plus one second, others none. `why` is logged.
     pub(crate) fn stop_with_grace(
         &mut self,
         host: &HostId,
@@ -76,17 +79,18 @@
         } else {
             Micros::ZERO
         };
-        let gang = job.is_gang();
+        let is_gang = job.is_gang();
         self.events
             .push(Event::Stopped(task.clone(), host.clone(), why));
-        if gang {
+        if is_gang {
             self.stop_all(&task.job, grace, now);
         } else {
             self.stop(host, task, grace, now);
         }
     }
 
-    /// The host may be given up: empty, settled and long enough idle.
+    /// Returns whether the host may be returned: it belongs to the partition, its worker has shown the
+    /// current token, no task runs or is reserved there, and it has been idle for at least `keep`.
     pub fn is_spare(&self, id: &HostId, now: Micros, keep: Micros) -> bool {
         self.hosts.get(id).is_some_and(|h| {
             matches!(h.assignment, HostAssignment::Partition(_))
--- a/crates/jasperhill-scheduler/src/partition/mod.rs
+++ b/crates/jasperhill-scheduler/src/partition/mod.rs
@@ -1,5 +1,8 @@
-//! A partition: the teams, jobs and hosts that one controller decides about. Owns the host
-//! and job machines and keeps them consistent with each other.
+//! A partition: the teams, jobs and hosts that one controller schedules.
+//!
+//! [`Partition`] owns the state machines of hosts ([`Host`]) and jobs ([`Job`]) and keeps them
+//! consistent: every change of a host goes through [`Partition::apply`], which applies the resulting
+//! changes of tasks to their jobs.
 
 mod events;
 mod hosts;
@@ -31,67 +34,72 @@
     rc::Rc,
 };
 
-/// The kinds of hosts (type, zone, spot) that may run what a predecessor started.
+/// The kinds of hosts (machine type, zone, whether spot) that may run unknown tasks of a previous owner of
+/// the partition.
 #[derive(Clone, Debug, Default)]
 pub struct UnconfirmedTasks(Vec<(Name, Name, bool)>);
 
 impl UnconfirmedTasks {
-    fn may_hold(&self, request: &JobRequest) -> bool {
+    /// Returns whether an unknown task of this job may run on one of the hosts.
+    fn may_include(&self, request: &JobRequest) -> bool {
         self.0
             .iter()
-            .any(|(kind, zone, spot)| request.allows_host(kind, zone, *spot))
+            .any(|(machine_type, zone, spot)| request.allows_host(machine_type, zone, *spot))
     }
 }
 
-/// The teams, jobs and hosts of one partition, as its owner sees them.
+/// The state of one partition at the controller that owns it: its teams, jobs and hosts.
 pub struct Partition {
-    /// Its number.
+    /// Number of the partition.
     pub id: u32,
-    /// Revision at which the present ownership began.
+    /// Revision of the state store at which the current ownership began.
     pub since: Revision,
-    /// The settings.
+    /// Scheduler settings.
     pub config: Rc<SchedulerConfig>,
-    /// The machine types.
+    /// Machine types by name.
     pub specs: Rc<Specs>,
-    /// Unfinished jobs, and ended ones whose tasks are not gone yet.
+    /// Unfinished jobs, and ended jobs of which tasks may still run.
     pub jobs: BTreeMap<JobId, Job>,
     /// The hosts whose records name this partition.
     pub hosts: BTreeMap<HostId, Host>,
+    /// Resources of live tasks by team.
     pub(crate) used_by_team: BTreeMap<Name, Resources>,
-    /// Run time over estimate by class, smoothed.
+    /// Smoothed ratio of actual to estimated run times by job class.
     pub(crate) run_time_ratios: BTreeMap<Name, f64>,
-    attempts: u64,
-    /// Hosts with new commands to be sent directly.
+    /// Number of attempts that this owner has issued; see [`Partition::next_attempt`].
+    issued_attempts: u64,
+    /// Hosts with new commands that are to be sent by direct requests.
     pub dirty: BTreeSet<HostId>,
-    /// Jobs with results to be written.
+    /// Jobs with results or failure counts that are not in the state store yet.
     pub unsaved: BTreeSet<JobId>,
-    /// What operators want to read about; emptied by the caller.
+    /// Events to be logged; the caller removes them.
     pub events: Vec<Event>,
-    /// Something changed that a cycle could make use of.
+    /// Whether something changed since the last scheduling cycle that may let it start tasks.
     pub changed: bool,
-    /// Jobs that the last cycle went through.
+    /// Number of jobs that the last scheduling cycle considered.
     pub backlog: usize,
-    /// Since when hosts may run what is not known, until none does.
+    /// Since when hosts may run unknown tasks of a previous owner; `None` if no host may.
     unconfirmed_since: Option<Micros>,
-    /// What production has lost, and the room kept for what it may be losing.
+    /// Whether production jobs have lost replicas that are not replaced yet.
     pub recovery: Recovery,
-    /// Replicas that may be lost.
+    /// Capacity reserved for production replicas that may be lost.
     pub(crate) replica_recovery: ReplicaRecovery,
-    /// When tasks overrun.
+    /// Times at which running tasks will have exceeded their expected run time by too much.
     pub(crate) overrun_watch: OverrunWatch,
-    /// How many replicas may be moved.
+    /// Limits how many replicas may be moved.
     pub(crate) move_budget: MoveBudget,
-    /// Who falls behind.
+    /// Shares of jobs begun by class and team, and the jobs that go first because a share is too small.
     pub starvation: StarvationGuard,
-    /// When limits are reserved for gangs, by team.
+    /// Time windows in which a team's limit is reserved for gangs, by team.
     pub(crate) reservation_windows: BTreeMap<Name, ReservationWindow>,
 }
 
-/// Attempts are unique by construction: the ownership's revision, then a counter.
-const ATTEMPT_BITS: u32 = 22;
+/// Number of low bits of an attempt that hold the owner's counter. The bits above hold the revision of
+/// the ownership, which makes attempts unique.
+const ATTEMPT_COUNTER_BITS: u32 = 22;
 
 impl Partition {
-    /// One that was just taken over, at this revision of its ownership.
+    /// Creates the empty state of a partition whose ownership began at revision `since`.
     pub fn new(id: u32, since: Revision, config: Rc<SchedulerConfig>, specs: Rc<Specs>) -> Self {
         Self {
             id,
@@ -102,7 +110,7 @@
             hosts: BTreeMap::new(),
             used_by_team: BTreeMap::new(),
             run_time_ratios: BTreeMap::new(),
-            attempts: 0,
+            issued_attempts: 0,
             dirty: BTreeSet::new(),
             unsaved: BTreeSet::new(),
             events: Vec::new(),
@@ -118,9 +126,10 @@
         }
     }
 
-    /// Notes when the last host has become known.
+    /// Removes ended jobs, and records when hosts begin to possibly run unknown tasks of a previous owner
+    /// and when the last of them is confirmed.
     pub(crate) fn note_confirmed(&mut self, now: Micros) {
-        self.remove_ended();
+        self.remove_ended_jobs();
         match (self.has_unconfirmed_tasks(), self.unconfirmed_since) {
             (true, None) => {
                 self.unconfirmed_since = Some(now);
@@ -128,36 +137,37 @@
             }
             (false, Some(since)) => {
                 self.unconfirmed_since = None;
-                let lapsed = |h: &&Host| h.fencing == crate::host::FencingState::Lapsed;
-                let lapsed = self.hosts.values().filter(lapsed).count();
+                let is_expired = |h: &&Host| h.fencing == crate::host::FencingState::Lapsed;
+                let expired_hosts = self.hosts.values().filter(is_expired).count();
                 self.events
-                    .push(Event::AllHostsConfirmed(now - since, lapsed));
+                    .push(Event::AllHostsConfirmed(now - since, expired_hosts));
             }
             _ => {}
         }
     }
 
-    /// Grows across takeovers, because revisions do; also for tasks nobody has reported yet.
+    /// Returns a new attempt, greater than all earlier ones. The order holds across failovers, also for
+    /// attempts that no worker has reported yet, because the revision of the ownership grows.
     pub(crate) fn next_attempt(&mut self) -> Attempt {
-        self.attempts += 1;
-        debug_assert!(self.attempts < 1 << ATTEMPT_BITS);
-        Attempt((self.since.0 << ATTEMPT_BITS) + self.attempts)
+        self.issued_attempts += 1;
+        debug_assert!(self.issued_attempts < 1 << ATTEMPT_COUNTER_BITS);
+        Attempt((self.since.0 << ATTEMPT_COUNTER_BITS) + self.issued_attempts)
     }
 
-    /// Some host may run what a predecessor started.
+    /// Returns whether any host may run unknown tasks of a previous owner.
     pub fn has_unconfirmed_tasks(&self) -> bool {
         self.hosts.values().any(Host::has_unconfirmed_tasks)
     }
 
-    /// The hosts that may run what a predecessor started.
+    /// Returns the kinds of hosts that may run unknown tasks of a previous owner.
     pub(crate) fn unconfirmed_tasks(&self) -> UnconfirmedTasks {
         let mut unconfirmed = UnconfirmedTasks::default();
         for h in self.hosts.values().filter(|h| h.has_unconfirmed_tasks()) {
-            let known = unconfirmed
+            let is_listed = unconfirmed
                 .0
                 .iter()
-                .any(|(k, z, s)| k == &h.spec.machine_type && z == &h.zone && *s == h.spot);
-            if !known {
+                .any(|(t, z, s)| t == &h.spec.machine_type && z == &h.zone && *s == h.spot);
+            if !is_listed {
                 unconfirmed
                     .0
                     .push((h.spec.machine_type.clone(), h.zone.clone(), h.spot));
@@ -166,50 +176,51 @@
         unconfirmed
     }
 
-    /// A task of this job may be running unseen: it is older than the takeover, and some
-    /// host that is not known yet is one that it could be on. A spot machine that was taken
-    /// silently does not hold up work that never runs on such.
+    /// Returns whether unknown tasks of this job may be running: the job is older than the current
+    /// ownership, and one of the unconfirmed hosts is of a kind that the job may run on. A spot machine
+    /// that was reclaimed without notice therefore does not delay jobs that never run on spot machines.
     ///
-    /// Nor does it hold up a job that still waits for others: nobody has started that.
+    /// Always false for a job that waits for its dependencies, because no owner has started it.
     pub(crate) fn may_run_unconfirmed(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
         job.readiness == Readiness::Open
             && job.created <= self.since
-            && unconfirmed.may_hold(&job.request)
+            && unconfirmed.may_include(&job.request)
     }
 
-    /// How a job stands in its pipeline.
-    pub fn set_dependency_status(&mut self, id: &JobId, place: DependencyStatus) {
+    /// Updates the dependency status of a job; does nothing if the job is not known.
+    pub fn set_dependency_status(&mut self, id: &JobId, status: DependencyStatus) {
         if let Some(job) = self.jobs.get_mut(id) {
-            self.changed |= job.set_dependency_status(place);
+            self.changed |= job.set_dependency_status(status);
         }
     }
 
-    /// A job's record is seen; nothing happens if the job is known.
+    /// Adds the job of a record; does nothing if the job is known. `finished` is decoded by
+    /// [`TaskSet::from_runs`](crate::task_set::TaskSet::from_runs).
     pub fn upsert_job(
         &mut self,
         request: &Rc<JobRequest>,
         created: Revision,
         submitted: Micros,
         finished: &[u32],
-        // As its record says: tries that failed everywhere, and the time now.
-        (failing, now): (u32, Micros),
+        // The number of failed attempts in the job's record, and the current time.
+        (failed_attempts, now): (u32, Micros),
     ) {
         if !self.jobs.contains_key(&request.id) {
             let mut job = Job::new(request.clone(), created, submitted, finished);
-            job.failures = FailureHistory::from_record(failing, now);
-            job.failed_attempts_saved = failing;
+            job.failures = FailureHistory::from_record(failed_attempts, now);
+            job.failed_attempts_saved = failed_attempts;
             self.jobs.insert(request.id.clone(), job);
             self.changed = true;
         }
     }
 
-    /// The job's record has become final: whatever is left of it is stopped.
-    pub fn end_job(&mut self, id: &JobId, ending: Termination, now: Micros) {
+    /// Ends a job whose record has become final: releases its reservations and stops its live tasks.
+    pub fn end_job(&mut self, id: &JobId, termination: Termination, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if job.termination.is_none() {
-            job.termination = Some(ending);
+            job.termination = Some(termination);
             let reserved: Vec<u32> = job.reserved.keys().copied().collect();
             for i in reserved {
                 self.release_reservation(id, i);
@@ -217,22 +228,23 @@
             self.stop_all(id, Micros::ZERO, now);
         }
         self.unsaved.remove(id);
-        self.remove_if_gone(id);
+        self.remove_job_if_ended(id);
         self.changed = true;
     }
 
-    /// A job that was cancelled under an earlier owner, of which tasks may run on hosts that are not
-    /// known yet. Guards against a limit that is given out again while they do.
-    pub fn restore_cancelled(&mut self, id: &JobId, remains: &ResidualUsage, now: Micros) {
+    /// Adds a job that was cancelled under a previous owner and whose tasks may still run on unconfirmed
+    /// hosts. Their resources count as used, so that the team's limit is not used a second time while
+    /// they run.
+    pub fn restore_cancelled(&mut self, id: &JobId, residual: &ResidualUsage, now: Micros) {
         let request = JobRequest {
             id: id.clone(),
             class: "".into(),
-            team: remains.team.clone(),
-            // Its parts are stopped one by one.
+            team: residual.team.clone(),
+            // An array, because its tasks are stopped one by one.
             shape: Shape::Array,
             priority: Priority::Low,
-            tasks: remains.tasks,
-            each: remains.each,
+            tasks: residual.tasks,
+            each: residual.each,
             image: "".into(),
             image_gb: 0.0,
             types: None,
@@ -251,42 +263,45 @@
         self.jobs.entry(id.clone()).or_insert(job);
     }
 
-    /// Forgets an ended job once nothing of it is left, nor can be unseen.
-    fn remove_if_gone(&mut self, id: &JobId) {
+    /// Removes a job if it has ended, none of its tasks is live and none can run unknown.
+    fn remove_job_if_ended(&mut self, id: &JobId) {
         if self.jobs.get(id).is_some_and(|j| j.termination.is_some()) {
             let unconfirmed = self.unconfirmed_tasks();
             if self
                 .jobs
                 .get(id)
-                .is_some_and(|j| self.is_gone(j, &unconfirmed))
+                .is_some_and(|j| self.is_fully_ended(j, &unconfirmed))
             {
                 self.jobs.remove(id);
             }
         }
     }
 
-    fn is_gone(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
-        let unseen = match job.termination {
+    /// Returns whether a job has ended, none of its tasks is live and, for a cancelled job, none can run
+    /// unknown.
+    fn is_fully_ended(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
+        let may_run_unknown = match job.termination {
             None => return false,
             Some(Termination::Done) => false,
             Some(Termination::Cancelled) => self.may_run_unconfirmed(job, unconfirmed),
         };
-        job.live.is_empty() && !unseen
+        job.live.is_empty() && !may_run_unknown
     }
 
-    /// The same for all of them.
-    pub(crate) fn remove_ended(&mut self) {
+    /// Removes all jobs that have ended, of which no task is live or can run unknown.
+    pub(crate) fn remove_ended_jobs(&mut self) {
         let unconfirmed = self.unconfirmed_tasks();
-        let gone = self
+        let ended = self
             .jobs
             .iter()
-            .filter(|(_, j)| self.is_gone(j, &unconfirmed));
-        for id in gone.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
+            .filter(|(_, j)| self.is_fully_ended(j, &unconfirmed));
+        for id in ended.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             self.jobs.remove(&id);
         }
     }
 
-    /// A host's record is seen. `at_takeover`: a predecessor may have started tasks there.
+    /// Adds or updates the host of a record; ignores a record of an unknown machine type. `at_takeover`:
+    /// whether a previous owner of the partition may have started tasks there.
     pub fn upsert_host(
         &mut self,
         id: &HostId,
@@ -295,7 +310,7 @@
         at_takeover: bool,
         now: Micros,
     ) {
-        // The greater of the revisions at which the owner and the host's record were written.
+        // The greater of the revisions at which the ownership and the host's record were written.
         let token = FencingToken(version.0.max(self.since.0));
         let Some(spec) = self.specs.get(&record.machine_type) else {
             return;
@@ -314,7 +329,8 @@
         self.changed = true;
     }
 
-    /// The record is gone or in another partition: the machine is gone, or was empty.
+    /// Removes a host whose record was deleted or assigned to another partition, which means that the
+    /// machine is gone or was empty.
     pub fn remove_host(&mut self, id: &HostId, now: Micros) {
         self.apply(id, HostInput::Gone, now);
         if let Some(host) = self.hosts.remove(id) {
@@ -326,23 +342,28 @@
         self.changed = true;
     }
 
-    /// A worker's heartbeat, or its answer to a direct request.
-    pub fn on_heartbeat(&mut self, report: &Heartbeat, source: HeartbeatSource, now: Micros) {
-        let before = self
+    /// Applies the status of a worker from a heartbeat or from the response to a direct request.
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource, now: Micros) {
+        let previous = self
             .hosts
-            .get(&report.host)
+            .get(&heartbeat.host)
             .map(|h| (h.incarnation, h.answered));
-        self.apply(&report.host, HostInput::Heartbeat(report, source), now);
-        // Whoever ends a session has heard nothing for a whole lease.
-        if let Some((Some(tenure), Some(answered))) = before
-            && self.hosts.get(&report.host).and_then(|h| h.incarnation) > Some(tenure)
+        self.apply(
+            &heartbeat.host,
+            HostInput::Heartbeat(heartbeat, source),
+            now,
+        );
+        // A worker begins a new incarnation only after a whole lease without a response. One that does
+        // so within half a lease of an answered heartbeat does not receive the responses.
+        if let Some((Some(incarnation), Some(answered))) = previous
+            && self.hosts.get(&heartbeat.host).and_then(|h| h.incarnation) > Some(incarnation)
             && now - answered < self.config.lease.scale(0.5)
         {
-            self.apply(&report.host, HostInput::NotReceiving, now);
+            self.apply(&heartbeat.host, HostInput::NotReceiving, now);
         }
     }
 
-    /// Feeds a host and carries its outputs over to the jobs.
+    /// Applies an event to a host and the resulting changes of tasks to their jobs.
     pub fn apply(&mut self, id: &HostId, input: HostInput<'_>, now: Micros) {
         let Some(host) = self.hosts.get_mut(id) else {
             return;
@@ -366,7 +387,7 @@
         }
     }
 
-    /// The estimate, corrected by what was observed of the class.
+    /// Returns the job's estimated run time, corrected by the run time ratio observed for its class.
     pub fn estimate(&self, request: &JobRequest) -> Micros {
         request.estimate.scale(
             self.run_time_ratios
@@ -376,42 +397,42 @@
         )
     }
 
-    /// Changes a task's step and its team's use with it.
+    /// Changes the step of a task and updates the resources that its team uses.
     pub(crate) fn set_step(&mut self, task: &TaskId, to: TaskStep) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let was = job.live.contains_key(&task.index);
+        let was_live = job.live.contains_key(&task.index);
         job.set(task.index, to);
-        let is = job.live.contains_key(&task.index);
+        let is_live = job.live.contains_key(&task.index);
         let (team, each) = (job.request.team.clone(), job.request.each);
         let used = self.used_by_team.entry(team).or_default();
-        if is && !was {
+        if is_live && !was_live {
             *used += each;
-        } else if was && !is {
+        } else if was_live && !is_live {
             *used -= each;
         }
     }
 
-    /// Task `i` of the job has no reservation any more.
+    /// Releases the reservation of task `i` of a job, if it has one; the task becomes pending.
     pub(crate) fn release_reservation(&mut self, id: &JobId, i: u32) {
         let Some(host) = self.jobs.get(id).and_then(|j| j.reserved.get(&i)).cloned() else {
             return;
         };
         if let Some(host) = self.hosts.get_mut(&host) {
             host.queue
-                .retain(|b| b.task.index != i || &b.task.job != id);
+                .retain(|r| r.task.index != i || &r.task.job != id);
         }
         self.set_step(&TaskId::new(id, i), TaskStep::Pending);
     }
 
-    /// Stops a task, with this time to save a checkpoint.
+    /// Stops a task, which has the time `grace` to save a checkpoint.
     pub fn stop(&mut self, host: &HostId, task: &TaskId, grace: Micros, now: Micros) {
         self.apply(host, HostInput::Stop(task, grace), now);
         self.dirty.insert(host.clone());
     }
 
-    /// Stops all live tasks of a job.
+    /// Stops all live tasks of a job, each of which has the time `grace` to save a checkpoint.
     pub fn stop_all(&mut self, id: &JobId, grace: Micros, now: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         let live: Vec<(u32, HostId)> = job.live.iter().map(|(i, h)| (*i, h.clone())).collect();
@@ -420,7 +441,8 @@
         }
     }
 
-    /// What the team uses, or may be using unseen.
+    /// Returns the resources that the team's live tasks use, plus those that unknown tasks of its jobs may
+    /// use.
     pub fn team_use(&self, team: &Name) -> Resources {
         let mut used = self.used_by_team.get(team).copied().unwrap_or_default();
         let unconfirmed = self.unconfirmed_tasks();
@@ -432,10 +454,11 @@
         used
     }
 
-    /// The results of these tasks are in the record.
-    pub fn saved(&mut self, id: &JobId, tasks: &BTreeSet<u32>, failing: u32) {
+    /// Records that the results of these tasks and the number of failed attempts are stored in the job's
+    /// record.
+    pub fn saved(&mut self, id: &JobId, tasks: &BTreeSet<u32>, failed_attempts: u32) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.failed_attempts_saved = failing;
+            job.failed_attempts_saved = failed_attempts;
             for i in tasks {
                 if job.done.contains(*i) {
                     job.unsaved.remove(i);
@@ -444,13 +467,13 @@
         }
     }
 
-    /// Outstanding commands for a host.
+    /// Returns the outstanding commands for a host; none if the host is not known.
     pub fn commands(&self, id: &HostId) -> Vec<Command> {
         let Some(host) = self.hosts.get(id) else {
             return Vec::new();
         };
         host.commands(|task, cause| match self.jobs.get(&task.job) {
-            // A result is forgotten by the worker only once the record has it.
+            // The worker may forget a result only once it is stored in the job's record.
             Some(job) if cause == ExitCause::Done => {
                 job.done.contains(task.index) && !job.unsaved.contains(&task.index)
             }
--- a/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
+++ b/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
@@ -1,4 +1,5 @@
-//! What follows for jobs from what became of tasks on hosts: found, completed, failed, lost.
+//! Updates of jobs after changes of their tasks on hosts: tasks that were found, completed, failed or
+//! lost.
 
 use super::{Event, Partition};
 use crate::{
@@ -9,30 +10,31 @@
 use jasperhill_wire::{Attempt, HostId, JobId, Micros, TaskId, user::Shape, worker::ExitCause};
 use std::collections::BTreeSet;
 
-/// A job whose start a worker refused is not tried again before this.
-const REFUSED_PAUSE: Micros = Micros::from_secs(1);
+/// Delay before a job is tried again after a worker refused to start one of its tasks.
+const START_REFUSED_BACKOFF: Micros = Micros::from_secs(1);
 
-/// What to make of a task that was found on a host.
-enum Expectation {
-    /// It may go on.
-    Adopted,
-    /// Its job is cancelled: it is stopped, and counts until it is gone.
-    Cancelled,
-    /// Nobody wants it: it is stopped.
-    Unexpected,
+/// The action to take for a task that was found on a host.
+enum FoundTaskAction {
+    /// The task continues as part of its job.
+    Adopt,
+    /// The task's job is cancelled: the task is stopped, and counts as used until it has ended.
+    StopCancelled,
+    /// The task should not run there: it is stopped.
+    StopUnexpected,
 }
 
 impl Partition {
-    /// A task runs, or has exited, on a host without this partition having known.
+    /// Handles a task that a worker lists and that was not known to be on its host. Exited tasks are
+    /// ignored.
     pub(super) fn task_found(&mut self, id: &HostId, task: &TaskId, attempt: Attempt, now: Micros) {
         let listed = self.hosts.get(id).and_then(|host| host.tasks.get(task));
         if !listed.is_some_and(HostTask::holds_resources) {
             return;
         }
-        match self.expectation_of(task, attempt) {
-            Expectation::Adopted => self.adopt_task(id, task, attempt),
-            Expectation::Cancelled => self.stop_cancelled_task(id, task, now),
-            Expectation::Unexpected => {
+        match self.found_task_action(task, attempt) {
+            FoundTaskAction::Adopt => self.adopt_task(id, task, attempt),
+            FoundTaskAction::StopCancelled => self.stop_cancelled_task(id, task, now),
+            FoundTaskAction::StopUnexpected => {
                 let why = "not expected there";
                 let event = Event::UnexpectedTask(task.clone(), id.clone(), why);
                 self.events.push(event);
@@ -41,10 +43,10 @@
         }
     }
 
-    /// What to make of a task that was found on a host.
-    fn expectation_of(&self, task: &TaskId, attempt: Attempt) -> Expectation {
+    /// Returns the action to take for a task that was found on a host.
+    fn found_task_action(&self, task: &TaskId, attempt: Attempt) -> FoundTaskAction {
         let Some(job) = self.jobs.get(&task.job) else {
-            return Expectation::Unexpected;
+            return FoundTaskAction::StopUnexpected;
         };
         let is_free = matches!(
             job.step(task.index),
@@ -57,15 +59,16 @@
                 && job.readiness == Readiness::Open
                 && job.attempt.is_none_or(|gang| gang == attempt) =>
             {
-                Expectation::Adopted
+                FoundTaskAction::Adopt
             }
-            Some(Termination::Cancelled) if is_free && exists => Expectation::Cancelled,
-            // Finished, cancelled, or of an attempt that is not the gang's.
-            _ => Expectation::Unexpected,
+            Some(Termination::Cancelled) if is_free && exists => FoundTaskAction::StopCancelled,
+            // The task or its job has ended, the task runs elsewhere, the job may not start yet, or the
+            // attempt is not that of the gang.
+            _ => FoundTaskAction::StopUnexpected,
         }
     }
 
-    /// The task goes on where it was found.
+    /// Lets a task continue on the host where it was found, as part of its job.
     fn adopt_task(&mut self, id: &HostId, task: &TaskId, attempt: Attempt) {
         self.release_reservation(&task.job, task.index);
         self.set_step(task, TaskStep::Live(id.clone()));
@@ -80,24 +83,25 @@
         };
         let (image, gb) = (&job.request.image, job.request.image_gb);
         host.touch_image(image, gb);
-        host.describe(task, job.request.each, (image.clone(), gb));
+        host.set_requirements(task, job.request.each, (image.clone(), gb));
         let listed = host.tasks.get(task);
         if listed.is_some_and(|listed| listed.state == TaskState::Running) {
             job.mark_running(task.index);
         }
     }
 
-    /// A task of a cancelled job counts until it is gone.
+    /// Stops a task of a cancelled job. Its resources count as used by the team until it has ended.
     fn stop_cancelled_task(&mut self, id: &HostId, task: &TaskId, now: Micros) {
         self.set_step(task, TaskStep::Live(id.clone()));
         if let (Some(job), Some(host)) = (self.jobs.get(&task.job), self.hosts.get_mut(id)) {
             let image = (job.request.image.clone(), job.request.image_gb);
-            host.describe(task, job.request.each, image);
+            host.set_requirements(task, job.request.each, image);
         }
         self.stop(id, task, Micros::ZERO, now);
     }
 
-    /// A task is not on its host any more. `cause`: as the worker says; `None`: lost.
+    /// Handles a task that no longer runs on its host. `cause` is the worker's exit status; `None` if the
+    /// task was lost.
     pub(super) fn task_ended(
         &mut self,
         id: &HostId,
@@ -109,14 +113,14 @@
             return;
         };
         if cause == Some(ExitCause::Done) && job.request.shape != Shape::Service {
-            // A kept result counts wherever it turns up.
+            // The result of a completed task counts, whichever host reports it.
             self.task_completed(id, task, now);
         } else if job.live.get(&task.index) == Some(id) {
             self.task_interrupted(id, task, cause, now);
         }
     }
 
-    /// A task has completed; a gang completes as one.
+    /// Handles a completed task. A gang completes as a whole, with all its tasks.
     fn task_completed(&mut self, id: &HostId, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -126,35 +130,36 @@
         } else {
             task.index..task.index + 1
         };
-        self.learn_run_time(id, task, now);
+        self.record_run_time(id, task, now);
         for index in completed {
-            self.mark_completed(id, &TaskId::new(&task.job, index));
+            self.mark_task_completed(id, &TaskId::new(&task.job, index));
         }
-        self.finish_gang(&task.job);
+        self.finish_attempt(&task.job);
         self.unsaved.insert(task.job.clone());
         if let Some(host) = self.hosts.get_mut(id) {
             host.recent_failures.clear();
             let started = host.tasks.get(task).map(|listed| listed.ordered);
             host.last_success_started = host.last_success_started.max(started);
         }
-        self.reconsider_job(&task.job, failures::Input::Succeeded, now);
-        self.remove_if_gone(&task.job);
+        self.apply_job_evidence(&task.job, failures::Input::Succeeded, now);
+        self.remove_job_if_ended(&task.job);
     }
 
-    /// One task of what has completed on host `id`; it may be elsewhere itself.
-    fn mark_completed(&mut self, id: &HostId, task: &TaskId) {
+    /// Marks a task as completed because of a result reported by host `id`. The task itself may be live on
+    /// another host.
+    fn mark_task_completed(&mut self, id: &HostId, task: &TaskId) {
         self.release_reservation(&task.job, task.index);
         let job = self.jobs.get(&task.job);
-        let live = job.and_then(|job| job.live.get(&task.index)).cloned();
-        // Guards against a task that is dropped from the account while it is still there, and then
-        // neither counted nor stopped: its machine may be this one.
-        let is_still_there = |host: &HostId| {
+        let live_host = job.and_then(|job| job.live.get(&task.index)).cloned();
+        // A task that still holds resources must remain live, also when its host is `id`; otherwise
+        // it would be neither counted nor stopped.
+        let holds_resources_on = |host: &HostId| {
             let listed = self.hosts.get(host).and_then(|h| h.tasks.get(task));
             host != id || listed.is_some_and(HostTask::holds_resources)
         };
-        match live {
-            // Still on its machine until it says otherwise.
-            Some(host) if is_still_there(&host) => {
+        match live_host {
+            // The task remains live until its host reports that it has ended.
+            Some(host) if holds_resources_on(&host) => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.unsaved.insert(task.index);
                 }
@@ -163,7 +168,8 @@
         }
     }
 
-    /// A task ended without a result, or is lost with its host.
+    /// Handles a task that ended without a result or was lost with its host: it becomes pending again, or
+    /// done if its result is known already.
     fn task_interrupted(
         &mut self,
         id: &HostId,
@@ -181,7 +187,7 @@
         match cause.filter(|_| !has_result) {
             Some(ExitCause::Error) => self.task_failed(id, task, now),
             Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
-                job.not_before = now + REFUSED_PAUSE;
+                job.not_before = now + START_REFUSED_BACKOFF;
             }
             _ => {}
         }
@@ -191,13 +197,15 @@
             TaskStep::Pending
         };
         self.set_step(task, step);
-        self.finish_gang(&task.job);
-        self.remove_if_gone(&task.job);
+        self.finish_attempt(&task.job);
+        self.remove_job_if_ended(&task.job);
     }
 
-    /// A task has failed: held against its host, or, once it has failed wherever it was tried,
-    /// against the job. Guards against a few arrays with a mistake that quarantined and return a
-    /// large part of the fleet within seconds.
+    /// Handles a failed task. The failure counts against the host or, once the job has failed on every
+    /// host that tried it, against the job.
+    ///
+    /// If all failures counted against hosts, a few faulty array jobs would quarantine a large part of
+    /// the fleet within seconds and cause it to be returned.
     fn task_failed(&mut self, id: &HostId, task: &TaskId, now: Micros) {
         let (Some(job), Some(host)) = (self.jobs.get_mut(&task.job), self.hosts.get_mut(id)) else {
             return;
@@ -210,7 +218,7 @@
             .map_or(Micros::ZERO, |started| now - started);
         self.events
             .push(Event::Failed(task.clone(), id.clone(), ran));
-        let (was, level) = (
+        let (was_backing_off, failed_attempts_before) = (
             job.failures.is_backing_off(),
             job.failures.failed_attempts(),
         );
@@ -220,14 +228,14 @@
             ran,
         };
         job.failures.apply(failed, now);
-        if job.failures.failed_attempts() != level {
+        if job.failures.failed_attempts() != failed_attempts_before {
             self.unsaved.insert(task.job.clone());
         }
         if !job.failures.is_backing_off() {
             if host.record_failure(&task.job, now) {
                 self.events.push(Event::HostQuarantined(id.clone()));
             }
-        } else if !was {
+        } else if !was_backing_off {
             let reserved: Vec<u32> = job.reserved.keys().copied().collect();
             job.preempting.clear();
             job.gang_hosts = None;
@@ -241,9 +249,9 @@
         }
     }
 
-    /// Something speaks for a job: it completes a task, or one runs. If that clears it, the
-    /// hosts on which it failed are blamed after all.
-    fn reconsider_job(&mut self, id: &JobId, input: failures::Input<'_>, now: Micros) {
+    /// Applies evidence that a job is not faulty: a task completed, or has been running for some time. If
+    /// the job no longer backs off because of it, its failures count against the hosts where it failed.
+    fn apply_job_evidence(&mut self, id: &JobId, input: failures::Input<'_>, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -251,9 +259,9 @@
             FailureHistory::BackingOff { hosts, .. } => hosts.clone(),
             _ => BTreeSet::new(),
         };
-        let was = job.failures.is_backing_off();
+        let was_backing_off = job.failures.is_backing_off();
         job.failures.apply(input, now);
-        if !was || job.failures.is_backing_off() {
+        if !was_backing_off || job.failures.is_backing_off() {
             return;
         }
         self.unsaved.insert(id.clone());
@@ -262,24 +270,25 @@
             if let Some(h) = self.hosts.get_mut(&host)
                 && !h.has_served_others(id, now)
             {
-                // Failures that nothing excuses, as many as set a host aside.
-                let news = h.record_failure(id, now) | h.record_failure(id, now);
-                if news {
+                // Two failures are recorded, as many as put a host into quarantine.
+                let is_newly_quarantined = h.record_failure(id, now) | h.record_failure(id, now);
+                if is_newly_quarantined {
                     self.events.push(Event::HostQuarantined(host));
                 }
             }
         }
     }
 
-    /// A try that outlives those that failed clears a suspect job.
+    /// Checks for jobs that back off whether a task has run longer than the failed ones did, which ends
+    /// the backoff.
     pub(crate) fn clear_outlived_failures(&mut self, now: Micros) {
-        let mut outlived = Vec::new();
+        let mut longest_runs = Vec::new();
         for (id, job) in self
             .jobs
             .iter()
             .filter(|(_, j)| j.failures.is_backing_off())
         {
-            let runs = job
+            let longest_run = job
                 .running
                 .iter()
                 .filter_map(|i| {
@@ -288,31 +297,33 @@
                 })
                 .map(|started| now - started)
                 .max();
-            outlived.extend(runs.map(|time| (id.clone(), time)));
+            longest_runs.extend(longest_run.map(|ran| (id.clone(), ran)));
         }
-        for (id, time) in outlived {
-            self.reconsider_job(&id, failures::Input::RunningFor(time), now);
+        for (id, ran) in longest_runs {
+            self.apply_job_evidence(&id, failures::Input::RunningFor(ran), now);
         }
     }
 
-    /// A gang's attempt is over once nothing of it is left.
-    fn finish_gang(&mut self, id: &JobId) {
+    /// Ends the attempt of a job once none of its tasks is live. In a gang with a result, all tasks with
+    /// unsaved results become done.
+    fn finish_attempt(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id)
             && job.live.is_empty()
         {
             job.attempt = None;
             if job.is_gang() {
-                // Done as one, the unseen parts included.
-                let rest: Vec<u32> = job.unsaved.iter().copied().collect();
-                for i in rest {
+                // A gang completes as a whole, including tasks that were not reported as completed.
+                let unsaved: Vec<u32> = job.unsaved.iter().copied().collect();
+                for i in unsaved {
                     job.set(i, TaskStep::Done);
                 }
             }
         }
     }
 
-    /// Compares a finished task's run time with what was expected.
-    fn learn_run_time(&mut self, id: &HostId, task: &TaskId, now: Micros) {
+    /// Updates the run time ratio of the job's class and the slowness of the host from the run time of a
+    /// completed task. Jobs without an estimate and jobs with preempted or failed tasks are skipped.
+    fn record_run_time(&mut self, id: &HostId, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -326,14 +337,14 @@
         if estimate <= 0.0 || job.preempted > 0 || job.failed {
             return;
         }
-        let seen = ((now - started).as_secs_f64() / estimate).clamp(0.2, 5.0);
-        let ratio = self
+        let observed_ratio = ((now - started).as_secs_f64() / estimate).clamp(0.2, 5.0);
+        let class_ratio = self
             .run_time_ratios
             .entry(job.request.class.clone())
             .or_insert(1.0);
-        *ratio += 0.05 * (seen - *ratio);
-        let times = (seen / ratio.max(0.1)).clamp(0.2, 5.0);
-        host.slowness += 0.2 * (times - host.slowness);
-        self.learn_overrun(id, task, times, now);
+        *class_ratio += 0.05 * (observed_ratio - *class_ratio);
+        let relative_run_time = (observed_ratio / class_ratio.max(0.1)).clamp(0.2, 5.0);
+        host.slowness += 0.2 * (relative_run_time - host.slowness);
+        self.learn_overrun(id, task, relative_run_time, now);
     }
 }
--- a/crates/jasperhill-scheduler/src/partition/waiting.rs
+++ b/crates/jasperhill-scheduler/src/partition/waiting.rs
@@ -1,4 +1,5 @@
-//! Why jobs of a partition wait: looked up for the log, not kept up to date by the cycle.
+//! The reasons for which jobs of a partition wait. They are computed on demand for the log; the
+//! scheduling cycle does not maintain them.
 
 use crate::{
     cycle::context::Cycle,
@@ -8,59 +9,63 @@
 use jasperhill_wire::{JobId, Micros, Name};
 use std::collections::BTreeMap;
 
-/// What a job with nothing running waits for: the first stage of the cycle that turns it away.
+/// The reason for which a job without running tasks waits: the first stage of the scheduling cycle that
+/// rejects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitReason {
-    /// For jobs that it depends on.
+    /// Jobs that the job depends on have not finished.
     Dependencies,
-    /// For hosts that may still run tasks of it from before a takeover.
+    /// Hosts may still run tasks of the job that were started before a failover.
     UnconfirmedTasks,
-    /// For its next attempt after failures.
+    /// The job must not be retried yet after a failure or a refused start.
     Backoff,
-    /// For its team to come below its limit.
+    /// The job would exceed its team's limit, or what is left of the limit is reserved for another job.
     TeamLimit,
-    /// For the hosts that are being cleared for it.
+    /// Tasks are being preempted on hosts to make room for the job.
     Preemption,
-    /// For the last of the hosts that it keeps free as a gang.
+    /// Some of the hosts that are reserved for the job's gang are not free yet.
     ReservedHosts,
-    /// For its turn in the queues of hosts.
+    /// Tasks of the job have reservations in the queues of hosts.
     HostQueue,
-    /// For hosts with room.
+    /// No host has enough free resources.
     Capacity,
 }
 
-/// The waiting jobs of one class for one reason.
+/// A summary of the jobs of one class that wait for one reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingJobs {
-    /// How many there are.
+    /// Number of waiting jobs.
     pub jobs: usize,
-    /// The one that has waited for the longest.
+    /// The job that has waited longest.
     pub oldest: JobId,
-    /// For how long.
+    /// How long `oldest` has waited.
     pub longest: Micros,
-    /// How many tasks it has.
+    /// Number of tasks of `oldest`.
     pub tasks: u32,
 }
 
 impl Partition {
-    /// The jobs that have nothing running, by class and reason.
+    /// Returns a summary of the jobs without running tasks by class and reason.
     pub fn waiting_jobs(&self, now: Micros) -> BTreeMap<(Name, WaitReason), WaitingJobs> {
         let cycle = self.begin_cycle(now);
         let mut waiting: BTreeMap<(Name, WaitReason), WaitingJobs> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| job.is_waiting()) {
             let key = (job.request.class.clone(), self.wait_reason(&cycle, job));
-            let found = WaitingJobs {
+            let summary = WaitingJobs {
                 jobs: 1,
                 oldest: job.request.id.clone(),
                 longest: now - job.waiting_since(),
                 tasks: job.request.tasks,
             };
-            let known = waiting.entry(key);
-            known.and_modify(|known| known.add(&found)).or_insert(found);
+            let entry = waiting.entry(key);
+            entry
+                .and_modify(|total| total.merge(&summary))
+                .or_insert(summary);
         }
         waiting
     }
 
+    /// Returns the reason for which a waiting job does not start.
     fn wait_reason(&self, cycle: &Cycle, job: &Job) -> WaitReason {
         if job.readiness == Readiness::Waiting {
             WaitReason::Dependencies
@@ -83,7 +88,8 @@
 }
 
 impl WaitingJobs {
-    fn add(&mut self, other: &Self) {
+    /// Adds the jobs of `other` and keeps the job that has waited longest.
+    fn merge(&mut self, other: &Self) {
         let jobs = self.jobs + other.jobs;
         if other.longest > self.longest {
             *self = other.clone();
