--- a/crates/jasperhill-scheduler/src/host/commands.rs
+++ b/crates/jasperhill-scheduler/src/host/commands.rs
@@ -1,5 +1,5 @@
-//! Handlers of [`Host::apply`] for commands to a worker: commands sent with heartbeat responses and by
-//! direct requests, unanswered requests, token changes, and orders to start or stop tasks.
+//! Handlers of [`Host::apply`] for commands to a worker: commands sent with heartbeat responses and
+//! by direct requests, unanswered requests, token changes, and orders to start or stop tasks.
 
 use super::{
     CommandBasis, FencingState, Host, HostOutput, HostTask, InFlightCommands, TaskState,
@@ -18,10 +18,10 @@
         self.answered = Some(now);
         for command in commands {
             if let Command::Start(task, attempt) = command
-                && let Some(known) = self.tasks.get_mut(task)
-                && known.attempt == *attempt
+                && let Some(entry) = self.tasks.get_mut(task)
+                && entry.attempt == *attempt
             {
-                known.has_unacknowledged_start = true;
+                entry.has_unacknowledged_start = true;
             }
         }
     }
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Takes over the token of the rewritten host record. If a raised token was needed, the host gets new
-    /// tasks again once its worker shows this token.
+    /// Takes over the token of the rewritten host record. If a raised token was needed, the host
+    /// gets new tasks again once its worker shows this token.
     pub(super) fn on_token_raised(&mut self, token: FencingToken) {
         if token > self.token {
             self.token = token;
@@ -64,16 +64,17 @@
         }
     }
 
-    /// Withholds new tasks from a worker that does not receive the responses to its heartbeats, until it
-    /// shows a raised token, which proves that it has received a response. Otherwise such a machine
-    /// would be given new tasks in each of its incarnations and never learn of them.
+    /// Withholds new tasks from a worker that does not receive the responses to its heartbeats,
+    /// until it shows a raised token, which proves that it has received a response. Otherwise such
+    /// a machine would be given new tasks in each of its incarnations and never learn of them.
     pub(super) fn on_not_receiving(&mut self) {
         if self.token_refresh == TokenRefresh::NotNeeded {
             self.token_refresh = TokenRefresh::Needed;
         }
     }
 
-    /// Orders a task to start with these resources (`each`) and the image with this name and size in GB.
+    /// Orders a task to start with these resources (`each`) and the image with this name and size
+    /// in GB.
     pub(super) fn on_start(
         &mut self,
         task: TaskId,
@@ -86,7 +87,7 @@
         if let Some(previous) = self.tasks.remove(&task) {
             self.stale.insert((task.clone(), previous.attempt));
         }
-        let ordered = HostTask {
+        let entry = HostTask {
             attempt,
             state: TaskState::Ordered,
             each,
@@ -96,11 +97,11 @@
             image: Some(image),
             has_unacknowledged_start: false,
         };
-        self.tasks.insert(task, ordered);
+        self.tasks.insert(task, entry);
     }
 
-    /// Orders a task to stop within `grace`, or within the shorter grace period if it is stopping already.
-    /// A task whose start was never sent is removed at once.
+    /// Orders a task to stop within `grace`, or within the shorter grace period if it is stopping
+    /// already. A task whose start was never sent is removed at once.
     pub(super) fn on_stop(
         &mut self,
         task: &TaskId,
@@ -108,21 +109,21 @@
         now: Micros,
         outputs: &mut Vec<HostOutput>,
     ) {
-        let never_sent = self.tasks.get(task).is_some_and(|known| {
-            known.state == TaskState::Ordered
-                && !known.has_unacknowledged_start
-                && !self.may_still_start(task, known.attempt)
+        let was_never_sent = self.tasks.get(task).is_some_and(|entry| {
+            entry.state == TaskState::Ordered
+                && !entry.has_unacknowledged_start
+                && !self.may_still_start(task, entry.attempt)
         });
-        if never_sent {
+        if was_never_sent {
             self.tasks.remove(task);
             let cause = ExitCause::Stopped { saved: false };
             outputs.push(HostOutput::Ended(task.clone(), Some(cause)));
             return;
         }
-        if let Some(known) = self.tasks.get_mut(task) {
-            match known.stopping {
-                None => known.stopping = Some((grace, now)),
-                Some((current, since)) if grace < current => known.stopping = Some((grace, since)),
+        if let Some(entry) = self.tasks.get_mut(task) {
+            match entry.stopping {
+                None => entry.stopping = Some((grace, now)),
+                Some((current, since)) if grace < current => entry.stopping = Some((grace, since)),
                 Some(_) => {}
             }
         }
--- a/crates/jasperhill-scheduler/src/host/heartbeat.rs
+++ b/crates/jasperhill-scheduler/src/host/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Handlers of [`Host::apply`] for a worker's status, which arrives in heartbeats and in responses to
-//! direct requests.
+//! Handlers of [`Host::apply`] for a worker's status, which arrives in heartbeats and in responses
+//! to direct requests.
 
 use super::{FencingState, HeartbeatSource, Host, HostOutput, HostTask, TaskState, TokenRefresh};
 use jasperhill_wire::{
@@ -9,11 +9,12 @@
 use std::collections::BTreeSet;
 
 impl Host {
-    /// Drops all tasks because the worker began a new incarnation, which leaves nothing of earlier ones,
-    /// or because its lease has certainly expired.
+    /// Drops all tasks and reports those that held resources as lost. Called when the worker began
+    /// a new incarnation, which ends all tasks of earlier ones, or when its lease has certainly
+    /// expired.
     pub(super) fn drop_all_tasks(&mut self, outputs: &mut Vec<HostOutput>) {
-        for (task, known) in std::mem::take(&mut self.tasks) {
-            if known.holds_resources() {
+        for (task, entry) in std::mem::take(&mut self.tasks) {
+            if entry.holds_resources() {
                 outputs.push(HostOutput::Ended(task, None));
             }
         }
@@ -37,9 +38,9 @@
         now: Micros,
         outputs: &mut Vec<HostOutput>,
     ) {
-        let order = (heartbeat.incarnation, heartbeat.sequence);
-        let known = self.incarnation.map(|known| (known, self.sequence));
-        if known.is_some_and(|known| order <= known) {
+        let status_version = (heartbeat.incarnation, heartbeat.sequence);
+        let last_applied = self.incarnation.map(|last| (last, self.sequence));
+        if last_applied.is_some_and(|last| status_version <= last) {
             // The message was delayed and describes an earlier state than the one known.
             return;
         }
@@ -58,7 +59,8 @@
         self.resolve_unlisted_tasks(&listed, source, outputs);
     }
 
-    /// Records the worker's incarnation and, for a periodic heartbeat, the time at which it was received.
+    /// Records the worker's incarnation and, for a periodic heartbeat, the time at which it was
+    /// received.
     fn update_incarnation(
         &mut self,
         heartbeat: &Heartbeat,
@@ -68,7 +70,7 @@
     ) {
         let is_new = self
             .incarnation
-            .is_some_and(|known| heartbeat.incarnation > known);
+            .is_some_and(|last| heartbeat.incarnation > last);
         if is_new {
             // A larger incarnation proves that all tasks of earlier incarnations have ended.
             self.drop_all_tasks(outputs);
@@ -80,15 +82,15 @@
         }
         if self.incarnation != Some(heartbeat.incarnation) {
             // The lease of a new incarnation runs from the start of that incarnation, which may be
-            // long after this controller's last response. Without this, the new incarnation would be
-            // considered expired together with the old one while tasks sent to it directly run.
+            // long after this controller's last response. Without this, the new incarnation would
+            // be considered expired together with the old one while tasks sent to it directly run.
             self.last_answer = self.last_answer.max(now);
         }
         self.incarnation = Some(heartbeat.incarnation);
     }
 
-    /// Compares the token that the worker shows with this controller's: updates the fencing state and
-    /// determines whether the token must be raised.
+    /// Compares the token that the worker shows with this controller's: updates the fencing state
+    /// and determines whether the token must be raised.
     fn update_token_state(&mut self, heartbeat: &Heartbeat, outputs: &mut Vec<HostOutput>) {
         if let TokenRefresh::UntilShown(token) = self.token_refresh
             && heartbeat.token >= token
@@ -96,8 +98,8 @@
             self.clear_in_doubt_commands();
         }
         if heartbeat.token > self.token && self.token_refresh == TokenRefresh::NotNeeded {
-            // The worker drops commands with this controller's smaller token, and responses with it renew
-            // no lease. Rewriting the record raises the token above any that was ever shown.
+            // The worker drops commands with this controller's smaller token, and responses with it
+            // renew no lease. Rewriting the record raises the token above any that was ever shown.
             self.token_refresh = TokenRefresh::Needed;
         }
         if heartbeat.token >= self.token && self.fencing != FencingState::Fenced {
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Handles tasks that are known here but missing from the worker's list: cleared tasks are removed,
-    /// started ones are reported as lost, and unconfirmed starts are left to
+    /// Handles tasks that are known here but missing from the worker's list: cleared tasks are
+    /// removed, started ones are reported as lost, and unconfirmed starts are left to
     /// [`Host::resolve_unlisted_start`].
     fn resolve_unlisted_tasks(
         &mut self,
@@ -118,14 +120,14 @@
         let unlisted: Vec<TaskId> = self
             .tasks
             .iter()
-            .filter(|(task, known)| !listed.contains(&((*task).clone(), known.attempt)))
+            .filter(|(task, entry)| !listed.contains(&((*task).clone(), entry.attempt)))
             .map(|(task, _)| task.clone())
             .collect();
         for task in unlisted {
-            let Some(known) = self.tasks.get(&task) else {
+            let Some(entry) = self.tasks.get(&task) else {
                 continue;
             };
-            match known.state {
+            match entry.state {
                 // The worker has executed the clear command.
                 TaskState::Exited(_) => {
                     self.tasks.remove(&task);
@@ -152,19 +154,19 @@
         source: HeartbeatSource,
         outputs: &mut Vec<HostOutput>,
     ) {
-        let Some(known) = self.tasks.get(&task) else {
+        let Some(entry) = self.tasks.get(&task) else {
             return;
         };
-        let may_still_start = self.may_still_start(&task, known.attempt)
-            || (known.has_unacknowledged_start && source == HeartbeatSource::Direct);
-        if known.stopping.is_some() && !may_still_start {
+        let may_still_start = self.may_still_start(&task, entry.attempt)
+            || (entry.has_unacknowledged_start && source == HeartbeatSource::Direct);
+        if entry.stopping.is_some() && !may_still_start {
             self.tasks.remove(&task);
             let cause = ExitCause::Stopped { saved: false };
             outputs.push(HostOutput::Ended(task, Some(cause)));
         } else if source == HeartbeatSource::Heartbeat
-            && let Some(known) = self.tasks.get_mut(&task)
+            && let Some(entry) = self.tasks.get_mut(&task)
         {
-            known.has_unacknowledged_start = false;
+            entry.has_unacknowledged_start = false;
         }
     }
 
@@ -172,14 +174,14 @@
     fn on_task_status(&mut self, status: &TaskStatus, now: Micros, outputs: &mut Vec<HostOutput>) {
         let state = TaskState::from(status.phase);
         match self.tasks.get(&status.task) {
-            Some(known) if known.attempt == status.attempt => {
+            Some(entry) if entry.attempt == status.attempt => {
                 self.on_known_task(status, state, now, outputs);
             }
             _ => self.on_unknown_task(status, state, now, outputs),
         }
     }
 
-    /// Applies the status of a task whose attempt is known here.
+    /// Applies the status of a task whose attempt this host's state already contains.
     fn on_known_task(
         &mut self,
         status: &TaskStatus,
@@ -187,14 +189,14 @@
         now: Micros,
         outputs: &mut Vec<HostOutput>,
     ) {
-        let Some(known) = self.tasks.get_mut(&status.task) else {
+        let Some(entry) = self.tasks.get_mut(&status.task) else {
             return;
         };
-        let held_resources = known.holds_resources();
-        let previous_state = std::mem::replace(&mut known.state, state);
-        known.has_unacknowledged_start = false;
-        if state == TaskState::Running && known.running.is_none() {
-            known.running = Some(now);
+        let held_resources = entry.holds_resources();
+        let previous_state = std::mem::replace(&mut entry.state, state);
+        entry.has_unacknowledged_start = false;
+        if state == TaskState::Running && entry.running.is_none() {
+            entry.running = Some(now);
         }
         match state {
             TaskState::Exited(cause) if held_resources => {
@@ -204,7 +206,7 @@
             _ if !held_resources => {
                 // The task runs again after it exited, for example because of a late start command.
                 // It is reported as found; otherwise it would be neither counted nor stopped.
-                known.stopping = None;
+                entry.stopping = None;
                 outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
                 self.idle_since = None;
             }
@@ -215,7 +217,8 @@
         }
     }
 
-    /// Applies the status of a task that is not known here, or of another attempt of a known task.
+    /// Applies the status of a task that this host's state does not contain, or contains with
+    /// another attempt.
     fn on_unknown_task(
         &mut self,
         status: &TaskStatus,
@@ -223,26 +226,26 @@
         now: Micros,
         outputs: &mut Vec<HostOutput>,
     ) {
-        let known = self.tasks.get(&status.task);
+        let entry = self.tasks.get(&status.task);
         if let TaskState::Exited(cause) = state {
-            if known.is_some() {
+            if entry.is_some() {
                 self.stale.insert((status.task.clone(), status.attempt));
                 return;
             }
             // A result from before a failover counts as well.
-            let found = HostTask::from_report(status.attempt, state, now);
-            self.tasks.insert(status.task.clone(), found);
+            let new_entry = HostTask::from_report(status.attempt, state, now);
+            self.tasks.insert(status.task.clone(), new_entry);
             outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
             outputs.push(HostOutput::Ended(status.task.clone(), Some(cause)));
             return;
         }
-        if known.is_some_and(HostTask::holds_resources) {
-            // The worker runs another attempt of a task that was ordered to start here. It will refuse
-            // the start command as busy, so the running attempt replaces the ordered one.
+        if entry.is_some_and(HostTask::holds_resources) {
+            // The worker runs another attempt of a task that was ordered to start here. It will
+            // refuse the start command as busy, so the running attempt replaces the ordered one.
             outputs.push(HostOutput::Ended(status.task.clone(), None));
         }
-        let found = HostTask::from_report(status.attempt, state, now);
-        self.tasks.insert(status.task.clone(), found);
+        let new_entry = HostTask::from_report(status.attempt, state, now);
+        self.tasks.insert(status.task.clone(), new_entry);
         outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
         self.idle_since = None;
     }
--- a/crates/jasperhill-scheduler/src/host/images.rs
+++ b/crates/jasperhill-scheduler/src/host/images.rs
@@ -9,8 +9,8 @@
         self.images.iter().any(|(name, _)| name == image)
     }
 
-    /// Records an image of this size in GB as the most recently used, and drops the least recently used
-    /// images that no longer fit the cache.
+    /// Records an image of this size in GB as the most recently used, and drops the least recently
+    /// used images that no longer fit the cache.
     pub fn touch_image(&mut self, image: &Name, gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.clone(), gb));
@@ -20,8 +20,9 @@
         }
     }
 
-    /// Returns the expected time until an image of this size in GB is on the host: zero if it is cached,
-    /// the remaining time if it is being pulled. Images that are pulled at the same time share the rate.
+    /// Returns the expected time until an image of this size in GB is on the host: zero if it is
+    /// cached, the remaining time if it is being pulled. Images that are pulled at the same time
+    /// share the rate.
     pub fn image_wait(&self, image: &Name, gb: f64, now: Micros) -> Micros {
         if self.has_image(image) {
             return Micros::ZERO;
@@ -29,8 +30,8 @@
         if self.tasks_awaiting_image == 0 {
             return Micros::from_secs_f64(gb / self.spec.fetch_gb_per_s.max(1e-6));
         }
-        // A list is faster than a map for the few images that are pulled at a time, and this function is
-        // called for every job and host.
+        // A list is faster than a map for the few images that are pulled at a time, and this
+        // function is called for every job and host.
         let mut pulling: Vec<(&Name, f64, Micros)> = Vec::new();
         for t in self.tasks.values() {
             if let (TaskState::Ordered | TaskState::Fetching, Some((name, gb))) =
--- a/crates/jasperhill-scheduler/src/host/mod.rs
+++ b/crates/jasperhill-scheduler/src/host/mod.rs
@@ -2,7 +2,8 @@
 //! commands that were sent to it.
 //!
 //! [`Host`] holds the state, [`HostInput`] lists the events that change it, and [`HostOutput`] the
-//! resulting changes of tasks. Every change of a host's state goes through [`Host::apply`].
+//! changes that its partition must act on. Task states, commands, the token and the fencing state
+//! change only in [`Host::apply`].
 
 mod commands;
 mod heartbeat;
@@ -23,7 +24,8 @@
     rc::Rc,
 };
 
-/// Maximum number of tasks in a worker's heartbeat, including exited tasks that are not cleared yet.
+/// Maximum number of tasks in a worker's heartbeat, including exited tasks that are not cleared
+/// yet.
 ///
 /// A heartbeat with more tasks could exceed the limit of 64 KiB for a request body. A host whose
 /// heartbeats are refused is lost with all tasks that run on it.
@@ -40,9 +42,10 @@
         /// Whether a previous owner of the partition may have started tasks on the host.
         unconfirmed: bool,
     },
-    /// The worker has shown this controller's token: its heartbeats list all tasks that run there.
+    /// The worker has shown this controller's token: its heartbeats list all tasks that run on the
+    /// host.
     Fenced,
-    /// The worker's lease has certainly expired: no task runs there.
+    /// The worker's lease has certainly expired: no task runs on the host.
     Lapsed,
 }
 
@@ -75,7 +78,7 @@
 /// A task that a worker lists or was ordered to start.
 #[derive(Clone, Debug)]
 pub struct HostTask {
-    /// Identifies this start of the task.
+    /// Number of the attempt, which distinguishes repeated starts of the same task.
     pub attempt: Attempt,
     /// The last known state of the task.
     pub state: TaskState,
@@ -91,8 +94,8 @@
     pub stopping: Option<(Micros, Micros)>,
     /// Name of the task's image and its size in GB; `None` if not known.
     pub image: Option<(Name, f64)>,
-    /// Whether the start command was sent in the response to a heartbeat, and no later heartbeat has
-    /// shown its effect yet.
+    /// Whether the start command was sent in the response to a heartbeat, and no later heartbeat
+    /// has shown its effect yet.
     has_unacknowledged_start: bool,
 }
 
@@ -113,14 +116,14 @@
 /// The knowledge of the controller at the time when it sent start commands.
 #[derive(Clone, Copy, Debug)]
 struct CommandBasis {
-    /// Token of the host at that time.
+    /// Token under which the start commands were sent.
     token: FencingToken,
-    /// Time up to which the sender knew all job cancellations.
+    /// Time up to which the sending controller knew all job cancellations.
     known_as_of: Micros,
 }
 
-/// Whether the worker must show a raised token before the host gets new tasks, as when direct commands
-/// were left unanswered and may still be executed.
+/// Whether the worker must show a raised token before the host gets new tasks, as when direct
+/// commands were left unanswered and may still be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TokenRefresh {
     /// The current token is sufficient.
@@ -140,8 +143,8 @@
     Answered(&'a [Command]),
     /// Another controller may answer the worker's heartbeats until this time.
     LeaseDelegated(Micros),
-    /// These commands are sent in a direct request. The time is that up to which the controller knows
-    /// the contents of the state store, and so all job cancellations.
+    /// These commands are sent in a direct request. The time is that up to which the controller
+    /// knows the contents of the state store, and so all job cancellations.
     DirectSent(Vec<Command>, Micros),
     /// The direct commands were executed, or certainly were not. The worker's status, if any, is a
     /// separate [`HostInput::Heartbeat`].
@@ -150,8 +153,8 @@
     DirectUnanswered,
     /// The host's record was rewritten, which gives the host this token.
     TokenRaised(FencingToken),
-    /// The worker began a new incarnation although its heartbeats were answered: it does not receive
-    /// the responses.
+    /// The worker began a new incarnation although its heartbeats were answered: it does not
+    /// receive the responses.
     NotReceiving,
     /// The worker's lease has certainly expired, or the machine is gone.
     Gone,
@@ -171,7 +174,7 @@
     Running(TaskId),
     /// The task no longer runs on the host. `None`: it was lost without an exit status.
     Ended(TaskId, Option<ExitCause>),
-    /// The worker has shown this controller's token: all tasks that run there are known.
+    /// The worker has shown this controller's token: all tasks that run on the host are known.
     Fenced,
 }
 
@@ -200,26 +203,26 @@
     sequence: u64,
     /// Tasks that the worker lists or was ordered to start, with one attempt of each.
     pub tasks: BTreeMap<TaskId, HostTask>,
-    /// Resources that all tasks take together. This total and the two counts after it are kept up to
-    /// date so that a scheduling cycle over many hosts does not iterate over every task.
+    /// Resources that all tasks take together. This total and the two counts after it are kept up
+    /// to date so that a scheduling cycle over many hosts does not iterate over every task.
     used: Resources,
     /// Number of tasks that hold resources or may hold them.
     tasks_holding_resources: usize,
     /// Number of tasks whose image is still to be pulled.
     tasks_awaiting_image: usize,
-    /// Exited attempts of tasks of which another attempt is known; the worker still lists them.
+    /// Superseded attempts of tasks in `tasks`, kept until the worker no longer lists them.
     stale: BTreeSet<(TaskId, Attempt)>,
-    /// Whether a raised token is needed before the host gets new tasks.
+    /// Whether the worker must show a raised token before the host gets new tasks.
     token_refresh: TokenRefresh,
     /// Starts of unanswered direct requests, which the worker may still execute.
     in_doubt_starts: BTreeSet<(TaskId, Attempt)>,
-    /// Token and state of knowledge under which the latest of `in_doubt_starts` were sent; `None` if no
-    /// start is in doubt.
+    /// Token and state of knowledge under which the latest of `in_doubt_starts` were sent; `None`
+    /// if no start is in doubt.
     in_doubt_basis: Option<CommandBasis>,
     /// Starts of the direct request that is under way; `None` if there is no request.
     in_flight_commands: Option<InFlightCommands>,
-    /// When the worker's latest status was received, by heartbeat or by direct response; before that,
-    /// when this state was created.
+    /// When the worker's latest status was received, by heartbeat or by direct response; before
+    /// that, when this state was created.
     pub last_heard: Micros,
     /// When a periodic heartbeat was last received here, or may have been received by the previous
     /// owner. `None`: the host is new to this partition, or its incarnation is known only by direct
@@ -241,8 +244,8 @@
     pub draining: Option<Micros>,
     /// Jobs of the failures since the last completed task, one entry for each failure.
     pub recent_failures: Vec<JobId>,
-    /// Time until which the host gets no new tasks because of its failures; `None` if it is not in
-    /// quarantine.
+    /// Time until which the host is quarantined and gets no new tasks because of its failures.
+    /// `None`: it was never quarantined, or the failures were forgiven.
     pub quarantined_until: Option<Micros>,
     /// Latest start time among the tasks that completed on this host.
     pub last_success_started: Option<Micros>,
@@ -250,9 +253,10 @@
     pub slowness: f64,
     /// Whether the host is slow, judged by tasks that still run.
     pub pace: Pace,
-    /// Since when the host is considered slow; `None` if it is not.
+    /// When the host was last found to be slow; `None` if it never was.
     pub slow_since: Option<Micros>,
-    /// When a task on this host last ended within its expected time; `None` if none has.
+    /// When a task on this host last ended in time, relative to its expected run time; `None` if
+    /// none has.
     pub last_in_time: Option<Micros>,
 }
 
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Returns whether a previous owner may have started tasks there that are not known.
+    /// Returns whether a previous owner may have started tasks on the host that are not known.
     pub fn has_unconfirmed_tasks(&self) -> bool {
         self.fencing == FencingState::Unfenced { unconfirmed: true }
     }
@@ -409,9 +413,9 @@
     /// Returns the time up to which job cancellations were known when the outstanding direct starts
     /// under the current token were sent; the earliest such time if there are several.
     ///
-    /// A caller renews the lease only for a bounded time after it. If leases were renewed for as long
-    /// as such a start is in transit, its job could be cancelled in the meantime and the task still
-    /// start, however much later.
+    /// A caller renews the lease only for a bounded time after it. If leases were renewed for as
+    /// long as such a start is in transit, its job could be cancelled in the meantime and the task
+    /// still start, however much later.
     ///
     /// `None`: no start is outstanding, or the token was raised since, so that the next heartbeat
     /// response invalidates the start.
@@ -442,19 +446,19 @@
                 commands.push(Command::Clear(task.clone(), *attempt));
             }
         }
-        for (task, t) in &self.tasks {
-            match (t.state, t.stopping) {
+        for (task, entry) in &self.tasks {
+            match (entry.state, entry.stopping) {
                 (TaskState::Exited(cause), _)
-                    if !self.may_still_start(task, t.attempt) && is_durable(task, cause) =>
+                    if !self.may_still_start(task, entry.attempt) && is_durable(task, cause) =>
                 {
-                    commands.push(Command::Clear(task.clone(), t.attempt));
+                    commands.push(Command::Clear(task.clone(), entry.attempt));
                 }
                 (TaskState::Exited(_), _) => {}
                 (_, Some((grace, _))) => {
-                    commands.push(Command::Stop(task.clone(), t.attempt, grace))
+                    commands.push(Command::Stop(task.clone(), entry.attempt, grace))
                 }
                 (TaskState::Ordered, None) => {
-                    commands.push(Command::Start(task.clone(), t.attempt))
+                    commands.push(Command::Start(task.clone(), entry.attempt))
                 }
                 _ => {}
             }
@@ -463,8 +467,8 @@
         commands
     }
 
-    /// Applies an event to the host and returns the resulting changes. The only function that changes
-    /// the state of tasks, commands and fencing.
+    /// Applies an event to the host and returns the changes that the partition must act on. Task
+    /// states, commands, the token and the fencing state change only here.
     pub fn apply(&mut self, input: HostInput<'_>, now: Micros) -> Vec<HostOutput> {
         let mut outputs = Vec::new();
         match input {
--- a/crates/jasperhill-scheduler/src/host/quarantine.rs
+++ b/crates/jasperhill-scheduler/src/host/quarantine.rs
@@ -1,5 +1,6 @@
-//! Quarantine of a host because of task failures. A host is blamed for tasks that fail on it and succeed
-//! elsewhere; failures of a job that fails on every host are removed from the host's account.
+//! Quarantine of a host because of task failures. A host is blamed for tasks that fail on it and
+//! succeed elsewhere; failures of a job that fails on every host are removed from the host's
+//! account.
 
 use super::Host;
 use jasperhill_wire::{JobId, Micros};
@@ -10,8 +11,9 @@
 const QUARANTINE_DURATION: Micros = Micros::from_secs(60);
 /// Maximum number of failures remembered for a host.
 const MAX_RECENT_FAILURES: usize = 16;
-/// Time after the latest failure before a host counts as faulty. By then a job that fails on every host
-/// has been identified and its failures are forgiven, so no host is returned to the cloud because of it.
+/// Time after the latest failure before a host counts as faulty. By then a job that fails on every
+/// host has been identified and its failures are forgiven, so no host is returned to the cloud
+/// because of it.
 const FAULTY_AFTER: Micros = Micros::from_secs(8);
 /// How long after its start a completed task counts as evidence that the host works.
 const SUCCESS_VALID_FOR: Micros = Micros::from_secs(120);
@@ -32,8 +34,8 @@
         is_newly_quarantined
     }
 
-    /// Removes the failures of a job that caused them itself, and ends the quarantine if the remaining
-    /// failures don't justify it.
+    /// Removes the failures of a job that caused them itself, and ends the quarantine if the
+    /// remaining failures don't justify it.
     pub fn forgive_failures(&mut self, job: &JobId) {
         let failures_before = self.recent_failures.len();
         self.recent_failures.retain(|j| j != job);
@@ -44,8 +46,8 @@
         }
     }
 
-    /// Returns whether the host fails the tasks that it starts: it has enough failures for a quarantine,
-    /// and no job has been identified as their cause within `FAULTY_AFTER`.
+    /// Returns whether the host fails the tasks that it starts: it has enough failures for a
+    /// quarantine, and no job has been identified as their cause within `FAULTY_AFTER`.
     pub fn is_faulty(&self, now: Micros) -> bool {
         self.recent_failures.len() >= QUARANTINE_AFTER_FAILURES
             && self
@@ -53,8 +55,8 @@
                 .is_none_or(|t| now + QUARANTINE_DURATION >= t + FAULTY_AFTER)
     }
 
-    /// Returns whether the host recently completed a task and since then has had no failures of jobs
-    /// other than `other_than`.
+    /// Returns whether the host completed a task that was started less than `SUCCESS_VALID_FOR`
+    /// ago, and all failures since that success are of the job `other_than`.
     pub fn has_served_others(&self, other_than: &JobId, now: Micros) -> bool {
         self.last_success_started
             .is_some_and(|t| now - t < SUCCESS_VALID_FOR)
--- a/crates/jasperhill-scheduler/src/partition/events.rs
+++ b/crates/jasperhill-scheduler/src/partition/events.rs
@@ -32,11 +32,12 @@
     UnexpectedTask(TaskId, HostId, &'static str),
     /// The host is slow: its tasks take this many times as long as expected.
     HostSlow(HostId, f64),
-    /// A job class or team is below its minimum share, and by how much; `None`: it is no longer below.
+    /// A job class or team has fallen below its minimum share, with its present share and waiting
+    /// jobs. `None`: it has reached its minimum share again.
     Starved(Group, Option<ServedShare>),
     /// Production jobs have recovered from a loss of replicas.
     ProductionRecovered(Recovered),
-    /// After a failover, no host can run unknown tasks any more: the time that this took, and the number
-    /// of hosts for which it is known only because their leases expired.
+    /// After a failover, no host can run unknown tasks any more: the time that this took, and the
+    /// number of hosts for which it is known only because their leases expired.
     AllHostsConfirmed(Micros, usize),
 }
--- a/crates/jasperhill-scheduler/src/partition/hosts.rs
+++ b/crates/jasperhill-scheduler/src/partition/hosts.rs
@@ -1,13 +1,14 @@
-//! Operations on the hosts of a partition: expiry of leases, announced terminations, stops with a grace
-//! period, and the test whether a host may be returned.
+//! Operations on the hosts of a partition: expiry of leases, announced terminations, stops with a
+//! grace period, and the test whether a host may be returned.
 
 use super::{Event, Partition};
 use crate::host::{FencingState, HostInput};
 use jasperhill_wire::{HostId, Micros, TaskId, record::HostAssignment};
 
 impl Partition {
-    /// Returns the number of hosts that can't get new tasks, by reason: worker has not shown the current
-    /// token, lease expired, commands in doubt, silent, quarantined or about to be terminated, draining.
+    /// Returns the number of hosts that can't get new tasks, by reason: worker has not shown the
+    /// current token, lease expired, commands in doubt, silent, quarantined or about to be
+    /// terminated, draining.
     pub fn unusable(&self, now: Micros) -> [usize; 6] {
         let mut counts = [0; 6];
         for h in self.hosts.values() {
@@ -43,32 +44,32 @@
         }
     }
 
-    /// Stops the tasks that can save checkpoints on hosts whose termination is announced, while there is
-    /// time to save.
+    /// Stops the tasks that can save checkpoints on hosts whose termination is announced, while
+    /// there is time to save.
     pub(crate) fn stop_before_termination(&mut self, now: Micros) {
-        let mut stops = Vec::new();
+        let mut tasks_to_stop = Vec::new();
         for host in self.hosts.values().filter(|h| h.terminates_at.is_some()) {
-            for (task, t) in &host.tasks {
+            for (task, entry) in &host.tasks {
                 let Some(job) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                if t.holds_resources() && t.stopping.is_none() && job.checkpoints() {
-                    stops.push((host.id.clone(), task.clone()));
+                if entry.holds_resources() && entry.stopping.is_none() && job.checkpoints() {
+                    tasks_to_stop.push((host.id.clone(), task.clone()));
                 }
             }
         }
-        for (host, task) in stops {
+        for (host, task) in tasks_to_stop {
             self.stop_with_grace(&host, &task, "spot notice", now);
         }
     }
 
-    /// Stops a task, or all tasks of its job if that is a gang. Jobs that save checkpoints get a grace
-    /// period of their checkpoint time plus one second, others none. `why` is logged.
+    /// Stops a task, or all tasks of its job if that is a gang. Jobs that save checkpoints get a
+    /// grace period of their checkpoint time plus one second, others none. `reason` is logged.
     pub(crate) fn stop_with_grace(
         &mut self,
         host: &HostId,
         task: &TaskId,
-        why: &'static str,
+        reason: &'static str,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get(&task.job) else {
@@ -81,7 +82,7 @@
         };
         let is_gang = job.is_gang();
         self.events
-            .push(Event::Stopped(task.clone(), host.clone(), why));
+            .push(Event::Stopped(task.clone(), host.clone(), reason));
         if is_gang {
             self.stop_all(&task.job, grace, now);
         } else {
@@ -89,15 +90,16 @@
         }
     }
 
-    /// Returns whether the host may be returned: it belongs to the partition, its worker has shown the
-    /// current token, no task runs or is reserved there, and it has been idle for at least `keep`.
-    pub fn is_spare(&self, id: &HostId, now: Micros, keep: Micros) -> bool {
+    /// Returns whether the host may be returned: it belongs to the partition, its worker has shown
+    /// the current token, no task runs or is reserved there, and it has been idle for at least
+    /// `min_idle`.
+    pub fn is_spare(&self, id: &HostId, now: Micros, min_idle: Micros) -> bool {
         self.hosts.get(id).is_some_and(|h| {
             matches!(h.assignment, HostAssignment::Partition(_))
                 && h.is_empty()
                 && h.queue.is_empty()
                 && h.fencing == FencingState::Fenced
-                && h.idle_since.is_some_and(|t| now - t >= keep)
+                && h.idle_since.is_some_and(|t| now - t >= min_idle)
         })
     }
 }
--- a/crates/jasperhill-scheduler/src/partition/mod.rs
+++ b/crates/jasperhill-scheduler/src/partition/mod.rs
@@ -1,8 +1,9 @@
 //! A partition: the teams, jobs and hosts that one controller schedules.
 //!
 //! [`Partition`] owns the state machines of hosts ([`Host`]) and jobs ([`Job`]) and keeps them
-//! consistent: every change of a host goes through [`Partition::apply`], which applies the resulting
-//! changes of tasks to their jobs.
+//! consistent: [`Partition::apply`] applies events to hosts and the resulting changes of tasks to
+//! their jobs, and `Partition::set_step` updates the resources used by teams with each step of a
+//! task.
 
 mod events;
 mod hosts;
@@ -34,8 +35,8 @@
     rc::Rc,
 };
 
-/// The kinds of hosts (machine type, zone, whether spot) that may run unknown tasks of a previous owner of
-/// the partition.
+/// The kinds of hosts (machine type, zone, whether spot) that may run unknown tasks of a previous
+/// owner of the partition.
 #[derive(Clone, Debug, Default)]
 pub struct UnconfirmedTasks(Vec<(Name, Name, bool)>);
 
@@ -88,14 +89,15 @@
     pub(crate) overrun_watch: OverrunWatch,
     /// Limits how many replicas may be moved.
     pub(crate) move_budget: MoveBudget,
-    /// Shares of jobs begun by class and team, and the jobs that go first because a share is too small.
+    /// Shares of jobs begun by class and team, and the jobs that go first because a share is too
+    /// small.
     pub starvation: StarvationGuard,
     /// Time windows in which a team's limit is reserved for gangs, by team.
     pub(crate) reservation_windows: BTreeMap<Name, ReservationWindow>,
 }
 
-/// Number of low bits of an attempt that hold the owner's counter. The bits above hold the revision of
-/// the ownership, which makes attempts unique.
+/// Number of low bits of an attempt that hold the owner's counter. The bits above hold the revision
+/// of the ownership, which makes attempts unique.
 const ATTEMPT_COUNTER_BITS: u32 = 22;
 
 impl Partition {
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Removes ended jobs, and records when hosts begin to possibly run unknown tasks of a previous owner
-    /// and when the last of them is confirmed.
+    /// Removes ended jobs, and records when hosts begin to possibly run unknown tasks of a previous
+    /// owner and when the last of them is confirmed.
     pub(crate) fn note_confirmed(&mut self, now: Micros) {
         self.remove_ended_jobs();
         match (self.has_unconfirmed_tasks(), self.unconfirmed_since) {
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Returns a new attempt, greater than all earlier ones. The order holds across failovers, also for
-    /// attempts that no worker has reported yet, because the revision of the ownership grows.
+    /// Returns a new attempt, greater than all earlier ones. The order holds across failovers, also
+    /// for attempts that no worker has reported yet, because the revision of the ownership grows.
     pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.issued_attempts += 1;
         debug_assert!(self.issued_attempts < 1 << ATTEMPT_COUNTER_BITS);
@@ -177,8 +179,9 @@
     }
 
     /// Returns whether unknown tasks of this job may be running: the job is older than the current
-    /// ownership, and one of the unconfirmed hosts is of a kind that the job may run on. A spot machine
-    /// that was reclaimed without notice therefore does not delay jobs that never run on spot machines.
+    /// ownership, and one of the unconfirmed hosts is of a kind that the job may run on. A spot
+    /// machine that was reclaimed without notice therefore does not delay jobs that never run on
+    /// spot machines.
     ///
     /// Always false for a job that waits for its dependencies, because no owner has started it.
     pub(crate) fn may_run_unconfirmed(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
@@ -194,8 +197,8 @@
         }
     }
 
-    /// Adds the job of a record; does nothing if the job is known. `finished` is decoded by
-    /// [`TaskSet::from_runs`](crate::task_set::TaskSet::from_runs).
+    /// Adds a job from its record; does nothing if the job is known. `finished` lists the finished
+    /// tasks in the record's run encoding, see `TaskSet::from_runs`.
     pub fn upsert_job(
         &mut self,
         request: &Rc<JobRequest>,
@@ -214,7 +217,8 @@
         }
     }
 
-    /// Ends a job whose record has become final: releases its reservations and stops its live tasks.
+    /// Ends a job whose record has become final: releases its reservations and stops its live
+    /// tasks.
     pub fn end_job(&mut self, id: &JobId, termination: Termination, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -232,9 +236,9 @@
         self.changed = true;
     }
 
-    /// Adds a job that was cancelled under a previous owner and whose tasks may still run on unconfirmed
-    /// hosts. Their resources count as used, so that the team's limit is not used a second time while
-    /// they run.
+    /// Adds a job that was cancelled under a previous owner and whose tasks may still run on
+    /// unconfirmed hosts. Their resources count as used, so that the team's limit is not used a
+    /// second time while they run.
     pub fn restore_cancelled(&mut self, id: &JobId, residual: &ResidualUsage, now: Micros) {
         let request = JobRequest {
             id: id.clone(),
@@ -277,8 +281,8 @@
         }
     }
 
-    /// Returns whether a job has ended, none of its tasks is live and, for a cancelled job, none can run
-    /// unknown.
+    /// Returns whether a job has ended, none of its tasks is live and, for a cancelled job, none
+    /// can run unknown.
     fn is_fully_ended(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
         let may_run_unknown = match job.termination {
             None => return false,
@@ -300,8 +304,8 @@
         }
     }
 
-    /// Adds or updates the host of a record; ignores a record of an unknown machine type. `at_takeover`:
-    /// whether a previous owner of the partition may have started tasks there.
+    /// Adds or updates a host from its record; ignores records of unknown machine types.
+    /// `at_takeover`: whether a previous owner of the partition may have started tasks there.
     pub fn upsert_host(
         &mut self,
         id: &HostId,
@@ -329,8 +333,8 @@
         self.changed = true;
     }
 
-    /// Removes a host whose record was deleted or assigned to another partition, which means that the
-    /// machine is gone or was empty.
+    /// Removes a host whose record was deleted or assigned to another partition, which means that
+    /// the machine is gone or was empty.
     pub fn remove_host(&mut self, id: &HostId, now: Micros) {
         self.apply(id, HostInput::Gone, now);
         if let Some(host) = self.hosts.remove(id) {
@@ -353,8 +357,8 @@
             HostInput::Heartbeat(heartbeat, source),
             now,
         );
-        // A worker begins a new incarnation only after a whole lease without a response. One that does
-        // so within half a lease of an answered heartbeat does not receive the responses.
+        // A worker begins a new incarnation only after a whole lease without a response. One that
+        // does so within half a lease of an answered heartbeat does not receive the responses.
         if let Some((Some(incarnation), Some(answered))) = previous
             && self.hosts.get(&heartbeat.host).and_then(|h| h.incarnation) > Some(incarnation)
             && now - answered < self.config.lease.scale(0.5)
@@ -387,7 +391,8 @@
         }
     }
 
-    /// Returns the job's estimated run time, corrected by the run time ratio observed for its class.
+    /// Returns the job's estimated run time, corrected by the run time ratio observed for its
+    /// class.
     pub fn estimate(&self, request: &JobRequest) -> Micros {
         request.estimate.scale(
             self.run_time_ratios
@@ -441,8 +446,8 @@
         }
     }
 
-    /// Returns the resources that the team's live tasks use, plus those that unknown tasks of its jobs may
-    /// use.
+    /// Returns the resources that the team's live tasks use, plus those that unknown tasks of its
+    /// jobs may use.
     pub fn team_use(&self, team: &Name) -> Resources {
         let mut used = self.used_by_team.get(team).copied().unwrap_or_default();
         let unconfirmed = self.unconfirmed_tasks();
@@ -454,8 +459,8 @@
         used
     }
 
-    /// Records that the results of these tasks and the number of failed attempts are stored in the job's
-    /// record.
+    /// Records that the results of these tasks and the number of failed attempts are stored in the
+    /// job's record.
     pub fn saved(&mut self, id: &JobId, tasks: &BTreeSet<u32>, failed_attempts: u32) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.failed_attempts_saved = failed_attempts;
--- a/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
+++ b/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
@@ -1,5 +1,5 @@
-//! Updates of jobs after changes of their tasks on hosts: tasks that were found, completed, failed or
-//! lost.
+//! Updates of jobs after changes of their tasks on hosts: tasks that were found, completed, failed
+//! or lost.
 
 use super::{Event, Partition};
 use crate::{
@@ -24,21 +24,30 @@
 }
 
 impl Partition {
-    /// Handles a task that a worker lists and that was not known to be on its host. Exited tasks are
-    /// ignored.
-    pub(super) fn task_found(&mut self, id: &HostId, task: &TaskId, attempt: Attempt, now: Micros) {
-        let listed = self.hosts.get(id).and_then(|host| host.tasks.get(task));
-        if !listed.is_some_and(HostTask::holds_resources) {
+    /// Handles a task that a worker lists and that was not known to be on its host. Exited tasks
+    /// are ignored.
+    pub(super) fn task_found(
+        &mut self,
+        host_id: &HostId,
+        task: &TaskId,
+        attempt: Attempt,
+        now: Micros,
+    ) {
+        let entry = self
+            .hosts
+            .get(host_id)
+            .and_then(|host| host.tasks.get(task));
+        if !entry.is_some_and(HostTask::holds_resources) {
             return;
         }
         match self.found_task_action(task, attempt) {
-            FoundTaskAction::Adopt => self.adopt_task(id, task, attempt),
-            FoundTaskAction::StopCancelled => self.stop_cancelled_task(id, task, now),
+            FoundTaskAction::Adopt => self.adopt_task(host_id, task, attempt),
+            FoundTaskAction::StopCancelled => self.stop_cancelled_task(host_id, task, now),
             FoundTaskAction::StopUnexpected => {
-                let why = "not expected there";
-                let event = Event::UnexpectedTask(task.clone(), id.clone(), why);
+                let reason = "not expected there";
+                let event = Event::UnexpectedTask(task.clone(), host_id.clone(), reason);
                 self.events.push(event);
-                self.stop(id, task, Micros::ZERO, now);
+                self.stop(host_id, task, Micros::ZERO, now);
             }
         }
     }
@@ -48,63 +57,65 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return FoundTaskAction::StopUnexpected;
         };
-        let is_free = matches!(
+        let is_pending_or_reserved = matches!(
             job.step(task.index),
             TaskStep::Pending | TaskStep::Reserved(_)
         );
-        let exists = task.index < job.request.tasks;
+        let is_valid_index = task.index < job.request.tasks;
         match job.termination {
-            None if is_free
-                && exists
+            None if is_pending_or_reserved
+                && is_valid_index
                 && job.readiness == Readiness::Open
                 && job.attempt.is_none_or(|gang| gang == attempt) =>
             {
                 FoundTaskAction::Adopt
             }
-            Some(Termination::Cancelled) if is_free && exists => FoundTaskAction::StopCancelled,
-            // The task or its job has ended, the task runs elsewhere, the job may not start yet, or the
-            // attempt is not that of the gang.
+            Some(Termination::Cancelled) if is_pending_or_reserved && is_valid_index => {
+                FoundTaskAction::StopCancelled
+            }
+            // The task or its job has ended, the task runs elsewhere, the job may not start yet, or
+            // the attempt is not that of the gang.
             _ => FoundTaskAction::StopUnexpected,
         }
     }
 
     /// Lets a task continue on the host where it was found, as part of its job.
-    fn adopt_task(&mut self, id: &HostId, task: &TaskId, attempt: Attempt) {
+    fn adopt_task(&mut self, host_id: &HostId, task: &TaskId, attempt: Attempt) {
         self.release_reservation(&task.job, task.index);
-        self.set_step(task, TaskStep::Live(id.clone()));
+        self.set_step(task, TaskStep::Live(host_id.clone()));
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         if job.is_gang() {
             job.attempt = Some(attempt);
         }
-        let Some(host) = self.hosts.get_mut(id) else {
+        let Some(host) = self.hosts.get_mut(host_id) else {
             return;
         };
         let (image, gb) = (&job.request.image, job.request.image_gb);
         host.touch_image(image, gb);
         host.set_requirements(task, job.request.each, (image.clone(), gb));
-        let listed = host.tasks.get(task);
-        if listed.is_some_and(|listed| listed.state == TaskState::Running) {
+        let entry = host.tasks.get(task);
+        if entry.is_some_and(|entry| entry.state == TaskState::Running) {
             job.mark_running(task.index);
         }
     }
 
     /// Stops a task of a cancelled job. Its resources count as used by the team until it has ended.
-    fn stop_cancelled_task(&mut self, id: &HostId, task: &TaskId, now: Micros) {
-        self.set_step(task, TaskStep::Live(id.clone()));
-        if let (Some(job), Some(host)) = (self.jobs.get(&task.job), self.hosts.get_mut(id)) {
+    fn stop_cancelled_task(&mut self, host_id: &HostId, task: &TaskId, now: Micros) {
+        self.set_step(task, TaskStep::Live(host_id.clone()));
+        if let (Some(job), Some(host)) = (self.jobs.get(&task.job), self.hosts.get_mut(host_id)) {
             let image = (job.request.image.clone(), job.request.image_gb);
             host.set_requirements(task, job.request.each, image);
         }
-        self.stop(id, task, Micros::ZERO, now);
+        self.stop(host_id, task, Micros::ZERO, now);
     }
 
-    /// Handles a task that no longer runs on its host. `cause` is the worker's exit status; `None` if the
-    /// task was lost.
+    /// Handles a task that no longer runs on its host. `cause` is the worker's exit status; `None`
+    /// if the task was lost.
     pub(super) fn task_ended(
         &mut self,
-        id: &HostId,
+        host_id: &HostId,
         task: &TaskId,
         cause: Option<ExitCause>,
         now: Micros,
@@ -114,14 +125,14 @@
         };
         if cause == Some(ExitCause::Done) && job.request.shape != Shape::Service {
             // The result of a completed task counts, whichever host reports it.
-            self.task_completed(id, task, now);
-        } else if job.live.get(&task.index) == Some(id) {
-            self.task_interrupted(id, task, cause, now);
+            self.task_completed(host_id, task, now);
+        } else if job.live.get(&task.index) == Some(host_id) {
+            self.task_interrupted(host_id, task, cause, now);
         }
     }
 
     /// Handles a completed task. A gang completes as a whole, with all its tasks.
-    fn task_completed(&mut self, id: &HostId, task: &TaskId, now: Micros) {
+    fn task_completed(&mut self, host_id: &HostId, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -130,32 +141,32 @@
         } else {
             task.index..task.index + 1
         };
-        self.record_run_time(id, task, now);
+        self.record_run_time(host_id, task, now);
         for index in completed {
-            self.mark_task_completed(id, &TaskId::new(&task.job, index));
+            self.mark_task_completed(host_id, &TaskId::new(&task.job, index));
         }
         self.finish_attempt(&task.job);
         self.unsaved.insert(task.job.clone());
-        if let Some(host) = self.hosts.get_mut(id) {
+        if let Some(host) = self.hosts.get_mut(host_id) {
             host.recent_failures.clear();
-            let started = host.tasks.get(task).map(|listed| listed.ordered);
+            let started = host.tasks.get(task).map(|entry| entry.ordered);
             host.last_success_started = host.last_success_started.max(started);
         }
         self.apply_job_evidence(&task.job, failures::Input::Succeeded, now);
         self.remove_job_if_ended(&task.job);
     }
 
-    /// Marks a task as completed because of a result reported by host `id`. The task itself may be live on
-    /// another host.
-    fn mark_task_completed(&mut self, id: &HostId, task: &TaskId) {
+    /// Marks a task as completed because of a result reported by this host. The task itself
+    /// may be live on another host.
+    fn mark_task_completed(&mut self, host_id: &HostId, task: &TaskId) {
         self.release_reservation(&task.job, task.index);
         let job = self.jobs.get(&task.job);
         let live_host = job.and_then(|job| job.live.get(&task.index)).cloned();
-        // A task that still holds resources must remain live, also when its host is `id`; otherwise
-        // it would be neither counted nor stopped.
+        // A task that still holds resources must remain live, also when its host reported the
+        // result; otherwise it would be neither counted nor stopped.
         let holds_resources_on = |host: &HostId| {
-            let listed = self.hosts.get(host).and_then(|h| h.tasks.get(task));
-            host != id || listed.is_some_and(HostTask::holds_resources)
+            let entry = self.hosts.get(host).and_then(|h| h.tasks.get(task));
+            host != host_id || entry.is_some_and(HostTask::holds_resources)
         };
         match live_host {
             // The task remains live until its host reports that it has ended.
@@ -168,11 +179,11 @@
         }
     }
 
-    /// Handles a task that ended without a result or was lost with its host: it becomes pending again, or
-    /// done if its result is known already.
+    /// Handles a task that ended without a result or was lost with its host: it becomes pending
+    /// again, or done if its result is known already.
     fn task_interrupted(
         &mut self,
-        id: &HostId,
+        host_id: &HostId,
         task: &TaskId,
         cause: Option<ExitCause>,
         now: Micros,
@@ -185,7 +196,7 @@
         };
         let has_result = job.unsaved.contains(&task.index);
         match cause.filter(|_| !has_result) {
-            Some(ExitCause::Error) => self.task_failed(id, task, now),
+            Some(ExitCause::Error) => self.task_failed(host_id, task, now),
             Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
                 job.not_before = now + START_REFUSED_BACKOFF;
             }
@@ -201,13 +212,14 @@
         self.remove_job_if_ended(&task.job);
     }
 
-    /// Handles a failed task. The failure counts against the host or, once the job has failed on every
-    /// host that tried it, against the job.
+    /// Handles a failed task. The failure counts against the host or, once the job has failed on
+    /// every host that tried it, against the job.
     ///
-    /// If all failures counted against hosts, a few faulty array jobs would quarantine a large part of
-    /// the fleet within seconds and cause it to be returned.
-    fn task_failed(&mut self, id: &HostId, task: &TaskId, now: Micros) {
-        let (Some(job), Some(host)) = (self.jobs.get_mut(&task.job), self.hosts.get_mut(id)) else {
+    /// If all failures counted against hosts, a few faulty array jobs would quarantine a large part
+    /// of the fleet within seconds and cause it to be returned.
+    fn task_failed(&mut self, host_id: &HostId, task: &TaskId, now: Micros) {
+        let (Some(job), Some(host)) = (self.jobs.get_mut(&task.job), self.hosts.get_mut(host_id))
+        else {
             return;
         };
         job.failed = true;
@@ -217,13 +229,13 @@
             .and_then(|t| t.running)
             .map_or(Micros::ZERO, |started| now - started);
         self.events
-            .push(Event::Failed(task.clone(), id.clone(), ran));
+            .push(Event::Failed(task.clone(), host_id.clone(), ran));
         let (was_backing_off, failed_attempts_before) = (
             job.failures.is_backing_off(),
             job.failures.failed_attempts(),
         );
         let failed = failures::Input::Failed {
-            host: id,
+            host: host_id,
             serves: host.has_served_others(&task.job, now),
             ran,
         };
@@ -233,7 +245,7 @@
         }
         if !job.failures.is_backing_off() {
             if host.record_failure(&task.job, now) {
-                self.events.push(Event::HostQuarantined(id.clone()));
+                self.events.push(Event::HostQuarantined(host_id.clone()));
             }
         } else if !was_backing_off {
             let reserved: Vec<u32> = job.reserved.keys().copied().collect();
@@ -249,10 +261,11 @@
         }
     }
 
-    /// Applies evidence that a job is not faulty: a task completed, or has been running for some time. If
-    /// the job no longer backs off because of it, its failures count against the hosts where it failed.
-    fn apply_job_evidence(&mut self, id: &JobId, input: failures::Input<'_>, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else {
+    /// Applies evidence that a job is not faulty: a task completed, or has been running for some
+    /// time. If the job no longer backs off because of it, its failures count against the hosts
+    /// where it failed.
+    fn apply_job_evidence(&mut self, job_id: &JobId, input: failures::Input<'_>, now: Micros) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         let hosts = match &job.failures {
@@ -264,14 +277,15 @@
         if !was_backing_off || job.failures.is_backing_off() {
             return;
         }
-        self.unsaved.insert(id.clone());
+        self.unsaved.insert(job_id.clone());
         self.changed = true;
         for host in hosts {
             if let Some(h) = self.hosts.get_mut(&host)
-                && !h.has_served_others(id, now)
+                && !h.has_served_others(job_id, now)
             {
                 // Two failures are recorded, as many as put a host into quarantine.
-                let is_newly_quarantined = h.record_failure(id, now) | h.record_failure(id, now);
+                let is_newly_quarantined =
+                    h.record_failure(job_id, now) | h.record_failure(job_id, now);
                 if is_newly_quarantined {
                     self.events.push(Event::HostQuarantined(host));
                 }
@@ -279,8 +293,8 @@
         }
     }
 
-    /// Checks for jobs that back off whether a task has run longer than the failed ones did, which ends
-    /// the backoff.
+    /// Checks for jobs that back off whether a task has run longer than the failed ones did, which
+    /// ends the backoff.
     pub(crate) fn clear_outlived_failures(&mut self, now: Micros) {
         let mut longest_runs = Vec::new();
         for (id, job) in self
@@ -304,10 +318,10 @@
         }
     }
 
-    /// Ends the attempt of a job once none of its tasks is live. In a gang with a result, all tasks with
-    /// unsaved results become done.
-    fn finish_attempt(&mut self, id: &JobId) {
-        if let Some(job) = self.jobs.get_mut(id)
+    /// Ends the attempt of a job once none of its tasks is live. If the job is a gang that completed,
+    /// all its tasks become done.
+    fn finish_attempt(&mut self, job_id: &JobId) {
+        if let Some(job) = self.jobs.get_mut(job_id)
             && job.live.is_empty()
         {
             job.attempt = None;
@@ -321,13 +335,14 @@
         }
     }
 
-    /// Updates the run time ratio of the job's class and the slowness of the host from the run time of a
-    /// completed task. Jobs without an estimate and jobs with preempted or failed tasks are skipped.
-    fn record_run_time(&mut self, id: &HostId, task: &TaskId, now: Micros) {
+    /// Updates the run time ratio of the job's class and the slowness of the host from the run time
+    /// of a completed task. Jobs without an estimate and jobs with preempted or failed tasks are
+    /// skipped.
+    fn record_run_time(&mut self, host_id: &HostId, task: &TaskId, now: Micros) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(host) = self.hosts.get_mut(id) else {
+        let Some(host) = self.hosts.get_mut(host_id) else {
             return;
         };
         let Some(started) = host.tasks.get(task).and_then(|t| t.running) else {
@@ -345,6 +360,6 @@
         *class_ratio += 0.05 * (observed_ratio - *class_ratio);
         let relative_run_time = (observed_ratio / class_ratio.max(0.1)).clamp(0.2, 5.0);
         host.slowness += 0.2 * (relative_run_time - host.slowness);
-        self.learn_overrun(id, task, relative_run_time, now);
+        self.learn_overrun(host_id, task, relative_run_time, now);
     }
 }
--- a/crates/jasperhill-scheduler/src/partition/waiting.rs
+++ b/crates/jasperhill-scheduler/src/partition/waiting.rs
@@ -9,8 +9,8 @@
 use jasperhill_wire::{JobId, Micros, Name};
 use std::collections::BTreeMap;
 
-/// The reason for which a job without running tasks waits: the first stage of the scheduling cycle that
-/// rejects it.
+/// The reason for which a job without running tasks waits: the first stage of the scheduling cycle
+/// that rejects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitReason {
     /// Jobs that the job depends on have not finished.
@@ -19,7 +19,8 @@
     UnconfirmedTasks,
     /// The job must not be retried yet after a failure or a refused start.
     Backoff,
-    /// The job would exceed its team's limit, or what is left of the limit is reserved for another job.
+    /// The job would exceed its team's limit, or what is left of the limit is reserved for another
+    /// job.
     TeamLimit,
     /// Tasks are being preempted on hosts to make room for the job.
     Preemption,
