--- a/crates/jasperhill-scheduler/src/host/heartbeat.rs
+++ b/crates/jasperhill-scheduler/src/host/heartbeat.rs
@@ -232,7 +232,7 @@
                 self.stale.insert((status.task.clone(), status.attempt));
                 return;
             }
-            // A result from before a failover counts as well.
+            // The task may have been started before a failover; its result counts nevertheless.
             let new_entry = HostTask::from_report(status.attempt, state, now);
             self.tasks.insert(status.task.clone(), new_entry);
             outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
--- a/crates/jasperhill-scheduler/src/host/mod.rs
+++ b/crates/jasperhill-scheduler/src/host/mod.rs
@@ -30,7 +30,7 @@
 /// A heartbeat with more tasks could exceed the limit of 64 KiB for a request body. A host whose
 /// heartbeats are refused is lost with all tasks that run on it.
 pub const LISTED_MAX: usize = 440;
-/// Maximum number of commands in one message, which must not exceed 64 KiB either. The remaining
+/// Maximum number of commands in one message, whose body must not exceed 64 KiB. The remaining
 /// commands are sent in later messages.
 const MAX_COMMANDS_PER_MESSAGE: usize = 600;
 
@@ -126,7 +126,7 @@
 /// commands were left unanswered and may still be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TokenRefresh {
-    /// The current token is sufficient.
+    /// The host may get new tasks under its current token.
     NotNeeded,
     /// The host's record must be rewritten to raise the token.
     Needed,
@@ -203,14 +203,16 @@
     sequence: u64,
     /// Tasks that the worker lists or was ordered to start, with one attempt of each.
     pub tasks: BTreeMap<TaskId, HostTask>,
-    /// Resources that all tasks take together. This total and the two counts after it are kept up
-    /// to date so that a scheduling cycle over many hosts does not iterate over every task.
+    /// Resources that all tasks take together. Kept up to date, like the counts
+    /// `tasks_holding_resources` and `tasks_awaiting_image`, so that a scheduling cycle over many
+    /// hosts does not iterate over every task.
     used: Resources,
     /// Number of tasks that hold resources or may hold them.
     tasks_holding_resources: usize,
     /// Number of tasks whose image is still to be pulled.
     tasks_awaiting_image: usize,
-    /// Superseded attempts of tasks in `tasks`, kept until the worker no longer lists them.
+    /// Exited attempts of tasks that another attempt in `tasks` has superseded, kept until the
+    /// worker no longer lists them.
     stale: BTreeSet<(TaskId, Attempt)>,
     /// Whether the worker must show a raised token before the host gets new tasks.
     token_refresh: TokenRefresh,
--- a/crates/jasperhill-scheduler/src/partition/mod.rs
+++ b/crates/jasperhill-scheduler/src/partition/mod.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Removes ended jobs, and records when hosts begin to possibly run unknown tasks of a previous
-    /// owner and when the last of them is confirmed.
+    /// Removes ended jobs, and records when unconfirmed hosts are first found and when the last of
+    /// them is confirmed or expired.
     pub(crate) fn note_confirmed(&mut self, now: Micros) {
         self.remove_ended_jobs();
         match (self.has_unconfirmed_tasks(), self.unconfirmed_since) {
@@ -267,7 +267,7 @@
         self.jobs.entry(id.clone()).or_insert(job);
     }
 
-    /// Removes a job if it has ended, none of its tasks is live and none can run unknown.
+    /// Removes a job if it has ended and no live or unknown task of it can still run.
     fn remove_job_if_ended(&mut self, id: &JobId) {
         if self.jobs.get(id).is_some_and(|j| j.termination.is_some()) {
             let unconfirmed = self.unconfirmed_tasks();
@@ -281,18 +281,18 @@
         }
     }
 
-    /// Returns whether a job has ended, none of its tasks is live and, for a cancelled job, none
-    /// can run unknown.
+    /// Returns whether a job has ended, has no live tasks and, if it was cancelled, no unconfirmed
+    /// host may run its tasks.
     fn is_fully_ended(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
-        let may_run_unknown = match job.termination {
+        let may_be_running = match job.termination {
             None => return false,
             Some(Termination::Done) => false,
             Some(Termination::Cancelled) => self.may_run_unconfirmed(job, unconfirmed),
         };
-        job.live.is_empty() && !may_run_unknown
+        job.live.is_empty() && !may_be_running
     }
 
-    /// Removes all jobs that have ended, of which no task is live or can run unknown.
+    /// Removes all ended jobs of which no live or unknown task can still run.
     pub(crate) fn remove_ended_jobs(&mut self) {
         let unconfirmed = self.unconfirmed_tasks();
         let ended = self
--- a/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
+++ b/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
@@ -318,8 +318,8 @@
         }
     }
 
-    /// Ends the attempt of a job once none of its tasks is live. If the job is a gang that completed,
-    /// all its tasks become done.
+    /// Ends the attempt of a job once none of its tasks is live. If the job is a gang that
+    /// completed, all its tasks become done.
     fn finish_attempt(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id)
             && job.live.is_empty()
