--- a/crates/jasperhill-controller/src/commands/queue.rs
+++ b/crates/jasperhill-controller/src/commands/queue.rs
@@ -1,4 +1,5 @@
-//! The hosts that have commands outstanding, sent to as many at a time as the connections allow.
+//! The queue of hosts with outstanding commands. A limiter bounds the number of hosts that are sent commands
+//! at the same time.
 
 use crate::shared::Shared;
 use jasperhill_connections::limiter::Input;
@@ -6,9 +7,9 @@
 use std::rc::Rc;
 
 impl Shared {
-    /// Queues hosts, each with its partition, that have commands outstanding, and sends to as many as
-    /// the limiter allows. `tick`: time has passed since the last call, so that hosts may have become
-    /// due. Called by each scheduling pass.
+    /// Queues hosts with outstanding commands, given as pairs of partition number and host, and sends
+    /// commands to as many hosts as the limiter allows. `tick` is true if time has passed since the last
+    /// call, so that the back-off of hosts may have ended. Called by each scheduling pass.
     pub fn queue_commands(self: &Rc<Self>, hosts: Vec<(u32, HostId)>, tick: bool) {
         let now = self.now();
         let mut ready_hosts = Vec::new();
@@ -24,7 +25,8 @@
         self.send_commands(ready_hosts);
     }
 
-    /// Sends commands to hosts, each with its partition, that the limiter has let through.
+    /// Sends commands to the hosts that the limiter has released, given as pairs of partition number and
+    /// host. Hosts that the limiter releases when a request completes follow.
     pub fn send_commands(self: &Rc<Self>, ready_hosts: Vec<(u32, HostId)>) {
         for (partition_id, host) in ready_hosts {
             let shared = self.clone();
--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -1,4 +1,5 @@
-//! Sending a worker its outstanding commands, and what the answer, or its absence, means for them.
+//! Sending of a worker's outstanding commands. The worker's response settles the commands; a missing
+//! response leaves them in doubt.
 
 use crate::{
     relay::{
@@ -15,10 +16,10 @@
 };
 use std::{net::SocketAddr, rc::Rc};
 
-/// How long a worker may take to answer.
-const ANSWER_LIMIT: Micros = Micros::from_secs(3);
+/// How long a worker may take to respond to a request.
+const RESPONSE_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// A host of a partition that this controller owns.
+/// A host that this controller sends commands to, as the owner of the host's partition.
 struct CommandTarget {
     /// The partition's number.
     partition_id: u32,
@@ -26,18 +27,18 @@
     owned_since: Revision,
     /// The host's id.
     host: HostId,
-    /// Where its worker listens.
+    /// The address that the host's worker listens on.
     address: SocketAddr,
     /// The host's zone.
     zone: Name,
-    /// Whether the worker's incarnation is known; commands name it.
+    /// Whether the worker's incarnation is known. Commands carry the incarnation.
     is_incarnation_known: bool,
-    /// How many hosts the partition has.
+    /// The number of hosts in the partition.
     hosts_in_partition: usize,
 }
 
 impl CommandTarget {
-    /// The host as the target of a request.
+    /// Returns the host's worker as the target of a request.
     fn worker(&self) -> Worker<'_> {
         Worker {
             host: &self.host,
@@ -48,32 +49,32 @@
     }
 }
 
-/// A request with commands.
+/// An encoded request with commands.
 struct CommandRequest {
-    /// The body of the request.
+    /// The encoded body of the request.
     body: Vec<u8>,
-    /// How many commands it has.
-    commands: usize,
+    /// The number of commands in the request.
+    command_count: usize,
 }
 
 impl Shared {
-    /// Sends a worker its outstanding commands, one request at a time. Whether it answered; `None` if
-    /// nothing was sent.
+    /// Sends a worker its outstanding commands, with at most one request in flight. Returns whether the
+    /// worker responded, or `None` if no commands were sent.
     pub(super) async fn send_commands_to(
         self: &Rc<Self>,
         partition_id: u32,
         host: HostId,
     ) -> Option<bool> {
         let target = self.command_target(partition_id, host)?;
-        // Guards against commands in doubt for every host beyond a partition of the network: each would
-        // have to have its token raised by a write before it could be used again.
+        // Without a route, nothing is sent. Otherwise every host beyond a network partition would have
+        // commands in doubt, and each would need a write that raises its token before its next use.
         if matches!(self.command_route(&target.zone), CommandRoute::None) {
             return None;
         }
         if !target.is_incarnation_known {
             let request = status_request();
-            let answer = self.call_worker(target.worker(), request, ANSWER_LIMIT);
-            match answer.await {
+            let call = self.call_worker(target.worker(), request, RESPONSE_TIMEOUT);
+            match call.await {
                 Ok(response) if response.status == 200 => {
                     self.apply_direct_response(&target, &response.body);
                 }
@@ -81,16 +82,19 @@
                 _ => return Some(false),
             }
         }
-        let CommandRequest { body, commands } = self.prepare_commands(&target)?;
+        let CommandRequest {
+            body,
+            command_count,
+        } = self.prepare_commands(&target)?;
         let request = commands_request(body);
-        let answer = self.call_worker(target.worker(), request, ANSWER_LIMIT);
-        let answer = answer.await;
-        self.settle_commands(&target, &answer, commands);
-        let answered = match &answer {
+        let call = self.call_worker(target.worker(), request, RESPONSE_TIMEOUT);
+        let result = call.await;
+        self.record_command_outcome(&target, &result, command_count);
+        let answered = match &result {
             Err(ClientError::NoSocket) => None,
-            answer => Some(answer.is_ok()),
+            result => Some(result.is_ok()),
         };
-        if let Ok(response) = answer
+        if let Ok(response) = result
             && matches!(response.status, 200 | 409)
         {
             self.apply_direct_response(&target, &response.body);
@@ -99,8 +103,9 @@
         answered
     }
 
-    /// Where commands for a host go; `None` if it is not owned here, or commands to it are under way or
-    /// in doubt.
+    /// Returns the target for commands to a host. Returns `None` if this controller does not own the host's
+    /// partition, if the host has commands in flight or in doubt, or if the host's address can't be
+    /// parsed.
     fn command_target(&self, partition_id: u32, host: HostId) -> Option<CommandTarget> {
         let state = self.state.borrow();
         let partition = state.scheduling.partitions.get(&partition_id)?;
@@ -119,13 +124,13 @@
         })
     }
 
-    /// The request with the commands outstanding for a host, which count as under way from now on; `None`
-    /// if there is nothing to send, or it may not be sent now.
+    /// Builds the request with a host's outstanding commands and marks the commands as in flight. Returns
+    /// `None` if there is nothing to send, or if nothing may be sent now.
     fn prepare_commands(&self, target: &CommandTarget) -> Option<CommandRequest> {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
-        // Checked for every request: the process may have been stalled since the last one.
+        // The authority is checked for every request, as the process may have stalled since the last one.
         if !state.authority.holds(now) {
             return None;
         }
@@ -137,8 +142,8 @@
         let commands = partition.commands(&target.host);
         let host = partition.hosts.get(&target.host)?;
         let known_as_of = state.authority.fresh();
-        // Guards against a start that is executed late under a lease that a delegate renews, after its
-        // job was cancelled: see `Host::in_flight_known_as_of`.
+        // A delegate may go on renewing the lease of this host. A start command that arrives late under
+        // such a lease could be executed after its job was cancelled: see `Host::in_flight_known_as_of`.
         if host.last_answer > self.settings.bounds.until(known_as_of) {
             return None;
         }
@@ -152,19 +157,20 @@
         }
         let request = CommandRequest {
             body: commands_body(token, Some(incarnation), &commands),
-            commands: commands.len(),
+            command_count: commands.len(),
         };
         let sent = HostInput::DirectSent(commands, known_as_of);
         partition.apply(&target.host, sent, now);
         Some(request)
     }
 
-    /// Notes that commands were executed or refused, or that this is in doubt.
-    fn settle_commands(
+    /// Records the outcome of a request with commands: the commands are settled (executed, refused or
+    /// never sent), or in doubt.
+    fn record_command_outcome(
         &self,
         target: &CommandTarget,
-        answer: &Result<Response, ClientError>,
-        commands: usize,
+        result: &Result<Response, ClientError>,
+        command_count: usize,
     ) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -172,18 +178,23 @@
         let Some(partition) = partition.filter(|found| found.since == target.owned_since) else {
             return;
         };
-        let input = match answer {
+        let input = match result {
             Ok(response) if matches!(response.status, 200 | 400 | 409) => HostInput::DirectSettled,
             Err(error) if error.is_unsent() => HostInput::DirectSettled,
             _ => {
-                tracing::debug!(host = %target.host, commands, "direct commands in doubt");
+                tracing::debug!(
+                    host = %target.host,
+                    command_count,
+                    "commands unanswered, outcome in doubt"
+                );
                 HostInput::DirectUnanswered
             }
         };
         partition.apply(&target.host, input, now);
     }
 
-    /// Takes in the status that a worker has answered a direct request with.
+    /// Applies the status in a worker's response to a direct request, unless another host has responded or
+    /// the partition has changed owners.
     fn apply_direct_response(&self, target: &CommandTarget, body: &[u8]) {
         let now = self.now();
         let host = &target.host;
--- a/crates/jasperhill-controller/src/commands/state.rs
+++ b/crates/jasperhill-controller/src/commands/state.rs
@@ -1,19 +1,21 @@
-//! What is remembered of commands to workers.
+//! State of the command module.
 
 use jasperhill_connections::ConcurrencyLimiter;
 use jasperhill_wire::HostId;
 use std::collections::BTreeSet;
 
-/// What is remembered of commands to workers.
+/// State of the commands that are sent to workers and of the updates of fencing tokens.
 pub(crate) struct CommandState {
-    /// Bounds how many workers are sent commands at a time; a host with its partition.
+    /// Bounds the number of workers that are sent commands at the same time. A key is a partition number
+    /// with a host of the partition.
     pub limiter: ConcurrencyLimiter<(u32, HostId)>,
-    /// Hosts whose records are being rewritten.
+    /// Hosts with a pending update of their record; at most one update is pending for a host. A rewrite of
+    /// the record raises the host's fencing token.
     pub token_updates: BTreeSet<HostId>,
 }
 
 impl CommandState {
-    /// `concurrency`: workers that are sent commands at a time.
+    /// Creates the state with a limit of `concurrency` workers that are sent commands at the same time.
     pub fn new(concurrency: usize) -> Self {
         Self {
             limiter: ConcurrencyLimiter::new(concurrency),
--- a/crates/jasperhill-controller/src/commands/tokens.rs
+++ b/crates/jasperhill-controller/src/commands/tokens.rs
@@ -1,18 +1,18 @@
-//! Raising the fencing tokens of hosts with commands in doubt.
+//! Raises the fencing tokens of hosts with commands in doubt.
 
 use crate::{host_registry::HostUpdate, shared::Shared, store::WritePriority};
 use jasperhill_wire::{Micros, record::Role};
 use std::rc::Rc;
 
-/// How long the write of a host's record is tried.
-const WRITE_LIMIT: Micros = Micros::from_secs(5);
+/// How long the write of a host's record is attempted.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(5);
 
 impl Shared {
-    /// Rewrites the records of hosts with commands in doubt, which raises their fencing tokens: direct
-    /// commands that come late are then refused by the worker. Called by each scheduling pass.
+    /// Raises the fencing tokens of hosts with commands in doubt by rewriting their records. A worker then
+    /// refuses direct commands that arrive late with the old token. Called by each scheduling pass.
     pub fn raise_tokens(self: &Rc<Self>) {
         let now = self.now();
-        let mut due = Vec::new();
+        let mut hosts_to_update = Vec::new();
         {
             let mut state_guard = self.state.borrow_mut();
             let state = &mut *state_guard;
@@ -23,12 +23,12 @@
                         && !state.host_registry.is_backing_off(cached.block, now)
                         && state.commands.token_updates.insert(host.id.clone())
                     {
-                        due.push((role, host.id.clone(), cached.clone()));
+                        hosts_to_update.push((role, host.id.clone(), cached.clone()));
                     }
                 }
             }
         }
-        for (role, host, cached) in due {
+        for (role, host, cached) in hosts_to_update {
             let shared = self.clone();
             self.clone().spawn(async move {
                 let mut record = cached.value;
@@ -39,9 +39,9 @@
                     host: host.clone(),
                     expected_version: Some(cached.version),
                     new_record: Some(record),
-                    deadline: shared.now() + WRITE_LIMIT,
+                    deadline: shared.now() + WRITE_TIMEOUT,
                 };
-                // Once it is written, the watch cache hands the new revision to the partition.
+                // After the write, the watch cache passes the record's new revision to the partition.
                 shared.update_host(cached.block, update).await;
                 let mut state = shared.state.borrow_mut();
                 state.commands.token_updates.remove(&host);
