--- a/crates/jasperhill-controller/src/proposals/mod.rs
+++ b/crates/jasperhill-controller/src/proposals/mod.rs
@@ -1,11 +1,13 @@
-//! Proposals: jobs with deadlines whose owner is not reached by mesh while the state service answers are
-//! handed over to it through the store. Owns [`state::ProposalState`].
+//! Proposals: jobs with deadlines that a controller submits to their owner through the store, because the owner
+//! can't be reached over the mesh while the store answers. The state is [`state::ProposalState`].
 //!
-//! The proposer writes `jh/want/<job>`, tied to its session. The owner sees it, runs the admission
-//! test and writes the job's record, or the rejection into the proposal; the proposer sees either and
-//! deletes the proposal. A proposal that is seen late is as good as a submission that comes late: the
-//! job's record is written once, guarded by its absence, and a user who was told to come back
-//! finds it there.
+//! The proposer writes the proposal at `jh/want/<job>`, tied to its session. The owner sees the proposal, runs
+//! the admission test, and writes either the job's record, or the rejection into the proposal. The proposer sees
+//! either record and deletes the proposal.
+//!
+//! Invariant: a proposal that is seen late has the same effect as a submission that arrives late. The job's
+//! record is written only once, as the write requires that no record exists, and a user who was told to come
+//! back finds the record.
 
 pub mod state;
 
@@ -24,31 +26,32 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// Open proposals of this controller at a time; beyond, users are told to come back at once.
-const OPEN_MAX: usize = 64;
-/// How long the owner's decision is waited for: users wait five seconds for an answer.
-const DECISION_LIMIT: Duration = Duration::from_millis(1_500);
-/// How long the deletion of a proposal may wait before it is sent: nobody waits for it.
-const DELETE_LIMIT: Micros = Micros::from_secs(10);
-/// How long a proposal or a rejection may wait before it is sent.
-const WRITE_LIMIT: Micros = Micros::from_millis(700);
+/// The largest number of open proposals of this controller. Users with further jobs are told at once to come
+/// back.
+const MAX_OPEN_PROPOSALS: usize = 64;
+/// How long the proposer waits for the owner's decision. Users wait five seconds for an answer.
+const DECISION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long the deletion of a proposal may wait before it is sent. No user waits for the deletion.
+const DELETE_TIMEOUT: Micros = Micros::from_secs(10);
+/// How long the write of a proposal or a rejection may wait before it is sent.
+const WRITE_TIMEOUT: Micros = Micros::from_millis(700);
 
-/// A proposal that is to be decided on.
+/// Another controller's proposal that this controller, as the owner, has to decide on.
 struct UndecidedProposal {
-    /// Of the proposal's record.
+    /// The version of the proposal's record.
     version: Revision,
-    /// Who waits for the decision.
+    /// The controller that waits for the decision.
     proposer: Member,
-    /// The job.
+    /// The proposed job.
     request: JobRequest,
-    /// The partition that would run the job, which this controller owns.
+    /// The number of the partition that would run the job. This controller owns the partition.
     partition: u32,
-    /// The revision at which this controller took the partition over.
+    /// The revision at which this controller became the owner of the partition.
     owned_since: Revision,
 }
 
 impl Shared {
-    /// Whether the owner is to be asked through the store: its link is down.
+    /// Returns whether jobs are proposed to an owner through the store, because the link to the owner is down.
     pub fn proposes_through_store(&self, owner: &Member) -> bool {
         let state = self.state.borrow();
         self.uses_reachability(&state)
@@ -59,8 +62,9 @@
                 == LinkState::Down
     }
 
-    /// Proposes a job to its owner through the store, and waits for the decision. `Unavailable` if there
-    /// is none in time; the owner may still accept the job then.
+    /// Proposes a job to its owner through the store and waits for the owner's decision. Returns
+    /// `Unavailable` if the job can't be proposed, or if no decision arrives in time; in the latter case the
+    /// owner may still accept the job.
     pub async fn propose(self: &Rc<Self>, request: JobRequest) -> MeshResponse {
         let id = request.id.clone();
         let record = ProposalRecord {
@@ -68,15 +72,15 @@
             request: Some(request),
             retry_after_s: None,
         };
-        let bytes = serde_json::to_vec(&record).map_or(usize::MAX, |b| b.len());
+        let encoded_bytes = serde_json::to_vec(&record).map_or(usize::MAX, |json| json.len());
         let (lease, version) = {
             let mut state = self.state.borrow_mut();
             let Session::Held { lease, version } = state.authority.session() else {
                 return MeshResponse::Unavailable;
             };
-            if bytes > self.settings.value_bytes
+            if encoded_bytes > self.settings.value_bytes
                 || state.isolation.isolated
-                || state.proposals.open.len() >= OPEN_MAX
+                || state.proposals.open.len() >= MAX_OPEN_PROPOSALS
                 || state.cache.proposals.contains_key(&id)
                 || !state.proposals.open.insert(id.clone())
             {
@@ -85,16 +89,16 @@
             (lease, version)
         };
         let change = put_with_lease(proposal_key(&id), &record, lease);
-        let session = session_key(&self.settings.member);
+        let own_session_key = session_key(&self.settings.member);
         let guards = vec![
-            guard(session, version),
+            guard(own_session_key, version),
             guard(proposal_key(&id), Revision(0)),
         ];
         let outcome = self
-            .write(WritePriority::Accept, guards, vec![change], WRITE_LIMIT)
+            .write(WritePriority::Accept, guards, vec![change], WRITE_TIMEOUT)
             .await;
         let decision = match outcome {
-            WriteOutcome::Committed(_) => timeout(DECISION_LIMIT, self.proposal_outcome(&id))
+            WriteOutcome::Committed(_) => timeout(DECISION_TIMEOUT, self.wait_for_decision(&id))
                 .await
                 .ok(),
             _ => None,
@@ -106,40 +110,42 @@
         decision.unwrap_or(MeshResponse::Unavailable)
     }
 
-    /// The owner's decision: the job's record, or a rejection.
-    async fn proposal_outcome(&self, id: &JobId) -> MeshResponse {
+    /// Waits for the owner's decision: the job's record means acceptance; the alternative is a rejection in
+    /// the proposal's record.
+    async fn wait_for_decision(&self, id: &JobId) -> MeshResponse {
         loop {
-            let changed = self.wake.proposals.notified();
+            let proposals_changed = self.wake.proposals.notified();
             {
                 let state = self.state.borrow();
                 if state.cache.job(id).is_some() {
                     return MeshResponse::Accepted;
                 }
                 let proposal = state.cache.proposals.get(id);
-                if let Some(retry_after_s) = proposal.and_then(|k| k.value.retry_after_s) {
+                if let Some(retry_after_s) = proposal.and_then(|cached| cached.value.retry_after_s)
+                {
                     return MeshResponse::Rejected { retry_after_s };
                 }
             }
-            changed.await;
+            proposals_changed.await;
         }
     }
 
-    /// Deletes a proposal that is decided on, or that nobody waits for any more.
+    /// Deletes a proposal that the owner has decided on, or whose decision no user waits for any more.
     async fn delete_proposal(self: Rc<Self>, id: JobId) {
         let change = Change::Delete {
             key: proposal_key(&id),
         };
-        // If it is not executed, the proposal goes with the session.
+        // If the deletion is not executed, the proposal is removed when this controller's session ends.
         self.write(
             WritePriority::Finish,
             Vec::new(),
             vec![change],
-            DELETE_LIMIT,
+            DELETE_TIMEOUT,
         )
         .await;
     }
 
-    /// A proposal has changed: whoever owns the job's partition decides on it.
+    /// Decides on a proposal that has changed, if this controller owns the job's partition.
     pub async fn decide_proposal(self: Rc<Self>, id: JobId) {
         let Some(proposal) = self.undecided_proposal(&id) else {
             return;
@@ -153,28 +159,29 @@
             retry_after_s: Some(retry_after_s),
         };
         let key = proposal_key(&id);
-        let owner = role_key(Role::Partition(proposal.partition));
+        let owner_key = role_key(Role::Partition(proposal.partition));
         let guards = vec![
             guard(key.clone(), proposal.version),
-            guard(owner, proposal.owned_since),
+            guard(owner_key, proposal.owned_since),
         ];
         let changes = vec![put(key, &rejection)];
-        self.write(WritePriority::Accept, guards, changes, WRITE_LIMIT)
+        self.write(WritePriority::Accept, guards, changes, WRITE_TIMEOUT)
             .await;
     }
 
-    /// A proposal of another controller that this one has to decide on.
+    /// Returns the proposal of a job if another controller made it and this controller has yet to decide on it;
+    /// otherwise returns `None`.
     fn undecided_proposal(&self, id: &JobId) -> Option<UndecidedProposal> {
         let state = self.state.borrow();
-        let entry = state.cache.proposals.get(id)?;
-        let record = &entry.value;
+        let cached = state.cache.proposals.get(id)?;
+        let record = &cached.value;
         if record.retry_after_s.is_some() || record.proposer == self.settings.member {
             return None;
         }
         let request = record.request.clone()?;
         let partition = self.partition_of(&request.team)?;
         Some(UndecidedProposal {
-            version: entry.version,
+            version: cached.version,
             proposer: record.proposer.clone(),
             request,
             partition,
--- a/crates/jasperhill-controller/src/proposals/state.rs
+++ b/crates/jasperhill-controller/src/proposals/state.rs
@@ -1,14 +1,14 @@
-//! The state of proposals. `open` is changed by `proposals`, `received` by changes of the watch cache and
-//! by the loop that decides on them.
+//! State of the proposals module. Only `proposals` changes `open`. Changes in the watch cache add to `received`,
+//! and the loop that decides on proposals takes them.
 
 use jasperhill_wire::JobId;
 use std::collections::BTreeSet;
 
-/// Jobs that are handed over to their owners through the store.
+/// Jobs that are proposed to their owners through the store.
 #[derive(Default)]
 pub(crate) struct ProposalState {
-    /// Proposed by this controller, and not decided on yet.
+    /// Jobs that this controller has proposed and whose decisions it still waits for.
     pub open: BTreeSet<JobId>,
-    /// Proposed by others, to be considered.
+    /// Jobs that other controllers have proposed and that this controller has not considered yet.
     pub received: BTreeSet<JobId>,
 }
