--- a/crates/jasperhill-controller/src/delegation/delegate.rs
+++ b/crates/jasperhill-controller/src/delegation/delegate.rs
@@ -1,6 +1,7 @@
-//! As a delegate: requesting to answer for hosts that can't reach their owners, and answering them.
+//! The delegate's side of lease delegation: requests grants for hosts that can't reach their owners, and
+//! answers the heartbeats of these hosts.
 
-use super::requests::{DueRequest, JoinOutcome};
+use super::requests::{AddHostOutcome, DueRequest};
 use crate::{
     shared::Shared,
     state::State,
@@ -18,49 +19,52 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// Hosts that fit a request whatever their names, as a part of a value's bytes.
-const HOST_BYTES: usize = 40;
-/// Bytes of a request beyond its hosts.
-const REQUEST_OVERHEAD: usize = 256;
-/// How long a heartbeat may wait for the grant; the worker waits four seconds.
-const GRANT_WAIT: Duration = Duration::from_millis(2_200);
-/// Hosts that come soon after one another are requested together.
+/// The space in bytes that a request reserves for each host, so that the hosts fit the value whatever their
+/// names are.
+const RESERVED_BYTES_PER_HOST: usize = 40;
+/// The size in bytes of a request without its hosts.
+const REQUEST_OVERHEAD_BYTES: usize = 256;
+/// How long a heartbeat waits for the owner's grant. Workers wait four seconds for a response.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// The pause after writing requests. Hosts that arrive during the pause are requested together.
 const REQUEST_PAUSE: Duration = Duration::from_millis(150);
-/// How often requests are checked when nothing wakes the loop.
+/// The longest time between two checks of the requests, when nothing wakes the loop earlier.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// The part of the delegation time after which a request is written again.
-const RENEWAL_SHARE: f64 = 0.25;
-/// A host that was not heard for so many intervals between heartbeats, and `SILENT_MARGIN`, has left.
-const SILENT_INTERVALS: f64 = 2.5;
-/// See `SILENT_INTERVALS`: lets one heartbeat be late.
-const SILENT_MARGIN: Micros = Micros::from_secs(5);
-/// How long before the grant ends a delegate stops answering, for the way of the response.
+/// The fraction of the delegation time after which a request is written again.
+const RENEWAL_FRACTION: f64 = 0.25;
+/// The number of heartbeat intervals, besides `HOST_SILENCE_MARGIN`, after which a silent host is removed from
+/// the requests.
+const HOST_SILENCE_INTERVALS: f64 = 2.5;
+/// The time added to `HOST_SILENCE_INTERVALS`, so that one heartbeat may be late.
+const HOST_SILENCE_MARGIN: Micros = Micros::from_secs(5);
+/// How long before the end of a grant the delegate stops answering, to leave time for the response to travel.
 const GRANT_MARGIN: Micros = Micros::from_millis(200);
-/// The part of the delegation time that is added to `GRANT_MARGIN`, as clocks run at different rates.
-const CLOCK_DRIFT: f64 = 0.002;
-/// How long the write of a request is tried.
-const WRITE_LIMIT: Micros = Micros::from_secs(1);
-/// How long a peer may take to answer.
-const PING_LIMIT: Micros = Micros::from_secs(1);
+/// The fraction of the delegation time that is added to `GRANT_MARGIN`, as clocks run at different rates.
+const CLOCK_DRIFT_FRACTION: f64 = 0.002;
+/// How long the write of a request may wait before it is sent.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(1);
+/// How long a peer may take to answer a ping.
+const PING_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// This controller's session with the store.
 #[derive(Clone, Copy)]
 struct OwnSession {
-    /// The lease of the session in the store.
+    /// The id of the session's lease in the store.
     lease: u64,
     /// The version of the session's record.
     version: Revision,
 }
 
 impl Shared {
-    /// Answers a heartbeat for the owner if that has granted it, or does so in a moment.
+    /// Answers a heartbeat for its owner if the owner has granted the delegation or grants it within
+    /// `GRANT_TIMEOUT`. Returns `None` if there is no such grant, or if no request has room for the host.
     pub async fn answer_as_delegate(self: &Rc<Self>, heartbeat: &Heartbeat) -> Option<Response> {
         match self.request_delegation(&heartbeat.host) {
-            JoinOutcome::Added => self.wake.delegation_requests.notify_one(),
-            JoinOutcome::Renewed => {}
-            JoinOutcome::Full => return None,
+            AddHostOutcome::Added => self.wake.delegation_requests.notify_one(),
+            AddHostOutcome::Renewed => {}
+            AddHostOutcome::Full => return None,
         }
-        let granted = timeout(GRANT_WAIT, async {
+        let granted = timeout(GRANT_TIMEOUT, async {
             loop {
                 let grants_changed = self.wake.grants_changed.notified();
                 if let Some(response) = self.delegate_response(heartbeat) {
@@ -72,33 +76,43 @@
         granted.await.ok()
     }
 
-    /// Adds a host to the requests; `Full` also for a name that is too long.
-    fn request_delegation(&self, host: &HostId) -> JoinOutcome {
+    /// Adds a host to the requests, or records that it was heard again. Returns `Full` also if the host's name
+    /// is too long.
+    fn request_delegation(&self, host: &HostId) -> AddHostOutcome {
         let now = self.now();
-        if host.as_str().len() > HOST_BYTES / 2 {
-            return JoinOutcome::Full;
+        if host.as_str().len() > RESERVED_BYTES_PER_HOST / 2 {
+            return AddHostOutcome::Full;
         }
-        let hosts_max = self.settings.value_bytes.saturating_sub(REQUEST_OVERHEAD) / HOST_BYTES;
+        let hosts_per_part = self
+            .settings
+            .value_bytes
+            .saturating_sub(REQUEST_OVERHEAD_BYTES)
+            / RESERVED_BYTES_PER_HOST;
         let mut state = self.state.borrow_mut();
-        state.delegation.requests.join(host, hosts_max, now)
+        state
+            .delegation
+            .requests
+            .add_host(host, hosts_per_part, now)
     }
 
-    /// The response for the owner: it renews the lease and stops what is cancelled. `None` without a
-    /// grant that is still valid.
+    /// Returns the response to a heartbeat on behalf of the owner. The response renews the worker's lease and
+    /// stops the tasks of jobs that have ended. Returns `None` without a valid grant, or if this controller's
+    /// view of the store is too old or lacks a running task's job.
     fn delegate_response(&self, heartbeat: &Heartbeat) -> Option<Response> {
         let now = self.now();
         let state = self.state.borrow();
         let Session::Held { lease, .. } = state.authority.session() else {
             return None;
         };
-        // The bound on cancellations: whoever renews a host's lease knows what is to be stopped there.
+        // The freshness bound on cancellations: a controller that renews a host's lease must know which
+        // tasks to stop on the host.
         let known_as_of = state.authority.fresh();
         let answers_until = self.settings.bounds.delegate_until(known_as_of);
         if !state.authority.holds(now) || now >= answers_until {
             return None;
         }
-        // Guards against a bare renewal for a task of a job that is not known here: it may be cancelled
-        // as well as just accepted.
+        // A lease is not renewed for a task whose job is unknown here: the job may have been cancelled, or
+        // may just have been accepted.
         let is_unknown = |task: &TaskStatus| {
             !matches!(task.phase, TaskPhase::Exited(_)) && state.cache.job(&task.task.job).is_none()
         };
@@ -115,8 +129,8 @@
         Some(Response::new(200, commands_body(token, None, &commands)))
     }
 
-    /// The fencing token that the owner of a host has granted to this controller's session; `None`
-    /// without a grant that is still valid.
+    /// Returns the fencing token that the owner of a host has granted to this controller's session. Returns
+    /// `None` without a grant that is still valid.
     fn granted_token(
         &self,
         state: &State,
@@ -134,13 +148,13 @@
         let token = *grant.value.hosts.get(host)?;
         let sent_at = state.delegation.requests.sent_at(grant.value.number)?;
         let delegation_time = self.settings.delegation_time();
-        let margin = GRANT_MARGIN + delegation_time.scale(CLOCK_DRIFT);
+        let margin = GRANT_MARGIN + delegation_time.scale(CLOCK_DRIFT_FRACTION);
         let is_valid = grant.value.lease == lease && now + margin < sent_at + delegation_time;
         is_valid.then_some(token)
     }
 
-    /// Writes the requests when they change, and again and again while there are hosts to answer for, for
-    /// as long as the controller lives.
+    /// Writes the requests when they change, and renews them regularly while they name hosts. Runs for as
+    /// long as the controller.
     pub async fn delegation_request_loop(self: Rc<Self>) {
         loop {
             let woken = self.wake.delegation_requests.notified();
@@ -155,26 +169,31 @@
                 self.clone()
                     .spawn(self.clone().write_delegation_request(session, request));
             }
-            self.ping_unreached();
+            self.ping_unreached_peers();
             sleep(REQUEST_PAUSE).await;
         }
     }
 
-    /// The requests to be written now, after hosts that have left are removed; `None` without a session.
+    /// Removes silent hosts from the requests and returns the requests to write now. Returns `None` if this
+    /// controller has no session.
     fn take_due_requests(&self) -> Option<(OwnSession, Vec<DueRequest>)> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let silence = self.settings.heartbeat_interval.scale(SILENT_INTERVALS) + SILENT_MARGIN;
-        state.delegation.requests.remove_silent(silence, now);
+        let silence_max = self
+            .settings
+            .heartbeat_interval
+            .scale(HOST_SILENCE_INTERVALS)
+            + HOST_SILENCE_MARGIN;
+        state.delegation.requests.remove_silent(silence_max, now);
         let Session::Held { lease, version } = state.authority.session() else {
             return None;
         };
-        let interval = self.settings.delegation_time().scale(RENEWAL_SHARE);
-        let due = state.delegation.requests.due(interval, now);
+        let interval = self.settings.delegation_time().scale(RENEWAL_FRACTION);
+        let due = state.delegation.requests.take_due(interval, now);
         Some((OwnSession { lease, version }, due))
     }
 
-    /// Writes a request, or deletes the record of one without hosts.
+    /// Writes a request to the store, or deletes the request's record if the request has no hosts.
     async fn write_delegation_request(self: Rc<Self>, session: OwnSession, request: DueRequest) {
         let own_member = &self.settings.member;
         let key = delegation_request_key(&delegation_part(own_member, request.part));
@@ -191,19 +210,22 @@
         };
         let guards = vec![guard(session_key(own_member), session.version)];
         let outcome = self
-            .write(WritePriority::Accept, guards, vec![change], WRITE_LIMIT)
+            .write(WritePriority::Accept, guards, vec![change], WRITE_TIMEOUT)
             .await;
-        let written = !is_empty || !matches!(outcome, WriteOutcome::Committed(_));
+        let may_be_stored = !is_empty || !matches!(outcome, WriteOutcome::Committed(_));
         let mut state = self.state.borrow_mut();
-        state.delegation.requests.set_written(request.part, written);
+        state
+            .delegation
+            .requests
+            .set_may_be_stored(request.part, may_be_stored);
     }
 
-    /// Calls those peers that did not answer, so that hosts go back to their owners as soon as these can
-    /// be reached.
-    fn ping_unreached(self: &Rc<Self>) {
+    /// Pings the peers that did not answer their last call, so that hosts return to their owners as soon as
+    /// the owners can be reached.
+    fn ping_unreached_peers(self: &Rc<Self>) {
         let unreached: Vec<Member> = {
             let state = self.state.borrow();
-            state.delegation.unreached_peers.keys().cloned().collect()
+            state.delegation.last_failure_at.keys().cloned().collect()
         };
         for member in unreached {
             let Some(address) = self.address_of(&member) else {
@@ -212,7 +234,7 @@
             let shared = self.clone();
             self.clone().spawn(async move {
                 let request = MeshRequest::IsStoreReachable;
-                shared.mesh_call(address, request, PING_LIMIT).await;
+                shared.mesh_call(address, request, PING_TIMEOUT).await;
             });
         }
     }
--- a/crates/jasperhill-controller/src/delegation/grants/tests.rs
+++ b/crates/jasperhill-controller/src/delegation/grants/tests.rs
@@ -1,10 +1,11 @@
-//! Grants end.
+//! Tests of when delegation grants expire.
 
 use super::*;
 
-/// Guards against grants of a former owner that stay in the store for ever.
+/// The time at which a former owner gave a grant is unknown. Such a grant must expire all the same, or it would
+/// stay in the store forever.
 #[test]
-fn a_grant_of_unknown_age_counts_from_when_it_is_seen() {
+fn grant_of_unknown_age_expires_one_lifetime_after_first_seen() {
     let mut grants = DelegationGrants::default();
     let key = GrantKey {
         partition: 1,
--- a/crates/jasperhill-controller/src/delegation/mod.rs
+++ b/crates/jasperhill-controller/src/delegation/mod.rs
@@ -1,17 +1,21 @@
-//! Lease delegation: when two zones are partitioned and no controller reaches both, a controller beside
-//! the workers answers their heartbeats for an owner that they can't reach, with the owner's leave.
+//! Lease delegation. When a network partition separates two zones and no controller can reach both, a
+//! controller in the workers' zone answers their heartbeats as the *delegate* of an owner that the workers
+//! can't reach, with the owner's permission.
 //!
-//! The delegate writes the hosts that come to it into its *delegation request*. The owner, if it has not
-//! heard them itself, first counts their leases as renewed until the end of the grant, and then writes the
-//! *delegation grant*, which names the request. The delegate may answer, with the owner's fencing token
-//! and no new work, until `Settings::delegation_time` after it *sent* that request; the owner counts from
-//! when it *saw* the request, which is later. So no host is taken for lapsed whose lease could still be
-//! renewed, whatever is delivered late. A failover counts from its own beginning, since every grant in the
-//! store then belongs to a request sent before.
+//! The delegate writes the hosts that send it heartbeats into its *delegation request*. An owner that has not
+//! heard these hosts itself first counts their leases as renewed until the end of the grant, and then writes
+//! the *delegation grant*, which names the request. The delegate may answer with the owner's fencing token,
+//! but without new work.
 //!
-//! The state is [`state::DelegationState`]: what this controller requests as a delegate, and what it has
-//! granted as an owner. Only the files here change it, except that a change of the watch cache adds to the
-//! requests to be considered.
+//! Invariant: an owner never counts a host's lease as lapsed while a delegate could still renew the lease,
+//! however late messages are delivered. The delegate may answer until `Settings::delegation_time` after it
+//! *sent* the request, whereas the owner counts the same time from when it *saw* the request, which is later.
+//! A new owner counts from the beginning of its failover, since every grant that is in the store then belongs
+//! to a request sent before.
+//!
+//! The state is [`state::DelegationState`]: the requests of this controller as a delegate, and its grants as an
+//! owner. Only this module changes that state, except that a change in the watch cache adds to the requests
+//! that have to be considered.
 
 mod delegate;
 mod grants;
--- a/crates/jasperhill-controller/src/delegation/owner.rs
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -1,4 +1,4 @@
-//! As an owner: granting the requests of delegates, and removing grants that are over.
+//! The owner's side of lease delegation: grants the requests of delegates, and removes expired grants.
 
 use super::grants::GrantKey;
 use crate::{
@@ -16,22 +16,22 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// How often grants are checked when nothing wakes the loop.
+/// The longest time between two checks of requests and grants, when nothing wakes the loop earlier.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A host that was not heard for so many intervals between heartbeats, and `QUIET_MARGIN`, may be
-/// delegated.
-const QUIET_INTERVALS: f64 = 1.25;
-/// See `QUIET_INTERVALS`: lets a heartbeat be under way.
-const QUIET_MARGIN: Micros = Micros::from_millis(500);
-/// A grant is removed after so many times the delegation time, and `GRANT_LIFETIME_MARGIN`: no delegate can
-/// use it then.
-const GRANT_LIFETIMES: f64 = 1.5;
-/// See `GRANT_LIFETIMES`.
+/// The number of heartbeat intervals, besides `MIN_SILENCE_MARGIN`, for which a host must have been silent before
+/// its lease may be delegated.
+const MIN_SILENCE_INTERVALS: f64 = 1.25;
+/// The time added to `MIN_SILENCE_INTERVALS`, as a heartbeat may be in flight.
+const MIN_SILENCE_MARGIN: Micros = Micros::from_millis(500);
+/// The multiple of the delegation time, besides `GRANT_LIFETIME_MARGIN`, after which a grant is removed. No
+/// delegate can use the grant any more by then.
+const GRANT_LIFETIME_FACTOR: f64 = 1.5;
+/// The time added to `GRANT_LIFETIME_FACTOR` times the delegation time before a grant is removed.
 const GRANT_LIFETIME_MARGIN: Micros = Micros::from_secs(2);
-/// How long the write of a grant is tried.
-const WRITE_LIMIT: Micros = Micros::from_secs(1);
+/// How long the write of a grant may wait before it is sent.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(1);
 
-/// A partition that this controller owns.
+/// A partition that this controller owns, with the version of the ownership.
 #[derive(Clone, Copy)]
 struct OwnedPartition {
     /// The partition's number.
@@ -40,7 +40,7 @@
     since: Revision,
 }
 
-/// A grant to be written.
+/// A grant that has not been written to the store yet.
 struct NewGrant {
     /// The partition that the hosts belong to.
     partition: OwnedPartition,
@@ -49,8 +49,8 @@
 }
 
 impl Shared {
-    /// Considers the requests of delegates and the jobs that other controllers propose, and removes
-    /// grants that are over, for as long as the controller lives.
+    /// Considers the requests of delegates, decides on the jobs that other controllers propose, and removes
+    /// expired grants. Runs for as long as the controller.
     pub async fn delegation_grant_loop(self: Rc<Self>) {
         loop {
             let woken = self.wake.delegation_grants.notified();
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Grants what a delegate requests, as far as the hosts are this controller's and have not been heard
-    /// here.
+    /// Grants a delegate's request for those hosts that belong to this controller's partitions and that this
+    /// controller has not heard recently.
     fn consider_delegation_request(self: &Rc<Self>, delegate: &Member) {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
@@ -93,7 +93,7 @@
                 continue;
             }
             for id in hosts.keys() {
-                // Before the grant can be seen by anybody.
+                // The lease counts as renewed before any controller can see the grant.
                 partition.apply(id, HostInput::LeaseDelegated(granted_until), now);
             }
             let key = GrantKey {
@@ -112,7 +112,7 @@
             tracing::debug!(
                 partition = partition.id,
                 %delegate,
-                hosts = hosts.len(),
+                host_count = hosts.len(),
                 "leases delegated"
             );
             let record = DelegationGrantRecord {
@@ -125,14 +125,14 @@
         }
     }
 
-    /// Whether a request is this controller's own, whatever the part.
+    /// Returns whether a request is one of this controller's own, with any part number.
     fn is_own_request(&self, delegate: &Member) -> bool {
         let own_member = self.settings.member.as_str();
         let part = delegate.as_str().strip_prefix(own_member);
         part.is_some_and(|part| part.is_empty() || part.starts_with('/'))
     }
 
-    /// The hosts of a request that belong to a partition and have not been heard recently, with their
+    /// Returns the hosts of a request that belong to a partition and have not been heard recently, with their
     /// fencing tokens.
     fn delegable_hosts(
         &self,
@@ -142,13 +142,20 @@
         now: Micros,
     ) -> BTreeMap<HostId, FencingToken> {
         let bounds = self.settings.bounds;
-        let quiet = self.settings.heartbeat_interval.scale(QUIET_INTERVALS) + QUIET_MARGIN;
+        let min_silence = self
+            .settings
+            .heartbeat_interval
+            .scale(MIN_SILENCE_INTERVALS)
+            + MIN_SILENCE_MARGIN;
         request
             .hosts
             .iter()
             .filter_map(|id| partition.hosts.get(id))
-            .filter(|host| host.fencing != FencingState::Lapsed && now - host.last_heard > quiet)
-            // The delegate renews under this token until then, whatever is under way to the host.
+            .filter(|host| {
+                host.fencing != FencingState::Lapsed && now - host.last_heard > min_silence
+            })
+            // The delegate renews the lease under this token until the grant ends, whatever commands are in
+            // flight to the host, so the view of the store behind those commands must stay fresh until then.
             .filter(|host| {
                 let known_as_of = host.in_flight_known_as_of();
                 known_as_of.is_none_or(|known| granted_until <= bounds.until(known))
@@ -157,7 +164,7 @@
             .collect()
     }
 
-    /// Begins to write, or delete, a grant of a partition.
+    /// Starts the write or deletion of a partition's grant in the store.
     fn write_delegation_grant(self: &Rc<Self>, partition: OwnedPartition, change: Change) {
         let shared = self.clone();
         self.clone().spawn(async move {
@@ -166,12 +173,12 @@
                 partition.since,
             )];
             shared
-                .write(WritePriority::Accept, guards, vec![change], WRITE_LIMIT)
+                .write(WritePriority::Accept, guards, vec![change], WRITE_TIMEOUT)
                 .await;
         });
     }
 
-    /// Removes grants that nobody can use any more.
+    /// Deletes the grants that no delegate can use any more from the store.
     fn remove_expired_grants(self: &Rc<Self>) {
         for (key, partition) in self.take_expired_grants() {
             let key = delegation_grant_key(key.partition, &key.delegate);
@@ -179,10 +186,10 @@
         }
     }
 
-    /// The expired grants of this controller's partitions, which it forgets here.
+    /// Returns the expired grants of this controller's partitions, and removes them from the bookkeeping.
     fn take_expired_grants(&self) -> Vec<(GrantKey, OwnedPartition)> {
         let now = self.now();
-        let lifetime = self.settings.delegation_time().scale(GRANT_LIFETIMES);
+        let lifetime = self.settings.delegation_time().scale(GRANT_LIFETIME_FACTOR);
         let lifetime = lifetime + GRANT_LIFETIME_MARGIN;
         let mut expired = Vec::new();
         let mut state_guard = self.state.borrow_mut();
--- a/crates/jasperhill-controller/src/delegation/peer_contact.rs
+++ b/crates/jasperhill-controller/src/delegation/peer_contact.rs
@@ -1,4 +1,4 @@
-//! Whether other controllers answer this one, and whether a worker is cut off from its owner.
+//! Tracks whether other controllers answer this one, and determines whether a worker is cut off from its owner.
 
 use crate::{
     shared::{Shared, observation_of},
@@ -8,50 +8,53 @@
 use jasperhill_wire::{Member, Micros, mesh::LinkState};
 use std::net::SocketAddr;
 
-/// Before links are reported, a peer's failure to answer counts for so long.
-const UNREACHED_FOR: Micros = Micros::from_secs(8);
+/// How long a peer counts as unreachable after it failed to answer. Used only while members don't report their
+/// links.
+const UNREACHABLE_FOR: Micros = Micros::from_secs(8);
 
 impl Shared {
-    /// Notes whether another controller answered a mesh call. `short`: a call that the peer answers at
-    /// once.
-    pub fn record_peer_contact(&self, address: SocketAddr, answered: bool, short: bool) {
+    /// Records whether another controller answered a mesh call. `is_short` is true for calls that a peer
+    /// answers at once.
+    pub fn record_peer_contact(&self, address: SocketAddr, answered: bool, is_short: bool) {
         let mut peers = self.settings.peers.iter();
         let Some(peer) = peers.find(|peer| peer.address == address) else {
             return;
         };
-        // What took too long there is no fault of the link: that is judged by short calls.
-        if answered || short {
+        // Only the failure of a short call counts against the link: another call may have failed because the
+        // peer took too long to process it.
+        if answered || is_short {
             let link = LinkId::Peer(peer.member.clone());
             self.observe_link(link, observation_of(answered));
         }
         let now = self.now();
-        let unreached_peers = &mut self.state.borrow_mut().delegation.unreached_peers;
+        let last_failure_at = &mut self.state.borrow_mut().delegation.last_failure_at;
         if answered {
-            unreached_peers.remove(&peer.member);
+            last_failure_at.remove(&peer.member);
         } else {
-            unreached_peers.insert(peer.member.clone(), now);
+            last_failure_at.insert(peer.member.clone(), now);
         }
     }
 
-    /// Whether another controller has answered recently, or has not been called.
-    pub fn reaches_peer(&self, member: &Member) -> bool {
-        !self.is_unreached(&self.state.borrow(), member, self.now())
+    /// Returns whether another controller counts as reachable: it has answered recently, or there was no
+    /// call to it.
+    pub fn is_peer_reachable(&self, member: &Member) -> bool {
+        !self.is_peer_unreachable(&self.state.borrow(), member, self.now())
     }
 
-    /// Whether another controller does not answer, as far as is known here.
-    fn is_unreached(&self, state: &State, member: &Member, now: Micros) -> bool {
+    /// Returns whether another controller counts as unreachable, as far as this controller knows.
+    fn is_peer_unreachable(&self, state: &State, member: &Member, now: Micros) -> bool {
         if self.uses_reachability(state) {
-            // Guards against one lost message that is taken for a partition of the network.
+            // The state of the link decides, so that one lost message is not taken for a network partition.
             let link = LinkId::Peer(member.clone());
             return state.membership.reachability.own_link(&link) == LinkState::Down;
         }
-        let failed_at = state.delegation.unreached_peers.get(member);
-        failed_at.is_some_and(|at| now - *at < UNREACHED_FOR)
+        let failed_at = state.delegation.last_failure_at.get(member);
+        failed_at.is_some_and(|at| now - *at < UNREACHABLE_FOR)
     }
 
-    /// Whether a worker of this zone can't reach its owner, as far as can be told from here: it is beside
-    /// this controller, the owner is elsewhere and does not answer, and no third zone has a controller
-    /// that could relay heartbeats.
+    /// Returns whether a worker in `zone` is cut off from its owner, as far as this controller knows: the
+    /// worker is in this controller's zone, the owner is in another zone and does not answer, and no
+    /// controller in a third zone could relay heartbeats.
     pub fn is_cut_off(&self, zone: &str, owner: &Member) -> bool {
         let state = self.state.borrow();
         let own_zone = self.settings.site.as_str();
@@ -69,6 +72,6 @@
         zone == own_zone
             && owner_zone.as_str() != own_zone
             && !has_third_zone
-            && self.is_unreached(&state, owner, self.now())
+            && self.is_peer_unreachable(&state, owner, self.now())
     }
 }
--- a/crates/jasperhill-controller/src/delegation/requests.rs
+++ b/crates/jasperhill-controller/src/delegation/requests.rs
@@ -1,82 +1,88 @@
-//! The hosts that this controller asks to answer for as a delegate, in requests that each fit a value of
-//! the store.
+//! Requests of this controller as a delegate. The hosts that it asks to answer for are split into numbered
+//! parts, so that each request fits into one value of the store.
 
 use jasperhill_wire::{HostId, Micros};
 use std::collections::BTreeMap;
 
-/// Parts of this controller's requests.
-const PARTS_MAX: u32 = 64;
-/// Requests remembered: several of each part.
-const SENT_MAX: usize = 32 * PARTS_MAX as usize;
+/// The largest number of parts that the hosts are split into.
+const MAX_PARTS: u32 = 64;
+/// The number of sent requests that are remembered: several for each part.
+const MAX_REMEMBERED_REQUESTS: usize = 32 * MAX_PARTS as usize;
 
-/// A host that came here because it can't reach its owner.
+/// A host that sends its heartbeats to this controller because it can't reach its owner.
 struct RequestedHost {
-    /// When its last heartbeat came.
+    /// When the last heartbeat of the host arrived, by the monotonic clock.
     heard_at: Micros,
-    /// The part of the requests that names it.
+    /// The number of the part that names the host.
     part: u32,
 }
 
-/// One part of the requests.
+/// The state of one part of the requests.
 #[derive(Default)]
 struct RequestPart {
-    /// How many hosts it names.
+    /// The number of hosts in the part.
     hosts: usize,
-    /// Its hosts are others than those last written.
+    /// Whether the hosts have changed since the last write.
     changed: bool,
-    /// The store may have a record of it.
-    written: bool,
-    /// When its last write began.
+    /// Whether the store may have a record of the part.
+    may_be_stored: bool,
+    /// When the last write of the part began, by the monotonic clock.
     last_written_at: Micros,
 }
 
-/// The hosts that this controller asks to answer for.
+/// The hosts that this controller asks to answer for, split into parts.
 #[derive(Default)]
 pub(super) struct DelegationRequests {
-    /// The hosts that were heard here recently.
+    /// The hosts that this controller has heard recently.
     hosts: BTreeMap<HostId, RequestedHost>,
-    /// The parts: no value holds all hosts of a large zone.
+    /// The parts by number. One value of the store can't hold all hosts of a large zone.
     parts: BTreeMap<u32, RequestPart>,
-    /// When the requests were sent, by number.
+    /// When each remembered request was sent, by request number.
     sent_at: BTreeMap<u64, Micros>,
     /// The number of the last request.
-    last_number: u64,
+    last_request_number: u64,
 }
 
-/// What came of adding a host.
+/// The outcome of adding a host to the requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum JoinOutcome {
-    /// It is new.
+pub(super) enum AddHostOutcome {
+    /// The host is new in the requests.
     Added,
-    /// It was there already.
+    /// The host was in the requests already, and was heard again.
     Renewed,
-    /// No part has room for it.
+    /// No part has room for the host.
     Full,
 }
 
-/// A part of the requests to be written now.
+/// A part of the requests that has to be written now.
 pub(super) struct DueRequest {
     /// The number of the part.
     pub part: u32,
-    /// The number of this request, which a grant names.
+    /// The number of this request. The owner's grant names it.
     pub number: u64,
-    /// The hosts of the part; none: its record is to be deleted.
+    /// The hosts of the part. If empty, the part's record has to be deleted.
     pub hosts: Vec<HostId>,
 }
 
 impl DelegationRequests {
-    /// Adds a host that was just heard, in the first part that has room: `hosts_max` for each.
-    pub fn join(&mut self, host: &HostId, hosts_max: usize, now: Micros) -> JoinOutcome {
+    /// Adds a host that was just heard to the first part that has room, or records that the host was heard
+    /// again. A part has room for `hosts_per_part` hosts.
+    pub fn add_host(
+        &mut self,
+        host: &HostId,
+        hosts_per_part: usize,
+        now: Micros,
+    ) -> AddHostOutcome {
         if let Some(known) = self.hosts.get_mut(host) {
             known.heard_at = now;
-            return JoinOutcome::Renewed;
+            return AddHostOutcome::Renewed;
         }
         let has_room = |number: &u32| {
             let part = self.parts.get(number);
-            part.is_none_or(|part| part.hosts < hosts_max)
+            part.is_none_or(|part| part.hosts < hosts_per_part)
         };
-        let Some(number) = (0..PARTS_MAX).find(has_room) else {
-            return JoinOutcome::Full;
+        let Some(number) = (0..MAX_PARTS).find(has_room) else {
+            return AddHostOutcome::Full;
         };
         let part = self.parts.entry(number).or_default();
         part.hosts += 1;
@@ -86,29 +92,30 @@
             part: number,
         };
         self.hosts.insert(host.clone(), added);
-        JoinOutcome::Added
+        AddHostOutcome::Added
     }
 
-    /// Removes hosts that have not been heard for `silence`.
-    pub fn remove_silent(&mut self, silence: Micros, now: Micros) {
+    /// Removes the hosts that have not been heard for `silence_max`.
+    pub fn remove_silent(&mut self, silence_max: Micros, now: Micros) {
         let parts = &mut self.parts;
         self.hosts.retain(|_, host| {
-            let stays = now - host.heard_at < silence;
-            if !stays && let Some(part) = parts.get_mut(&host.part) {
+            let is_kept = now - host.heard_at < silence_max;
+            if !is_kept && let Some(part) = parts.get_mut(&host.part) {
                 part.hosts -= 1;
                 part.changed = true;
             }
-            stays
+            is_kept
         });
     }
 
-    /// The parts to be written now: those that have changed, and those with hosts that were last written
-    /// `interval` ago. They count as sent from here on.
-    pub fn due(&mut self, interval: Micros, now: Micros) -> Vec<DueRequest> {
+    /// Returns the parts to write now: the parts that have changed, the parts with hosts that were last
+    /// written at least `interval` ago, and the empty parts that may be in the store. The returned parts
+    /// count as sent now.
+    pub fn take_due(&mut self, interval: Micros, now: Micros) -> Vec<DueRequest> {
         let mut due = Vec::new();
         for (number, part) in &mut self.parts {
             let is_due = if part.hosts == 0 {
-                part.written
+                part.may_be_stored
             } else {
                 part.changed || now - part.last_written_at >= interval
             };
@@ -117,35 +124,36 @@
             }
             part.changed = false;
             part.last_written_at = now;
-            self.last_number += 1;
-            // Before the write: the grant's time runs from here.
-            self.sent_at.insert(self.last_number, now);
+            self.last_request_number += 1;
+            // The time is taken before the write, as the delegation time counts from here.
+            self.sent_at.insert(self.last_request_number, now);
             let in_part = self.hosts.iter().filter(|(_, host)| host.part == *number);
             due.push(DueRequest {
                 part: *number,
-                number: self.last_number,
+                number: self.last_request_number,
                 hosts: in_part.map(|(id, _)| id.clone()).collect(),
             });
         }
-        while self.sent_at.len() > SENT_MAX {
+        while self.sent_at.len() > MAX_REMEMBERED_REQUESTS {
             self.sent_at.pop_first();
         }
         due
     }
 
-    /// Notes whether the store may have a record of a part.
-    pub fn set_written(&mut self, part: u32, written: bool) {
+    /// Sets whether the store may have a record of a part.
+    pub fn set_may_be_stored(&mut self, part: u32, may_be_stored: bool) {
         if let Some(part) = self.parts.get_mut(&part) {
-            part.written = written;
+            part.may_be_stored = may_be_stored;
         }
     }
 
-    /// The part of the requests that names a host.
+    /// Returns the number of the part that names a host; `None` if no part does.
     pub fn part_of(&self, host: &HostId) -> Option<u32> {
         self.hosts.get(host).map(|host| host.part)
     }
 
-    /// When a request was sent; `None` also if that is too long ago to be remembered.
+    /// Returns when the request with this number was sent. Returns `None` if the request is unknown or too old
+    /// to be remembered.
     pub fn sent_at(&self, number: u64) -> Option<Micros> {
         self.sent_at.get(&number).copied()
     }
--- a/crates/jasperhill-controller/src/delegation/state.rs
+++ b/crates/jasperhill-controller/src/delegation/state.rs
@@ -1,18 +1,19 @@
-//! What is remembered of lease delegation, as a delegate and as an owner.
+//! State of the delegation module, for both the delegate's and the owner's side.
 
 use super::{grants::DelegationGrants, requests::DelegationRequests};
 use jasperhill_wire::{Member, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is remembered of lease delegation.
+/// State of lease delegation.
 #[derive(Default)]
 pub(crate) struct DelegationState {
-    /// The hosts that this controller asks to answer for.
+    /// The requests of this controller as a delegate, with the hosts that it asks to answer for.
     pub(super) requests: DelegationRequests,
-    /// What this controller has granted to others.
+    /// The grants that this controller has given as an owner.
     pub(super) grants: DelegationGrants,
-    /// Delegates whose requests have changed and are to be considered.
+    /// Delegates whose requests have changed and have not been considered yet by this controller as an owner.
     pub changed_requests: BTreeSet<Member>,
-    /// When another controller last failed to answer, if it has not answered since.
-    pub(super) unreached_peers: BTreeMap<Member, Micros>,
+    /// When each controller last failed to answer a call, by the monotonic clock. A controller that has answered
+    /// since is not in the map.
+    pub(super) last_failure_at: BTreeMap<Member, Micros>,
 }
--- a/crates/jasperhill-controller/src/heartbeats/deferral.rs
+++ b/crates/jasperhill-controller/src/heartbeats/deferral.rs
@@ -1,6 +1,7 @@
-//! Heartbeats that are held back while the role of their owner moves.
+//! Deferral of heartbeats: a heartbeat is held back while the ownership of its partition moves from one
+//! controller to another.
 
-use super::{DEFERRAL_LIMIT, ReceivedHeartbeat, response::HeartbeatReply};
+use super::{MAX_DEFERRAL, ReceivedHeartbeat, response::HeartbeatReply};
 use crate::{
     relay::slots::RelaySlot,
     shared::{Shared, to_duration},
@@ -11,32 +12,33 @@
 use jasperhill_wire::{Member, Micros, mesh::LinkState};
 use std::rc::Rc;
 
-/// How long a controller has not renewed its session, at most, when its silence is detected here.
+/// The longest time between a controller's last session renewal and the detection of its silence by
+/// this controller.
 const SILENCE_DETECTION_DELAY: Micros = Micros::from_millis(2_500);
 
-/// What came of a deferred heartbeat.
+/// The outcome of deferring a heartbeat.
 pub(super) enum DeferralOutcome {
-    /// The role moved here, and this is the response.
+    /// The role moved to this controller, which answers with this response.
     Answered(Response),
-    /// The role moved to another controller.
+    /// The role moved to this other controller.
     Moved(Member),
-    /// The heartbeat was not held back, or in vain.
+    /// The heartbeat was not held back, or the role did not move before the deadline.
     NotDeferred,
 }
 
 impl Shared {
-    /// Holds a heartbeat back while its role is about to move: no controller here hears the owner, or
-    /// there is none, and the store answers this controller or another. Guards against workers that
-    /// are redirected to a dead owner in the seconds before, or on to controllers that they don't
-    /// reach, and with all others silent come back only after ten seconds, which their leases may not
-    /// have. Gives up when the worker is about to stop waiting.
+    /// Holds a heartbeat back while the role of its partition is about to move, and answers it once
+    /// this controller owns the role. Without the deferral, workers would be redirected to an owner
+    /// that has just died, or to controllers that they can't reach. A worker that gets no answer from
+    /// any other controller returns only after ten seconds, which its lease may not have left. Gives
+    /// up at the heartbeat's deadline, when the worker is about to stop waiting.
     pub(super) async fn defer_heartbeat(
         self: &Rc<Self>,
         owner: Option<&Member>,
         received: &ReceivedHeartbeat<'_>,
     ) -> DeferralOutcome {
         let heartbeat = received.heartbeat;
-        let Some(_slot) = self.deferral_slot(owner, received) else {
+        let Some(_slot) = self.acquire_deferral_slot(owner, received) else {
             return DeferralOutcome::NotDeferred;
         };
         let role_moved = async {
@@ -57,14 +59,16 @@
                 }
             }
         };
-        // Earlier attempts have used up a part of the time that the worker waits.
+        // Earlier attempts to route the heartbeat have used a part of the worker's response timeout.
         let time_left = received.deadline - self.now();
         let outcome = tokio::time::timeout(to_duration(time_left), role_moved).await;
         outcome.unwrap_or(DeferralOutcome::NotDeferred)
     }
 
-    /// A slot for a heartbeat whose role is about to move; `None` if it is not, or all are taken.
-    fn deferral_slot(
+    /// Returns a slot for a heartbeat whose role is about to move: the role has no owner, or the owner
+    /// is silent and its session is ending, and this controller or another has a working link to the
+    /// store. Returns `None` if the role is not about to move, or if all slots are taken.
+    fn acquire_deferral_slot(
         &self,
         owner: Option<&Member>,
         received: &ReceivedHeartbeat<'_>,
@@ -83,18 +87,19 @@
         if !is_role_moving {
             return None;
         }
-        state.relay.slots.deferred_heartbeat()
+        state.relay.slots.acquire_deferred_heartbeat()
     }
 }
 
-/// Whether the session of a silent controller is about to end, or should just have ended. Guards against
-/// workers that are kept from an owner who is back in a moment, or is only not heard here.
+/// Returns whether the session of a silent controller is about to end, or should just have ended. Outside
+/// this window heartbeats are not held back: the owner may be back in a moment, or may only be unheard by
+/// this controller, and its workers must still get to it.
 fn is_session_ending(state: &State, member: &Member, now: Micros) -> bool {
     let ttl = state.authority.ttl();
     let silent_since = state.membership.silent_since.get(member);
     silent_since.is_some_and(|since| {
         let silence = now - *since;
-        silence + DEFERRAL_LIMIT + SILENCE_DETECTION_DELAY >= ttl
+        silence + MAX_DEFERRAL + SILENCE_DETECTION_DELAY >= ttl
             && silence < ttl + SILENCE_DETECTION_DELAY
     })
 }
--- a/crates/jasperhill-controller/src/heartbeats/mod.rs
+++ b/crates/jasperhill-controller/src/heartbeats/mod.rs
@@ -1,10 +1,12 @@
-//! Heartbeats of workers: receiving and routing them, answering those of the partitions owned here, and
-//! registering machines that have no record yet.
+//! Worker heartbeats: receives and routes heartbeats, answers the heartbeats of partitions that this
+//! controller owns, and registers machines that have no record yet.
 //!
-//! The state is [`state::HeartbeatState`]; only the files of this module change it, except that
-//! `relay` takes the count of answers given without the store when it logs it. A heartbeat is answered
-//! with status 200, which renews the worker's lease, only by the owner of its partition and only while
-//! that may act on its roles. One exception is a delegate of the owner; see `delegation`.
+//! The state is [`state::HeartbeatState`]. Only this module changes that state, except that `relay` resets
+//! the count of answers given without the store when it logs the count.
+//!
+//! Invariant: a response with status 200 renews the worker's lease. Only the owner of the worker's
+//! partition sends one, and only while the owner has the authority to act on its roles. The one exception
+//! is a delegate of the owner; see `delegation`.
 
 mod deferral;
 mod registration;
@@ -16,38 +18,40 @@
 use crate::shared::Shared;
 use jasperhill_wire::{Micros, worker::Heartbeat};
 
-/// How long a worker's heartbeat is held back, at most, while its owner changes: a worker waits four
-/// seconds for a response.
-const DEFERRAL_LIMIT: Micros = Micros::from_millis(3_400);
+/// The longest time for which a heartbeat is held back while its partition changes owners. Workers wait
+/// four seconds for a response.
+const MAX_DEFERRAL: Micros = Micros::from_millis(3_400);
 
-/// The same in a process that has just restarted quickly and may end as soon again. What it holds back
-/// ends with it, and the worker has then waited for nothing: it had better try the next controller.
-const UNSETTLED_DEFERRAL_LIMIT: Micros = Micros::from_millis(300);
+/// The longest time for which a heartbeat is held back by a process that restarted quickly and may soon
+/// end again. Heartbeats held back by a process that ends get no response, so the worker would have done
+/// better to try the next controller.
+const MAX_DEFERRAL_WHEN_UNSETTLED: Micros = Micros::from_millis(300);
 
-/// Workers that are probed directly at a time, at most, so that a zone's return does not take a request
-/// for each of its workers.
-const PROBES_MAX: usize = 32;
+/// The largest number of workers that are probed directly at the same time, so that a zone that becomes
+/// reachable again does not cost one request for each of its workers.
+const MAX_CONCURRENT_PROBES: usize = 32;
 
-/// A heartbeat while it is being answered.
+/// A received heartbeat that has not been answered yet.
 struct ReceivedHeartbeat<'a> {
-    /// The heartbeat, parsed.
+    /// The parsed heartbeat.
     heartbeat: &'a Heartbeat,
-    /// The heartbeat as it came, for relaying.
+    /// The request body as received, for relaying.
     body: &'a [u8],
-    /// Until when it may be held back, by the steady clock.
+    /// The time up to which the heartbeat may be held back, by the monotonic clock.
     deadline: Micros,
 }
 
 impl Shared {
-    /// Until when a heartbeat that comes now may be held back: when its worker stops waiting for the
-    /// response, less the way back, or sooner in a process that may be about to end.
+    /// Returns the time up to which a heartbeat that arrives now may be held back: shortly before its
+    /// worker stops waiting, to leave time for the response to travel, or sooner if this process may be
+    /// about to end.
     fn heartbeat_deadline(&self) -> Micros {
         let now = self.now();
         let is_settled = self.state.borrow().membership.restarts.is_settled(now);
         let limit = if is_settled {
-            DEFERRAL_LIMIT
+            MAX_DEFERRAL
         } else {
-            UNSETTLED_DEFERRAL_LIMIT
+            MAX_DEFERRAL_WHEN_UNSETTLED
         };
         now + limit
     }
--- a/crates/jasperhill-controller/src/heartbeats/registration.rs
+++ b/crates/jasperhill-controller/src/heartbeats/registration.rs
@@ -1,7 +1,7 @@
-//! Registration of machines without a record: the leader gives each a record and a partition when its
-//! first heartbeat comes.
+//! Registration of machines that have no record: the leader writes a record and assigns a partition when
+//! a machine's first heartbeat arrives. Registrations are written in batches.
 
-use super::PROBES_MAX;
+use super::MAX_CONCURRENT_PROBES;
 use crate::{
     host_registry::HostUpdate,
     relay::{Worker, requests::status_request},
@@ -15,27 +15,28 @@
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-/// Machines registered together, at most.
-const BATCH_MAX: usize = 500;
-/// How long the first machine of a batch waits for more.
+/// The largest number of machines in a registration batch.
+const MAX_BATCH_SIZE: usize = 500;
+/// How long a batch collects machines after its first one.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// How long the write of a new record is tried.
-const WRITE_LIMIT: Micros = Micros::from_secs(3);
-/// How long a machine that is not expected may take to answer a probe.
-const PROBE_LIMIT: Micros = Micros::from_secs(2);
+/// How long the write of a new host record is attempted.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(3);
+/// How long an unexpected machine may take to answer a probe.
+const PROBE_TIMEOUT: Micros = Micros::from_secs(2);
 
-/// The first record of a machine.
+/// A planned write of a machine's first record.
 struct Registration {
-    /// The block that the record goes to.
+    /// The number of the host block that holds the record.
     block: u32,
     /// The write of the record.
     update: HostUpdate,
 }
 
 impl Shared {
-    /// If this controller leads and has no record of a machine, registers it and waits until that is
-    /// written, or `deadline`. Guards against a new machine that is redirected to a later time, and beyond a partition
-    /// of the network finds no controller for as long as its first lease lasts.
+    /// Registers a machine without a record if this controller is the leader, and waits until the record
+    /// is in the watch cache or until `deadline`. Without the wait, a new machine on the far side of a
+    /// network partition would be told to come back later and might reach no controller during its
+    /// whole first lease.
     pub(super) async fn register_host(self: &Rc<Self>, heartbeat: &Heartbeat, deadline: Micros) {
         let Some(is_expected) = self.expects_registration(heartbeat) else {
             return;
@@ -62,14 +63,15 @@
                 hosts_changed.await;
             }
         };
-        // Guards against a machine that is told to come later while the other controllers are silent: it
-        // comes back after ten seconds, and gets tasks meanwhile that its first lease does not last for.
+        // A machine that is told to come back later while the other controllers are silent returns after
+        // ten seconds. Meanwhile it is given tasks, and its first lease may end before it returns.
         let time_left = to_duration(deadline - self.now());
         let _ = tokio::time::timeout(time_left, registered).await;
     }
 
-    /// Whether the leader, if that is this controller, expects a machine that has no record; `None` if
-    /// this controller is not to register it.
+    /// Returns whether this controller, as the leader, expects a machine that has no record. Returns
+    /// `None` if this controller must not register the machine: a record exists, or this controller is
+    /// not the leader or has lost its authority.
     fn expects_registration(&self, heartbeat: &Heartbeat) -> Option<bool> {
         let now = self.now();
         let state = self.state.borrow();
@@ -80,9 +82,10 @@
         Some(leader.expects(&heartbeat.host))
     }
 
-    /// Registers a machine that is not expected if it answers. Guards against a heartbeat that comes
-    /// late, after its machine was released: the record of a machine that is gone counts as capacity, and
-    /// is silent, so that its partition gets no other and goes from one owner to the next.
+    /// Registers an unexpected machine if it answers a probe. The probe guards against a heartbeat that
+    /// arrives after its machine was released. The record of a released machine would count as capacity,
+    /// so its partition would get no other machine; and as the machine stays silent, the partition would
+    /// pass from one owner to the next.
     async fn register_if_reachable(self: Rc<Self>, heartbeat: Heartbeat) {
         let Ok(address) = heartbeat.address.parse::<SocketAddr>() else {
             return;
@@ -90,27 +93,28 @@
         let worker = Worker {
             host: &heartbeat.host,
             zone: &heartbeat.zone,
-            host_count: PROBES_MAX,
+            host_count: MAX_CONCURRENT_PROBES,
             address,
         };
-        let answer = self
-            .call_worker(worker, status_request(), PROBE_LIMIT)
+        let result = self
+            .call_worker(worker, status_request(), PROBE_TIMEOUT)
             .await;
-        let current = answer
+        let status = result
             .ok()
             .and_then(|response| Heartbeat::parse(&response.body).ok());
-        if current.is_some_and(|current| current.host == heartbeat.host) {
+        if status.is_some_and(|status| status.host == heartbeat.host) {
             self.register_in_batch(heartbeat).await;
         }
     }
 
-    /// Gives a machine a record and a partition, together with those that come in the same moment.
+    /// Registers a machine in one batch with the other machines that arrive within `BATCH_DELAY`.
     async fn register_in_batch(self: Rc<Self>, heartbeat: Heartbeat) {
         if !self.enqueue_registration(heartbeat) {
             return;
         }
         tokio::time::sleep(BATCH_DELAY).await;
-        let heartbeats = std::mem::take(&mut self.state.borrow_mut().heartbeats.unregistered);
+        let heartbeats =
+            std::mem::take(&mut self.state.borrow_mut().heartbeats.pending_registrations);
         let registrations = self.plan_registrations(&heartbeats);
         if registrations.is_empty() {
             let mut state = self.state.borrow_mut();
@@ -124,7 +128,9 @@
         }
     }
 
-    /// Adds a machine to the next batch. True if it is the first of the batch, and so is to start it.
+    /// Adds a machine to the next batch, unless its heartbeat is invalid, the batch is full or the
+    /// machine's record is being written. Returns true if the machine is the first of the batch, so that
+    /// the caller has to start the batch.
     fn enqueue_registration(&self, heartbeat: Heartbeat) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(machine_types) = &state.scheduling.specs else {
@@ -132,17 +138,17 @@
         };
         if !machine_types.contains_key(&heartbeat.machine_type)
             || heartbeat.address.parse::<SocketAddr>().is_err()
-            || state.heartbeats.unregistered.len() >= BATCH_MAX
+            || state.heartbeats.pending_registrations.len() >= MAX_BATCH_SIZE
             || !state.commands.token_updates.insert(heartbeat.host.clone())
         {
             return false;
         }
-        state.heartbeats.unregistered.push(heartbeat);
-        state.heartbeats.unregistered.len() == 1
+        state.heartbeats.pending_registrations.push(heartbeat);
+        state.heartbeats.pending_registrations.len() == 1
     }
 
-    /// The records of new machines, each in the partition that needs it most; none if this controller no
-    /// longer leads.
+    /// Plans the records of new machines, each in the partition that most needs its capacity. Returns an
+    /// empty list if this controller is no longer the leader.
     fn plan_registrations(&self, heartbeats: &[Heartbeat]) -> Vec<Registration> {
         let mut state_guard = self.state.borrow_mut();
         let mut needs = self.capacity_needs(&state_guard);
@@ -169,14 +175,14 @@
                 host: heartbeat.host.clone(),
                 expected_version: None,
                 new_record: Some(record),
-                deadline: self.now() + WRITE_LIMIT,
+                deadline: self.now() + WRITE_TIMEOUT,
             };
             registrations.push(Registration { block, update });
         }
         registrations
     }
 
-    /// Writes the first record of a machine.
+    /// Writes the first record of a machine to the store.
     async fn write_registration(self: Rc<Self>, registration: Registration) {
         let Registration { block, update } = registration;
         let host = update.host.clone();
@@ -189,7 +195,7 @@
     }
 }
 
-/// The record of a machine that has none yet.
+/// Builds the first record of a machine from its heartbeat.
 fn first_record(heartbeat: &Heartbeat, partition_id: u32) -> HostRecord {
     HostRecord {
         assignment: HostAssignment::Partition(partition_id),
--- a/crates/jasperhill-controller/src/heartbeats/relayed.rs
+++ b/crates/jasperhill-controller/src/heartbeats/relayed.rs
@@ -1,8 +1,8 @@
-//! Heartbeats that another controller relays here, and finding out when their workers can be reached
-//! directly again.
+//! Heartbeats that other controllers relay to this one. Answers relayed heartbeats, and probes their
+//! workers to find out when a worker can send its heartbeats directly again.
 
 use super::{
-    DEFERRAL_LIMIT, PROBES_MAX,
+    MAX_CONCURRENT_PROBES, MAX_DEFERRAL,
     response::{parse_heartbeat, redirect, unavailable},
 };
 use crate::{
@@ -14,32 +14,32 @@
 use jasperhill_wire::{HostId, Micros, mesh::LinkState, worker::Heartbeat};
 use std::{net::SocketAddr, rc::Rc};
 
-/// The part of a worker's wait that the controller that relays its heartbeat has used, at most.
-const RELAY_TIME_SHARE: f64 = 0.6;
-/// A successful probe counts for so long.
-const PROBE_VALID_FOR: Micros = Micros::from_secs(5);
-/// A worker is probed no more often than this.
-const PROBE_INTERVAL: Micros = Micros::from_secs(4);
-/// How long a probe may take.
-const PROBE_LIMIT: Micros = Micros::from_secs(1);
+/// The fraction of [`MAX_DEFERRAL`] that the relaying controller has used at most.
+const RELAY_TIME_FRACTION: f64 = 0.6;
+/// How long a successful probe remains valid.
+const PROBE_VALIDITY: Micros = Micros::from_secs(5);
+/// The shortest time between two probes of the same worker.
+const MIN_PROBE_INTERVAL: Micros = Micros::from_secs(4);
+/// How long a worker may take to answer a probe.
+const PROBE_TIMEOUT: Micros = Micros::from_secs(1);
 
 impl Shared {
-    /// Answers a heartbeat that another controller relays. Once the worker can be reached from here it
-    /// is redirected here. Called by the mesh server.
+    /// Answers a heartbeat that another controller relays. Redirects the worker to this controller once
+    /// this controller can reach the worker directly. Called by the mesh server.
     pub async fn handle_relayed_heartbeat(self: &Rc<Self>, body: &[u8]) -> Response {
         let received_at = self.now();
         let heartbeat = match parse_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
             Err(refusal) => return refusal,
         };
-        let sent_at = received_at - DEFERRAL_LIMIT.scale(RELAY_TIME_SHARE);
+        let sent_at = received_at - MAX_DEFERRAL.scale(RELAY_TIME_FRACTION);
         self.register_host(&heartbeat, sent_at).await;
         let reply = match self.answer_heartbeat(&heartbeat) {
             Ok(reply) => reply,
             Err(refusal) => return refusal,
         };
         if reply.owner.is_some() {
-            // A 421 that names the owner: the controller that relays may not know it yet.
+            // This 421 names the owner, which the relaying controller may not know yet.
             return reply.response;
         }
         if reply.response.status != 200 {
@@ -51,29 +51,32 @@
         reply.response
     }
 
-    /// Whether the worker of a relayed heartbeat is to come here directly. Begins to probe it if that is
-    /// not known.
+    /// Returns whether the worker of a relayed heartbeat is to be redirected to this controller. Starts a
+    /// probe of the worker if no recent probe exists.
     fn is_direct_contact_restored(self: &Rc<Self>, heartbeat: Heartbeat) -> bool {
         let now = self.now();
         if self.must_stay_relayed(&heartbeat, now) {
             return false;
         }
         let host = heartbeat.host;
-        let (probe, probes_running) = {
+        let (probe, running_probe_count) = {
             let state = self.state.borrow();
             let probe = state.relay.probes.get(&host).copied();
-            (probe, state.relay.probes_running(PROBE_LIMIT, now))
+            (probe, state.relay.running_probe_count(PROBE_TIMEOUT, now))
         };
         match probe {
-            Some(DirectProbe { at, answered: true }) if now - at < PROBE_VALID_FOR => {
+            Some(DirectProbe {
+                updated_at,
+                answered: true,
+            }) if now - updated_at < PROBE_VALIDITY => {
                 let mut state = self.state.borrow_mut();
                 let lease = self.settings.lease;
-                state.relay.record_sent_to_owner(host, lease, now);
+                state.relay.record_redirect_here(host, lease, now);
                 return true;
             }
-            Some(DirectProbe { at, .. }) if now - at < PROBE_INTERVAL => {}
-            // A few at a time: one answer shows that the whole zone can be reached.
-            _ if probes_running < PROBES_MAX => {
+            Some(DirectProbe { updated_at, .. }) if now - updated_at < MIN_PROBE_INTERVAL => {}
+            // Few concurrent probes are enough: one answer shows that the whole zone can be reached.
+            _ if running_probe_count < MAX_CONCURRENT_PROBES => {
                 self.clone().spawn(self.clone().probe_host(host));
             }
             _ => {}
@@ -81,22 +84,25 @@
         false
     }
 
-    /// Whether a worker's heartbeats go on being relayed whatever a probe says. Probing each worker would
-    /// take as many requests as there are workers: the link is probed as a whole until it is up. And
-    /// guards against a link that carries commands but no heartbeats, or heartbeats but no responses to
-    /// them: a worker that comes back all the same, or that was answered here a moment ago, is not
-    /// redirected.
+    /// Returns whether a worker's heartbeats must still be relayed, whatever a probe of the worker shows:
+    ///
+    /// - The link to the worker's zone is down. Probing each worker would take as many requests as there
+    ///   are workers, so the link is probed as a whole until it is up.
+    /// - The worker was redirected here within the last lease, and its heartbeat is relayed again. The
+    ///   link may carry commands but no heartbeats.
+    /// - This controller answered a direct heartbeat of the worker within the last lease, and its
+    ///   heartbeat is relayed all the same. The link may carry heartbeats but no responses.
     fn must_stay_relayed(&self, heartbeat: &Heartbeat, now: Micros) -> bool {
         let state = self.state.borrow();
         let commands_link = LinkId::Commands(heartbeat.zone.clone());
         let is_within_lease =
             |at: Option<&Micros>| at.is_some_and(|at| now - *at < self.settings.lease);
         state.membership.reachability.own_link(&commands_link) == LinkState::Down
-            || is_within_lease(state.relay.sent_to_owner.get(&heartbeat.host))
-            || is_within_lease(state.heartbeats.answered.get(&heartbeat.host))
+            || is_within_lease(state.relay.redirected_here_at.get(&heartbeat.host))
+            || is_within_lease(state.heartbeats.answered_at.get(&heartbeat.host))
     }
 
-    /// Finds out whether a worker can be reached from here.
+    /// Probes whether this controller can reach a worker directly.
     async fn probe_host(self: Rc<Self>, host: HostId) {
         let address = {
             let mut state = self.state.borrow_mut();
@@ -107,11 +113,13 @@
         };
         let Some(address) = address else { return };
         let request = status_request();
-        let answer = self.call(address, request, PROBE_LIMIT).await;
-        if answer.is_ok_and(|response| response.status == 200) {
-            let at = self.now();
-            let answered = DirectProbe { at, answered: true };
-            self.state.borrow_mut().relay.probes.insert(host, answered);
+        let result = self.call(address, request, PROBE_TIMEOUT).await;
+        if result.is_ok_and(|response| response.status == 200) {
+            let probe = DirectProbe {
+                updated_at: self.now(),
+                answered: true,
+            };
+            self.state.borrow_mut().relay.probes.insert(host, probe);
         }
     }
 }
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -1,5 +1,6 @@
-//! The response to a heartbeat: 200 with the fencing token and commands from the owner of the worker's
-//! partition, 421 with the owner elsewhere, 503 if nobody may answer now.
+//! Responses to heartbeats: 200 with the fencing token and commands if this controller owns the worker's
+//! partition, 421 with the owner's name if another controller does, and 503 if no known controller may
+//! answer now.
 
 use crate::{shared::Shared, state::State};
 use jasperhill_connections::limiter;
@@ -14,21 +15,22 @@
 };
 use std::rc::Rc;
 
-/// 503: this controller may not answer now; the worker is to try another.
+/// Returns a 503 response: this controller may not answer now, and the worker is to try another one.
 pub(super) fn unavailable() -> Response {
     Response::new(503, b"{\"error\":\"not entitled to answer\"}".to_vec()).retry_after(1)
 }
 
-/// 421: the worker is to send its heartbeat to that controller; `None`: to any other, or, if the
-/// heartbeat was relayed, directly to the one that says so.
+/// Returns a 421 response: the worker is to send its heartbeat to controller `to`. With `None`, the worker
+/// is to try any other controller; if the heartbeat was relayed, `None` means that the worker can reach the
+/// responding controller directly.
 pub(crate) fn redirect(to: Option<&Member>) -> Response {
     Response::new(421, redirect_body(to))
 }
 
-/// Parses a heartbeat.
+/// Parses the body of a heartbeat request.
 ///
 /// # Errors
-/// The 400 response for a body that is no heartbeat.
+/// Returns the 400 response if the body is not a valid heartbeat.
 pub(super) fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, Response> {
     Heartbeat::parse(body).map_err(|error| {
         tracing::warn!(%error, "malformed heartbeat");
@@ -37,29 +39,29 @@
     })
 }
 
-/// What a worker is answered, and to whom it was redirected.
+/// The response to a worker, with the owner that the response redirects to.
 pub(super) struct HeartbeatReply {
     /// The response to the worker.
     pub response: Response,
-    /// The owner elsewhere that the response names; `None` if this controller answers itself, or
-    /// nobody can.
+    /// The other controller that the response names as the owner. `None` if this controller answers
+    /// itself, or if no known controller can answer.
     pub owner: Option<Member>,
 }
 
-/// Who answers a heartbeat.
+/// The controller that answers a heartbeat.
 enum Responder {
-    /// This controller, as the owner of this partition.
+    /// This controller, as the owner of the partition with this number.
     Partition(u32),
-    /// Another controller, or nobody at the moment.
+    /// Another controller, or none at the moment; with the reply that says so.
     Elsewhere(HeartbeatReply),
 }
 
 impl Shared {
-    /// The reply to a heartbeat as far as this controller can give it. With status 200 it has renewed
-    /// the worker's lease.
+    /// Returns this controller's reply to a heartbeat. A reply with status 200 has renewed the worker's
+    /// lease.
     ///
     /// # Errors
-    /// The response if neither this controller nor another that it knows of can answer.
+    /// Returns the refusal to send if neither this controller nor another one that it knows of can answer.
     pub(super) fn answer_heartbeat(
         self: &Rc<Self>,
         heartbeat: &Heartbeat,
@@ -74,18 +76,21 @@
         }
     }
 
-    /// Who answers the heartbeats of a host.
+    /// Returns which controller answers the heartbeats of a host.
+    ///
+    /// # Errors
+    /// Returns the refusal to send if no controller is known that could answer.
     fn responder(&self, state: &State, host: &HostId, now: Micros) -> Result<Responder, Response> {
         let Some(record) = state.cache.hosts.get(host) else {
             if state.provisioning.leader.is_some() && state.authority.holds(now) {
-                // Not registered yet.
+                // This controller is the leader and has not registered the host yet.
                 return Err(unavailable());
             }
             let leader = self.latest_owner(state, Role::Leader);
             return Ok(Responder::Elsewhere(self.redirect_to(leader)));
         };
         let Some(partition_id) = record.value.partition() else {
-            // The leader knows what has become of the host since a stale watch cache last heard of it.
+            // A stale watch cache may have missed changes of the host's record; the leader knows them.
             let is_cache_stale =
                 state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
             let leader = self
@@ -104,6 +109,9 @@
     }
 
     /// Answers a heartbeat as the owner of its partition, which renews the worker's lease.
+    ///
+    /// # Errors
+    /// Returns the 503 response if this controller may not renew the lease now.
     fn renew_worker_lease(
         self: &Rc<Self>,
         heartbeat: &Heartbeat,
@@ -125,11 +133,11 @@
             return Err(unavailable());
         };
         let (token, known_as_of) = (host.token, host.in_flight_known_as_of());
-        // Checked again: this response renews a lease and carries commands.
+        // The authority is checked again here, as this response renews a lease and carries commands.
         let now = self.now();
-        let is_basis_too_old =
+        let is_known_state_too_old =
             known_as_of.is_some_and(|known| now >= self.settings.bounds.until(known));
-        if !state.authority.holds(now) || is_basis_too_old {
+        if !state.authority.holds(now) || is_known_state_too_old {
             return Err(unavailable());
         }
         partition.apply(host_id, HostInput::Answered(&commands), now);
@@ -139,8 +147,8 @@
         let is_store_down =
             state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
         state.heartbeats.answered_without_store += u32::from(is_store_down);
-        let heard = limiter::Input::Heard((partition_id, host_id.clone()));
-        let ready_hosts = state.commands.limiter.apply(heard, now);
+        let host_heard = limiter::Input::Heard((partition_id, host_id.clone()));
+        let ready_hosts = state.commands.limiter.apply(host_heard, now);
         drop(state_guard);
         self.send_commands(ready_hosts);
         Ok(HeartbeatReply {
@@ -149,7 +157,8 @@
         })
     }
 
-    /// The reply that names the owner; unavailable if that is nobody, or this controller.
+    /// Returns the reply that redirects a worker to the owner. Returns a 503 reply if there is no owner,
+    /// or if the owner is this controller.
     fn redirect_to(&self, owner: Option<Member>) -> HeartbeatReply {
         match owner {
             Some(owner) if owner != self.settings.member => HeartbeatReply {
--- a/crates/jasperhill-controller/src/heartbeats/state.rs
+++ b/crates/jasperhill-controller/src/heartbeats/state.rs
@@ -1,30 +1,32 @@
-//! What is remembered of heartbeats.
+//! State of the heartbeat module.
 
 use jasperhill_wire::{HostId, Micros, worker::Heartbeat};
 use std::collections::BTreeMap;
 
-/// Workers whose own heartbeats were answered here are remembered for a lease; beyond this number, the
-/// older ones are removed with each new one.
-const ANSWERED_MAX: usize = 5_000;
+/// The number of recorded direct answers above which each new answer also removes the records that are
+/// older than a lease.
+const MAX_RECORDED_ANSWERS: usize = 5_000;
 
-/// What is remembered of heartbeats.
+/// State of the heartbeats that this controller answers and of the machines that it registers.
 #[derive(Default)]
 pub(crate) struct HeartbeatState {
-    /// Workers whose own heartbeats were answered here, and when.
-    pub answered: BTreeMap<HostId, Micros>,
-    /// Heartbeats of machines without a record, which are about to be registered together.
-    pub unregistered: Vec<Heartbeat>,
-    /// Heartbeats answered 200 since the state service last answered.
+    /// When this controller last answered a direct heartbeat of each worker, by the monotonic clock.
+    pub answered_at: BTreeMap<HostId, Micros>,
+    /// Heartbeats of machines without a record: the next registration batch.
+    pub pending_registrations: Vec<Heartbeat>,
+    /// The number of heartbeats answered with status 200 while the link to the store was down, since the
+    /// count was last logged.
     pub answered_without_store: u32,
 }
 
 impl HeartbeatState {
-    /// Notes that a worker's own heartbeat was answered here. `lease`: how long that is remembered.
+    /// Records that a direct heartbeat of a worker was answered now. The record is kept for at least
+    /// `lease`, the lease duration of workers.
     pub fn record_answer(&mut self, host: HostId, lease: Micros, now: Micros) {
-        if self.answered.len() > ANSWERED_MAX {
-            self.answered
+        if self.answered_at.len() > MAX_RECORDED_ANSWERS {
+            self.answered_at
                 .retain(|_, answered_at| now - *answered_at < lease);
         }
-        self.answered.insert(host, now);
+        self.answered_at.insert(host, now);
     }
 }
--- a/crates/jasperhill-controller/src/relay/commands.rs
+++ b/crates/jasperhill-controller/src/relay/commands.rs
@@ -1,5 +1,5 @@
-//! Requests to workers by the route that there is, and the commands that other controllers send by this
-//! one.
+//! Requests to workers: sends requests directly or through another controller, depending on the state of the
+//! links, and relays the command requests of other controllers to workers.
 
 use super::{
     requests::{commands_request, status_request},
@@ -13,28 +13,30 @@
 };
 use std::net::SocketAddr;
 
-/// How long a worker may take to answer a relayed request.
-const RELAY_LIMIT: Micros = Micros::from_millis(1_500);
-/// How many hosts the failure of a relayed request is weighed against, as the sender's number is not
-/// known here.
-const RELAY_HOST_COUNT: usize = 3;
+/// How long a worker may take to answer a request that is relayed for another controller.
+const RELAY_TIMEOUT: Micros = Micros::from_millis(1_500);
+/// The number of hosts that the failure of a relayed request is weighed against when the link to the
+/// worker's zone is judged. The sender's own number of hosts is not known here.
+const RELAYED_FAILURE_HOST_COUNT: usize = 3;
 
 impl Shared {
-    /// Sends a worker a request by the route that there is. `limit`: how long the answer may take.
+    /// Sends a request to a worker, directly or through another controller. The worker may take up to
+    /// `timeout` to answer.
     ///
     /// # Errors
-    /// `NotSent` also if there is no route; `NoAnswer` if the request may have been executed.
+    /// Returns the client's error. Returns `NotSent` also if there is no route to the worker, and `NoAnswer`
+    /// if the worker may have executed the request.
     pub async fn call_worker(
         &self,
         worker: Worker<'_>,
         request: Request,
-        limit: Micros,
+        timeout: Micros,
     ) -> Result<Response, ClientError> {
         match self.command_route(worker.zone) {
             CommandRoute::Direct => {
-                let answer = self.call(worker.address, request, limit).await;
-                self.observe_answer(worker, &answer);
-                answer
+                let result = self.call(worker.address, request, timeout).await;
+                self.observe_call_result(worker, &result);
+                result
             }
             CommandRoute::Through(peer) => {
                 let body = match request.method {
@@ -42,8 +44,8 @@
                     _ => Some(String::from_utf8_lossy(&request.body).into_owned()),
                 };
                 let host = worker.host.clone();
-                let relayed = MeshRequest::RelayCommands { host, body };
-                match self.try_mesh_call(peer, relayed, limit).await? {
+                let relay_request = MeshRequest::RelayCommands { host, body };
+                match self.try_mesh_call(peer, relay_request, timeout).await? {
                     MeshResponse::CommandsRelayed { status, body } => {
                         Ok(Response::new(status, body.into_bytes()))
                     }
@@ -55,17 +57,17 @@
         }
     }
 
-    /// Notes what an answer, or its absence, says of the link to the worker's zone. A request that found
-    /// no socket here says nothing of it.
-    fn observe_answer(&self, worker: Worker<'_>, answer: &Result<Response, ClientError>) {
-        if !matches!(answer, Err(ClientError::NoSocket)) {
-            self.observe_worker(worker.zone, worker.host, worker.host_count, answer.is_ok());
+    /// Records the result of a call as an observation of the link to the worker's zone. The error
+    /// `NoSocket` is not recorded: this controller had no socket free, which says nothing about the link.
+    fn observe_call_result(&self, worker: Worker<'_>, result: &Result<Response, ClientError>) {
+        if !matches!(result, Err(ClientError::NoSocket)) {
+            self.observe_worker(worker.zone, worker.host, worker.host_count, result.is_ok());
         }
     }
 
-    /// Relays the commands of another controller to a worker. They may be executed at any time from now
-    /// on: unless the response says otherwise, the sender counts them as in doubt. Without a body, the
-    /// worker is asked for its status. Called by the mesh server.
+    /// Relays the commands of another controller to a worker. Without a body, requests the worker's status.
+    /// The worker may execute the commands at any time from now on, so the sender counts the commands as in
+    /// doubt unless the response says otherwise. Called by the mesh server.
     pub async fn relay_commands(&self, host: HostId, body: Option<String>) -> MeshResponse {
         let (slot, target) = {
             let state = self.state.borrow();
@@ -73,7 +75,7 @@
                 let address = record.value.address.parse::<SocketAddr>().ok()?;
                 Some((address, record.value.zone.clone()))
             });
-            (state.relay.slots.relayed_commands(), target)
+            (state.relay.slots.acquire_relayed_commands(), target)
         };
         let (Some(_slot), Some((address, zone))) = (slot, target) else {
             return MeshResponse::CommandsNotSent;
@@ -82,15 +84,15 @@
             Some(body) => commands_request(body.into_bytes()),
             None => status_request(),
         };
-        let answer = self.call(address, request, RELAY_LIMIT).await;
+        let result = self.call(address, request, RELAY_TIMEOUT).await;
         let worker = Worker {
             host: &host,
             zone: &zone,
-            host_count: RELAY_HOST_COUNT,
+            host_count: RELAYED_FAILURE_HOST_COUNT,
             address,
         };
-        self.observe_answer(worker, &answer);
-        match answer {
+        self.observe_call_result(worker, &result);
+        match result {
             Ok(response) => MeshResponse::CommandsRelayed {
                 status: response.status,
                 body: String::from_utf8(response.body).unwrap_or_default(),
--- a/crates/jasperhill-controller/src/relay/eligibility.rs
+++ b/crates/jasperhill-controller/src/relay/eligibility.rs
@@ -1,14 +1,14 @@
-//! How eligible each member is for each role, by the hosts that it reaches.
+//! Computes how eligible each member is for each role, from the hosts and services that the member can reach.
 
 use crate::{shared::Shared, state::State};
 use jasperhill_membership::{reachability::LinkId, roles::Eligibility};
 use jasperhill_wire::{Member, Micros, Name, mesh::LinkState, record::Role};
 use std::collections::BTreeMap;
 
-/// How many hosts there are in each zone.
+/// The number of hosts in each zone.
 type HostsByZone = BTreeMap<Name, u32>;
 
-/// How many hosts of each partition are in each zone.
+/// Counts the hosts of each partition by zone.
 fn hosts_by_role_and_zone(state: &State) -> BTreeMap<Role, HostsByZone> {
     let mut counts: BTreeMap<Role, HostsByZone> = BTreeMap::new();
     for cached in state.cache.hosts.values() {
@@ -21,8 +21,8 @@
 }
 
 impl Shared {
-    /// How eligible each member is for each role, as far as is known here, and how many hosts each role
-    /// has. Called by the loop that decides on roles.
+    /// Returns the eligibility of each member for each role, as far as this controller knows, and the number
+    /// of hosts of each role. Called by the loop that decides on roles.
     pub fn role_eligibility(
         &self,
         state: &State,
@@ -36,14 +36,15 @@
             let hosts_by_zone = hosts_by_role.get(&role).unwrap_or(&no_hosts);
             host_counts.insert(role, hosts_by_zone.values().sum());
             for member in &self.members {
-                let of_member = self.eligibility_of(state, member, role, hosts_by_zone, now);
-                eligibility.insert((role, member.clone()), of_member);
+                let member_eligibility =
+                    self.eligibility_of(state, member, role, hosts_by_zone, now);
+                eligibility.insert((role, member.clone()), member_eligibility);
             }
         }
         (eligibility, host_counts)
     }
 
-    /// How eligible a member is for a role whose hosts are these.
+    /// Returns the eligibility of a member for a role. `hosts_by_zone` counts the role's hosts by zone.
     fn eligibility_of(
         &self,
         state: &State,
@@ -59,9 +60,9 @@
             ..Eligibility::default()
         };
         for (zone, hosts) in hosts_by_zone {
-            let is_proven = is_self || reachability.has_recent_contact(member, zone, now);
+            let has_contact = is_self || reachability.has_recent_contact(member, zone, now);
             match reachability.reaches(member, zone, now) {
-                LinkState::Up if is_proven => eligibility.reachable_hosts += hosts,
+                LinkState::Up if has_contact => eligibility.reachable_hosts += hosts,
                 LinkState::Down => eligibility.unreachable_hosts += hosts,
                 _ => {}
             }
--- a/crates/jasperhill-controller/src/relay/heartbeats.rs
+++ b/crates/jasperhill-controller/src/relay/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Relaying heartbeats to their owners, and the owners' responses back.
+//! Relays heartbeats to the owners of their partitions, and the owners' responses back to the workers.
 
 use crate::{heartbeats::response::redirect, shared::Shared};
 use jasperhill_http::Response;
@@ -11,28 +11,29 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// A worker waits four seconds for a response: within this an owner that is just changing is asked again.
-const RELAY_LIMIT: Micros = Micros::from_millis(3_200);
-/// How long one attempt may take.
-const ATTEMPT_LIMIT: Micros = Micros::from_millis(1_500);
-/// With less time left, an attempt is not worth making.
-const ATTEMPT_TIME_MIN: Micros = Micros::from_millis(200);
-/// Between two attempts.
+/// How long a heartbeat is relayed, with further attempts if its partition is changing owners. Workers wait
+/// four seconds for a response.
+const RELAY_TIMEOUT: Micros = Micros::from_millis(3_200);
+/// How long one attempt to relay a heartbeat may take.
+const ATTEMPT_TIMEOUT: Micros = Micros::from_millis(1_500);
+/// The least remaining time with which another attempt is made; less is too short to be worth an attempt.
+const MIN_ATTEMPT_TIME: Micros = Micros::from_millis(200);
+/// The pause between two attempts to relay a heartbeat.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What one attempt to relay a heartbeat has led to.
+/// The outcome of one attempt to relay a heartbeat.
 enum RelayAttempt {
-    /// The response to the worker.
+    /// The owner answered; this is the response to the worker.
     Answered(Response),
-    /// That controller owns the role by a later version.
+    /// The controller that was asked names this one as the owner, by a later version of the role.
     Moved(Member),
-    /// Not answered; to be tried again.
+    /// The owner did not answer; another attempt may succeed.
     Failed,
 }
 
 impl Shared {
-    /// Relays a heartbeat to its owner and returns the owner's response; `None` if there was none until
-    /// `deadline`, or too many heartbeats are being relayed.
+    /// Relays a heartbeat to its owner and returns the owner's response. Returns `None` if no response
+    /// arrives before `deadline`, if the owner can't be reached, or if too many heartbeats are being relayed.
     pub async fn relay_to_owner(
         self: &Rc<Self>,
         owner: Member,
@@ -40,16 +41,24 @@
         body: &[u8],
         deadline: Micros,
     ) -> Option<Response> {
-        let _slot = self.state.borrow().relay.slots.relayed_heartbeat()?;
-        let deadline = deadline.min(self.now() + RELAY_LIMIT);
+        let _slot = self
+            .state
+            .borrow()
+            .relay
+            .slots
+            .acquire_relayed_heartbeat()?;
+        let deadline = deadline.min(self.now() + RELAY_TIMEOUT);
         let mut target = owner;
         loop {
             let time_left = deadline - self.now();
-            if time_left <= ATTEMPT_TIME_MIN {
+            if time_left <= MIN_ATTEMPT_TIME {
                 return None;
             }
-            let limit = time_left.min(ATTEMPT_LIMIT);
-            match self.try_relay_to_owner(&target, host, body, limit).await? {
+            let timeout = time_left.min(ATTEMPT_TIMEOUT);
+            match self
+                .try_relay_to_owner(&target, host, body, timeout)
+                .await?
+            {
                 RelayAttempt::Answered(response) => return Some(response),
                 RelayAttempt::Moved(owner) => {
                     target = owner;
@@ -57,26 +66,27 @@
                 }
                 RelayAttempt::Failed => {}
             }
-            if !self.uses_reachability(&self.state.borrow()) || !self.reaches_peer(&target) {
+            if !self.uses_reachability(&self.state.borrow()) || !self.is_peer_reachable(&target) {
                 return None;
             }
-            // The role may just be moving.
+            // The role may be moving to another controller, so the owner is looked up again after a pause.
             sleep(RETRY_PAUSE).await;
-            target = self.other_owner_of(host)?;
+            target = self.remote_owner_of(host)?;
         }
     }
 
-    /// Relays a heartbeat to its owner once; `None` if the owner is not configured here.
+    /// Makes one attempt to relay a heartbeat to its owner. Returns `None` if this controller has no address
+    /// for the owner.
     async fn try_relay_to_owner(
         &self,
         owner: &Member,
         host: &HostId,
         body: &[u8],
-        limit: Micros,
+        timeout: Micros,
     ) -> Option<RelayAttempt> {
         let address = self.address_of(owner)?;
         let request = MeshRequest::RelayHeartbeat(String::from_utf8_lossy(body).into_owned());
-        let (status, body) = match self.mesh_call(address, request, limit).await {
+        let (status, body) = match self.mesh_call(address, request, timeout).await {
             Some(MeshResponse::HeartbeatRelayed { status, body }) => (status, body),
             _ => (0, String::new()),
         };
@@ -90,7 +100,7 @@
                     RelayAttempt::Moved(other)
                 }
                 Some(_) => RelayAttempt::Failed,
-                // The owner reaches the worker by now.
+                // A 421 without a name: the owner can reach the worker directly again.
                 None => {
                     let now = self.now();
                     let mut state = self.state.borrow_mut();
@@ -99,15 +109,15 @@
                 }
             }),
             _ => {
-                tracing::debug!(%host, to = %owner, status, "relayed heartbeat not answered");
+                tracing::debug!(%host, %owner, status, "relayed heartbeat not answered");
                 Some(RelayAttempt::Failed)
             }
         }
     }
 
-    /// The owner of a host's partition, or the leader for a host without one; `None` if that is this
-    /// controller.
-    fn other_owner_of(&self, host: &HostId) -> Option<Member> {
+    /// Returns the owner of a host's partition, or the leader for a host without a partition. Returns `None`
+    /// if there is no owner, or if the owner is this controller.
+    fn remote_owner_of(&self, host: &HostId) -> Option<Member> {
         let state = self.state.borrow();
         let record = state.cache.hosts.get(host);
         let role = record
@@ -117,13 +127,19 @@
         owner.filter(|member| member != &self.settings.member)
     }
 
-    /// Relays a heartbeat by a controller that hears its owner. `None` without an owner's response.
-    pub async fn relay_through(&self, peer: &Member, body: &[u8]) -> Option<Response> {
-        let _slot = self.state.borrow().relay.slots.relayed_heartbeat()?;
+    /// Relays a heartbeat through another controller that can reach the owner. Returns `None` if the owner's
+    /// response does not arrive.
+    pub async fn relay_through_peer(&self, peer: &Member, body: &[u8]) -> Option<Response> {
+        let _slot = self
+            .state
+            .borrow()
+            .relay
+            .slots
+            .acquire_relayed_heartbeat()?;
         let address = self.address_of(peer)?;
         let body = String::from_utf8_lossy(body).into_owned();
         let request = MeshRequest::RelayHeartbeatOnward(body);
-        match self.mesh_call(address, request, RELAY_LIMIT).await? {
+        match self.mesh_call(address, request, RELAY_TIMEOUT).await? {
             MeshResponse::HeartbeatRelayed { status: 200, body } => {
                 Some(Response::new(200, body.into_bytes()))
             }
@@ -131,8 +147,8 @@
         }
     }
 
-    /// Answers a heartbeat whose sender does not hear its owner: relayed one step further, no more.
-    /// Called by the mesh server.
+    /// Answers a heartbeat that a controller sends which can't reach the owner: relays the heartbeat to the
+    /// owner. A heartbeat is relayed onward only once. Called by the mesh server.
     pub async fn relay_onward(self: &Rc<Self>, body: &[u8]) -> Response {
         let response = self.handle_relayed_heartbeat(body).await;
         let owner = match response.status {
@@ -141,9 +157,9 @@
         };
         match (owner, Heartbeat::parse(body)) {
             (Some(owner), Ok(heartbeat)) => {
-                let deadline = self.now() + RELAY_LIMIT;
-                let relayed = self.relay_to_owner(owner, &heartbeat.host, body, deadline);
-                relayed.await.unwrap_or(response)
+                let deadline = self.now() + RELAY_TIMEOUT;
+                let relay = self.relay_to_owner(owner, &heartbeat.host, body, deadline);
+                relay.await.unwrap_or(response)
             }
             _ => response,
         }
--- a/crates/jasperhill-controller/src/relay/isolation.rs
+++ b/crates/jasperhill-controller/src/relay/isolation.rs
@@ -1,16 +1,16 @@
-//! Whether this controller is isolated from the store while others are not.
+//! Detects that this controller is isolated: the store answers other controllers, but not this one.
 
 use crate::shared::Shared;
 use jasperhill_membership::reachability::LinkId;
 use jasperhill_wire::{Micros, mesh::LinkState};
 
-/// A controller that has been isolated from the store for so long counts as isolated until the store
-/// answers it again; shorter, it may just be the first to notice an outage.
-const STAYS_ISOLATED_AFTER: Micros = Micros::from_secs(4);
+/// How long a controller must have been isolated to count as isolated until the store answers it again. A
+/// controller that has been isolated for a shorter time may only be the first to notice an outage.
+const STICKY_ISOLATION_AFTER: Micros = Micros::from_secs(4);
 
 impl Shared {
-    /// Updates whether users are better served elsewhere: the store answers others, but not this
-    /// controller. In an outage that everybody sees, it goes on serving them.
+    /// Updates whether this controller is isolated, so that other controllers serve users better. In an
+    /// outage of the store for all controllers, this controller is not isolated and goes on serving users.
     pub(super) fn update_isolation(&self) {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
@@ -23,14 +23,15 @@
         let is_isolated_now = reachability.is_isolated(now);
         let isolated_since = state.isolation.since;
         let was_isolated_long =
-            isolated_since.is_some_and(|since| now - since >= STAYS_ISOLATED_AFTER);
+            isolated_since.is_some_and(|since| now - since >= STICKY_ISOLATION_AFTER);
         if is_isolated_now {
             state.isolation.since.get_or_insert(now);
         } else if !(is_store_down && was_isolated_long) {
             state.isolation.since = None;
         }
-        // Guards against users who are sent back to a refused controller when all others lose the store
-        // as well: after that it answers last.
+        // After a long isolation the state is kept even when all other controllers lose the store as well.
+        // Otherwise users would be sent back to this controller, although it is refused and is the last to
+        // answer after such an outage.
         state.isolation.isolated = is_store_down && (is_isolated_now || was_isolated_long);
     }
 }
--- a/crates/jasperhill-controller/src/relay/reachability.rs
+++ b/crates/jasperhill-controller/src/relay/reachability.rs
@@ -1,5 +1,5 @@
-//! The reachability of peers, zones, the store and the cloud: what is observed here, and the exchange of
-//! reports with the other controllers.
+//! Reachability of peers, zones, the store and the cloud. Records this controller's observations of its links,
+//! and exchanges reachability reports with the other controllers.
 
 use crate::{shared::Shared, state::State};
 use jasperhill_membership::{
@@ -18,49 +18,51 @@
 };
 use tokio::time::timeout;
 
-/// How often links are checked for silence.
+/// The longest time between two checks of the links for silence.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the peers get a report while all links are up.
+/// The time between two reports to the peers while all links are up.
 const REPORT_INTERVAL_UP: Micros = Micros::from_secs(2);
-/// How often the peers get a report while any link is not up.
+/// The time between two reports to the peers while any link is not up.
 const REPORT_INTERVAL_DOWN: Micros = Micros::from_millis(900);
 /// How long a peer may take to answer a report.
-const REPORT_LIMIT: Micros = Micros::from_secs(1);
+const REPORT_TIMEOUT: Micros = Micros::from_secs(1);
 
-/// A number that tells hosts apart among the witnesses of a failure.
-fn witness_number(host: &HostId) -> u64 {
+/// Returns a hash that identifies a host among the witnesses of a link failure, that is, the hosts whose calls
+/// failed.
+fn witness_id(host: &HostId) -> u64 {
     let mut hasher = DefaultHasher::new();
     host.hash(&mut hasher);
     hasher.finish()
 }
 
 impl Shared {
-    /// Whether roles follow reachability, and links are reported: only when every member understands
-    /// that.
+    /// Returns whether reachability decides the ownership of roles and links are reported to the peers. Both
+    /// need every member to support the feature.
     pub fn uses_reachability(&self, state: &State) -> bool {
         state.membership.features.supports(REACHABILITY)
     }
 
-    /// Notes that something got through a link, or did not.
+    /// Records an observation of a link: something got through, or failed to.
     pub fn observe_link(&self, link: LinkId, observation: Observation) {
         self.update_reachability(reachability::Input::Evidence(link, observation));
     }
 
-    /// Notes that a worker of a zone answered, or did not. `host_count`: how many hosts its failure is
-    /// weighed against.
+    /// Records whether a worker of a zone answered, as an observation of the link for commands to that zone.
+    /// A failure is weighed against `host_count` hosts.
     pub fn observe_worker(&self, zone: &Name, host: &HostId, host_count: usize, answered: bool) {
         let observation = if answered {
             Observation::Success
         } else {
             Observation::Failure {
-                by: witness_number(host),
+                by: witness_id(host),
                 of: host_count,
             }
         };
         self.observe_link(LinkId::Commands(zone.clone()), observation);
     }
 
-    /// Applies an input to the view of reachability and follows what it changes. The zones to be probed.
+    /// Applies an input to the reachability view and handles the changes of links that follow. Returns the
+    /// zones to probe.
     pub(super) fn update_reachability(&self, input: reachability::Input<'_>) -> Vec<Name> {
         let now = self.now();
         let outputs = {
@@ -79,7 +81,8 @@
         zones_to_probe
     }
 
-    /// Follows the change of a link: notes silent peers, logs it and wakes the loops that depend on it.
+    /// Handles a state change of a link: records since when a peer has been silent, logs the change, and wakes
+    /// the loops that depend on the link.
     fn on_link_changed(&self, link: &LinkId, before: LinkState, after: LinkState, now: Micros) {
         if let LinkId::Peer(member) = link {
             let silent_since = &mut self.state.borrow_mut().membership.silent_since;
@@ -94,22 +97,22 @@
             }
         }
         if before != LinkState::Down && after != LinkState::Down {
-            tracing::debug!(?link, reach = ?after, "link");
+            tracing::debug!(?link, reach = ?after, "link state changed");
         } else {
-            tracing::info!(?link, reach = ?after, "link");
+            tracing::info!(?link, reach = ?after, "link state changed");
             self.wake.reachability.notify_one();
             self.wake.roles.notify_one();
         }
     }
 
-    /// Checks the links, and reports them to the peers, for as long as the controller lives.
+    /// Checks the links and reports their states to the peers. Runs for as long as the controller.
     pub async fn reachability_loop(self: Rc<Self>) {
         let mut reported_at = Micros::ZERO;
         loop {
             let was_woken = timeout(CHECK_INTERVAL, self.wake.reachability.notified())
                 .await
                 .is_ok();
-            self.expect_heartbeats();
+            self.check_expected_heartbeats();
             let now = self.now();
             let (reports_links, all_links_up) = {
                 let state = self.state.borrow();
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Logs how many heartbeats were answered while the store was silent, once that is over.
+    /// Logs the number of heartbeats that were answered while the link to the store was down. Logs once the
+    /// link works again, or this controller has lost its authority.
     fn log_answers_without_store(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -145,9 +149,9 @@
         }
     }
 
-    /// This controller's report for its peers.
+    /// Builds this controller's reachability report for its peers.
     fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
-        // What a watch cache shows that is no longer brought up to date is not reported as news.
+        // Without a link to the store, the watch cache is stale and its owners are not reported as current.
         let is_cache_current =
             state.membership.reachability.own_link(&LinkId::Store) == LinkState::Up;
         let owners = if is_cache_current {
@@ -176,7 +180,8 @@
             .report(owners, relinquished, now)
     }
 
-    /// Reports the links to every peer; their answers are their own reports.
+    /// Sends this controller's report to every peer, and applies the peers' own reports, which are their
+    /// answers.
     fn send_reachability(self: &Rc<Self>) {
         let now = self.now();
         let report = {
@@ -187,32 +192,34 @@
             let (shared, address, report) = (self.clone(), peer.address, report.clone());
             self.clone().spawn(async move {
                 let request = MeshRequest::Reachability(Box::new(report));
-                let answer = shared.mesh_call(address, request, REPORT_LIMIT).await;
-                if let Some(MeshResponse::Reachability(peer_report)) = answer {
-                    shared.take_peer_report(&peer_report);
+                let response = shared.mesh_call(address, request, REPORT_TIMEOUT).await;
+                if let Some(MeshResponse::Reachability(peer_report)) = response {
+                    shared.apply_peer_report(&peer_report);
                 }
             });
         }
     }
 
-    /// Takes in the report of a peer and answers with the own one. Called by the mesh server.
+    /// Applies the report of a peer and returns this controller's own report as the answer. Called by the
+    /// mesh server.
     pub fn receive_reachability(
         self: &Rc<Self>,
         peer_report: &ReachabilityReport,
     ) -> ReachabilityReport {
-        self.take_peer_report(peer_report);
+        self.apply_peer_report(peer_report);
         let now = self.now();
         let mut state = self.state.borrow_mut();
         self.own_report(&mut state, now)
     }
 
-    /// Takes in the report of a peer, with what follows from it at once.
-    fn take_peer_report(&self, peer_report: &ReachabilityReport) {
+    /// Applies the report of a peer to the reachability view, wakes the loops that depend on the report and
+    /// updates whether this controller is isolated.
+    fn apply_peer_report(&self, peer_report: &ReachabilityReport) {
         self.update_reachability(reachability::Input::PeerReport(peer_report));
         if self.is_role_relinquished() {
             self.wake.roles.notify_one();
         }
-        // A role that heartbeats wait for may have found an owner.
+        // The report may name a new owner for a role that deferred heartbeats are waiting for.
         let has_deferred_heartbeats = {
             let state = self.state.borrow();
             state.relay.slots.has_deferred_heartbeats()
@@ -223,7 +230,7 @@
         self.update_isolation();
     }
 
-    /// Whether the owner of any role has given it up.
+    /// Returns whether the owner of any role has relinquished that role.
     fn is_role_relinquished(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
--- a/crates/jasperhill-controller/src/relay/requests.rs
+++ b/crates/jasperhill-controller/src/relay/requests.rs
@@ -1,13 +1,14 @@
-//! The requests that workers answer.
+//! Builders of the requests that workers answer.
 
 use jasperhill_http::{Method, Request};
 
-/// Asks a worker for its status; the answer is a heartbeat.
+/// Returns a request for a worker's status. The body of the worker's response is a heartbeat.
 pub(crate) fn status_request() -> Request {
     Request::new(Method::Get, "/inspect", Vec::new())
 }
 
-/// Sends a worker commands, encoded by `commands_body`; the answer is a heartbeat.
+/// Returns a request that carries commands to a worker. `body` is encoded by `commands_body`. The body of the
+/// worker's response is a heartbeat.
 pub(crate) fn commands_request(body: Vec<u8>) -> Request {
     Request::new(Method::Post, "/do", body)
 }
--- a/crates/jasperhill-controller/src/relay/route.rs
+++ b/crates/jasperhill-controller/src/relay/route.rs
@@ -1,28 +1,29 @@
-//! The routes of commands and heartbeats.
+//! Types for the routes that commands and heartbeats take.
 
 use jasperhill_wire::{HostId, Member, Name};
 use std::net::SocketAddr;
 
-/// How commands get to a worker.
+/// The route by which commands get to a worker.
 pub(crate) enum CommandRoute {
-    /// Straight to the worker.
+    /// The commands are sent directly to the worker.
     Direct,
-    /// By the controller with this mesh address.
+    /// The commands are relayed by the controller with this mesh address.
     Through(SocketAddr),
-    /// Not at all: they wait for the next heartbeat.
+    /// The worker can't be reached; the commands wait for its next heartbeat.
     None,
 }
 
-/// Where a heartbeat goes that another controller owns.
+/// The route of a heartbeat whose partition another controller owns.
 pub(crate) enum HeartbeatRoute {
-    /// The worker is redirected to that controller.
+    /// The worker is redirected to this controller, which can relay its heartbeats to the owner.
     Redirect(Member),
-    /// The worker was there and came back: the heartbeat is relayed by that controller.
+    /// The worker was redirected and has returned, so the heartbeat is relayed through this controller.
     Through(Member),
-    /// The heartbeat is relayed to its owner.
+    /// The heartbeat is relayed to its owner, and the worker is never redirected.
     RelayOnly,
-    /// The same, unless that fails: then the worker may try itself. The owner decides whether it reaches
-    /// the worker, since it alone knows whom it has answered.
+    /// The heartbeat is relayed to its owner; if the relay fails, the worker may be redirected to the owner.
+    /// The owner decides whether the worker can reach it directly, since only the owner knows which workers
+    /// it has answered.
     RelayFirst,
 }
 
@@ -33,8 +34,9 @@
     pub host: &'a HostId,
     /// The zone of the host.
     pub zone: &'a Name,
-    /// How many hosts the failure of this one is weighed against, when the link to its zone is judged.
+    /// The number of hosts that a failure of this worker is weighed against when the link to its zone is
+    /// judged.
     pub host_count: usize,
-    /// Where the worker listens.
+    /// The address that the worker listens on.
     pub address: SocketAddr,
 }
--- a/crates/jasperhill-controller/src/relay/routing.rs
+++ b/crates/jasperhill-controller/src/relay/routing.rs
@@ -1,4 +1,4 @@
-//! Choosing the routes of heartbeats and commands by what is known of the links.
+//! Chooses the routes of heartbeats and commands by the known states of the links.
 
 use super::route::{CommandRoute, HeartbeatRoute};
 use crate::{shared::Shared, state::State};
@@ -6,8 +6,9 @@
 use jasperhill_wire::{Member, Name, mesh::LinkState, record::Role, worker::Heartbeat};
 
 impl Shared {
-    /// The owner of a role by the latest version that is known: that of this controller's watch cache,
-    /// or what others have reported while this controller's cache may be stale.
+    /// Returns the owner of a role according to the latest known version of the role's record. The version
+    /// comes from this controller's watch cache, or from a peer's report if that is newer, as the cache may
+    /// be stale.
     pub fn latest_owner(&self, state: &State, role: Role) -> Option<Member> {
         let now = self.now();
         let cached_version = state.cache.roles.get(&role).map(|cached| cached.version);
@@ -22,8 +23,8 @@
         }
     }
 
-    /// Where a heartbeat goes whose owner is elsewhere. `None` if nothing is known against redirecting
-    /// the worker.
+    /// Returns the route of a heartbeat whose partition another controller owns. Returns `None` if there is
+    /// no known reason against redirecting the worker to the owner, or no other route.
     pub fn heartbeat_route(&self, owner: &Member, heartbeat: &Heartbeat) -> Option<HeartbeatRoute> {
         let now = self.now();
         let state = self.state.borrow();
@@ -34,15 +35,16 @@
         let reachability = &state.membership.reachability;
         if !reachability.hears_peer(owner, now) {
             let peer = reachability.relay_to_owner(owner, zone, now)?.clone();
-            let came_back = state.relay.was_redirected(&heartbeat.host, now);
-            return Some(if came_back {
+            let returned_after_redirect = state.relay.was_redirected(&heartbeat.host, now);
+            return Some(if returned_after_redirect {
                 HeartbeatRoute::Through(peer)
             } else {
                 HeartbeatRoute::Redirect(peer)
             });
         }
         let (heartbeats_link, _) = reachability.zone_links(owner, zone, now);
-        // Redirected to its owner, the worker would lose ten seconds that its tasks may not have.
+        // The owner may not hear this zone, so a redirect could cost the worker ten seconds, which the
+        // leases of its tasks may not have left.
         if matches!(heartbeats_link, LinkState::Down | LinkState::Suspect) {
             return Some(HeartbeatRoute::RelayOnly);
         }
@@ -50,7 +52,7 @@
         is_registered.then_some(HeartbeatRoute::RelayFirst)
     }
 
-    /// How commands get to a worker of this zone.
+    /// Returns the route for commands to the workers of a zone.
     pub fn command_route(&self, zone: &Name) -> CommandRoute {
         let now = self.now();
         let state = self.state.borrow();
--- a/crates/jasperhill-controller/src/relay/slots.rs
+++ b/crates/jasperhill-controller/src/relay/slots.rs
@@ -1,58 +1,62 @@
-//! Bounds on what is relayed, or held back, at a time.
+//! Limits on the number of heartbeats and commands that are relayed or held back at the same time. Each one
+//! occupies a slot until the slot is dropped.
 
 use std::{cell::Cell, rc::Rc};
 
-/// Commands of other controllers that are relayed at a time; beyond, the sender is told so at once.
-const COMMANDS_MAX: usize = 64;
-/// Heartbeats that are relayed at a time; beyond, they are not.
-const HEARTBEATS_MAX: usize = 400;
-/// Heartbeats that are held back at a time until their role has moved.
-const DEFERRED_MAX: usize = 2_000;
+/// The largest number of command requests of other controllers that are relayed at the same time. Further
+/// requests are answered at once with `CommandsNotSent`.
+const MAX_RELAYED_COMMANDS: usize = 64;
+/// The largest number of heartbeats that are relayed at the same time. Further heartbeats are not relayed.
+const MAX_RELAYED_HEARTBEATS: usize = 400;
+/// The largest number of heartbeats that are held back at the same time while their roles move.
+const MAX_DEFERRED_HEARTBEATS: usize = 2_000;
 
-/// Counts of what is being relayed or held back.
+/// Counters of the occupied slots, by kind.
 #[derive(Default)]
 pub(crate) struct RelaySlots {
-    /// Commands of other controllers that are being relayed.
+    /// The number of command requests of other controllers that are being relayed.
     commands: Rc<Cell<usize>>,
-    /// Heartbeats that are being relayed.
+    /// The number of heartbeats that are being relayed.
     heartbeats: Rc<Cell<usize>>,
-    /// Heartbeats that are held back.
+    /// The number of heartbeats that are held back while their roles move.
     deferred: Rc<Cell<usize>>,
 }
 
 impl RelaySlots {
-    /// A slot for commands of another controller; `None` if all are taken.
-    pub fn relayed_commands(&self) -> Option<RelaySlot> {
-        RelaySlot::take(&self.commands, COMMANDS_MAX)
+    /// Acquires a slot for a command request of another controller; returns `None` if all are occupied.
+    pub fn acquire_relayed_commands(&self) -> Option<RelaySlot> {
+        RelaySlot::acquire(&self.commands, MAX_RELAYED_COMMANDS)
     }
 
-    /// A slot for a heartbeat that is relayed; `None` if all are taken.
-    pub fn relayed_heartbeat(&self) -> Option<RelaySlot> {
-        RelaySlot::take(&self.heartbeats, HEARTBEATS_MAX)
+    /// Acquires a slot for a heartbeat that is relayed; returns `None` if all are occupied.
+    pub fn acquire_relayed_heartbeat(&self) -> Option<RelaySlot> {
+        RelaySlot::acquire(&self.heartbeats, MAX_RELAYED_HEARTBEATS)
     }
 
-    /// A slot for a heartbeat that is held back until its role has moved; `None` if all are taken.
-    pub fn deferred_heartbeat(&self) -> Option<RelaySlot> {
-        RelaySlot::take(&self.deferred, DEFERRED_MAX)
+    /// Acquires a slot for a heartbeat that is held back while its role moves; returns `None` if all are
+    /// occupied.
+    pub fn acquire_deferred_heartbeat(&self) -> Option<RelaySlot> {
+        RelaySlot::acquire(&self.deferred, MAX_DEFERRED_HEARTBEATS)
     }
 
-    /// Whether any heartbeat is held back.
+    /// Returns whether any heartbeat is held back.
     pub fn has_deferred_heartbeats(&self) -> bool {
         self.deferred.get() > 0
     }
 }
 
-/// A slot among those that are relayed or held back. Released when dropped, since whoever waits for an
-/// answer may go away before it comes.
+/// An occupied slot for one relayed or held-back heartbeat or command request. The slot is released on drop,
+/// as the task that waits for the response may be dropped before the response arrives.
 pub(crate) struct RelaySlot(Rc<Cell<usize>>);
 
 impl RelaySlot {
-    /// Takes one of `limit` slots, of which so many are `taken`; `None` if that is all.
-    fn take(taken: &Rc<Cell<usize>>, limit: usize) -> Option<Self> {
-        let count = taken.get();
+    /// Occupies one of `limit` slots and increments the counter `occupied`. Returns `None` if all slots are
+    /// occupied.
+    fn acquire(occupied: &Rc<Cell<usize>>, limit: usize) -> Option<Self> {
+        let count = occupied.get();
         (count < limit).then(|| {
-            taken.set(count + 1);
-            Self(taken.clone())
+            occupied.set(count + 1);
+            Self(occupied.clone())
         })
     }
 }
--- a/crates/jasperhill-controller/src/relay/state.rs
+++ b/crates/jasperhill-controller/src/relay/state.rs
@@ -1,78 +1,86 @@
-//! What is remembered of heartbeats and commands that are relayed round a partition of the network.
+//! State of the relay module: recent redirects and probes of workers, and the limits on what is relayed.
 
 use crate::relay::slots::RelaySlots;
 use jasperhill_wire::{HostId, Micros};
 use std::collections::BTreeMap;
 
-/// A worker that was redirected to its owner and comes back within this time could not reach it: with all
-/// others silent it comes back after ten seconds.
-const REDIRECT_MEMORY: Micros = Micros::from_secs(12);
-/// Redirected workers that are remembered before old entries are removed.
-const REDIRECTS_MAX: usize = 1_000;
-/// Workers sent to their owner that are remembered before old entries are removed.
-const SENT_TO_OWNER_MAX: usize = 1_000;
-/// Probes are remembered for so long.
-const PROBE_MEMORY: Micros = Micros::from_secs(30);
+/// How long a redirect is remembered. A worker that returns within this time could not reach the owner that
+/// it was redirected to: a worker that gets no answer from any other controller returns after ten seconds.
+const REDIRECT_RETENTION: Micros = Micros::from_secs(12);
+/// The number of recorded redirects to owners above which old entries are removed.
+const MAX_RECORDED_REDIRECTS: usize = 1_000;
+/// The number of recorded redirects to this controller above which old entries are removed.
+const MAX_RECORDED_REDIRECTS_HERE: usize = 1_000;
+/// How long the last probe of a worker is remembered.
+const PROBE_RETENTION: Micros = Micros::from_secs(30);
 
-/// The last probe of a worker from here.
+/// The last probe that this controller sent to a worker.
 #[derive(Clone, Copy)]
 pub(crate) struct DirectProbe {
-    /// When it was sent; once it was answered, when it was answered.
-    pub at: Micros,
-    /// Whether the worker answered.
+    /// When the probe was sent or, if the worker has answered, when it answered; by the monotonic clock.
+    pub updated_at: Micros,
+    /// Whether the worker has answered the probe.
     pub answered: bool,
 }
 
-/// What is remembered of relayed heartbeats and commands.
+/// State of relayed heartbeats and commands.
 #[derive(Default)]
 pub(crate) struct RelayState {
-    /// Bounds on what is relayed at a time.
+    /// Limits on the heartbeats and commands that are relayed or held back at the same time.
     pub slots: RelaySlots,
-    /// When workers were last redirected to their owners.
-    redirected: BTreeMap<HostId, Micros>,
-    /// Workers whose heartbeats were relayed here and that were redirected here, and when.
-    pub sent_to_owner: BTreeMap<HostId, Micros>,
+    /// When each worker was last redirected to its owner, by the monotonic clock.
+    redirected_at: BTreeMap<HostId, Micros>,
+    /// When each worker was last redirected to this controller in the response to a relayed heartbeat, by
+    /// the monotonic clock.
+    pub redirected_here_at: BTreeMap<HostId, Micros>,
     /// The last direct probes of workers whose heartbeats are relayed by another controller.
     pub probes: BTreeMap<HostId, DirectProbe>,
 }
 
 impl RelayState {
-    /// Notes that a worker is redirected now. True if it was redirected a moment ago already, and so has
-    /// come back.
+    /// Records that a worker is redirected now. Returns true if the worker had already been redirected
+    /// within `REDIRECT_RETENTION`, and so has returned to this controller.
     pub fn record_redirect(&mut self, host: HostId, now: Micros) -> bool {
-        if self.redirected.len() > REDIRECTS_MAX {
-            self.redirected.retain(|_, at| now - *at < REDIRECT_MEMORY);
+        if self.redirected_at.len() > MAX_RECORDED_REDIRECTS {
+            self.redirected_at
+                .retain(|_, at| now - *at < REDIRECT_RETENTION);
         }
-        let last = self.redirected.insert(host, now);
-        last.is_some_and(|at| now - at < REDIRECT_MEMORY)
+        let last = self.redirected_at.insert(host, now);
+        last.is_some_and(|at| now - at < REDIRECT_RETENTION)
     }
 
-    /// Whether a worker was redirected a moment ago: if its heartbeat comes here now, it has come back.
+    /// Returns whether a worker was redirected within `REDIRECT_RETENTION`. A worker whose heartbeat arrives
+    /// at this controller within that time has returned.
     pub fn was_redirected(&self, host: &HostId, now: Micros) -> bool {
-        let last = self.redirected.get(host);
-        last.is_some_and(|at| now - *at < REDIRECT_MEMORY)
+        let last = self.redirected_at.get(host);
+        last.is_some_and(|at| now - *at < REDIRECT_RETENTION)
     }
 
-    /// Notes that a worker whose heartbeats were relayed is redirected here. `lease`: how long that is
-    /// remembered.
-    pub fn record_sent_to_owner(&mut self, host: HostId, lease: Micros, now: Micros) {
-        if self.sent_to_owner.len() > SENT_TO_OWNER_MAX {
-            self.sent_to_owner.retain(|_, at| now - *at < lease);
+    /// Records that a worker whose heartbeats were relayed is redirected to this controller now. The record
+    /// is kept for at least `lease`, the lease duration of workers.
+    pub fn record_redirect_here(&mut self, host: HostId, lease: Micros, now: Micros) {
+        if self.redirected_here_at.len() > MAX_RECORDED_REDIRECTS_HERE {
+            self.redirected_here_at.retain(|_, at| now - *at < lease);
         }
-        self.sent_to_owner.insert(host, now);
+        self.redirected_here_at.insert(host, now);
     }
 
-    /// Notes that a worker is probed from now on.
+    /// Records that a probe of a worker starts now, and removes old probes.
     pub fn record_probe_start(&mut self, host: HostId, now: Micros) {
-        self.probes.retain(|_, probe| now - probe.at < PROBE_MEMORY);
-        let answered = false;
-        self.probes.insert(host, DirectProbe { at: now, answered });
+        self.probes
+            .retain(|_, probe| now - probe.updated_at < PROBE_RETENTION);
+        let probe = DirectProbe {
+            updated_at: now,
+            answered: false,
+        };
+        self.probes.insert(host, probe);
     }
 
-    /// How many probes wait for an answer. `limit`: how long a probe may take.
-    pub fn probes_running(&self, limit: Micros, now: Micros) -> usize {
-        let running = |probe: &&DirectProbe| !probe.answered && now - probe.at < limit;
-        self.probes.values().filter(running).count()
+    /// Returns the number of probes that still wait for an answer. A probe that is older than `timeout`
+    /// counts as finished.
+    pub fn running_probe_count(&self, timeout: Micros, now: Micros) -> usize {
+        let is_running = |probe: &&DirectProbe| !probe.answered && now - probe.updated_at < timeout;
+        self.probes.values().filter(is_running).count()
     }
 }
 
