--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -16,7 +16,7 @@
 };
 use std::{net::SocketAddr, rc::Rc};
 
-/// How long a worker may take to respond to a request.
+/// The timeout for a worker's response to a request.
 const RESPONSE_TIMEOUT: Micros = Micros::from_secs(3);
 
 /// A host that this controller sends commands to, as the owner of the host's partition.
@@ -31,7 +31,7 @@
     address: SocketAddr,
     /// The host's zone.
     zone: Name,
-    /// Whether the worker's incarnation is known. Commands carry the incarnation.
+    /// True if the worker's incarnation is known. Commands carry the incarnation.
     is_incarnation_known: bool,
     /// The number of hosts in the partition.
     hosts_in_partition: usize,
@@ -60,7 +60,7 @@
 impl Shared {
     /// Sends a worker its outstanding commands, with at most one request in flight. Returns whether the
     /// worker responded, or `None` if no commands were sent.
-    pub(super) async fn send_commands_to(
+    pub(super) async fn send_outstanding_commands(
         self: &Rc<Self>,
         partition_id: u32,
         host: HostId,
@@ -103,9 +103,9 @@
         answered
     }
 
-    /// Returns the target for commands to a host. Returns `None` if this controller does not own the host's
-    /// partition, if the host has commands in flight or in doubt, or if the host's address can't be
-    /// parsed.
+    /// Returns the target for commands to a host. Returns `None` if this controller does not own the
+    /// host's partition, if the host has commands in flight or in doubt, or if the host's address can't
+    /// be parsed.
     fn command_target(&self, partition_id: u32, host: HostId) -> Option<CommandTarget> {
         let state = self.state.borrow();
         let partition = state.scheduling.partitions.get(&partition_id)?;
@@ -124,13 +124,14 @@
         })
     }
 
-    /// Builds the request with a host's outstanding commands and marks the commands as in flight. Returns
-    /// `None` if there is nothing to send, or if nothing may be sent now.
+    /// Builds the request with a host's outstanding commands and marks the commands as in flight.
+    /// Returns `None` if there is nothing to send, or if nothing may be sent now.
     fn prepare_commands(&self, target: &CommandTarget) -> Option<CommandRequest> {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
-        // The authority is checked for every request, as the process may have stalled since the last one.
+        // The authority is checked for every request, as the process may have stalled since the last
+        // one.
         if !state.authority.holds(now) {
             return None;
         }
@@ -143,7 +144,8 @@
         let host = partition.hosts.get(&target.host)?;
         let known_as_of = state.authority.fresh();
         // A delegate may go on renewing the lease of this host. A start command that arrives late under
-        // such a lease could be executed after its job was cancelled: see `Host::in_flight_known_as_of`.
+        // such a lease could be executed after its job was cancelled: see
+        // `Host::in_flight_known_as_of`.
         if host.last_answer > self.settings.bounds.until(known_as_of) {
             return None;
         }
@@ -159,8 +161,8 @@
             body: commands_body(token, Some(incarnation), &commands),
             command_count: commands.len(),
         };
-        let sent = HostInput::DirectSent(commands, known_as_of);
-        partition.apply(&target.host, sent, now);
+        let host_input = HostInput::DirectSent(commands, known_as_of);
+        partition.apply(&target.host, host_input, now);
         Some(request)
     }
 
@@ -193,8 +195,8 @@
         partition.apply(&target.host, input, now);
     }
 
-    /// Applies the status in a worker's response to a direct request, unless another host has responded or
-    /// the partition has changed owners.
+    /// Applies the status in a worker's response to a direct request, unless another host has responded
+    /// or the partition has changed owners.
     fn apply_direct_response(&self, target: &CommandTarget, body: &[u8]) {
         let now = self.now();
         let host = &target.host;
--- a/crates/jasperhill-controller/src/commands/tokens.rs
+++ b/crates/jasperhill-controller/src/commands/tokens.rs
@@ -4,12 +4,13 @@
 use jasperhill_wire::{Micros, record::Role};
 use std::rc::Rc;
 
-/// How long the write of a host's record is attempted.
+/// The longest time that the write of a host's record may wait before it is sent.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(5);
 
 impl Shared {
-    /// Raises the fencing tokens of hosts with commands in doubt by rewriting their records. A worker then
-    /// refuses direct commands that arrive late with the old token. Called by each scheduling pass.
+    /// Raises the fencing tokens of hosts with commands in doubt by rewriting their records. A worker
+    /// then refuses direct commands that arrive late with the old token. Called by each scheduling
+    /// pass.
     pub fn raise_tokens(self: &Rc<Self>) {
         let now = self.now();
         let mut hosts_to_update = Vec::new();
--- a/crates/jasperhill-controller/src/delegation/delegate.rs
+++ b/crates/jasperhill-controller/src/delegation/delegate.rs
@@ -1,5 +1,5 @@
-//! The delegate's side of lease delegation: requests grants for hosts that can't reach their owners, and
-//! answers the heartbeats of these hosts.
+//! The delegate's side of lease delegation: requests grants for hosts that can't reach their owners,
+//! and answers the heartbeats of these hosts.
 
 use super::requests::{AddHostOutcome, DueRequest};
 use crate::{
@@ -19,12 +19,13 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// The space in bytes that a request reserves for each host, so that the hosts fit the value whatever their
-/// names are.
+/// The space in bytes that a request reserves for each host, so that the hosts fit the value whatever
+/// their names are.
 const RESERVED_BYTES_PER_HOST: usize = 40;
 /// The size in bytes of a request without its hosts.
 const REQUEST_OVERHEAD_BYTES: usize = 256;
-/// How long a heartbeat waits for the owner's grant. Workers wait four seconds for a response.
+/// The longest time that a heartbeat waits for the owner's grant. Workers wait four seconds for a
+/// response.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// The pause after writing requests. Hosts that arrive during the pause are requested together.
 const REQUEST_PAUSE: Duration = Duration::from_millis(150);
@@ -32,18 +33,20 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The fraction of the delegation time after which a request is written again.
 const RENEWAL_FRACTION: f64 = 0.25;
-/// The number of heartbeat intervals, besides `HOST_SILENCE_MARGIN`, after which a silent host is removed from
-/// the requests.
+/// A host is removed from the requests after it has been silent for this number of heartbeat intervals
+/// plus `HOST_SILENCE_MARGIN`.
 const HOST_SILENCE_INTERVALS: f64 = 2.5;
 /// The time added to `HOST_SILENCE_INTERVALS`, so that one heartbeat may be late.
 const HOST_SILENCE_MARGIN: Micros = Micros::from_secs(5);
-/// How long before the end of a grant the delegate stops answering, to leave time for the response to travel.
+/// The time before the end of a grant at which the delegate stops answering, so that the response can
+/// still arrive in time.
 const GRANT_MARGIN: Micros = Micros::from_millis(200);
-/// The fraction of the delegation time that is added to `GRANT_MARGIN`, as clocks run at different rates.
+/// The fraction of the delegation time that is added to `GRANT_MARGIN`, as clocks run at different
+/// rates.
 const CLOCK_DRIFT_FRACTION: f64 = 0.002;
-/// How long the write of a request may wait before it is sent.
+/// The longest time that the write of a request may wait before it is sent.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(1);
-/// How long a peer may take to answer a ping.
+/// The timeout for a ping of another controller.
 const PING_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// This controller's session with the store.
@@ -57,14 +60,15 @@
 
 impl Shared {
     /// Answers a heartbeat for its owner if the owner has granted the delegation or grants it within
-    /// `GRANT_TIMEOUT`. Returns `None` if there is no such grant, or if no request has room for the host.
+    /// `GRANT_TIMEOUT`. Returns `None` if there is no such grant, or if no request has room for the
+    /// host.
     pub async fn answer_as_delegate(self: &Rc<Self>, heartbeat: &Heartbeat) -> Option<Response> {
         match self.request_delegation(&heartbeat.host) {
             AddHostOutcome::Added => self.wake.delegation_requests.notify_one(),
             AddHostOutcome::Renewed => {}
             AddHostOutcome::Full => return None,
         }
-        let granted = timeout(GRANT_TIMEOUT, async {
+        let granted_response = timeout(GRANT_TIMEOUT, async {
             loop {
                 let grants_changed = self.wake.grants_changed.notified();
                 if let Some(response) = self.delegate_response(heartbeat) {
@@ -73,11 +77,11 @@
                 grants_changed.await;
             }
         });
-        granted.await.ok()
+        granted_response.await.ok()
     }
 
-    /// Adds a host to the requests, or records that it was heard again. Returns `Full` also if the host's name
-    /// is too long.
+    /// Adds a host to the requests, or records that it was heard again. Returns `Full` also if the
+    /// host's name is too long.
     fn request_delegation(&self, host: &HostId) -> AddHostOutcome {
         let now = self.now();
         if host.as_str().len() > RESERVED_BYTES_PER_HOST / 2 {
@@ -95,9 +99,9 @@
             .add_host(host, hosts_per_part, now)
     }
 
-    /// Returns the response to a heartbeat on behalf of the owner. The response renews the worker's lease and
-    /// stops the tasks of jobs that have ended. Returns `None` without a valid grant, or if this controller's
-    /// view of the store is too old or lacks a running task's job.
+    /// Returns the response to a heartbeat on behalf of the owner. The response renews the worker's
+    /// lease and stops the tasks of jobs that have ended. Returns `None` without a valid grant, or if
+    /// this controller's view of the store is too old or lacks a running task's job.
     fn delegate_response(&self, heartbeat: &Heartbeat) -> Option<Response> {
         let now = self.now();
         let state = self.state.borrow();
@@ -111,8 +115,8 @@
         if !state.authority.holds(now) || now >= answers_until {
             return None;
         }
-        // A lease is not renewed for a task whose job is unknown here: the job may have been cancelled, or
-        // may just have been accepted.
+        // A lease is not renewed for a task whose job is unknown here: the job may have been cancelled,
+        // or may just have been accepted.
         let is_unknown = |task: &TaskStatus| {
             !matches!(task.phase, TaskPhase::Exited(_)) && state.cache.job(&task.task.job).is_none()
         };
@@ -129,8 +133,8 @@
         Some(Response::new(200, commands_body(token, None, &commands)))
     }
 
-    /// Returns the fencing token that the owner of a host has granted to this controller's session. Returns
-    /// `None` without a grant that is still valid.
+    /// Returns the fencing token that the owner of a host has granted to this controller's session.
+    /// Returns `None` without a grant that is still valid.
     fn granted_token(
         &self,
         state: &State,
@@ -153,8 +157,8 @@
         is_valid.then_some(token)
     }
 
-    /// Writes the requests when they change, and renews them regularly while they name hosts. Runs for as
-    /// long as the controller.
+    /// Writes the requests when they change, and renews them regularly while they name hosts. Runs for
+    /// as long as the controller.
     pub async fn delegation_request_loop(self: Rc<Self>) {
         loop {
             let woken = self.wake.delegation_requests.notified();
@@ -174,8 +178,8 @@
         }
     }
 
-    /// Removes silent hosts from the requests and returns the requests to write now. Returns `None` if this
-    /// controller has no session.
+    /// Removes silent hosts from the requests and returns the requests to write now. Returns `None` if
+    /// this controller has no session.
     fn take_due_requests(&self) -> Option<(OwnSession, Vec<DueRequest>)> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -220,14 +224,14 @@
             .set_may_be_stored(request.part, may_be_stored);
     }
 
-    /// Pings the peers that did not answer their last call, so that hosts return to their owners as soon as
-    /// the owners can be reached.
+    /// Pings the peers that did not answer their last call, so that hosts return to their owners as
+    /// soon as the owners can be reached.
     fn ping_unreached_peers(self: &Rc<Self>) {
-        let unreached: Vec<Member> = {
+        let unreached_peers: Vec<Member> = {
             let state = self.state.borrow();
             state.delegation.last_failure_at.keys().cloned().collect()
         };
-        for member in unreached {
+        for member in unreached_peers {
             let Some(address) = self.address_of(&member) else {
                 continue;
             };
--- a/crates/jasperhill-controller/src/delegation/grants.rs
+++ b/crates/jasperhill-controller/src/delegation/grants.rs
@@ -15,7 +15,7 @@
 /// The times at which this controller gave its grants.
 #[derive(Default)]
 pub(super) struct DelegationGrants {
-    /// When each grant was given, by the monotonic clock.
+    /// The time at which each grant was given, by the monotonic clock.
     granted_at: BTreeMap<GrantKey, Micros>,
 }
 
@@ -25,8 +25,8 @@
         self.granted_at.insert(key, now);
     }
 
-    /// Returns whether a grant in the store was given more than `lifetime` ago. A grant of a former owner
-    /// counts as given when this method first sees it.
+    /// Returns whether a grant in the store was given more than `lifetime` ago. A grant of a former
+    /// owner counts as given when this method first sees it.
     pub fn is_expired(&mut self, key: &GrantKey, lifetime: Micros, now: Micros) -> bool {
         let granted_at = *self.granted_at.entry(key.clone()).or_insert(now);
         now - granted_at > lifetime
--- a/crates/jasperhill-controller/src/delegation/grants/tests.rs
+++ b/crates/jasperhill-controller/src/delegation/grants/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// The time at which a former owner gave a grant is unknown. Such a grant must expire all the same, or it would
-/// stay in the store forever.
+/// The time at which a former owner gave a grant is unknown. Such a grant must expire all the same, or
+/// it would stay in the store forever.
 #[test]
 fn grant_of_unknown_age_expires_one_lifetime_after_first_seen() {
     let mut grants = DelegationGrants::default();
--- a/crates/jasperhill-controller/src/delegation/owner.rs
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -18,17 +18,17 @@
 
 /// The longest time between two checks of requests and grants, when nothing wakes the loop earlier.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The number of heartbeat intervals, besides `MIN_SILENCE_MARGIN`, for which a host must have been silent before
-/// its lease may be delegated.
+/// The lease of a host may be delegated after the host has been silent for this number of heartbeat
+/// intervals plus `MIN_SILENCE_MARGIN`.
 const MIN_SILENCE_INTERVALS: f64 = 1.25;
 /// The time added to `MIN_SILENCE_INTERVALS`, as a heartbeat may be in flight.
 const MIN_SILENCE_MARGIN: Micros = Micros::from_millis(500);
-/// The multiple of the delegation time, besides `GRANT_LIFETIME_MARGIN`, after which a grant is removed. No
+/// A grant is removed after this multiple of the delegation time plus `GRANT_LIFETIME_MARGIN`. No
 /// delegate can use the grant any more by then.
 const GRANT_LIFETIME_FACTOR: f64 = 1.5;
 /// The time added to `GRANT_LIFETIME_FACTOR` times the delegation time before a grant is removed.
 const GRANT_LIFETIME_MARGIN: Micros = Micros::from_secs(2);
-/// How long the write of a grant may wait before it is sent.
+/// The longest time that the write of a grant may wait before it is sent.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// A partition that this controller owns, with the version of the ownership.
@@ -49,8 +49,8 @@
 }
 
 impl Shared {
-    /// Considers the requests of delegates, decides on the jobs that other controllers propose, and removes
-    /// expired grants. Runs for as long as the controller.
+    /// Considers the requests of delegates, decides on the jobs that other controllers propose, and
+    /// removes expired grants. Runs for as long as the controller.
     pub async fn delegation_grant_loop(self: Rc<Self>) {
         loop {
             let woken = self.wake.delegation_grants.notified();
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Grants a delegate's request for those hosts that belong to this controller's partitions and that this
-    /// controller has not heard recently.
+    /// Grants a delegate's request for those hosts that belong to this controller's partitions and that
+    /// this controller has not heard recently.
     fn consider_delegation_request(self: &Rc<Self>, delegate: &Member) {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
@@ -132,8 +132,8 @@
         part.is_some_and(|part| part.is_empty() || part.starts_with('/'))
     }
 
-    /// Returns the hosts of a request that belong to a partition and have not been heard recently, with their
-    /// fencing tokens.
+    /// Returns the hosts of a request that belong to a partition and have not been heard recently, with
+    /// their fencing tokens.
     fn delegable_hosts(
         &self,
         partition: &Partition,
@@ -154,8 +154,9 @@
             .filter(|host| {
                 host.fencing != FencingState::Lapsed && now - host.last_heard > min_silence
             })
-            // The delegate renews the lease under this token until the grant ends, whatever commands are in
-            // flight to the host, so the view of the store behind those commands must stay fresh until then.
+            // The delegate renews the lease under this token until the grant ends, whatever commands
+            // are in flight to the host. Such a command must not rest on a view of the store that
+            // becomes too old before the grant ends.
             .filter(|host| {
                 let known_as_of = host.in_flight_known_as_of();
                 known_as_of.is_none_or(|known| granted_until <= bounds.until(known))
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Returns the expired grants of this controller's partitions, and removes them from the bookkeeping.
+    /// Returns the expired grants of this controller's partitions, and removes them from the
+    /// bookkeeping.
     fn take_expired_grants(&self) -> Vec<(GrantKey, OwnedPartition)> {
         let now = self.now();
         let lifetime = self.settings.delegation_time().scale(GRANT_LIFETIME_FACTOR);
--- a/crates/jasperhill-controller/src/delegation/requests.rs
+++ b/crates/jasperhill-controller/src/delegation/requests.rs
@@ -1,5 +1,5 @@
-//! Requests of this controller as a delegate. The hosts that it asks to answer for are split into numbered
-//! parts, so that each request fits into one value of the store.
+//! Requests of this controller as a delegate. The hosts that it asks to answer for are split into
+//! numbered parts, so that each request fits into one value of the store.
 
 use jasperhill_wire::{HostId, Micros};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 /// A host that sends its heartbeats to this controller because it can't reach its owner.
 struct RequestedHost {
-    /// When the last heartbeat of the host arrived, by the monotonic clock.
+    /// The time at which the last heartbeat of the host arrived, by the monotonic clock.
     heard_at: Micros,
     /// The number of the part that names the host.
     part: u32,
@@ -22,11 +22,11 @@
 struct RequestPart {
     /// The number of hosts in the part.
     hosts: usize,
-    /// Whether the hosts have changed since the last write.
-    changed: bool,
-    /// Whether the store may have a record of the part.
+    /// True if the hosts have changed since the part was last written.
+    has_changed: bool,
+    /// True if the store may have a record of the part.
     may_be_stored: bool,
-    /// When the last write of the part began, by the monotonic clock.
+    /// The time at which the last write of the part began, by the monotonic clock.
     last_written_at: Micros,
 }
 
@@ -37,7 +37,7 @@
     hosts: BTreeMap<HostId, RequestedHost>,
     /// The parts by number. One value of the store can't hold all hosts of a large zone.
     parts: BTreeMap<u32, RequestPart>,
-    /// When each remembered request was sent, by request number.
+    /// The time at which each remembered request was sent, by request number.
     sent_at: BTreeMap<u64, Micros>,
     /// The number of the last request.
     last_request_number: u64,
@@ -65,8 +65,8 @@
 }
 
 impl DelegationRequests {
-    /// Adds a host that was just heard to the first part that has room, or records that the host was heard
-    /// again. A part has room for `hosts_per_part` hosts.
+    /// Adds a host that was just heard to the first part that has room, or records that the host was
+    /// heard again. A part has room for `hosts_per_part` hosts.
     pub fn add_host(
         &mut self,
         host: &HostId,
@@ -86,7 +86,7 @@
         };
         let part = self.parts.entry(number).or_default();
         part.hosts += 1;
-        part.changed = true;
+        part.has_changed = true;
         let added = RequestedHost {
             heard_at: now,
             part: number,
@@ -102,36 +102,36 @@
             let is_kept = now - host.heard_at < silence_max;
             if !is_kept && let Some(part) = parts.get_mut(&host.part) {
                 part.hosts -= 1;
-                part.changed = true;
+                part.has_changed = true;
             }
             is_kept
         });
     }
 
     /// Returns the parts to write now: the parts that have changed, the parts with hosts that were last
-    /// written at least `interval` ago, and the empty parts that may be in the store. The returned parts
-    /// count as sent now.
+    /// written at least `interval` ago, and the empty parts that may be in the store. The returned
+    /// parts count as sent now.
     pub fn take_due(&mut self, interval: Micros, now: Micros) -> Vec<DueRequest> {
         let mut due = Vec::new();
         for (number, part) in &mut self.parts {
             let is_due = if part.hosts == 0 {
                 part.may_be_stored
             } else {
-                part.changed || now - part.last_written_at >= interval
+                part.has_changed || now - part.last_written_at >= interval
             };
             if !is_due {
                 continue;
             }
-            part.changed = false;
+            part.has_changed = false;
             part.last_written_at = now;
             self.last_request_number += 1;
             // The time is taken before the write, as the delegation time counts from here.
             self.sent_at.insert(self.last_request_number, now);
-            let in_part = self.hosts.iter().filter(|(_, host)| host.part == *number);
+            let hosts_in_part = self.hosts.iter().filter(|(_, host)| host.part == *number);
             due.push(DueRequest {
                 part: *number,
                 number: self.last_request_number,
-                hosts: in_part.map(|(id, _)| id.clone()).collect(),
+                hosts: hosts_in_part.map(|(id, _)| id.clone()).collect(),
             });
         }
         while self.sent_at.len() > MAX_REMEMBERED_REQUESTS {
@@ -152,8 +152,8 @@
         self.hosts.get(host).map(|host| host.part)
     }
 
-    /// Returns when the request with this number was sent. Returns `None` if the request is unknown or too old
-    /// to be remembered.
+    /// Returns when the request with this number was sent. Returns `None` if the request is unknown or
+    /// too old to be remembered.
     pub fn sent_at(&self, number: u64) -> Option<Micros> {
         self.sent_at.get(&number).copied()
     }
--- a/crates/jasperhill-controller/src/delegation/requests/tests.rs
+++ b/crates/jasperhill-controller/src/delegation/requests/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Guards against three failures: the hosts of a large zone don't fit into one value of the store, a part is
-/// rewritten although only other parts have changed, and the requests grow without bound.
+/// Guards against three failures: the hosts of a large zone don't fit into one value of the store, a
+/// part is rewritten although only other parts have changed, and the requests grow without bound.
 #[test]
 fn splits_hosts_into_parts_and_writes_only_due_parts() {
     let mut requests = DelegationRequests::default();
@@ -27,7 +27,8 @@
     requests.add_host(&host(100), 44, now);
     assert_eq!(requests.take_due(interval, now).len(), 1);
     assert_eq!(requests.take_due(interval, now + interval).len(), 3);
-    // All hosts but one fall silent. The empty parts are due once more, so that their records are deleted.
+    // All hosts but one fall silent. The empty parts are due once more, so that their records are
+    // deleted.
     let later = now + Micros::from_secs(60);
     requests.add_host(&host(50), 44, later);
     requests
@@ -36,11 +37,11 @@
         .for_each(|part| part.may_be_stored = true);
     requests.remove_silent(Micros::from_secs(10), later);
     let due = requests.take_due(interval, later);
-    let left: Vec<_> = due
+    let hosts_by_part: Vec<_> = due
         .iter()
         .map(|request| (request.part, request.hosts.len()))
         .collect();
-    assert_eq!(left, [(0, 0), (1, 1), (2, 0)]);
+    assert_eq!(hosts_by_part, [(0, 0), (1, 1), (2, 0)]);
     for n in 0..10_000 {
         requests.add_host(&host(n), 44, later);
     }
--- a/crates/jasperhill-controller/src/delegation/state.rs
+++ b/crates/jasperhill-controller/src/delegation/state.rs
@@ -11,9 +11,10 @@
     pub(super) requests: DelegationRequests,
     /// The grants that this controller has given as an owner.
     pub(super) grants: DelegationGrants,
-    /// Delegates whose requests have changed and have not been considered yet by this controller as an owner.
+    /// Delegates whose requests have changed and have not been considered yet by this controller as an
+    /// owner.
     pub changed_requests: BTreeSet<Member>,
-    /// When each controller last failed to answer a call, by the monotonic clock. A controller that has answered
-    /// since is not in the map.
+    /// The time at which each controller last failed to answer a call, by the monotonic clock. A
+    /// controller that has answered since is not in the map.
     pub(super) last_failure_at: BTreeMap<Member, Micros>,
 }
--- a/crates/jasperhill-controller/src/heartbeats/deferral.rs
+++ b/crates/jasperhill-controller/src/heartbeats/deferral.rs
@@ -76,10 +76,10 @@
         let now = self.now();
         let state = self.state.borrow();
         let reachability = &state.membership.reachability;
-        let is_served_here =
+        let can_act_here =
             reachability.own_link(&LinkId::Store) == LinkState::Up && state.authority.holds(now);
         let role_can_move =
-            is_served_here || (owner.is_none() && reachability.is_store_reachable_elsewhere(now));
+            can_act_here || (owner.is_none() && reachability.is_store_reachable_elsewhere(now));
         let is_role_moving = self.uses_reachability(&state)
             && owner.is_none_or(|member| is_session_ending(&state, member, now))
             && role_can_move
@@ -91,9 +91,9 @@
     }
 }
 
-/// Returns whether the session of a silent controller is about to end, or should just have ended. Outside
-/// this window heartbeats are not held back: the owner may be back in a moment, or may only be unheard by
-/// this controller, and its workers must still get to it.
+/// Returns whether the session of a silent controller is about to end, or should just have ended.
+/// Outside this window heartbeats are not held back: the owner may answer again soon, or only this
+/// controller may not hear it, and in both cases workers must not be kept from their owner.
 fn is_session_ending(state: &State, member: &Member, now: Micros) -> bool {
     let ttl = state.authority.ttl();
     let silent_since = state.membership.silent_since.get(member);
--- a/crates/jasperhill-controller/src/heartbeats/mod.rs
+++ b/crates/jasperhill-controller/src/heartbeats/mod.rs
@@ -1,12 +1,12 @@
 //! Worker heartbeats: receives and routes heartbeats, answers the heartbeats of partitions that this
 //! controller owns, and registers machines that have no record yet.
 //!
-//! The state is [`state::HeartbeatState`]. Only this module changes that state, except that `relay` resets
-//! the count of answers given without the store when it logs the count.
+//! The state is [`state::HeartbeatState`]. Only this module changes that state, except that `relay`
+//! resets the count of answers given without the store when it logs the count.
 //!
 //! Invariant: a response with status 200 renews the worker's lease. Only the owner of the worker's
-//! partition sends one, and only while the owner has the authority to act on its roles. The one exception
-//! is a delegate of the owner; see `delegation`.
+//! partition sends one, and only while the owner has the authority to act on its roles. The one
+//! exception is a delegate of the owner; see `delegation`.
 
 mod deferral;
 mod registration;
@@ -23,9 +23,9 @@
 const MAX_DEFERRAL: Micros = Micros::from_millis(3_400);
 
 /// The longest time for which a heartbeat is held back by a process that restarted quickly and may soon
-/// end again. Heartbeats held back by a process that ends get no response, so the worker would have done
-/// better to try the next controller.
-const MAX_DEFERRAL_WHEN_UNSETTLED: Micros = Micros::from_millis(300);
+/// end again. Heartbeats held back by a process that ends get no response, so the worker would have
+/// done better to try the next controller.
+const MAX_DEFERRAL_AFTER_QUICK_RESTART: Micros = Micros::from_millis(300);
 
 /// The largest number of workers that are probed directly at the same time, so that a zone that becomes
 /// reachable again does not cost one request for each of its workers.
@@ -51,7 +51,7 @@
         let limit = if is_settled {
             MAX_DEFERRAL
         } else {
-            MAX_DEFERRAL_WHEN_UNSETTLED
+            MAX_DEFERRAL_AFTER_QUICK_RESTART
         };
         now + limit
     }
--- a/crates/jasperhill-controller/src/heartbeats/registration.rs
+++ b/crates/jasperhill-controller/src/heartbeats/registration.rs
@@ -1,5 +1,5 @@
-//! Registration of machines that have no record: the leader writes a record and assigns a partition when
-//! a machine's first heartbeat arrives. Registrations are written in batches.
+//! Registration of machines that have no record: the leader writes a record and assigns a partition
+//! when a machine's first heartbeat arrives. Registrations are written in batches.
 
 use super::MAX_CONCURRENT_PROBES;
 use crate::{
@@ -17,11 +17,11 @@
 
 /// The largest number of machines in a registration batch.
 const MAX_BATCH_SIZE: usize = 500;
-/// How long a batch collects machines after its first one.
+/// The time for which a batch collects machines after its first one.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// How long the write of a new host record is attempted.
+/// The longest time that the write of a new host record may wait before it is sent.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(3);
-/// How long an unexpected machine may take to answer a probe.
+/// The timeout for a probe of an unexpected machine.
 const PROBE_TIMEOUT: Micros = Micros::from_secs(2);
 
 /// A planned write of a machine's first record.
@@ -33,10 +33,10 @@
 }
 
 impl Shared {
-    /// Registers a machine without a record if this controller is the leader, and waits until the record
-    /// is in the watch cache or until `deadline`. Without the wait, a new machine on the far side of a
-    /// network partition would be told to come back later and might reach no controller during its
-    /// whole first lease.
+    /// Registers a machine without a record if this controller is the leader, and waits until the
+    /// record is in the watch cache or until `deadline`. Without the wait, a new machine on the far
+    /// side of a network partition would be told to come back later and might reach no controller
+    /// during its whole first lease.
     pub(super) async fn register_host(self: &Rc<Self>, heartbeat: &Heartbeat, deadline: Micros) {
         let Some(is_expected) = self.expects_registration(heartbeat) else {
             return;
@@ -63,8 +63,9 @@
                 hosts_changed.await;
             }
         };
-        // A machine that is told to come back later while the other controllers are silent returns after
-        // ten seconds. Meanwhile it is given tasks, and its first lease may end before it returns.
+        // A machine that is told to come back later while the other controllers are silent returns
+        // after ten seconds. Meanwhile it is given tasks, and its first lease may end before it
+        // returns.
         let time_left = to_duration(deadline - self.now());
         let _ = tokio::time::timeout(time_left, registered).await;
     }
@@ -83,9 +84,9 @@
     }
 
     /// Registers an unexpected machine if it answers a probe. The probe guards against a heartbeat that
-    /// arrives after its machine was released. The record of a released machine would count as capacity,
-    /// so its partition would get no other machine; and as the machine stays silent, the partition would
-    /// pass from one owner to the next.
+    /// arrives after its machine was released. The record of a released machine would count as
+    /// capacity, so its partition would get no other machine; and as the machine stays silent, the
+    /// partition would pass from one owner to the next.
     async fn register_if_reachable(self: Rc<Self>, heartbeat: Heartbeat) {
         let Ok(address) = heartbeat.address.parse::<SocketAddr>() else {
             return;
@@ -129,8 +130,8 @@
     }
 
     /// Adds a machine to the next batch, unless its heartbeat is invalid, the batch is full or the
-    /// machine's record is being written. Returns true if the machine is the first of the batch, so that
-    /// the caller has to start the batch.
+    /// machine's record is being written. Returns true if the machine is the first of the batch, so
+    /// that the caller has to start the batch.
     fn enqueue_registration(&self, heartbeat: Heartbeat) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(machine_types) = &state.scheduling.specs else {
@@ -147,11 +148,11 @@
         state.heartbeats.pending_registrations.len() == 1
     }
 
-    /// Plans the records of new machines, each in the partition that most needs its capacity. Returns an
-    /// empty list if this controller is no longer the leader.
+    /// Plans the records of new machines, each in the partition that most needs its capacity. Returns
+    /// an empty list if this controller is no longer the leader.
     fn plan_registrations(&self, heartbeats: &[Heartbeat]) -> Vec<Registration> {
         let mut state_guard = self.state.borrow_mut();
-        let mut needs = self.capacity_needs(&state_guard);
+        let mut capacity_needs = self.capacity_needs(&state_guard);
         let state = &mut *state_guard;
         let mut registrations = Vec::new();
         let Some(leader) = state.provisioning.leader.as_mut() else {
@@ -159,8 +160,9 @@
         };
         for heartbeat in heartbeats {
             leader.came_up(&heartbeat.host, self.now());
-            let partition_id = needs.partition_most_in_need(&heartbeat.zone, heartbeat.spot);
-            needs.record_assignment(partition_id, &heartbeat.zone, heartbeat.spot);
+            let partition_id =
+                capacity_needs.partition_most_in_need(&heartbeat.zone, heartbeat.spot);
+            capacity_needs.record_assignment(partition_id, &heartbeat.zone, heartbeat.spot);
             let record = first_record(heartbeat, partition_id);
             let block = state.host_registry.assign_block(
                 &state.cache,
--- a/crates/jasperhill-controller/src/heartbeats/relayed.rs
+++ b/crates/jasperhill-controller/src/heartbeats/relayed.rs
@@ -16,11 +16,11 @@
 
 /// The fraction of [`MAX_DEFERRAL`] that the relaying controller has used at most.
 const RELAY_TIME_FRACTION: f64 = 0.6;
-/// How long a successful probe remains valid.
+/// The time for which a successful probe shows that the worker can be reached.
 const PROBE_VALIDITY: Micros = Micros::from_secs(5);
 /// The shortest time between two probes of the same worker.
 const MIN_PROBE_INTERVAL: Micros = Micros::from_secs(4);
-/// How long a worker may take to answer a probe.
+/// The timeout for a probe of a worker.
 const PROBE_TIMEOUT: Micros = Micros::from_secs(1);
 
 impl Shared {
@@ -32,8 +32,8 @@
             Ok(heartbeat) => heartbeat,
             Err(refusal) => return refusal,
         };
-        let sent_at = received_at - MAX_DEFERRAL.scale(RELAY_TIME_FRACTION);
-        self.register_host(&heartbeat, sent_at).await;
+        let earliest_sent_at = received_at - MAX_DEFERRAL.scale(RELAY_TIME_FRACTION);
+        self.register_host(&heartbeat, earliest_sent_at).await;
         let reply = match self.answer_heartbeat(&heartbeat) {
             Ok(reply) => reply,
             Err(refusal) => return refusal,
@@ -51,8 +51,8 @@
         reply.response
     }
 
-    /// Returns whether the worker of a relayed heartbeat is to be redirected to this controller. Starts a
-    /// probe of the worker if no recent probe exists.
+    /// Returns whether the worker of a relayed heartbeat is to be redirected to this controller. Starts
+    /// a probe of the worker if no recent probe exists.
     fn is_direct_contact_restored(self: &Rc<Self>, heartbeat: Heartbeat) -> bool {
         let now = self.now();
         if self.must_stay_relayed(&heartbeat, now) {
@@ -84,10 +84,11 @@
         false
     }
 
-    /// Returns whether a worker's heartbeats must still be relayed, whatever a probe of the worker shows:
+    /// Returns whether a worker's heartbeats must still be relayed, whatever a probe of the worker
+    /// shows:
     ///
-    /// - The link to the worker's zone is down. Probing each worker would take as many requests as there
-    ///   are workers, so the link is probed as a whole until it is up.
+    /// - The link to the worker's zone is down. Probing each worker would take as many requests as
+    ///   there are workers, so the link is probed as a whole until it is up.
     /// - The worker was redirected here within the last lease, and its heartbeat is relayed again. The
     ///   link may carry commands but no heartbeats.
     /// - This controller answered a direct heartbeat of the worker within the last lease, and its
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -1,6 +1,6 @@
-//! Responses to heartbeats: 200 with the fencing token and commands if this controller owns the worker's
-//! partition, 421 with the owner's name if another controller does, and 503 if no known controller may
-//! answer now.
+//! Responses to heartbeats: 200 with the fencing token and commands if this controller owns the
+//! worker's partition, 421 with the owner's name if another controller does, and 503 if no known
+//! controller may answer now.
 
 use crate::{shared::Shared, state::State};
 use jasperhill_connections::limiter;
@@ -20,9 +20,9 @@
     Response::new(503, b"{\"error\":\"not entitled to answer\"}".to_vec()).retry_after(1)
 }
 
-/// Returns a 421 response: the worker is to send its heartbeat to controller `to`. With `None`, the worker
-/// is to try any other controller; if the heartbeat was relayed, `None` means that the worker can reach the
-/// responding controller directly.
+/// Returns a 421 response: the worker is to send its heartbeat to controller `to`. With `None`, the
+/// worker is to try any other controller; if the heartbeat was relayed, `None` means that the worker
+/// can reach the responding controller directly.
 pub(crate) fn redirect(to: Option<&Member>) -> Response {
     Response::new(421, redirect_body(to))
 }
@@ -48,11 +48,12 @@
     pub owner: Option<Member>,
 }
 
-/// The controller that answers a heartbeat.
+/// The controller that answers the heartbeats of a host.
 enum Responder {
     /// This controller, as the owner of the partition with this number.
     Partition(u32),
-    /// Another controller, or none at the moment; with the reply that says so.
+    /// Another controller, or no controller at the moment. The value is the reply that names the other
+    /// owner or refuses the heartbeat.
     Elsewhere(HeartbeatReply),
 }
 
@@ -61,7 +62,8 @@
     /// lease.
     ///
     /// # Errors
-    /// Returns the refusal to send if neither this controller nor another one that it knows of can answer.
+    /// Returns the refusal to send if neither this controller nor another one that it knows of can
+    /// answer.
     pub(super) fn answer_heartbeat(
         self: &Rc<Self>,
         heartbeat: &Heartbeat,
@@ -157,8 +159,8 @@
         })
     }
 
-    /// Returns the reply that redirects a worker to the owner. Returns a 503 reply if there is no owner,
-    /// or if the owner is this controller.
+    /// Returns the reply that redirects a worker to the owner. Returns a 503 reply if there is no
+    /// owner, or if the owner is this controller.
     fn redirect_to(&self, owner: Option<Member>) -> HeartbeatReply {
         match owner {
             Some(owner) if owner != self.settings.member => HeartbeatReply {
--- a/crates/jasperhill-controller/src/heartbeats/routing.rs
+++ b/crates/jasperhill-controller/src/heartbeats/routing.rs
@@ -1,6 +1,6 @@
 //! Handling of heartbeats that workers send directly to this controller: a heartbeat is answered here,
-//! redirected or relayed to the owner of its partition, deferred until the partition's role has moved, or
-//! answered as a delegate of the owner.
+//! redirected or relayed to the owner of its partition, deferred until the partition's role has moved,
+//! or answered as a delegate of the owner.
 
 use super::{
     ReceivedHeartbeat,
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 
 impl Shared {
-    /// Answers a heartbeat that a worker sends directly. Only the owner of the worker's partition answers
-    /// with status 200, and only while it has the authority to act on its roles. A worker that was
-    /// redirected to its owner and returns can't reach the owner, so its heartbeats are relayed to the
-    /// owner and the owner's responses are relayed back. Heartbeats are relayed at once if the owner is
-    /// known not to hear the worker's zone. Called by the server of the worker API.
+    /// Answers a heartbeat that a worker sends directly. Only the owner of the worker's partition
+    /// answers with status 200, and only while it has the authority to act on its roles. A worker that
+    /// was redirected to its owner and returns can't reach the owner, so its heartbeats are relayed to
+    /// the owner and the owner's responses are relayed back. Heartbeats are relayed at once if the
+    /// owner is known not to hear the worker's zone. Called by the server of the worker API.
     pub async fn handle_heartbeat(self: &Rc<Self>, body: &[u8]) -> Response {
         let deadline = self.heartbeat_deadline();
         let heartbeat = match parse_heartbeat(body) {
@@ -66,9 +66,9 @@
             .record_answer(host, self.settings.lease, now);
     }
 
-    /// Answers a heartbeat whose partition another controller owns: relays the heartbeat, defers it until
-    /// the role has moved, answers it as a delegate, or redirects the worker. `may_defer` is false if the
-    /// heartbeat was deferred before.
+    /// Answers a heartbeat whose partition another controller owns: relays the heartbeat, defers it
+    /// until the role has moved, answers it as a delegate, or redirects the worker. `may_defer` is
+    /// false if the heartbeat was deferred before.
     async fn route_heartbeat(
         self: &Rc<Self>,
         owner: Member,
@@ -135,8 +135,8 @@
         state.relay.record_redirect(host.clone(), now)
     }
 
-    /// Relays a heartbeat to its owner and returns the owner's response. If the relay fails, returns this
-    /// controller's own response if it has become the owner meanwhile: the leader may just have
+    /// Relays a heartbeat to its owner and returns the owner's response. If the relay fails, returns
+    /// this controller's own response if it has become the owner meanwhile: the leader may just have
     /// registered the machine in its partition, or the role may just have moved here. Returns `None` if
     /// neither answers.
     async fn relay_or_answer(
--- a/crates/jasperhill-controller/src/heartbeats/state.rs
+++ b/crates/jasperhill-controller/src/heartbeats/state.rs
@@ -1,4 +1,5 @@
-//! State of the heartbeat module.
+//! State of the heartbeat module: recent answers to workers, and machines that wait for their
+//! registration.
 
 use jasperhill_wire::{HostId, Micros, worker::Heartbeat};
 use std::collections::BTreeMap;
@@ -10,12 +11,13 @@
 /// State of the heartbeats that this controller answers and of the machines that it registers.
 #[derive(Default)]
 pub(crate) struct HeartbeatState {
-    /// When this controller last answered a direct heartbeat of each worker, by the monotonic clock.
+    /// The time at which this controller last answered a direct heartbeat of each worker, by the
+    /// monotonic clock.
     pub answered_at: BTreeMap<HostId, Micros>,
     /// Heartbeats of machines without a record: the next registration batch.
     pub pending_registrations: Vec<Heartbeat>,
-    /// The number of heartbeats answered with status 200 while the link to the store was down, since the
-    /// count was last logged.
+    /// The number of heartbeats answered with status 200 while the link to the store was down, since
+    /// the count was last logged.
     pub answered_without_store: u32,
 }
 
--- a/crates/jasperhill-controller/src/proposals/mod.rs
+++ b/crates/jasperhill-controller/src/proposals/mod.rs
@@ -1,13 +1,14 @@
-//! Proposals: jobs with deadlines that a controller submits to their owner through the store, because the owner
-//! can't be reached over the mesh while the store answers. The state is [`state::ProposalState`].
+//! Proposals: jobs with deadlines that a controller submits to their owner through the store, because
+//! the owner can't be reached over the mesh while the store answers. The state is
+//! [`state::ProposalState`].
 //!
-//! The proposer writes the proposal at `jh/want/<job>`, tied to its session. The owner sees the proposal, runs
-//! the admission test, and writes either the job's record, or the rejection into the proposal. The proposer sees
-//! either record and deletes the proposal.
+//! The proposer writes the proposal at `jh/want/<job>`, tied to its session. The owner sees the
+//! proposal, runs the admission test, and writes either the job's record, or the rejection into the
+//! proposal. The proposer sees either record and deletes the proposal.
 //!
-//! Invariant: a proposal that is seen late has the same effect as a submission that arrives late. The job's
-//! record is written only once, as the write requires that no record exists, and a user who was told to come
-//! back finds the record.
+//! Invariant: a proposal that is seen late has the same effect as a submission that arrives late. The
+//! job's record is written only once, as the write requires that no record exists, and a user who was
+//! told to come back finds the record.
 
 pub mod state;
 
@@ -26,14 +27,16 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// The largest number of open proposals of this controller. Users with further jobs are told at once to come
-/// back.
+/// The largest number of open proposals of this controller. Users with further jobs are told at once to
+/// come back.
 const MAX_OPEN_PROPOSALS: usize = 64;
-/// How long the proposer waits for the owner's decision. Users wait five seconds for an answer.
+/// The longest time that the proposer waits for the owner's decision. Users wait five seconds for an
+/// answer.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the deletion of a proposal may wait before it is sent. No user waits for the deletion.
+/// The longest time that the deletion of a proposal may wait before it is sent. No user waits for the
+/// deletion.
 const DELETE_TIMEOUT: Micros = Micros::from_secs(10);
-/// How long the write of a proposal or a rejection may wait before it is sent.
+/// The longest time that the write of a proposal or a rejection may wait before it is sent.
 const WRITE_TIMEOUT: Micros = Micros::from_millis(700);
 
 /// Another controller's proposal that this controller, as the owner, has to decide on.
@@ -51,7 +54,8 @@
 }
 
 impl Shared {
-    /// Returns whether jobs are proposed to an owner through the store, because the link to the owner is down.
+    /// Returns whether jobs are proposed to an owner through the store, because the link to the owner
+    /// is down.
     pub fn proposes_through_store(&self, owner: &Member) -> bool {
         let state = self.state.borrow();
         self.uses_reachability(&state)
@@ -63,8 +67,8 @@
     }
 
     /// Proposes a job to its owner through the store and waits for the owner's decision. Returns
-    /// `Unavailable` if the job can't be proposed, or if no decision arrives in time; in the latter case the
-    /// owner may still accept the job.
+    /// `Unavailable` if the job can't be proposed, or if no decision arrives in time; in the latter
+    /// case the owner may still accept the job.
     pub async fn propose(self: &Rc<Self>, request: JobRequest) -> MeshResponse {
         let id = request.id.clone();
         let record = ProposalRecord {
@@ -110,8 +114,8 @@
         decision.unwrap_or(MeshResponse::Unavailable)
     }
 
-    /// Waits for the owner's decision: the job's record means acceptance; the alternative is a rejection in
-    /// the proposal's record.
+    /// Waits for the owner's decision: the job's record means acceptance; the alternative is a
+    /// rejection in the proposal's record.
     async fn wait_for_decision(&self, id: &JobId) -> MeshResponse {
         loop {
             let proposals_changed = self.wake.proposals.notified();
@@ -169,8 +173,8 @@
             .await;
     }
 
-    /// Returns the proposal of a job if another controller made it and this controller has yet to decide on it;
-    /// otherwise returns `None`.
+    /// Returns the proposal of a job if another controller made it and this controller has yet to
+    /// decide on it; otherwise returns `None`.
     fn undecided_proposal(&self, id: &JobId) -> Option<UndecidedProposal> {
         let state = self.state.borrow();
         let cached = state.cache.proposals.get(id)?;
--- a/crates/jasperhill-controller/src/proposals/state.rs
+++ b/crates/jasperhill-controller/src/proposals/state.rs
@@ -1,5 +1,5 @@
-//! State of the proposals module. Only `proposals` changes `open`. Changes in the watch cache add to `received`,
-//! and the loop that decides on proposals takes them.
+//! State of the proposals module. Only `proposals` changes `open`. Changes in the watch cache add to
+//! `received`, and the loop that decides on proposals takes them.
 
 use jasperhill_wire::JobId;
 use std::collections::BTreeSet;
--- a/crates/jasperhill-controller/src/relay/commands.rs
+++ b/crates/jasperhill-controller/src/relay/commands.rs
@@ -1,5 +1,5 @@
-//! Requests to workers: sends requests directly or through another controller, depending on the state of the
-//! links, and relays the command requests of other controllers to workers.
+//! Requests to workers: sends requests directly or through another controller, depending on the state
+//! of the links, and relays the command requests of other controllers to workers.
 
 use super::{
     requests::{commands_request, status_request},
@@ -13,7 +13,7 @@
 };
 use std::net::SocketAddr;
 
-/// How long a worker may take to answer a request that is relayed for another controller.
+/// The timeout for a worker's answer to a request that is relayed for another controller.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(1_500);
 /// The number of hosts that the failure of a relayed request is weighed against when the link to the
 /// worker's zone is judged. The sender's own number of hosts is not known here.
@@ -24,8 +24,8 @@
     /// `timeout` to answer.
     ///
     /// # Errors
-    /// Returns the client's error. Returns `NotSent` also if there is no route to the worker, and `NoAnswer`
-    /// if the worker may have executed the request.
+    /// Returns the client's error. Returns `NotSent` also if there is no route to the worker, and
+    /// `NoAnswer` if the worker may have executed the request.
     pub async fn call_worker(
         &self,
         worker: Worker<'_>,
@@ -58,16 +58,17 @@
     }
 
     /// Records the result of a call as an observation of the link to the worker's zone. The error
-    /// `NoSocket` is not recorded: this controller had no socket free, which says nothing about the link.
+    /// `NoSocket` is not recorded: this controller had no socket free, which says nothing about the
+    /// link.
     fn observe_call_result(&self, worker: Worker<'_>, result: &Result<Response, ClientError>) {
         if !matches!(result, Err(ClientError::NoSocket)) {
             self.observe_worker(worker.zone, worker.host, worker.host_count, result.is_ok());
         }
     }
 
-    /// Relays the commands of another controller to a worker. Without a body, requests the worker's status.
-    /// The worker may execute the commands at any time from now on, so the sender counts the commands as in
-    /// doubt unless the response says otherwise. Called by the mesh server.
+    /// Relays the commands of another controller to a worker. Without a body, requests the worker's
+    /// status. The worker may execute the commands at any time from now on, so the sender counts the
+    /// commands as in doubt unless the response says otherwise. Called by the mesh server.
     pub async fn relay_commands(&self, host: HostId, body: Option<String>) -> MeshResponse {
         let (slot, target) = {
             let state = self.state.borrow();
--- a/crates/jasperhill-controller/src/relay/eligibility.rs
+++ b/crates/jasperhill-controller/src/relay/eligibility.rs
@@ -1,4 +1,5 @@
-//! Computes how eligible each member is for each role, from the hosts and services that the member can reach.
+//! Computes how eligible each member is for each role, from the hosts and services that the member can
+//! reach.
 
 use crate::{shared::Shared, state::State};
 use jasperhill_membership::{reachability::LinkId, roles::Eligibility};
@@ -21,8 +22,8 @@
 }
 
 impl Shared {
-    /// Returns the eligibility of each member for each role, as far as this controller knows, and the number
-    /// of hosts of each role. Called by the loop that decides on roles.
+    /// Returns the eligibility of each member for each role, as far as this controller knows, and the
+    /// number of hosts of each role. Called by the loop that decides on roles.
     pub fn role_eligibility(
         &self,
         state: &State,
--- a/crates/jasperhill-controller/src/relay/heartbeats.rs
+++ b/crates/jasperhill-controller/src/relay/heartbeats.rs
@@ -11,12 +11,13 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// How long a heartbeat is relayed, with further attempts if its partition is changing owners. Workers wait
-/// four seconds for a response.
+/// The time limit for relaying a heartbeat, including further attempts while its partition changes
+/// owners. Workers wait four seconds for a response.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(3_200);
-/// How long one attempt to relay a heartbeat may take.
+/// The timeout for one attempt to relay a heartbeat.
 const ATTEMPT_TIMEOUT: Micros = Micros::from_millis(1_500);
-/// The least remaining time with which another attempt is made; less is too short to be worth an attempt.
+/// The least remaining time with which another attempt is made; less is too short to be worth an
+/// attempt.
 const MIN_ATTEMPT_TIME: Micros = Micros::from_millis(200);
 /// The pause between two attempts to relay a heartbeat.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -33,7 +34,8 @@
 
 impl Shared {
     /// Relays a heartbeat to its owner and returns the owner's response. Returns `None` if no response
-    /// arrives before `deadline`, if the owner can't be reached, or if too many heartbeats are being relayed.
+    /// arrives before `deadline`, if the owner can't be reached, or if too many heartbeats are being
+    /// relayed.
     pub async fn relay_to_owner(
         self: &Rc<Self>,
         owner: Member,
@@ -69,14 +71,15 @@
             if !self.uses_reachability(&self.state.borrow()) || !self.is_peer_reachable(&target) {
                 return None;
             }
-            // The role may be moving to another controller, so the owner is looked up again after a pause.
+            // The role may be moving to another controller, so the owner is looked up again after a
+            // pause.
             sleep(RETRY_PAUSE).await;
             target = self.remote_owner_of(host)?;
         }
     }
 
-    /// Makes one attempt to relay a heartbeat to its owner. Returns `None` if this controller has no address
-    /// for the owner.
+    /// Makes one attempt to relay a heartbeat to its owner. Returns `None` if this controller has no
+    /// address for the owner.
     async fn try_relay_to_owner(
         &self,
         owner: &Member,
@@ -100,7 +103,8 @@
                     RelayAttempt::Moved(other)
                 }
                 Some(_) => RelayAttempt::Failed,
-                // A 421 without a name: the owner can reach the worker directly again.
+                // A 421 that names no controller means that the owner can reach the worker directly
+                // again, so the worker is redirected to the owner.
                 None => {
                     let now = self.now();
                     let mut state = self.state.borrow_mut();
@@ -115,8 +119,8 @@
         }
     }
 
-    /// Returns the owner of a host's partition, or the leader for a host without a partition. Returns `None`
-    /// if there is no owner, or if the owner is this controller.
+    /// Returns the owner of a host's partition, or the leader for a host without a partition. Returns
+    /// `None` if there is no owner, or if the owner is this controller.
     fn remote_owner_of(&self, host: &HostId) -> Option<Member> {
         let state = self.state.borrow();
         let record = state.cache.hosts.get(host);
@@ -127,8 +131,8 @@
         owner.filter(|member| member != &self.settings.member)
     }
 
-    /// Relays a heartbeat through another controller that can reach the owner. Returns `None` if the owner's
-    /// response does not arrive.
+    /// Relays a heartbeat through another controller that can reach the owner. Returns `None` if the
+    /// owner's response does not arrive.
     pub async fn relay_through_peer(&self, peer: &Member, body: &[u8]) -> Option<Response> {
         let _slot = self
             .state
@@ -147,8 +151,8 @@
         }
     }
 
-    /// Answers a heartbeat that a controller sends which can't reach the owner: relays the heartbeat to the
-    /// owner. A heartbeat is relayed onward only once. Called by the mesh server.
+    /// Answers a heartbeat that a controller sends which can't reach the owner: relays the heartbeat to
+    /// the owner. A heartbeat is relayed onward only once. Called by the mesh server.
     pub async fn relay_onward(self: &Rc<Self>, body: &[u8]) -> Response {
         let response = self.handle_relayed_heartbeat(body).await;
         let owner = match response.status {
--- a/crates/jasperhill-controller/src/relay/isolation.rs
+++ b/crates/jasperhill-controller/src/relay/isolation.rs
@@ -4,13 +4,15 @@
 use jasperhill_membership::reachability::LinkId;
 use jasperhill_wire::{Micros, mesh::LinkState};
 
-/// How long a controller must have been isolated to count as isolated until the store answers it again. A
-/// controller that has been isolated for a shorter time may only be the first to notice an outage.
+/// The duration of an isolation after which the controller counts as isolated until the store answers
+/// it again. A controller that has been isolated for a shorter time may only be the first to notice an
+/// outage.
 const STICKY_ISOLATION_AFTER: Micros = Micros::from_secs(4);
 
 impl Shared {
     /// Updates whether this controller is isolated, so that other controllers serve users better. In an
-    /// outage of the store for all controllers, this controller is not isolated and goes on serving users.
+    /// outage of the store for all controllers, this controller is not isolated and goes on serving
+    /// users.
     pub(super) fn update_isolation(&self) {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
@@ -29,9 +31,9 @@
         } else if !(is_store_down && was_isolated_long) {
             state.isolation.since = None;
         }
-        // After a long isolation the state is kept even when all other controllers lose the store as well.
-        // Otherwise users would be sent back to this controller, although it is refused and is the last to
-        // answer after such an outage.
+        // A long isolation lasts until the link to the store is up, even if all other controllers lose
+        // the store as well. Otherwise users would be sent back to this controller, which the store
+        // still refuses and which is the last to answer users after such an outage.
         state.isolation.isolated = is_store_down && (is_isolated_now || was_isolated_long);
     }
 }
--- a/crates/jasperhill-controller/src/relay/reachability.rs
+++ b/crates/jasperhill-controller/src/relay/reachability.rs
@@ -1,5 +1,5 @@
-//! Reachability of peers, zones, the store and the cloud. Records this controller's observations of its links,
-//! and exchanges reachability reports with the other controllers.
+//! Reachability of peers, zones, the store and the cloud. Records this controller's observations of its
+//! links, and exchanges reachability reports with the other controllers.
 
 use crate::{shared::Shared, state::State};
 use jasperhill_membership::{
@@ -21,14 +21,14 @@
 /// The longest time between two checks of the links for silence.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The time between two reports to the peers while all links are up.
-const REPORT_INTERVAL_UP: Micros = Micros::from_secs(2);
+const REPORT_INTERVAL_ALL_UP: Micros = Micros::from_secs(2);
 /// The time between two reports to the peers while any link is not up.
-const REPORT_INTERVAL_DOWN: Micros = Micros::from_millis(900);
-/// How long a peer may take to answer a report.
+const REPORT_INTERVAL_DEGRADED: Micros = Micros::from_millis(900);
+/// The timeout for a peer's answer to a report.
 const REPORT_TIMEOUT: Micros = Micros::from_secs(1);
 
-/// Returns a hash that identifies a host among the witnesses of a link failure, that is, the hosts whose calls
-/// failed.
+/// Returns a hash that identifies a host among the witnesses of a link failure, that is, the hosts
+/// whose calls failed.
 fn witness_id(host: &HostId) -> u64 {
     let mut hasher = DefaultHasher::new();
     host.hash(&mut hasher);
@@ -36,8 +36,8 @@
 }
 
 impl Shared {
-    /// Returns whether reachability decides the ownership of roles and links are reported to the peers. Both
-    /// need every member to support the feature.
+    /// Returns whether reachability decides the ownership of roles and links are reported to the peers.
+    /// Both need every member to support the feature.
     pub fn uses_reachability(&self, state: &State) -> bool {
         state.membership.features.supports(REACHABILITY)
     }
@@ -47,8 +47,8 @@
         self.update_reachability(reachability::Input::Evidence(link, observation));
     }
 
-    /// Records whether a worker of a zone answered, as an observation of the link for commands to that zone.
-    /// A failure is weighed against `host_count` hosts.
+    /// Records whether a worker of a zone answered, as an observation of the link for commands to that
+    /// zone. A failure is weighed against `host_count` hosts.
     pub fn observe_worker(&self, zone: &Name, host: &HostId, host_count: usize, answered: bool) {
         let observation = if answered {
             Observation::Success
@@ -61,8 +61,8 @@
         self.observe_link(LinkId::Commands(zone.clone()), observation);
     }
 
-    /// Applies an input to the reachability view and handles the changes of links that follow. Returns the
-    /// zones to probe.
+    /// Applies an input to the reachability view and handles the changes of links that follow. Returns
+    /// the zones to probe.
     pub(super) fn update_reachability(&self, input: reachability::Input<'_>) -> Vec<Name> {
         let now = self.now();
         let outputs = {
@@ -81,8 +81,8 @@
         zones_to_probe
     }
 
-    /// Handles a state change of a link: records since when a peer has been silent, logs the change, and wakes
-    /// the loops that depend on the link.
+    /// Handles a state change of a link: records since when a peer has been silent, logs the change,
+    /// and wakes the loops that depend on the link.
     fn on_link_changed(&self, link: &LinkId, before: LinkState, after: LinkState, now: Micros) {
         if let LinkId::Peer(member) = link {
             let silent_since = &mut self.state.borrow_mut().membership.silent_since;
@@ -122,9 +122,9 @@
                 )
             };
             let interval = if all_links_up {
-                REPORT_INTERVAL_UP
+                REPORT_INTERVAL_ALL_UP
             } else {
-                REPORT_INTERVAL_DOWN
+                REPORT_INTERVAL_DEGRADED
             };
             if reports_links && (was_woken || now - reported_at >= interval) {
                 reported_at = now;
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Logs the number of heartbeats that were answered while the link to the store was down. Logs once the
-    /// link works again, or this controller has lost its authority.
+    /// Logs the number of heartbeats that were answered while the link to the store was down. Logs once
+    /// the link works again, or this controller has lost its authority.
     fn log_answers_without_store(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -151,7 +151,8 @@
 
     /// Builds this controller's reachability report for its peers.
     fn own_report(&self, state: &mut State, now: Micros) -> ReachabilityReport {
-        // Without a link to the store, the watch cache is stale and its owners are not reported as current.
+        // Without a link to the store, the watch cache is stale and its owners are not reported as
+        // current.
         let is_cache_current =
             state.membership.reachability.own_link(&LinkId::Store) == LinkState::Up;
         let owners = if is_cache_current {
@@ -180,8 +181,8 @@
             .report(owners, relinquished, now)
     }
 
-    /// Sends this controller's report to every peer, and applies the peers' own reports, which are their
-    /// answers.
+    /// Sends this controller's report to every peer, and applies the peers' own reports, which are
+    /// their answers.
     fn send_reachability(self: &Rc<Self>) {
         let now = self.now();
         let report = {
@@ -200,8 +201,8 @@
         }
     }
 
-    /// Applies the report of a peer and returns this controller's own report as the answer. Called by the
-    /// mesh server.
+    /// Applies the report of a peer and returns this controller's own report as the answer. Called by
+    /// the mesh server.
     pub fn receive_reachability(
         self: &Rc<Self>,
         peer_report: &ReachabilityReport,
@@ -212,8 +213,8 @@
         self.own_report(&mut state, now)
     }
 
-    /// Applies the report of a peer to the reachability view, wakes the loops that depend on the report and
-    /// updates whether this controller is isolated.
+    /// Applies the report of a peer to the reachability view, wakes the loops that depend on the report
+    /// and updates whether this controller is isolated.
     fn apply_peer_report(&self, peer_report: &ReachabilityReport) {
         self.update_reachability(reachability::Input::PeerReport(peer_report));
         if self.is_role_relinquished() {
--- a/crates/jasperhill-controller/src/relay/route.rs
+++ b/crates/jasperhill-controller/src/relay/route.rs
@@ -21,9 +21,9 @@
     Through(Member),
     /// The heartbeat is relayed to its owner, and the worker is never redirected.
     RelayOnly,
-    /// The heartbeat is relayed to its owner; if the relay fails, the worker may be redirected to the owner.
-    /// The owner decides whether the worker can reach it directly, since only the owner knows which workers
-    /// it has answered.
+    /// The heartbeat is relayed to its owner; if the relay fails, the worker may be redirected to the
+    /// owner. The owner decides whether the worker can reach it directly, since only the owner knows
+    /// which workers it has answered.
     RelayFirst,
 }
 
@@ -34,8 +34,8 @@
     pub host: &'a HostId,
     /// The zone of the host.
     pub zone: &'a Name,
-    /// The number of hosts that a failure of this worker is weighed against when the link to its zone is
-    /// judged.
+    /// The number of hosts that a failure of this worker is weighed against when the link to its zone
+    /// is judged.
     pub host_count: usize,
     /// The address that the worker listens on.
     pub address: SocketAddr,
--- a/crates/jasperhill-controller/src/relay/routing.rs
+++ b/crates/jasperhill-controller/src/relay/routing.rs
@@ -6,9 +6,9 @@
 use jasperhill_wire::{Member, Name, mesh::LinkState, record::Role, worker::Heartbeat};
 
 impl Shared {
-    /// Returns the owner of a role according to the latest known version of the role's record. The version
-    /// comes from this controller's watch cache, or from a peer's report if that is newer, as the cache may
-    /// be stale.
+    /// Returns the owner of a role according to the latest known version of the role's record. The
+    /// version comes from this controller's watch cache, or from a peer's report if that is newer, as
+    /// the cache may be stale.
     pub fn latest_owner(&self, state: &State, role: Role) -> Option<Member> {
         let now = self.now();
         let cached_version = state.cache.roles.get(&role).map(|cached| cached.version);
@@ -23,8 +23,9 @@
         }
     }
 
-    /// Returns the route of a heartbeat whose partition another controller owns. Returns `None` if there is
-    /// no known reason against redirecting the worker to the owner, or no other route.
+    /// Returns the route of a heartbeat whose partition another controller owns. Returns `None` if the
+    /// worker can simply be redirected to the owner: there is no known reason against the redirect, or
+    /// no other route is known.
     pub fn heartbeat_route(&self, owner: &Member, heartbeat: &Heartbeat) -> Option<HeartbeatRoute> {
         let now = self.now();
         let state = self.state.borrow();
--- a/crates/jasperhill-controller/src/relay/slots.rs
+++ b/crates/jasperhill-controller/src/relay/slots.rs
@@ -1,12 +1,13 @@
-//! Limits on the number of heartbeats and commands that are relayed or held back at the same time. Each one
-//! occupies a slot until the slot is dropped.
+//! Limits on the number of heartbeats and commands that are relayed or held back at the same time. Each
+//! one occupies a slot until the slot is dropped.
 
 use std::{cell::Cell, rc::Rc};
 
-/// The largest number of command requests of other controllers that are relayed at the same time. Further
-/// requests are answered at once with `CommandsNotSent`.
+/// The largest number of command requests of other controllers that are relayed at the same time.
+/// Further requests are answered at once with `CommandsNotSent`.
 const MAX_RELAYED_COMMANDS: usize = 64;
-/// The largest number of heartbeats that are relayed at the same time. Further heartbeats are not relayed.
+/// The largest number of heartbeats that are relayed at the same time. Further heartbeats are not
+/// relayed.
 const MAX_RELAYED_HEARTBEATS: usize = 400;
 /// The largest number of heartbeats that are held back at the same time while their roles move.
 const MAX_DEFERRED_HEARTBEATS: usize = 2_000;
@@ -33,8 +34,8 @@
         RelaySlot::acquire(&self.heartbeats, MAX_RELAYED_HEARTBEATS)
     }
 
-    /// Acquires a slot for a heartbeat that is held back while its role moves; returns `None` if all are
-    /// occupied.
+    /// Acquires a slot for a heartbeat that is held back while its role moves; returns `None` if all
+    /// are occupied.
     pub fn acquire_deferred_heartbeat(&self) -> Option<RelaySlot> {
         RelaySlot::acquire(&self.deferred, MAX_DEFERRED_HEARTBEATS)
     }
@@ -45,17 +46,17 @@
     }
 }
 
-/// An occupied slot for one relayed or held-back heartbeat or command request. The slot is released on drop,
-/// as the task that waits for the response may be dropped before the response arrives.
+/// An occupied slot for one relayed or held-back heartbeat or command request. The slot is released on
+/// drop, as the task that waits for the response may be dropped before the response arrives.
 pub(crate) struct RelaySlot(Rc<Cell<usize>>);
 
 impl RelaySlot {
-    /// Occupies one of `limit` slots and increments the counter `occupied`. Returns `None` if all slots are
-    /// occupied.
+    /// Occupies one of `limit` slots and increments the counter `occupied`. Returns `None` if all slots
+    /// are occupied.
     fn acquire(occupied: &Rc<Cell<usize>>, limit: usize) -> Option<Self> {
-        let count = occupied.get();
-        (count < limit).then(|| {
-            occupied.set(count + 1);
+        let occupied_count = occupied.get();
+        (occupied_count < limit).then(|| {
+            occupied.set(occupied_count + 1);
             Self(occupied.clone())
         })
     }
--- a/crates/jasperhill-controller/src/relay/state/tests.rs
+++ b/crates/jasperhill-controller/src/relay/state/tests.rs
@@ -6,8 +6,8 @@
     HostId::new(&format!("n-{n:06}"))
 }
 
-/// A worker that can't reach its owner returns soon after a redirect. If the return were not detected, the
-/// worker would be redirected to the same owner again and again.
+/// A worker that can't reach its owner returns soon after a redirect. If the return were not detected,
+/// the worker would be redirected to the same owner again and again.
 #[test]
 fn detects_worker_that_returns_within_redirect_retention() {
     let mut relay = RelayState::default();
@@ -33,8 +33,8 @@
     assert_eq!(relay.redirected_at.len(), 1);
 }
 
-/// Running probes are limited in number. A probe that is never answered must stop counting as running after
-/// its timeout, or it would keep other probes from being sent.
+/// Running probes are limited in number. A probe that is never answered must stop counting as running
+/// after its timeout, or it would keep other probes from being sent.
 #[test]
 fn counts_only_recent_unanswered_probes_as_running() {
     let mut relay = RelayState::default();
--- a/crates/jasperhill-controller/src/relay/zone_probes.rs
+++ b/crates/jasperhill-controller/src/relay/zone_probes.rs
@@ -1,5 +1,5 @@
-//! Detects missing heartbeats of a zone, and probes a few of the zone's workers when nothing else shows the
-//! state of the link to the zone.
+//! Detects missing heartbeats of a zone, and probes a few of the zone's workers when nothing else shows
+//! the state of the link to the zone.
 
 use super::requests::status_request;
 use crate::shared::Shared;
@@ -11,10 +11,10 @@
 
 /// The number of workers that are probed together when the state of a zone's link is in question.
 const PROBES_PER_ZONE: usize = 3;
-/// How long a worker may take to answer a probe.
+/// The timeout for a probe of a worker.
 const PROBE_TIMEOUT: Micros = Micros::from_secs(1);
-/// The time in microseconds after which probing starts at the next worker of a zone. A prime, so that probes
-/// at regular intervals don't hit the same workers again.
+/// The time in microseconds after which probing starts at the next worker of a zone. A prime, so that
+/// probes at regular intervals don't hit the same workers again.
 const PROBE_ROTATION_US: u64 = 10_007;
 
 impl Shared {
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Returns the number of hosts in each zone that are expected to send heartbeats to this controller.
+    /// Returns the number of hosts in each zone that are expected to send heartbeats to this
+    /// controller.
     fn expected_hosts_by_zone(&self) -> BTreeMap<Name, u32> {
         let state = self.state.borrow();
         let zones = self.settings.zones.iter().cloned();
@@ -71,11 +72,11 @@
             .filter(|(_, cached)| &cached.value.zone == zone)
             .collect();
         let host_count = hosts.len();
-        let first = (self.now().0 / PROBE_ROTATION_US) as usize;
-        let step = (host_count / PROBES_PER_ZONE).max(1);
+        let first_index = (self.now().0 / PROBE_ROTATION_US) as usize;
+        let index_step = (host_count / PROBES_PER_ZONE).max(1);
         let workers = (0..PROBES_PER_ZONE.min(host_count))
             .filter_map(|i| {
-                let (id, cached) = hosts[(first + i * step) % host_count];
+                let (id, cached) = hosts[(first_index + i * index_step) % host_count];
                 Some((id.clone(), cached.value.address.parse().ok()?))
             })
             .collect();
