--- a/crates/jasperhill-controller/src/heartbeats/deferral.rs
+++ b/crates/jasperhill-controller/src/heartbeats/deferral.rs
@@ -20,18 +20,20 @@
 pub(super) enum DeferralOutcome {
     /// The role moved to this controller, which answers with this response.
     Answered(Response),
-    /// The role moved to this other controller.
+    /// The role moved to the named controller.
     Moved(Member),
     /// The heartbeat was not held back, or the role did not move before the deadline.
     NotDeferred,
 }
 
 impl Shared {
-    /// Holds a heartbeat back while the role of its partition is about to move, and answers it once
-    /// this controller owns the role. Without the deferral, workers would be redirected to an owner
-    /// that has just died, or to controllers that they can't reach. A worker that gets no answer from
-    /// any other controller returns only after ten seconds, which its lease may not have left. Gives
-    /// up at the heartbeat's deadline, when the worker is about to stop waiting.
+    /// Holds a heartbeat back while the role of its partition is about to move, until this controller
+    /// owns the role and answers, or until another controller is known to own the role. Gives up at the
+    /// heartbeat's deadline, when the worker is about to stop waiting.
+    ///
+    /// Without the deferral, workers would be redirected to an owner that has just died, or to
+    /// controllers that they can't reach. A worker that gets no answer from any other controller
+    /// returns only after ten seconds, which its lease may not have left.
     pub(super) async fn defer_heartbeat(
         self: &Rc<Self>,
         owner: Option<&Member>,
--- a/crates/jasperhill-controller/src/relay/heartbeats.rs
+++ b/crates/jasperhill-controller/src/relay/heartbeats.rs
@@ -26,7 +26,7 @@
 enum RelayAttempt {
     /// The owner answered; this is the response to the worker.
     Answered(Response),
-    /// The controller that was asked names this one as the owner, by a later version of the role.
+    /// The response names another controller, which owns the role by a later version.
     Moved(Member),
     /// The owner did not answer; another attempt may succeed.
     Failed,
--- a/crates/jasperhill-controller/src/relay/isolation.rs
+++ b/crates/jasperhill-controller/src/relay/isolation.rs
@@ -31,7 +31,7 @@
         } else if !(is_store_down && was_isolated_long) {
             state.isolation.since = None;
         }
-        // A long isolation lasts until the link to the store is up, even if all other controllers lose
+        // A long isolation lasts while the link to the store is down, even if all other controllers lose
         // the store as well. Otherwise users would be sent back to this controller, which the store
         // still refuses and which is the last to answer users after such an outage.
         state.isolation.isolated = is_store_down && (is_isolated_now || was_isolated_long);
--- a/crates/jasperhill-controller/src/relay/route.rs
+++ b/crates/jasperhill-controller/src/relay/route.rs
@@ -7,7 +7,7 @@
 pub(crate) enum CommandRoute {
     /// The commands are sent directly to the worker.
     Direct,
-    /// The commands are relayed by the controller with this mesh address.
+    /// The commands are relayed by another controller, which has this mesh address.
     Through(SocketAddr),
     /// The worker can't be reached; the commands wait for its next heartbeat.
     None,
@@ -15,11 +15,13 @@
 
 /// The route of a heartbeat whose partition another controller owns.
 pub(crate) enum HeartbeatRoute {
-    /// The worker is redirected to this controller, which can relay its heartbeats to the owner.
+    /// The worker is redirected to the named controller, which can relay its heartbeats to the owner.
     Redirect(Member),
-    /// The worker was redirected and has returned, so the heartbeat is relayed through this controller.
+    /// The worker was redirected and has returned, so the heartbeat is relayed through the named
+    /// controller.
     Through(Member),
-    /// The heartbeat is relayed to its owner, and the worker is never redirected.
+    /// The heartbeat is relayed to its owner; if the relay fails, the worker is not redirected to the
+    /// owner.
     RelayOnly,
     /// The heartbeat is relayed to its owner; if the relay fails, the worker may be redirected to the
     /// owner. The owner decides whether the worker can reach it directly, since only the owner knows
