--- a/crates/jasperhill-scheduler/src/autoscaler.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler.rs
@@ -1,5 +1,8 @@
-//! The fleet plan: how many hosts each partition needs, from the job records alone, so that
-//! every controller comes to the same answer.
+//! Capacity planning: how many hosts each partition needs.
+//!
+//! [`plan`] computes the demand of all partitions from the job records alone, so that every
+//! controller arrives at the same result. [`DemandForecast`] estimates the capacity to keep free
+//! for jobs that are expected to arrive while a machine boots.
 
 use crate::config::{SchedulerConfig, Specs};
 use jasperhill_wire::{
@@ -8,20 +11,21 @@
 };
 use std::collections::BTreeMap;
 
-/// What the plan looks at of each unfinished job.
+/// Demand of one unfinished job, as input to [`plan`].
 #[derive(Clone, Debug)]
 pub struct JobDemand<'a> {
     /// The job.
     pub request: &'a JobRequest,
-    /// The partition that its team belongs to.
+    /// The partition that the job's team belongs to.
     pub partition: u32,
-    /// Tasks that are not done.
+    /// Number of tasks that are not done.
     pub unfinished: u32,
-    /// Time to the deadline.
+    /// Time to the deadline; `None` for a job without a deadline.
     pub left: Option<Micros>,
 }
 
-/// Hosts that all tasks of a job would fill, or as many as a team may use at once.
+/// Returns the number of hosts that all tasks of a job would fill, but at most 50, which stands
+/// for what a team may use at once. Returns 0 if no machine type fits the job.
 pub fn hosts_for(request: &JobRequest, specs: &Specs) -> f64 {
     specs
         .values()
@@ -32,33 +36,33 @@
         })
 }
 
-/// Hosts needed, as fractions that add up.
+/// Number of hosts needed by a partition, in fractions of a host so that jobs can be summed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CapacityDemand {
-    /// Work that must run on ordinary machines.
+    /// Hosts for work that must run on on-demand machines.
     pub ordinary: f64,
-    /// Work that may run on spot machines.
+    /// Hosts for work that may run on spot machines.
     pub flexible: f64,
-    /// The part of both that is production or urgent.
+    /// Hosts for production and urgent work, which is included in the other two fields.
     pub pressing: f64,
 }
 
 impl CapacityDemand {
-    /// Hosts of either kind.
+    /// Returns the number of hosts needed, on-demand and spot.
     pub fn total(&self) -> f64 {
         self.ordinary + self.flexible
     }
 }
 
-/// The need of every partition.
+/// Returns the demand of every partition, indexed by partition number.
 pub fn plan(
     demands: &[JobDemand<'_>],
     config: &SchedulerConfig,
     specs: &Specs,
 ) -> Vec<CapacityDemand> {
-    let mut needs = vec![CapacityDemand::default(); config.partitions as usize];
-    // Team limits bound what can run at once.
-    let mut by_team: BTreeMap<&Name, u64> = BTreeMap::new();
+    let mut partition_demands = vec![CapacityDemand::default(); config.partitions as usize];
+    // Team limits bound the number of tasks that can run at the same time.
+    let mut gpus_by_team: BTreeMap<&Name, u64> = BTreeMap::new();
     for d in demands {
         let r = d.request;
         let Some(spec) = specs
@@ -69,139 +73,157 @@
         };
         let mut tasks = u64::from(d.unfinished);
         if let Some(team) = config.team(&r.team) {
-            let gpus = by_team.entry(&r.team).or_default();
-            if let Some(room) = team
+            let gpus = gpus_by_team.entry(&r.team).or_default();
+            if let Some(max_tasks) = team
                 .limit
                 .gpus
                 .saturating_sub(*gpus)
                 .checked_div(r.each.gpus)
                 && team.limit.gpus > 0
             {
-                tasks = tasks.min(room);
+                tasks = tasks.min(max_tasks);
             }
             *gpus += tasks * r.each.gpus;
         }
         let per_host = r.each.count_in(&spec.capacity).clamp(1, 1 << 20) as f64;
         let mut share = tasks as f64 / per_host;
         if let (Some(left), Shape::Array) = (d.left, r.shape) {
-            // Time for several rounds saves machines.
+            // An array with time for two rounds before its deadline needs half the machines.
             let rounds = left.as_secs_f64() / r.estimate.as_secs_f64().max(1.0);
             share /= rounds.clamp(1.0, 2.0);
         }
-        if let Some(need) = needs.get_mut(d.partition as usize) {
+        if let Some(demand) = partition_demands.get_mut(d.partition as usize) {
             if r.priority <= Priority::High {
-                need.pressing += share;
+                demand.pressing += share;
             }
             if r.spot {
-                need.flexible += share
+                demand.flexible += share
             } else {
-                need.ordinary += share
+                demand.ordinary += share
             }
         }
     }
-    needs
+    partition_demands
 }
 
-/// How much work of a class comes, in hosts: learned from what has come, newer counting more.
+/// Exponentially decayed arrival statistics of one job class in one partition.
 #[derive(Clone, Copy, Debug, Default)]
-struct Flow {
+struct ArrivalStats {
+    /// Sum of the demands of arrived jobs, in hosts.
     sum: f64,
-    squares: f64,
-    /// Seconds between jobs, smoothed.
-    gap: Option<f64>,
-    /// How long the last ones could wait and still meet their deadlines, smoothed.
+    /// Sum of the squared demands, for the variance.
+    squared_sum: f64,
+    /// Smoothed time between two arrivals, in seconds; `None` before the second arrival.
+    interval: Option<f64>,
+    /// Smoothed time for which recent jobs could wait and still meet their deadlines; `None` if no
+    /// job had a deadline.
     slack: Option<Micros>,
-    /// Of the last one.
-    last: Micros,
-    at: Micros,
+    /// Time of the last arrival; zero before the first.
+    last_arrival: Micros,
+    /// Time up to which `sum` and `squared_sum` have been decayed.
+    decayed_at: Micros,
 }
 
-/// The memory of the arrivals.
-const MEMORY: Micros = Micros::from_secs(240);
+/// Time constant of the exponential decay of arrival statistics.
+const DECAY_TIME: Micros = Micros::from_secs(240);
 
-impl Flow {
+impl ArrivalStats {
+    /// Decays the sums up to `now`.
     fn decay(&mut self, now: Micros) {
-        let factor = (-(now - self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp();
+        let factor = (-(now - self.decayed_at).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         self.sum *= factor;
-        self.squares *= factor;
-        self.at = now;
+        self.squared_sum *= factor;
+        self.decayed_at = now;
     }
 
-    /// Nothing has come for so long that nothing is to be expected: several times the usual
-    /// gap, and more than an outage in which nobody is answered. Guards against an idle
-    /// deployment that keeps machines for as long as the memory lasts.
+    /// Returns whether no job has arrived for so long that none is expected: for several times the
+    /// usual interval, and for longer than an outage in which no submission is answered. Without
+    /// this rule an idle deployment would keep machines until the statistics have decayed.
     fn has_ceased(&self, now: Micros) -> bool {
-        let silent = (now - self.last).as_secs_f64();
-        let gap = self.gap.unwrap_or(MEMORY.as_secs_f64());
-        silent > CEASED_AFTER.as_secs_f64() && silent > CEASED_GAPS * gap
+        let silent = (now - self.last_arrival).as_secs_f64();
+        let interval = self.interval.unwrap_or(DECAY_TIME.as_secs_f64());
+        silent > CEASED_AFTER.as_secs_f64() && silent > CEASED_INTERVALS * interval
     }
 }
 
-/// A class has ceased when it has been silent for longer than both.
+/// Arrivals of a class have ceased when none has come for longer than both this time and
+/// [`CEASED_INTERVALS`] usual intervals.
 const CEASED_AFTER: Micros = Micros::from_secs(60);
-const CEASED_GAPS: f64 = 5.0;
+/// Number of usual arrival intervals without an arrival; see [`CEASED_AFTER`].
+const CEASED_INTERVALS: f64 = 5.0;
 
-/// What has gathered before the start of a deployment says nothing about what comes; it is
-/// submitted within this time.
-const GATHERED: Micros = Micros::from_secs(15);
-/// Arrivals seen for less than this tell too little to be stretched to a rate.
-const SEEN_LEAST: Micros = Micros::from_secs(10);
+/// Time within which jobs that had accumulated before the start of a deployment are submitted.
+/// They are ignored because they say nothing about later arrivals.
+const BACKLOG_SUBMISSION_TIME: Micros = Micros::from_secs(15);
+/// Minimum time over which a rate is computed: a shorter observation has too few arrivals to
+/// extrapolate.
+const MIN_OBSERVATION_TIME: Micros = Micros::from_secs(10);
 
-/// Arrivals of the classes whose starts are waited for, by partition. Tells how much room to
-/// keep free: what is expected to come while a machine boots, and its usual deviation.
+/// Arrival statistics of job classes by partition, and the capacity to keep free for them.
+///
+/// The forecast covers classes with a start objective: the demand expected to arrive while a
+/// machine boots, plus a margin for its deviation.
 #[derive(Clone, Debug)]
 pub struct DemandForecast {
+    /// Time from which arrivals are counted.
     since: Micros,
-    flows: BTreeMap<(u32, Name), Flow>,
+    arrivals: BTreeMap<(u32, Name), ArrivalStats>,
 }
 
 impl DemandForecast {
-    /// Counts from a little after `first`, when the oldest job that is known was submitted.
+    /// Creates a forecast that counts arrivals from shortly after `first`, the submission time of
+    /// the oldest known job.
     pub fn new(first: Micros) -> Self {
         Self {
-            since: first + GATHERED,
-            flows: BTreeMap::new(),
+            since: first + BACKLOG_SUBMISSION_TIME,
+            arrivals: BTreeMap::new(),
         }
     }
 
-    /// What came before this controller began, or nothing.
+    /// Returns whether a job submitted at this time counts as an arrival, which is not the case for
+    /// jobs that had accumulated before the deployment started.
     pub fn counts(&self, submitted: Micros) -> bool {
         submitted >= self.since
     }
 
-    /// A job of this partition has become ready.
+    /// Records the arrival of a job of this partition that has become ready to start.
     pub fn record(&mut self, partition: u32, request: &JobRequest, specs: &Specs, now: Micros) {
         let share = hosts_for(request, specs);
-        let flow = self
-            .flows
+        let stats = self
+            .arrivals
             .entry((partition, request.class.clone()))
             .or_default();
-        flow.decay(now);
-        flow.sum += share;
-        // Room in one zone must do for it, wherever the free machines are.
+        stats.decay(now);
+        stats.sum += share;
+        // A job that must run in one zone needs enough free capacity in a single zone, and free
+        // hosts may be in any zone, so its square counts once per zone.
         let zones = if request.one_zone {
             specs.values().map(|s| s.zones.len()).max().unwrap_or(1)
         } else {
             1
         };
-        flow.squares += share * share * zones as f64;
-        if flow.last > Micros::ZERO {
-            let gap = (now - flow.last).as_secs_f64();
-            flow.gap = Some(flow.gap.map_or(gap, |old| 0.8 * old + 0.2 * gap));
+        stats.squared_sum += share * share * zones as f64;
+        if stats.last_arrival > Micros::ZERO {
+            let interval = (now - stats.last_arrival).as_secs_f64();
+            stats.interval = Some(
+                stats
+                    .interval
+                    .map_or(interval, |old| 0.8 * old + 0.2 * interval),
+            );
         }
-        flow.last = now;
+        stats.last_arrival = now;
         if let Some(deadline) = request.deadline {
             let slack = deadline - request.estimate;
-            let old = flow.slack.unwrap_or(slack);
-            flow.slack = Some(old.scale(0.9) + slack.scale(0.1));
+            let old = stats.slack.unwrap_or(slack);
+            stats.slack = Some(old.scale(0.9) + slack.scale(0.1));
         }
     }
 
-    /// Room to keep free in a partition, in hosts. `within`: how soon each class is to start.
+    /// Returns the capacity to keep free in a partition, in hosts: the expected demand plus two
+    /// standard deviations. `within` is the longest start delay of each class.
     ///
-    /// A class that may wait for a machine to come up, by its objective and by its jobs'
-    /// deadlines, needs no room before it is there. Guards
-    /// against hundreds of machines that are kept for large arrays with minutes of time.
+    /// No capacity is kept for a class whose objective and deadlines leave time to boot a machine.
+    /// Otherwise hundreds of machines would be kept for large arrays that have minutes to start.
     pub fn expected(
         &self,
         partition: u32,
@@ -209,25 +231,26 @@
         within: &BTreeMap<Name, Micros>,
         now: Micros,
     ) -> f64 {
-        let seen = (now - self.since).max(SEEN_LEAST).as_secs_f64();
-        let memory = MEMORY.as_secs_f64();
-        let span = memory * (1.0 - (-seen / memory).exp());
+        let observed = (now - self.since).max(MIN_OBSERVATION_TIME).as_secs_f64();
+        let decay_time = DECAY_TIME.as_secs_f64();
+        let effective_time = decay_time * (1.0 - (-observed / decay_time).exp());
         let (mut mean, mut variance) = (0.0, 0.0);
-        for ((p, class), flow) in &self.flows {
+        for ((p, class), stats) in &self.arrivals {
             let Some(within) = within.get(class).filter(|_| *p == partition) else {
                 continue;
             };
-            let mut flow = *flow;
-            flow.decay(now);
-            if flow.has_ceased(now) {
+            let mut stats = *stats;
+            stats.decay(now);
+            if stats.has_ceased(now) {
                 continue;
             }
-            // A machine rented at the arrival is up after a boot; it is late by what exceeds
-            // the time that the class has, another boot for what follows the start.
-            let within = flow.slack.map_or(*within, |slack| slack.min(*within));
-            let ahead = (boot.scale(2.0) - within).min(boot).as_secs_f64();
-            mean += flow.sum / span * ahead;
-            variance += flow.squares / span * ahead;
+            // A machine rented when a job arrives is too late by the part of its boot time that
+            // exceeds the class's start delay. Another boot time covers what follows the start.
+            // The lead time is at most one boot time.
+            let within = stats.slack.map_or(*within, |slack| slack.min(*within));
+            let lead_time = (boot.scale(2.0) - within).min(boot).as_secs_f64();
+            mean += stats.sum / effective_time * lead_time;
+            variance += stats.squared_sum / effective_time * lead_time;
         }
         mean + 2.0 * variance.sqrt()
     }
--- a/crates/jasperhill-scheduler/src/autoscaler/tests.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler/tests.rs
@@ -3,9 +3,10 @@
 use jasperhill_wire::Resources;
 use std::rc::Rc;
 
-/// Guards against a rate that is stretched over time in which nothing was counted.
+/// Arrivals are counted only from some time after the first submission. The rate is too low if it is
+/// computed over the time before that as well.
 #[test]
-fn what_had_gathered_does_not_count_and_what_comes_is_seen_soon() {
+fn ignores_backlog_and_forecasts_after_few_arrivals() {
     let text = r#"{"uid":"job-1","jobclass":"c","tenant":"red","shape":"ensemble","urgency":"urgent",
         "shards":2,"vcpus":16.0,"accelerators":2.0,"memory_gb":1.0,"bundle":"i","size_gb":1.0,
         "hosttypes":null,"hall":null,"together":false,"apart":false,"reclaimable":false,
@@ -23,23 +24,23 @@
     };
     let specs: Specs = BTreeMap::from([("box".into(), Rc::new(spec))]);
     let first = Micros::from_secs(3_600);
-    let mut arrivals = DemandForecast::new(first);
-    assert!(!arrivals.counts(first + Micros::from_secs(5)));
-    // Two hosts every five seconds, from when it counts.
+    let mut forecast = DemandForecast::new(first);
+    assert!(!forecast.counts(first + Micros::from_secs(5)));
+    // Two hosts arrive every five seconds from the time at which counting begins.
     for n in 0..4 {
         let at = first + Micros::from_secs(15 + 5 * n);
-        assert!(arrivals.counts(at));
-        arrivals.record(0, &request, &specs, at);
+        assert!(forecast.counts(at));
+        forecast.record(0, &request, &specs, at);
     }
     let now = first + Micros::from_secs(35);
     let boot = Micros::from_secs(25);
     let within = |s| BTreeMap::from([(Name::from("c"), Micros::from_secs(s))]);
-    let expected = arrivals.expected(0, boot, &within(10), now);
+    let expected = forecast.expected(0, boot, &within(10), now);
     assert!((10.0..30.0).contains(&expected), "{expected}");
-    // What may wait for a machine needs none in advance.
-    assert_eq!(arrivals.expected(0, boot, &within(200), now), 0.0);
-    assert_eq!(arrivals.expected(0, boot, &BTreeMap::new(), now), 0.0);
-    // And when nothing comes any more, nothing is kept.
+    // Jobs that may wait for a machine to boot need no machine in advance.
+    assert_eq!(forecast.expected(0, boot, &within(200), now), 0.0);
+    assert_eq!(forecast.expected(0, boot, &BTreeMap::new(), now), 0.0);
+    // No capacity is kept after arrivals have ceased.
     let silent = now + Micros::from_secs(120);
-    assert_eq!(arrivals.expected(0, boot, &within(10), silent), 0.0);
+    assert_eq!(forecast.expected(0, boot, &within(10), silent), 0.0);
 }
--- a/crates/jasperhill-scheduler/src/boot_times.rs
+++ b/crates/jasperhill-scheduler/src/boot_times.rs
@@ -1,80 +1,90 @@
-//! How long machines take to come up, as seen lately, by type and zone. Tells which booting
-//! machines still count as supply, and when a machine that could be rented now would be there.
+//! Observed boot times of machines, by machine type and zone.
+//!
+//! [`BootTimes`] decides which booting machines still count as supply, and estimates when a machine
+//! rented now would be ready.
 
 use jasperhill_wire::{Micros, Name};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Boots remembered of a type in a zone, and for how long.
-const SEEN_MAX: usize = 24;
-const REMEMBERED: Micros = Micros::from_secs(300);
-/// Fewer boots than this say little: the nominal time counts as often as is missing.
-const ENOUGH: usize = 6;
-/// A boot may take this part more than its nominal time as a matter of course.
-const ORDINARY: f64 = 1.5;
-/// How many of the boots seen take no longer than the time that is usual.
-const USUAL_SHARE: f64 = 0.8;
-/// A machine that takes so much longer than is usual is late.
-const LATE: f64 = 1.3;
-/// A machine that takes so many times its nominal time, and a bit, never comes.
-const NEVER: f64 = 4.0;
-const NEVER_BY: Micros = Micros::from_secs(20);
+/// Maximum number of boot times kept per machine type and zone.
+const MAX_SAMPLES: usize = 24;
+/// Age after which an observed boot time is ignored.
+const SAMPLE_MAX_AGE: Micros = Micros::from_secs(300);
+/// Minimum number of samples; missing ones are filled with the scaled nominal time, because few
+/// boots say little about the usual time.
+const MIN_SAMPLES: usize = 6;
+/// Multiple of the nominal boot time that a boot may take without being unusual.
+const NOMINAL_TOLERANCE: f64 = 1.5;
+/// Quantile of the observed boot times that is taken as the usual boot time.
+const USUAL_QUANTILE: f64 = 0.8;
+/// Multiple of the usual boot time after which a booting machine is late.
+const LATE_FACTOR: f64 = 1.3;
+/// Multiple of the nominal boot time after which, plus [`ABANDON_MARGIN`], a machine is given up.
+const ABANDON_FACTOR: f64 = 4.0;
+/// Time added to the scaled nominal boot time before a machine is given up.
+const ABANDON_MARGIN: Micros = Micros::from_secs(20);
 
-/// The boots seen.
+/// Boot times observed recently, by machine type and zone.
 #[derive(Clone, Debug, Default)]
 pub struct BootTimes {
-    seen: BTreeMap<(Name, Name), VecDeque<(Micros, Micros)>>,
+    /// Time of observation and boot time, oldest first, by machine type and zone.
+    samples: BTreeMap<(Name, Name), VecDeque<(Micros, Micros)>>,
 }
 
 impl BootTimes {
-    /// A machine has come up after so long.
-    pub fn record(&mut self, kind: &Name, zone: &Name, elapsed: Micros, now: Micros) {
-        let seen = self.seen.entry((kind.clone(), zone.clone())).or_default();
-        if seen.len() >= SEEN_MAX {
-            seen.pop_front();
+    /// Records that a machine finished booting after `elapsed`.
+    pub fn record(&mut self, machine_type: &Name, zone: &Name, elapsed: Micros, now: Micros) {
+        let samples = self
+            .samples
+            .entry((machine_type.clone(), zone.clone()))
+            .or_default();
+        if samples.len() >= MAX_SAMPLES {
+            samples.pop_front();
         }
-        seen.push_back((now, elapsed));
+        samples.push_back((now, elapsed));
     }
 
-    /// How long a boot there usually takes at most.
-    pub fn usual(&self, kind: &Name, zone: &Name, nominal: Micros, now: Micros) -> Micros {
+    /// Returns the time within which most machines of this type and zone boot.
+    pub fn usual(&self, machine_type: &Name, zone: &Name, nominal: Micros, now: Micros) -> Micros {
         let mut elapsed: Vec<Micros> = self
-            .seen
-            .get(&(kind.clone(), zone.clone()))
+            .samples
+            .get(&(machine_type.clone(), zone.clone()))
             .into_iter()
             .flatten()
-            .filter(|(at, _)| now - *at < REMEMBERED)
+            .filter(|(at, _)| now - *at < SAMPLE_MAX_AGE)
             .map(|(_, elapsed)| *elapsed)
             .collect();
-        while elapsed.len() < ENOUGH {
-            elapsed.push(nominal.scale(ORDINARY));
+        while elapsed.len() < MIN_SAMPLES {
+            elapsed.push(nominal.scale(NOMINAL_TOLERANCE));
         }
         elapsed.sort_unstable();
-        elapsed[((elapsed.len() - 1) as f64 * USUAL_SHARE) as usize]
+        elapsed[((elapsed.len() - 1) as f64 * USUAL_QUANTILE) as usize]
     }
 
-    /// A machine that has been booting for so long can't be counted on.
+    /// Returns whether a machine that has been booting for `age` is late and no longer counts as
+    /// supply.
     pub fn is_late(
         &self,
-        kind: &Name,
+        machine_type: &Name,
         zone: &Name,
         nominal: Micros,
         age: Micros,
         now: Micros,
     ) -> bool {
         age > self
-            .usual(kind, zone, nominal, now)
-            .max(nominal.scale(ORDINARY))
-            .scale(LATE)
+            .usual(machine_type, zone, nominal, now)
+            .max(nominal.scale(NOMINAL_TOLERANCE))
+            .scale(LATE_FACTOR)
     }
 
-    /// A machine that has been booting for so long is given up.
+    /// Returns whether a machine that has been booting for `age` is given up.
     pub fn never_comes(nominal: Micros, age: Micros) -> bool {
-        age > nominal.scale(NEVER) + NEVER_BY
+        age > nominal.scale(ABANDON_FACTOR) + ABANDON_MARGIN
     }
 }
 
-/// How many late machines may be replaced while they may still come: an eighth of the fleet,
-/// and some. What they cost if all of them come is bounded by it.
+/// Returns how many late machines may be replaced while they may still finish booting: an eighth of
+/// the fleet plus four. The limit bounds the cost if all of the late machines become ready as well.
 pub fn replaceable(fleet: usize) -> usize {
     fleet / 8 + 4
 }
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -1,4 +1,7 @@
-//! What the scheduler knows from the settings and from the cloud's machine types.
+//! Scheduler configuration from the settings, and the machine types that the cloud offers.
+//!
+//! [`SchedulerConfig`] holds team limits, worker timings and [`Tuning`]; [`Specs`] holds the machine
+//! types. [`impossible`] checks a job against both.
 
 use jasperhill_wire::{
     Micros, Name, Resources,
@@ -10,59 +13,61 @@
     rc::Rc,
 };
 
-/// Limits and guarantees of a team; 0 in a dimension means none.
+/// Resource limit and guarantee of a team; 0 in a dimension means that there is none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamLimits {
-    /// The team.
+    /// Name of the team.
     pub name: Name,
-    /// What it can have at any time, by preemption if need be.
+    /// Resources that the team can get at any time, by preemption if necessary.
     pub guaranteed: Resources,
-    /// What it may use at once, at most.
+    /// Maximum resources that the team may use at the same time.
     pub limit: Resources,
 }
 
 impl TeamLimits {
-    fn within(used: &Resources, bound: &Resources) -> bool {
+    fn is_within(used: &Resources, bound: &Resources) -> bool {
         (bound.cpus == 0 || used.cpus <= bound.cpus) && (bound.gpus == 0 || used.gpus <= bound.gpus)
     }
-    /// Whether this use stays within the limit.
+    /// Returns whether this usage is within the limit.
     pub fn allows(&self, used: &Resources) -> bool {
-        Self::within(used, &self.limit)
+        Self::is_within(used, &self.limit)
     }
-    /// Whether this use stays within the guarantee; never if there is none.
+    /// Returns whether this usage is within the guarantee; `false` if the team has none.
     pub fn guarantees(&self, used: &Resources) -> bool {
         (self.guaranteed.cpus > 0 || self.guaranteed.gpus > 0)
-            && Self::within(used, &self.guaranteed)
+            && Self::is_within(used, &self.guaranteed)
     }
 }
 
-/// What the operators may set; the defaults are sound.
+/// Parameters that operators may set. The defaults are suitable for most deployments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// The paper's uncertainty factor on the start delay.
+    /// Uncertainty factor of the paper's admission test, by which the start delay is multiplied.
     pub uncertainty: f64,
-    /// Machines kept beyond the plan, as a part of it.
+    /// Machines kept in addition to the planned ones, as a fraction of these.
     pub headroom: f64,
-    /// How long an idle machine is kept.
+    /// Time for which an idle machine is kept.
     pub idle_keep: Micros,
-    /// Machines kept, in all, however little there is to do.
+    /// Minimum number of machines in the deployment, kept even without work.
     pub min_machines: u32,
-    /// A class or team of whose jobs a smaller part begins gets turns before others; 0: none does.
+    /// Minimum share of jobs started, from 0 to 1: the longest-waiting jobs of a class or team below
+    /// it go first. 0 turns this off.
     pub least_share: f64,
 }
 
 impl Tuning {
-    /// The part of the floor that a partition keeps.
+    /// Returns the part of `min_machines` that a partition keeps.
     pub fn min_machines_of(&self, partition: u32, partitions: u32) -> u32 {
         let all = partitions.max(1);
         self.min_machines / all + u32::from(partition < self.min_machines % all)
     }
 
-    /// Machines that a partition should have for work that needs so many, with room for what
-    /// is expected. None for nothing: an idle deployment shrinks to its floor.
-    pub fn planned(&self, need: f64, expected: f64, floor: u32) -> i64 {
-        let hosts = if need > 0.0 {
-            (need * (1.0 + self.headroom) + expected + 0.5).ceil()
+    /// Returns the number of machines that a partition should have: the demand with
+    /// headroom plus the `expected` demand, both in hosts, and at least `floor`. Headroom is added
+    /// only to existing demand, so that an idle deployment shrinks to its minimum.
+    pub fn planned(&self, demand: f64, expected: f64, floor: u32) -> i64 {
+        let hosts = if demand > 0.0 {
+            (demand * (1.0 + self.headroom) + expected + 0.5).ceil()
         } else {
             expected.round()
         };
@@ -82,45 +87,47 @@
     }
 }
 
-/// What the scheduler knows from the settings. Durations are in microseconds.
+/// Settings of the scheduler, which all controllers share. Durations are in microseconds.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
-    /// How many partitions there are.
+    /// Number of partitions.
     pub partitions: u32,
     /// Limits and guarantees of all teams.
     pub teams: Vec<TeamLimits>,
-    /// Between two heartbeats of a worker.
+    /// Interval between two heartbeats of a worker.
     pub report: Micros,
-    /// For so long after its last answered heartbeat a worker lets its tasks go on.
+    /// Time after its last answered heartbeat for which a worker keeps its tasks running.
     pub lease: Micros,
-    /// For so long a worker lets the task of a gang wait for the others.
+    /// Time for which a worker lets a task of a gang wait for the gang's other tasks.
     pub gang_wait: Micros,
-    /// Within this time a worker ends the task of a gang whose peers are gone.
+    /// Time within which a worker ends a task of a gang whose peers are gone.
     pub gang_peer: Micros,
-    /// Within what time the objectives expect a class to start.
+    /// Time within which jobs are to start, by class, for classes with a start objective.
     pub start_within: BTreeMap<Name, Micros>,
-    /// What the operators have set.
+    /// Parameters set by the operators.
     pub tuning: Tuning,
 }
 
 impl SchedulerConfig {
-    /// How long after the last possible answer a worker's tasks are surely gone: its lease,
-    /// and what two drifting clocks and late timers can add.
+    /// Returns the time after the last possible answer by which all tasks of a worker have
+    /// certainly ended: the lease plus a margin for the drift of two clocks and for late timers.
     pub fn lease_expiry(&self) -> Micros {
         self.lease + self.lease.scale(0.002) + Micros::from_millis(400)
     }
-    /// A host that has not been heard for so long may be lost: more than two heartbeats.
+    /// Returns the time without a heartbeat after which a host may be lost: more than two heartbeat
+    /// intervals.
     pub fn silence_limit(&self) -> Micros {
         self.report.scale(2.5) + Micros::from_secs(1)
     }
-    /// A wait that is not worth stopping anything for.
+    /// Returns the start delay of a class for which no other work is stopped: its start objective,
+    /// or 10 s without one.
     pub fn longest_start_delay(&self, class: &Name) -> Micros {
         self.start_within
             .get(class)
             .copied()
             .unwrap_or(Micros::from_secs(10))
     }
-    /// The limits of this team; `None` for a team that the settings do not name.
+    /// Returns the limits of a team; `None` for a team that the settings do not contain.
     pub fn team(&self, name: &Name) -> Option<&TeamLimits> {
         self.teams.iter().find(|t| &t.name == name)
     }
@@ -129,28 +136,29 @@
 /// A machine type that can be rented.
 #[derive(Clone, Debug)]
 pub struct MachineSpec {
-    /// Its name at the cloud.
+    /// Name of the type in the cloud's API.
     pub machine_type: Name,
-    /// What tasks on it may take together.
+    /// Resources that all tasks on a machine may use together.
     pub capacity: Resources,
-    /// What its cache of images holds, in gigabytes.
+    /// Size of the image cache, in gigabytes.
     pub cache_gb: f64,
-    /// How fast it pulls images, in gigabytes a second; always above 0.
+    /// Image download rate, in gigabytes per second; always above 0.
     pub fetch_gb_per_s: f64,
-    /// The nominal time from the rental to the first heartbeat.
+    /// Nominal time from the rental to the first heartbeat.
     pub boot: Micros,
-    /// Of an ordinary machine, an hour.
+    /// Price of an on-demand machine per hour.
     pub price: f64,
-    /// Of a spot machine, an hour; that of an ordinary one where there is no other.
+    /// Price of a spot machine per hour; the on-demand price if the cloud names no spot price.
     pub spot_price: f64,
-    /// Where it can be rented.
+    /// Zones in which the type can be rented.
     pub zones: Vec<Name>,
 }
 
-/// The machine types, by name.
+/// Machine types by name.
 pub type Specs = BTreeMap<Name, Rc<MachineSpec>>;
 
-/// The machine types that the cloud offers, without those whose figures make no sense.
+/// Returns the machine types that the cloud offers, without those with an invalid download rate,
+/// boot time or CPU count.
 pub fn specs(types: &[MachineType]) -> Specs {
     types
         .iter()
@@ -171,7 +179,8 @@
         .collect()
 }
 
-/// Why a job can never run, if so.
+/// Returns the reason why a job can never run, or `None` if it can run. The reason starts with the
+/// name of the submission's field.
 pub fn impossible(
     request: &JobRequest,
     config: &SchedulerConfig,
@@ -189,7 +198,7 @@
     if zones.is_empty() {
         return Some("hosttypes: a task fits no allowed machine type");
     }
-    // Tasks that run one by one are never too many for a zone.
+    // The tasks of an array may run one at a time, so that any zone can hold them.
     if request.shape != Shape::Array && request.zone_cap() < request.tasks {
         if request.one_zone {
             return Some("apart: its tasks run at the same time and together in one zone");
@@ -198,17 +207,18 @@
             return Some("apart: its tasks run at the same time and may be in one zone only");
         }
     }
-    let at_once = match request.shape {
+    let concurrent_tasks = match request.shape {
         Shape::Array => 1,
         _ => u64::from(request.tasks),
     };
-    if !team.allows(&request.each.times(at_once)) {
+    if !team.allows(&request.each.times(concurrent_tasks)) {
         return Some("shards: more than the team's limit");
     }
     None
 }
 
-/// The estimated wait for an image on a machine that does not have it.
+/// Returns the estimated time to download an image of `gb` gigabytes to a machine that has not cached
+/// it.
 pub fn fetch_time(gb: f64, spec: &MachineSpec) -> Micros {
     Micros::from_secs_f64(gb / spec.fetch_gb_per_s.max(1e-6))
 }
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -1,55 +1,60 @@
-//! Pipelines: which unfinished jobs may start, which wait for others, and which are cancelled
-//! because a job before them is. Owns what follows from the job records alone, so that every
-//! controller comes to the same answer whether or not anybody has written it yet. Every change
-//! goes through [`DependencyGraph::apply`].
+//! Dependencies between jobs: which unfinished jobs may start, which wait for other jobs, and which
+//! are cancelled because a job that they depend on is cancelled.
+//!
+//! [`DependencyGraph`] derives all state from the job records alone, so that every controller
+//! arrives at the same result, even before the resulting cancellations are written to the records.
+//! Every change goes through [`DependencyGraph::apply`].
 
 use jasperhill_wire::{JobId, Micros, user::Priority};
 use std::collections::{BTreeSet, HashMap};
 
-/// How an unfinished job stands to the jobs that it needs.
+/// State of an unfinished job with regard to the jobs that it depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyState {
-    /// All that it needs is done.
+    /// All jobs that it depends on are done.
     Ready,
-    /// Some job that it depends on is not done.
+    /// At least one job that it depends on is not done.
     Waiting,
-    /// A job before it is cancelled, and so is this one, for good.
+    /// A job that it depends on, directly or indirectly, is cancelled; the job is cancelled too, which
+    /// is final.
     Doomed,
 }
 
-/// What the records say of a job that another one needs.
+/// Outcome of a job according to its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordedOutcome {
-    /// Not seen yet, or unfinished.
+    /// The job is unfinished, or its record has not been seen yet.
     Open,
-    /// Its record says that it is done.
+    /// The record says that the job is done.
     Done,
-    /// Its record says that it is cancelled.
+    /// The record says that the job is cancelled.
     Cancelled,
 }
 
-/// What of a job passes backwards to those before it.
+/// Properties of a job from which its dependencies inherit their urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobUrgency {
-    /// By the time of day, which means the same to all controllers.
+    /// Deadline in wall-clock time, which is comparable between controllers; `None` if the job has
+    /// no deadline.
     pub due: Option<Micros>,
-    /// How long it takes once it may start.
+    /// Expected time from when the job may start until it is done.
     pub span: Micros,
-    /// Its own priority.
+    /// Priority of the job itself.
     pub priority: Priority,
 }
 
-/// What the jobs after one leave it: by when it should be done, and the most important of them.
+/// Urgency that a job inherits from the jobs that depend on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InheritedUrgency {
-    /// By when it should be done, by the time of day.
+    /// Wall-clock time by which the job should be done; `None` if no dependent has a deadline.
     pub due: Option<Micros>,
-    /// The priority of the most important job that depends on it.
+    /// Priority of the most important dependent; `None` without dependents.
     pub priority: Option<Priority>,
 }
 
 impl InheritedUrgency {
-    fn with(self, other: Self) -> Self {
+    /// Returns the earlier deadline and the higher priority of the two.
+    fn merged_with(self, other: Self) -> Self {
         fn least<T: Ord>(a: Option<T>, b: Option<T>) -> Option<T> {
             match (a, b) {
                 (Some(a), Some(b)) => Some(a.min(b)),
@@ -63,91 +68,95 @@
     }
 }
 
-/// What changes the graph.
+/// Event that changes the dependency graph.
 pub enum Input<'a> {
-    /// The record of an unfinished job is seen for the first time. `fate` is what the records
-    /// say of another job, now.
+    /// The record of an unfinished job is seen for the first time.
     Accepted {
         /// The job.
         id: &'a JobId,
-        /// What it depends on.
+        /// Jobs that it depends on.
         needs: &'a [JobId],
-        /// What passes back to those.
+        /// Urgency that the jobs it depends on inherit.
         terms: JobUrgency,
-        /// What the records say of another job, now.
+        /// Returns the current outcome of another job according to the records.
         fate: &'a dyn Fn(&JobId) -> RecordedOutcome,
     },
     /// The record of a job has become final.
     Ended {
         /// The job.
         id: &'a JobId,
-        /// It is done; else it is cancelled.
+        /// Whether the job is done; otherwise it is cancelled.
         done: bool,
     },
 }
 
-/// What became of other jobs.
+/// Effect of an event on another job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// It waited and may start now.
+    /// The job was waiting and may start now.
     Released(JobId),
-    /// A job that it depends on is cancelled, and so is this one.
+    /// The job is cancelled because a job that it depends on is cancelled.
     Doomed(JobId),
-    /// The jobs after it leave it something else.
+    /// The urgency that the job inherits from its dependents has changed.
     UrgencyChanged(JobId),
 }
 
-/// A job that others need, or that needs others.
+/// A job with dependencies or dependents.
 #[derive(Debug, Default)]
 struct Node {
-    /// What it needs that is not done.
-    left: BTreeSet<JobId>,
-    /// Unfinished jobs that need it.
+    /// Jobs that it depends on and that are not done.
+    unfinished_dependencies: BTreeSet<JobId>,
+    /// Unfinished jobs that depend on it.
     dependents: BTreeSet<JobId>,
-    doomed: bool,
-    claim: InheritedUrgency,
-    /// `None`: its own record has not been seen.
-    terms: Option<JobUrgency>,
+    /// Whether a job that it depends on is cancelled.
+    upstream_cancelled: bool,
+    /// Urgency inherited from its dependents.
+    inherited: InheritedUrgency,
+    /// Urgency of the job itself; `None` until its own record has been seen.
+    urgency: Option<JobUrgency>,
 }
 
-/// Claims passed on by one event, at most: they are only an order of preference.
-const CLAIMS_MAX: usize = 4_000;
-/// Jobs looked at for one estimate, at most.
-const LOOK_MAX: usize = 2_000;
+/// Maximum number of steps for which one event propagates urgency. Stopping early is harmless because
+/// urgency only affects the order of jobs.
+const MAX_PROPAGATION_STEPS: usize = 4_000;
+/// Maximum number of jobs visited for one estimate.
+const MAX_JOBS_VISITED: usize = 2_000;
 
-/// Unfinished jobs that depend on others, and those that they depend on.
+/// Graph of the unfinished jobs that depend on other jobs, and of the jobs that these depend on.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     nodes: HashMap<JobId, Node>,
-    doomed: BTreeSet<JobId>,
+    /// Unfinished jobs that are cancelled because of a dependency.
+    upstream_cancelled: BTreeSet<JobId>,
 }
 
 impl DependencyGraph {
-    /// Of an unfinished job.
+    /// Returns the state of an unfinished job.
     pub fn state_of(&self, id: &JobId) -> DependencyState {
         match self.nodes.get(id) {
-            Some(node) if node.doomed => DependencyState::Doomed,
-            Some(node) if !node.left.is_empty() => DependencyState::Waiting,
+            Some(node) if node.upstream_cancelled => DependencyState::Doomed,
+            Some(node) if !node.unfinished_dependencies.is_empty() => DependencyState::Waiting,
             _ => DependencyState::Ready,
         }
     }
 
-    /// What the jobs that depend on this one leave it.
+    /// Returns the urgency that a job inherits from the jobs that depend on it.
     pub fn inherited_urgency(&self, id: &JobId) -> InheritedUrgency {
-        self.nodes.get(id).map(|n| n.claim).unwrap_or_default()
+        self.nodes.get(id).map(|n| n.inherited).unwrap_or_default()
     }
 
-    /// Unfinished jobs wait for this one.
+    /// Returns whether unfinished jobs depend on this job.
     pub fn has_dependents(&self, id: &JobId) -> bool {
         self.nodes.get(id).is_some_and(|n| !n.dependents.is_empty())
     }
 
-    /// Unfinished jobs whose own records do not say yet that they are cancelled.
+    /// Returns the jobs that are cancelled because of a dependency while their own records do not say
+    /// so yet.
     pub fn cancelled_upstream(&self) -> impl Iterator<Item = &JobId> {
-        self.doomed.iter()
+        self.upstream_cancelled.iter()
     }
 
-    /// The one function that changes the chain.
+    /// Applies an event and returns its effects on other jobs. Nothing else changes the graph.
     pub fn apply(&mut self, input: Input<'_>) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
@@ -166,125 +175,126 @@
         &mut self,
         id: &JobId,
         needs: &[JobId],
-        terms: JobUrgency,
-        fate: &dyn Fn(&JobId) -> RecordedOutcome,
+        urgency: JobUrgency,
+        recorded_outcome: &dyn Fn(&JobId) -> RecordedOutcome,
         outputs: &mut Vec<Output>,
     ) {
         if needs.is_empty() {
             if let Some(node) = self.nodes.get_mut(id) {
-                node.terms = Some(terms);
+                node.urgency = Some(urgency);
             }
             return;
         }
-        let mut doomed = false;
-        let mut left = BTreeSet::new();
-        // A job can't need itself: it was not accepted before.
-        for need in needs.iter().filter(|n| *n != id) {
-            match fate(need) {
+        let mut upstream_cancelled = false;
+        let mut unfinished_dependencies = BTreeSet::new();
+        // A job cannot depend on itself: only jobs accepted earlier can be named.
+        for dependency in needs.iter().filter(|n| *n != id) {
+            match recorded_outcome(dependency) {
                 RecordedOutcome::Done => {}
-                RecordedOutcome::Cancelled => doomed = true,
+                RecordedOutcome::Cancelled => upstream_cancelled = true,
                 RecordedOutcome::Open => {
-                    let node = self.nodes.entry(need.clone()).or_default();
+                    let node = self.nodes.entry(dependency.clone()).or_default();
                     node.dependents.insert(id.clone());
-                    doomed |= node.doomed;
-                    left.insert(need.clone());
+                    upstream_cancelled |= node.upstream_cancelled;
+                    unfinished_dependencies.insert(dependency.clone());
                 }
             }
         }
         let node = self.nodes.entry(id.clone()).or_default();
-        node.terms = Some(terms);
-        node.left = left;
-        if doomed {
-            self.cancel_dependents(id, outputs);
+        node.urgency = Some(urgency);
+        node.unfinished_dependencies = unfinished_dependencies;
+        if upstream_cancelled {
+            self.cancel_with_dependents(id, outputs);
         } else {
             self.propagate_urgency(id, outputs);
         }
     }
 
     fn ended(&mut self, id: &JobId, done: bool, outputs: &mut Vec<Output>) {
-        self.doomed.remove(id);
+        self.upstream_cancelled.remove(id);
         let Some(node) = self.nodes.remove(id) else {
             return;
         };
-        for need in &node.left {
-            if let Some(before) = self.nodes.get_mut(need) {
-                before.dependents.remove(id);
+        for dependency in &node.unfinished_dependencies {
+            if let Some(dependency) = self.nodes.get_mut(dependency) {
+                dependency.dependents.remove(id);
             }
-            self.recompute_urgency(need, outputs);
+            self.recompute_urgency(dependency, outputs);
         }
-        for after in &node.dependents {
+        for dependent in &node.dependents {
             if !done {
-                self.cancel_dependents(after, outputs);
-            } else if let Some(later) = self.nodes.get_mut(after)
-                && later.left.remove(id)
-                && later.left.is_empty()
-                && !later.doomed
+                self.cancel_with_dependents(dependent, outputs);
+            } else if let Some(node) = self.nodes.get_mut(dependent)
+                && node.unfinished_dependencies.remove(id)
+                && node.unfinished_dependencies.is_empty()
+                && !node.upstream_cancelled
             {
-                outputs.push(Output::Released(after.clone()));
+                outputs.push(Output::Released(dependent.clone()));
             }
         }
     }
 
-    /// Cancels a job and all that need it, each once.
-    fn cancel_dependents(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
+    /// Cancels a job and all its direct and indirect dependents, reporting each of them once.
+    fn cancel_with_dependents(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
         let mut next = vec![id.clone()];
         while let Some(id) = next.pop() {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
-            if std::mem::replace(&mut node.doomed, true) {
+            if std::mem::replace(&mut node.upstream_cancelled, true) {
                 continue;
             }
             next.extend(node.dependents.iter().cloned());
-            self.doomed.insert(id.clone());
+            self.upstream_cancelled.insert(id.clone());
             outputs.push(Output::Doomed(id));
         }
     }
 
-    /// What this job leaves those that it needs.
-    fn passed_on(&self, id: &JobId) -> InheritedUrgency {
-        let Some((node, terms)) = self.nodes.get(id).and_then(|n| Some((n, n.terms?))) else {
+    /// Returns the urgency that the dependencies of this job inherit from it.
+    fn urgency_for_dependencies(&self, id: &JobId) -> InheritedUrgency {
+        let Some((node, urgency)) = self.nodes.get(id).and_then(|n| Some((n, n.urgency?))) else {
             return InheritedUrgency::default();
         };
-        if node.doomed {
+        if node.upstream_cancelled {
             return InheritedUrgency::default();
         }
         let own = InheritedUrgency {
-            due: terms.due,
-            priority: Some(terms.priority),
+            due: urgency.due,
+            priority: Some(urgency.priority),
         };
-        let all = node.claim.with(own);
+        let all = node.inherited.merged_with(own);
         InheritedUrgency {
-            due: all.due.map(|due| due - terms.span),
+            due: all.due.map(|due| due - urgency.span),
             ..all
         }
     }
 
-    /// Carries a job's claim back to all before it.
+    /// Propagates a job's urgency to its direct and indirect dependencies.
     fn propagate_urgency(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
         let mut next = vec![id.clone()];
         let mut steps = 0;
         while let Some(id) = next.pop() {
-            let left = self.passed_on(&id);
-            let before = self.nodes.get(&id).map(|n| &n.left);
-            let before: Vec<JobId> = before.into_iter().flatten().cloned().collect();
-            for need in before {
+            let urgency = self.urgency_for_dependencies(&id);
+            let dependencies = self.nodes.get(&id).map(|n| &n.unfinished_dependencies);
+            let dependencies: Vec<JobId> = dependencies.into_iter().flatten().cloned().collect();
+            for dependency in dependencies {
                 steps += 1;
-                if steps > CLAIMS_MAX {
+                if steps > MAX_PROPAGATION_STEPS {
                     return;
                 }
-                if let Some(node) = self.nodes.get_mut(&need)
-                    && node.claim.with(left) != node.claim
+                if let Some(node) = self.nodes.get_mut(&dependency)
+                    && node.inherited.merged_with(urgency) != node.inherited
                 {
-                    node.claim = node.claim.with(left);
-                    outputs.push(Output::UrgencyChanged(need.clone()));
-                    next.push(need);
+                    node.inherited = node.inherited.merged_with(urgency);
+                    outputs.push(Output::UrgencyChanged(dependency.clone()));
+                    next.push(dependency);
                 }
             }
         }
     }
 
-    /// A job after this one is gone: what is left to claim of it and of those before it.
+    /// Recomputes the inherited urgency of a job and of its dependencies after one of its dependents
+    /// has ended, and removes nodes without dependencies and dependents.
     fn recompute_urgency(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
         let mut next = vec![id.clone()];
         let mut steps = 0;
@@ -293,51 +303,64 @@
                 continue;
             };
             steps += 1 + node.dependents.len();
-            if steps > CLAIMS_MAX {
+            if steps > MAX_PROPAGATION_STEPS {
                 return;
             }
-            let claim = node
+            let inherited = node
                 .dependents
                 .iter()
-                .fold(InheritedUrgency::default(), |all, a| {
-                    all.with(self.passed_on(a))
+                .fold(InheritedUrgency::default(), |all, dependent| {
+                    all.merged_with(self.urgency_for_dependencies(dependent))
                 });
-            let idle = node.dependents.is_empty() && node.left.is_empty() && !node.doomed;
-            if claim != node.claim {
-                next.extend(node.left.iter().cloned());
+            let is_isolated = node.dependents.is_empty()
+                && node.unfinished_dependencies.is_empty()
+                && !node.upstream_cancelled;
+            if inherited != node.inherited {
+                next.extend(node.unfinished_dependencies.iter().cloned());
                 outputs.push(Output::UrgencyChanged(id.clone()));
             }
-            if idle {
+            if is_isolated {
                 self.nodes.remove(&id);
             } else if let Some(node) = self.nodes.get_mut(&id) {
-                node.claim = claim;
+                node.inherited = inherited;
             }
         }
     }
 
-    /// How long until all that a job needs is expected to be done. `rest`: how long a job that may
-    /// run takes from now on, or any job once it may. Too many to look at: what was seen so far.
-    pub fn time_until_ready(&self, needs: &[JobId], rest: impl Fn(&JobId) -> Micros) -> Micros {
-        let mut known: HashMap<&JobId, Micros> = HashMap::new();
+    /// Returns the expected time until all jobs in `needs` are done. `remaining_time` returns how
+    /// long a job still takes once it may run. The search stops at a fixed number of jobs, and the
+    /// result then covers only the jobs visited.
+    pub fn time_until_ready(
+        &self,
+        needs: &[JobId],
+        remaining_time: impl Fn(&JobId) -> Micros,
+    ) -> Micros {
+        let mut completion_times: HashMap<&JobId, Micros> = HashMap::new();
         let mut next: Vec<(&JobId, bool)> = needs.iter().map(|n| (n, false)).collect();
-        let mut looked = 0;
-        while let Some((id, seen)) = next.pop() {
-            if known.contains_key(id) {
+        let mut visited = 0;
+        while let Some((id, is_expanded)) = next.pop() {
+            if completion_times.contains_key(id) {
                 continue;
             }
-            let left = self.nodes.get(id).map(|n| &n.left);
-            looked += 1 + left.map_or(0, BTreeSet::len);
-            if !seen && looked <= LOOK_MAX && left.is_some_and(|l| !l.is_empty()) {
+            let dependencies = self.nodes.get(id).map(|n| &n.unfinished_dependencies);
+            visited += 1 + dependencies.map_or(0, BTreeSet::len);
+            if !is_expanded
+                && visited <= MAX_JOBS_VISITED
+                && dependencies.is_some_and(|d| !d.is_empty())
+            {
                 next.push((id, true));
-                next.extend(left.into_iter().flatten().map(|n| (n, false)));
+                next.extend(dependencies.into_iter().flatten().map(|n| (n, false)));
                 continue;
             }
-            let before = left.into_iter().flatten().filter_map(|n| known.get(n));
-            let before = before.copied().max().unwrap_or_default();
-            known.insert(id, before + rest(id));
+            let dependency_times = dependencies
+                .into_iter()
+                .flatten()
+                .filter_map(|n| completion_times.get(n));
+            let ready_in = dependency_times.copied().max().unwrap_or_default();
+            completion_times.insert(id, ready_in + remaining_time(id));
         }
-        let all = needs.iter().filter_map(|n| known.get(n));
-        all.copied().max().unwrap_or_default()
+        let times = needs.iter().filter_map(|n| completion_times.get(n));
+        times.copied().max().unwrap_or_default()
     }
 }
 
--- a/crates/jasperhill-scheduler/src/dependencies/tests.rs
+++ b/crates/jasperhill-scheduler/src/dependencies/tests.rs
@@ -6,27 +6,28 @@
     JobId::new(&format!("job-{n}"))
 }
 
-/// What happens to a job, in the order in which the service lets it happen.
+/// Event of a job in a generated history, in an order that the service permits.
 #[derive(Clone, Debug)]
 enum Event {
     Submit(usize, Vec<usize>),
     End(usize, bool),
 }
 
-/// A plain reading of the rules: every question walks the whole graph.
+/// Reference implementation of the dependency rules, which walks the whole graph for every query.
 #[derive(Default)]
-struct Plain {
+struct Reference {
     needs: BTreeMap<usize, Vec<usize>>,
     ended: BTreeMap<usize, bool>,
 }
 
-impl Plain {
-    fn cancelled(&self, n: usize) -> bool {
+impl Reference {
+    fn is_cancelled(&self, n: usize) -> bool {
         self.ended.get(&n) == Some(&false)
-            || (!self.ended.contains_key(&n) && self.needs[&n].iter().any(|m| self.cancelled(*m)))
+            || (!self.ended.contains_key(&n)
+                && self.needs[&n].iter().any(|m| self.is_cancelled(*m)))
     }
-    fn standing(&self, n: usize) -> DependencyState {
-        if self.cancelled(n) {
+    fn state(&self, n: usize) -> DependencyState {
+        if self.is_cancelled(n) {
             DependencyState::Doomed
         } else if self.needs[&n]
             .iter()
@@ -38,28 +39,28 @@
         }
     }
     fn due(&self, n: usize) -> Option<Micros> {
-        terms(n).due
+        urgency(n).due
     }
-    /// What the unfinished jobs after this one leave it.
-    fn claim(&self, n: usize) -> InheritedUrgency {
-        let open = |m: &usize| !self.ended.contains_key(m) && !self.cancelled(*m);
-        let after = self
+    /// Returns the urgency that a job inherits from its unfinished dependents.
+    fn inherited(&self, n: usize) -> InheritedUrgency {
+        let is_open = |m: &usize| !self.ended.contains_key(m) && !self.is_cancelled(*m);
+        let dependents = self
             .needs
             .keys()
-            .filter(|m| open(m) && self.needs[m].contains(&n));
-        after.fold(InheritedUrgency::default(), |all, m| {
+            .filter(|m| is_open(m) && self.needs[m].contains(&n));
+        dependents.fold(InheritedUrgency::default(), |merged, m| {
             let own = InheritedUrgency {
                 due: self.due(*m),
-                priority: Some(terms(*m).priority),
+                priority: Some(urgency(*m).priority),
             };
-            let mut leaves = self.claim(*m).with(own);
-            leaves.due = leaves.due.map(|d| d - terms(*m).span);
-            all.with(leaves)
+            let mut passed = self.inherited(*m).merged_with(own);
+            passed.due = passed.due.map(|d| d - urgency(*m).span);
+            merged.merged_with(passed)
         })
     }
 }
 
-fn terms(n: usize) -> JobUrgency {
+fn urgency(n: usize) -> JobUrgency {
     let priorities = [Priority::Low, Priority::Normal, Priority::High];
     JobUrgency {
         due: (n % 3 == 2).then(|| Micros::from_secs(1_000 + n as u64 * 7 % 50)),
@@ -68,13 +69,13 @@
     }
 }
 
-/// A history that keeps the rules: jobs name earlier ones, end once, and are done only when
-/// they were ready.
+/// Generates a valid history: jobs depend on earlier jobs only, end once, and are done only after they
+/// were ready.
 fn history() -> impl Strategy<Value = Vec<Event>> {
     proptest::collection::vec((any::<u8>(), any::<u16>(), any::<u16>()), 1..60).prop_map(|steps| {
-        let (mut plain, mut events) = (Plain::default(), Vec::new());
+        let (mut reference, mut events) = (Reference::default(), Vec::new());
         for (kind, a, b) in steps {
-            let jobs = plain.needs.len();
+            let jobs = reference.needs.len();
             if kind % 3 == 0 || jobs == 0 {
                 let mut needs: Vec<usize> = [a, b]
                     .iter()
@@ -83,17 +84,17 @@
                     .collect();
                 needs.sort_unstable();
                 needs.dedup();
-                plain.needs.insert(jobs, needs.clone());
+                reference.needs.insert(jobs, needs.clone());
                 events.push(Event::Submit(jobs, needs));
             } else {
                 let n = usize::from(a) % jobs;
                 let done = kind % 3 == 1;
-                if plain.ended.contains_key(&n)
-                    || (done && plain.standing(n) != DependencyState::Ready)
+                if reference.ended.contains_key(&n)
+                    || (done && reference.state(n) != DependencyState::Ready)
                 {
                     continue;
                 }
-                plain.ended.insert(n, done);
+                reference.ended.insert(n, done);
                 events.push(Event::End(n, done));
             }
         }
@@ -101,34 +102,34 @@
     })
 }
 
-/// The records as one controller sees them: a final record may be the first it sees of a job.
+/// Dependency graph of one controller. The first record that it sees of a job may be the final one.
 #[derive(Default)]
-struct Seen {
-    chain: DependencyGraph,
-    fates: BTreeMap<usize, RecordedOutcome>,
+struct Observed {
+    graph: DependencyGraph,
+    outcomes: BTreeMap<usize, RecordedOutcome>,
     outputs: Vec<Output>,
 }
 
-impl Seen {
-    fn see(&mut self, event: &Event) {
-        let fates = &self.fates;
-        let fate = |j: &JobId| {
+impl Observed {
+    fn observe(&mut self, event: &Event) {
+        let outcomes = &self.outcomes;
+        let outcome = |j: &JobId| {
             let n: usize = j.as_str()[4..].parse().unwrap();
-            fates.get(&n).copied().unwrap_or(RecordedOutcome::Open)
+            outcomes.get(&n).copied().unwrap_or(RecordedOutcome::Open)
         };
         let outputs = match event {
-            Event::Submit(n, _) if fates.contains_key(n) => Vec::new(),
+            Event::Submit(n, _) if outcomes.contains_key(n) => Vec::new(),
             Event::Submit(n, needs) => {
                 let needs: Vec<JobId> = needs.iter().map(|m| id(*m)).collect();
-                self.chain.apply(Input::Accepted {
+                self.graph.apply(Input::Accepted {
                     id: &id(*n),
                     needs: &needs,
-                    terms: terms(*n),
-                    fate: &fate,
+                    terms: urgency(*n),
+                    fate: &outcome,
                 })
             }
             Event::End(n, done) => {
-                let out = self.chain.apply(Input::Ended {
+                let out = self.graph.apply(Input::Ended {
                     id: &id(*n),
                     done: *done,
                 });
@@ -137,7 +138,7 @@
                 } else {
                     RecordedOutcome::Cancelled
                 };
-                self.fates.insert(*n, to);
+                self.outcomes.insert(*n, to);
                 out
             }
         };
@@ -152,102 +153,107 @@
         cases: 400,
         ..ProptestConfig::default()
     })]
-    /// Whatever happens, and in whatever order the records are seen, every unfinished job
-    /// stands as the rules say, and nothing is kept of what is over.
+    /// Compares the graph with the reference implementation for arbitrary histories. Whatever the order
+    /// in which the records are seen, every unfinished job has the expected state, and no node of an
+    /// ended job is kept.
     #[test]
-    fn every_order_comes_to_what_the_rules_say(
+    fn state_matches_reference_in_any_record_order(
         events in history(),
         shuffle in proptest::collection::vec(any::<u16>(), 60),
     ) {
-        let mut plain = Plain::default();
-        let mut in_order = Seen::default();
+        let mut reference = Reference::default();
+        let mut in_order = Observed::default();
         for event in &events {
             match event {
-                Event::Submit(n, needs) => { plain.needs.insert(*n, needs.clone()); }
-                Event::End(n, done) => { plain.ended.insert(*n, *done); }
+                Event::Submit(n, needs) => { reference.needs.insert(*n, needs.clone()); }
+                Event::End(n, done) => { reference.ended.insert(*n, *done); }
             }
-            in_order.see(event);
-            for n in plain.needs.keys().filter(|n| !plain.ended.contains_key(n)) {
-                prop_assert_eq!(in_order.chain.state_of(&id(*n)), plain.standing(*n), "{}", n);
+            in_order.observe(event);
+            for n in reference.needs.keys().filter(|n| !reference.ended.contains_key(n)) {
+                prop_assert_eq!(in_order.graph.state_of(&id(*n)), reference.state(*n), "{}", n);
             }
         }
-        // A release or a doom is told once, and only of what waited.
-        let mut told = BTreeSet::new();
+        // A job is reported as released or cancelled at most once.
+        let mut reported = BTreeSet::new();
         for output in &in_order.outputs {
             if let Output::Released(j) | Output::Doomed(j) = output {
-                prop_assert!(told.insert(j.clone()), "{} told twice", j);
+                prop_assert!(reported.insert(j.clone()), "{} reported twice", j);
             }
         }
-        let mut other = Seen::default();
+        let mut shuffled = Observed::default();
         let mut order: Vec<usize> = (0..events.len()).collect();
         order.sort_by_key(|i| shuffle[*i]);
         for i in order {
-            other.see(&events[i]);
+            shuffled.observe(&events[i]);
         }
-        for seen in [&in_order, &other] {
-            for n in plain.needs.keys().filter(|n| !plain.ended.contains_key(n)) {
-                prop_assert_eq!(seen.chain.state_of(&id(*n)), plain.standing(*n), "{}", n);
+        for observed in [&in_order, &shuffled] {
+            for n in reference.needs.keys().filter(|n| !reference.ended.contains_key(n)) {
+                prop_assert_eq!(observed.graph.state_of(&id(*n)), reference.state(*n), "{}", n);
             }
-            let doomed: Vec<JobId> = seen.chain.cancelled_upstream().cloned().collect();
-            let meant: BTreeSet<JobId> = plain.needs.keys()
-                .filter(|n| !plain.ended.contains_key(n) && plain.cancelled(**n))
+            let doomed: Vec<JobId> = observed.graph.cancelled_upstream().cloned().collect();
+            let expected: BTreeSet<JobId> = reference.needs.keys()
+                .filter(|n| !reference.ended.contains_key(n) && reference.is_cancelled(**n))
                 .map(|n| id(*n)).collect();
-            prop_assert_eq!(doomed, meant.into_iter().collect::<Vec<_>>());
-            let over = plain.ended.keys().filter(|n| seen.chain.nodes.contains_key(&id(**n)));
-            prop_assert_eq!(over.count(), 0);
+            prop_assert_eq!(doomed, expected.into_iter().collect::<Vec<_>>());
+            let ended_nodes = reference.ended.keys().filter(|n| observed.graph.nodes.contains_key(&id(**n)));
+            prop_assert_eq!(ended_nodes.count(), 0);
         }
-        // Without cancellations, what passes backwards is what the graph says.
-        if plain.ended.values().all(|done| *done) {
-            for n in plain.needs.keys().filter(|n| !plain.ended.contains_key(n)) {
-                prop_assert_eq!(in_order.chain.inherited_urgency(&id(*n)), plain.claim(*n), "{}", n);
+        // Without cancellations, the inherited urgency equals that of the reference.
+        if reference.ended.values().all(|done| *done) {
+            for n in reference.needs.keys().filter(|n| !reference.ended.contains_key(n)) {
+                prop_assert_eq!(in_order.graph.inherited_urgency(&id(*n)), reference.inherited(*n), "{}", n);
             }
         }
     }
 }
 
-fn submit(chain: &mut DependencyGraph, n: usize, needs: &[usize]) -> Vec<Output> {
+fn submit(graph: &mut DependencyGraph, n: usize, needs: &[usize]) -> Vec<Output> {
     let needs: Vec<JobId> = needs.iter().map(|m| id(*m)).collect();
-    chain.apply(Input::Accepted {
+    graph.apply(Input::Accepted {
         id: &id(n),
         needs: &needs,
-        terms: terms(n),
+        terms: urgency(n),
         fate: &|_| RecordedOutcome::Open,
     })
 }
 
-/// A deep chain, a diamond and a fan cost no depth of the stack and are done with at once.
+/// A recursive implementation overflows the stack on deep chains. A chain, a fan-out and a fan-in are
+/// cancelled completely by one event.
 #[test]
-fn deep_chains_and_wide_fans_are_cancelled_whole() {
-    let mut chain = DependencyGraph::default();
+fn cancels_deep_chains_and_wide_fans_completely() {
+    let mut graph = DependencyGraph::default();
     for n in 1..=20_000 {
-        submit(&mut chain, n, &[n - 1]);
+        submit(&mut graph, n, &[n - 1]);
     }
     for n in 20_001..=20_800 {
-        submit(&mut chain, n, &[20_000]);
+        submit(&mut graph, n, &[20_000]);
     }
-    submit(&mut chain, 20_801, &(20_001..=20_800).collect::<Vec<_>>());
-    let rest = chain.time_until_ready(&[id(20_000)], |_| Micros(1));
-    assert!(rest >= Micros(1_000) && rest <= Micros(20_001));
-    let outputs = chain.apply(Input::Ended {
+    submit(&mut graph, 20_801, &(20_001..=20_800).collect::<Vec<_>>());
+    let wait_time = graph.time_until_ready(&[id(20_000)], |_| Micros(1));
+    assert!(wait_time >= Micros(1_000) && wait_time <= Micros(20_001));
+    let outputs = graph.apply(Input::Ended {
         id: &id(0),
         done: false,
     });
     assert_eq!(outputs.len(), 20_801);
-    assert_eq!(chain.cancelled_upstream().count(), 20_801);
+    assert_eq!(graph.cancelled_upstream().count(), 20_801);
 }
 
 #[test]
-fn the_wait_is_the_longest_path() {
-    let mut chain = DependencyGraph::default();
-    submit(&mut chain, 1, &[0]);
-    submit(&mut chain, 2, &[0]);
-    submit(&mut chain, 3, &[1, 2]);
-    let rest = |j: &JobId| Micros([5, 10, 30, 7][j.as_str()[4..].parse::<usize>().unwrap()]);
-    assert_eq!(chain.time_until_ready(&[id(3)], rest), Micros(5 + 30 + 7));
-    chain.apply(Input::Ended {
+fn time_until_ready_is_the_longest_path() {
+    let mut graph = DependencyGraph::default();
+    submit(&mut graph, 1, &[0]);
+    submit(&mut graph, 2, &[0]);
+    submit(&mut graph, 3, &[1, 2]);
+    let wait_time = |j: &JobId| Micros([5, 10, 30, 7][j.as_str()[4..].parse::<usize>().unwrap()]);
+    assert_eq!(
+        graph.time_until_ready(&[id(3)], wait_time),
+        Micros(5 + 30 + 7)
+    );
+    graph.apply(Input::Ended {
         id: &id(0),
         done: true,
     });
-    assert_eq!(chain.time_until_ready(&[id(3)], rest), Micros(30 + 7));
-    assert_eq!(chain.time_until_ready(&[], rest), Micros::ZERO);
+    assert_eq!(graph.time_until_ready(&[id(3)], wait_time), Micros(30 + 7));
+    assert_eq!(graph.time_until_ready(&[], wait_time), Micros::ZERO);
 }
--- a/crates/jasperhill-scheduler/src/failures.rs
+++ b/crates/jasperhill-scheduler/src/failures.rs
@@ -1,83 +1,87 @@
-//! Whose fault a failure is. A host is blamed for what fails there and succeeds elsewhere; a job
-//! for failures on hosts that serve others. A job that fails wherever it runs was submitted with
-//! a mistake: it is *suspect*, tries one task at a time after growing pauses until its user
-//! cancels it, and its failures are not held against hosts. Every change goes through
+//! Attribution of task failures to hosts or to jobs.
+//!
+//! A host is blamed for tasks that fail on it and succeed elsewhere, a job for failures on hosts that
+//! run other jobs successfully. A job that fails wherever it runs was submitted with a mistake: it
+//! backs off, which means that it runs one task at a time after increasing delays until its user
+//! cancels it, and its failures do not count against hosts. Every change goes through
 //! [`FailureHistory::apply`].
 
 use jasperhill_wire::{HostId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What makes a job suspect: failures on this many hosts without a success, where one that has
-/// served others lately counts double.
-const PROOF: u32 = 3;
-/// The first pause of a suspect job, and how often it doubles.
-const PAUSE: Micros = Micros::from_secs(4);
-const DOUBLINGS: u32 = 4;
-/// A try that has run for so many times as long as those that failed, and a bit more, did not
-/// fail for the same reason.
-const OUTLIVES: u64 = 3;
-const OUTLIVES_BY: Micros = Micros::from_secs(10);
-/// Hosts remembered.
-const HOSTS_MAX: usize = 256;
+/// Number of hosts with failures, and without a success, after which a job backs off. A host that has
+/// recently run other jobs successfully counts twice.
+const BACKOFF_WEIGHT: u32 = 3;
+/// Delay before the first retry of a job that backs off.
+const INITIAL_BACKOFF: Micros = Micros::from_secs(4);
+/// Maximum number of times that the delay doubles.
+const MAX_DOUBLINGS: u32 = 4;
+/// Multiple of the longest run of a failed task after which, plus [`OUTLIVED_MARGIN`], a running task
+/// shows that the job no longer fails for the same reason.
+const OUTLIVED_FACTOR: u64 = 3;
+/// Time added to the multiple of the longest failed run; see [`OUTLIVED_FACTOR`].
+const OUTLIVED_MARGIN: Micros = Micros::from_secs(10);
+/// Maximum number of hosts remembered for a job that backs off.
+const MAX_HOSTS: usize = 256;
 
-/// What a job's failures say of it.
+/// Failure state of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FailureHistory {
-    /// A task of it has completed: whatever fails now is not the job's fault.
+    /// A task of the job has completed, so that later failures are not the job's fault.
     Proven,
-    /// Nothing speaks against it yet.
+    /// No failures are held against the job.
     Clean,
-    /// It has failed on these hosts, each with its weight, and succeeded nowhere since.
+    /// Tasks have failed on these hosts, each with its weight, and none has completed since.
     Failing(BTreeMap<HostId, u32>),
-    /// Its failures are its own. `level` counts the tries, the next one not before `next`;
-    /// `ran` is the longest that a failed task had run. `hosts` are absolved of its failures
-    /// for as long as it is suspect.
+    /// Failures are attributed to the job, which retries one task at a time. Its failures do not
+    /// count against the hosts as long as it backs off.
     BackingOff {
-        /// How many tries have failed since it backs off.
+        /// Number of retries that have failed since the job began to back off.
         level: u32,
-        /// The next try is not before this.
+        /// Earliest time of the next retry.
         next: Micros,
-        /// The longest that a failed task had run.
+        /// Longest run time of a failed task.
         ran: Micros,
-        /// Hosts that are excused for its failures.
+        /// Hosts against which its failures do not count.
         hosts: BTreeSet<HostId>,
     },
 }
 
-/// What changes the history.
+/// Event that changes a job's failure history.
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// A task failed there after running for so long. `serves`: the host has served others.
+    /// A task failed.
     Failed {
-        /// Where it failed.
+        /// Host on which the task failed.
         host: &'a HostId,
-        /// The host has served other jobs lately.
+        /// Whether the host has recently run tasks of other jobs successfully.
         serves: bool,
-        /// How long it had run.
+        /// Run time of the task.
         ran: Micros,
     },
-    /// A task has completed.
+    /// A task completed.
     Succeeded,
-    /// A task has been running for so long.
+    /// A task has been running for this time.
     RunningFor(Micros),
 }
 
 impl FailureHistory {
-    /// As a record says: so many tries that failed, or none.
+    /// Restores the history from the number of failed retries in a job's record.
     pub fn from_record(failing: u32, now: Micros) -> Self {
         match failing.checked_sub(1) {
             None => Self::Clean,
-            // One try, so that little is repeated after a takeover.
+            // The job backs off further, so that only one task is retried after a takeover.
             Some(level) => Self::BackingOff {
-                level: level.min(DOUBLINGS),
-                next: now + Self::pause(level),
+                level: level.min(MAX_DOUBLINGS),
+                next: now + Self::backoff(level),
                 ran: Micros::ZERO,
                 hosts: BTreeSet::new(),
             },
         }
     }
 
-    /// What the record says.
+    /// Returns the number of failed retries to write to the job's record; 0 if the job does not back
+    /// off.
     pub fn failed_attempts(&self) -> u32 {
         match self {
             Self::BackingOff { level, .. } => level + 1,
@@ -85,37 +89,38 @@
         }
     }
 
-    /// Its failures are its own: it tries one task at a time, after growing pauses.
+    /// Returns whether the job backs off, running one task at a time after increasing delays.
     pub fn is_backing_off(&self) -> bool {
         matches!(self, Self::BackingOff { .. })
     }
 
-    /// It should not go there again.
+    /// Returns whether the job should not run on this host because a task failed on it.
     pub fn avoids(&self, host: &HostId) -> bool {
         matches!(self, Self::Failing(hosts) if hosts.contains_key(host))
     }
 
-    /// There are hosts that it should not go to again.
+    /// Returns whether there are hosts on which the job should not run again.
     pub fn avoids_any(&self) -> bool {
         matches!(self, Self::Failing(_))
     }
 
-    /// It may try now.
+    /// Returns whether the job may start a task now.
     pub fn may_retry(&self, now: Micros) -> bool {
         !matches!(self, Self::BackingOff { next, .. } if now < *next)
     }
 
-    fn pause(level: u32) -> Micros {
-        Micros(PAUSE.0 << level.min(DOUBLINGS))
+    /// Returns the delay before the next retry.
+    fn backoff(level: u32) -> Micros {
+        Micros(INITIAL_BACKOFF.0 << level.min(MAX_DOUBLINGS))
     }
 
-    /// The one function that changes it.
+    /// Applies an event. Nothing else changes the history.
     pub fn apply(&mut self, input: Input<'_>, now: Micros) {
         match (input, &mut *self) {
             (Input::Succeeded, _) => *self = Self::Proven,
             (Input::Failed { .. }, Self::Proven) => {}
-            (Input::RunningFor(time), Self::BackingOff { ran, .. }) => {
-                if time >= Micros(ran.0.saturating_mul(OUTLIVES)) + OUTLIVES_BY {
+            (Input::RunningFor(elapsed), Self::BackingOff { ran, .. }) => {
+                if elapsed >= Micros(ran.0.saturating_mul(OUTLIVED_FACTOR)) + OUTLIVED_MARGIN {
                     *self = Self::Clean;
                 }
             }
@@ -125,18 +130,19 @@
                 Self::BackingOff {
                     level,
                     next,
-                    ran: most,
+                    ran: longest_run,
                     hosts,
                 },
             ) => {
-                if hosts.len() < HOSTS_MAX {
+                if hosts.len() < MAX_HOSTS {
                     hosts.insert(host.clone());
                 }
-                *most = (*most).max(ran);
-                // What started before the pause fails after it began: one wave, one level.
+                *longest_run = (*longest_run).max(ran);
+                // Tasks that started before the delay fail during it; all of them count as one
+                // failed retry.
                 if now >= *next {
-                    *level = (*level + 1).min(DOUBLINGS);
-                    *next = now + Self::pause(*level);
+                    *level = (*level + 1).min(MAX_DOUBLINGS);
+                    *next = now + Self::backoff(*level);
                 }
             }
             (Input::Failed { host, serves, ran }, Self::Clean | Self::Failing(_)) => {
@@ -146,10 +152,10 @@
                 };
                 let weight = hosts.entry(host.clone()).or_default();
                 *weight = (*weight).max(1 + u32::from(serves));
-                *self = if hosts.values().sum::<u32>() >= PROOF {
+                *self = if hosts.values().sum::<u32>() >= BACKOFF_WEIGHT {
                     Self::BackingOff {
                         level: 0,
-                        next: now + Self::pause(0),
+                        next: now + Self::backoff(0),
                         ran,
                         hosts: hosts.into_keys().collect(),
                     }
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -1,5 +1,7 @@
-//! The job machine: which tasks of a job are finished, live, reserved or pending. Every change
-//! of a task's state goes through [`Job::set`].
+//! State machine of a job: which of its tasks are done, live, reserved or pending.
+//!
+//! Every change of a task's state goes through [`Job::set`]. [`JobRank`] orders the jobs of a scheduling
+//! cycle.
 
 use crate::{failures::FailureHistory, pace::SiblingRunTimes, task_set::TaskSet};
 use jasperhill_wire::{
@@ -11,154 +13,159 @@
     rc::Rc,
 };
 
-/// Where a task of a job stands.
+/// State of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskStep {
-    /// Neither finished nor anywhere.
+    /// The task is not done and assigned to no host.
     Pending,
-    /// Admitted to a host's queue.
+    /// The task has a reservation in this host's queue.
     Reserved(HostId),
-    /// On a host, or told to be.
+    /// The task is on this host, or the host is commanded to start it.
     Live(HostId),
-    /// Its result is known.
+    /// The task has ended and its result is known.
     Done,
 }
 
-/// Why nothing of a job starts any more.
+/// Reason why no more tasks of a job start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
-    /// Its user has cancelled it, or a job that it depends on.
+    /// The user has cancelled the job or a job that it depends on.
     Cancelled,
-    /// All its tasks are done.
+    /// All tasks are done.
     Done,
 }
 
-/// Hosts that a waiting gang keeps free, until the choice is made anew, and when they are
-/// expected to have room.
+/// Hosts reserved for a waiting gang.
 #[derive(Clone, Debug)]
 pub struct GangHosts {
-    /// The hosts.
+    /// Reserved hosts.
     pub hosts: Vec<HostId>,
-    /// When the choice is made anew.
+    /// Time at which the hosts are chosen again.
     pub until: Micros,
-    /// When all of them are expected to have room.
+    /// Time at which all hosts are expected to have enough free capacity.
     pub ready: Micros,
 }
 
-/// Whether tasks of a job may start, as far as the jobs that it needs go.
+/// Whether the dependencies of a job allow its tasks to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Some job that it needs is not done: it holds nothing, books nothing, displaces nobody.
+    /// A job that it depends on is not done. The waiting job gets no resources and no reservations,
+    /// and preempts no other work.
     Waiting,
     /// All jobs that it depends on are done.
     Open,
 }
 
-/// How a job stands in its pipeline.
+/// Effect of a job's dependencies and dependents on its scheduling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DependencyStatus {
-    /// Whether its tasks may start.
+    /// Whether the dependencies of the job allow its tasks to start.
     pub readiness: Readiness,
-    /// Since when it may start; its submission if it never waited.
+    /// Time since which the job may start; its submission time if it never waited.
     pub since: Micros,
-    /// By when the jobs after it need it.
+    /// Time by which its dependents need the job to be done; `None` if they have no deadline.
     pub due: Option<Micros>,
-    /// The most important of them.
+    /// Priority of the most important dependent; `None` without dependents.
     pub priority: Option<Priority>,
 }
 
-/// The first order among jobs.
+/// Primary sort key of [`JobRank`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Band {
     Production,
     Urgent,
     ByDeadline,
-    /// Behind everything else.
+    /// Jobs that back off after failures come last.
     BackingOff,
 }
 
-/// Where a job stands in the order of a scheduling cycle; the smaller goes first.
+/// Sort key of a job in a scheduling cycle; smaller keys go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
     band: Band,
-    /// Its deadline in microseconds; the largest number if it has none.
+    /// Deadline in microseconds; [`u64::MAX`] without a deadline.
     due: u64,
     priority: Priority,
     submitted: Micros,
 }
 
 impl JobRank {
-    /// Before all but production.
+    /// Moves the job ahead of all jobs except production.
     pub(crate) fn boost(&mut self) {
         if self.band > Band::Production {
             (self.band, self.due) = (Band::Urgent, 0);
         }
     }
 
-    /// In the first band.
+    /// Returns whether the job is ranked as production work.
     pub(crate) fn is_production(&self) -> bool {
         self.band == Band::Production
     }
 }
 
-/// The state machine of one unfinished job, or of one whose tasks are not gone yet.
+/// State of an unfinished job, or of an ended job that still has tasks on hosts.
 #[derive(Debug)]
 pub struct Job {
-    /// As its user described it.
+    /// Job as submitted by its user.
     pub request: Rc<JobRequest>,
-    /// Revision at which its record was created; jobs newer than a takeover have no unconfirmed tasks.
+    /// Revision at which its record was created. Jobs newer than a takeover have no unconfirmed tasks.
     pub created: Revision,
-    /// Its age counts from here: its submission, or when the last job that it needs was done.
+    /// Time from which the job's age counts: its submission, or the time at which its last dependency
+    /// was done.
     pub submitted: Micros,
-    /// Its deadline, by the steady clock.
+    /// Deadline on the monotonic clock; `None` if the job has none.
     pub due: Option<Micros>,
-    /// Whether its tasks may start.
+    /// Whether the dependencies of the job allow its tasks to start.
     pub readiness: Readiness,
-    /// What the jobs after it leave it.
+    /// Deadline and priority inherited from its dependents.
     inherited: (Option<Micros>, Option<Priority>),
-    /// Tasks that are done.
+    /// Set of tasks that are done.
     pub done: TaskSet,
-    /// Finished, but not yet in the record.
+    /// Tasks that are done but not yet saved in the job's record.
     pub unsaved: BTreeSet<u32>,
-    /// Tasks on hosts, or told to be.
+    /// Tasks that are on a host or that a host is commanded to start, with the host.
     pub live: BTreeMap<u32, HostId>,
-    /// Tasks with a reservation in a host's queue.
+    /// Tasks with a reservation in a host's queue, with the host.
     pub reserved: BTreeMap<u32, HostId>,
-    /// Tasks seen running, for display and for stopping the right one.
+    /// Tasks reported as running, for the job's status and for choosing which task to stop.
     pub running: BTreeSet<u32>,
-    /// All its tasks have run at the same time.
+    /// Whether all tasks have been running at the same time.
     pub ran_whole: bool,
-    /// How long its ended tasks ran.
+    /// Run times of the job's ended tasks.
     pub sibling_run_times: SiblingRunTimes,
-    /// Below this every task is done, live, reserved or in `returned`.
+    /// Lowest index that was never assigned: every task below it is done, live, reserved or in
+    /// `returned_to_pending`.
     cursor: u32,
+    /// Tasks below `cursor` that are pending again.
     returned_to_pending: BTreeSet<u32>,
-    /// Set when the record has become final: nothing starts any more.
+    /// Reason why no more tasks start; `None` until the job's record is final.
     pub termination: Option<Termination>,
-    /// Whether its failures are its own.
+    /// Failure state, which decides whether the job backs off.
     pub failures: FailureHistory,
-    /// What its record says of them.
+    /// Number of failed retries last saved in the job's record.
     pub failed_attempts_saved: u32,
-    /// A start was refused: not again before then.
+    /// Earliest time of the next start after a refused start; zero if none was refused.
     pub not_before: Micros,
-    /// Some task of it has failed: its run times tell nothing.
+    /// Whether a task has failed, in which case the run times are not representative.
     pub failed: bool,
-    /// Room is being made there, and is waited for until then.
+    /// Hosts on which tasks are preempted for this job, and until when the job waits for the freed
+    /// capacity.
     pub preempting: Vec<(HostId, Micros)>,
-    /// Hosts kept free for this waiting gang.
+    /// Hosts reserved for this gang while it waits; `None` if none are reserved.
     pub gang_hosts: Option<GangHosts>,
-    /// The attempt of a gang under way.
+    /// Current attempt of a gang; `None` if the gang is not started.
     pub attempt: Option<Attempt>,
-    /// How often tasks of it were stopped for others.
+    /// Number of times that tasks of the job were preempted.
     pub preempted: u32,
-    /// Its deadline can't be met any more.
+    /// Whether the deadline can no longer be met.
     pub missed_deadline: bool,
-    /// When a task of it last started.
+    /// Time at which a task last started; zero if none has.
     pub last_started: Micros,
 }
 
 impl Job {
-    /// As a record says. `finished`: see [`TaskSet::from_runs`].
+    /// Creates a job from its record. `finished` lists the tasks that are done, in the format of
+    /// [`TaskSet::from_runs`].
     pub fn new(
         request: Rc<JobRequest>,
         created: Revision,
@@ -196,27 +203,27 @@
         }
     }
 
-    /// The one function that changes how it stands in its pipeline. True if something has
-    /// changed.
-    pub fn set_dependency_status(&mut self, place: DependencyStatus) -> bool {
-        let left = (place.due, place.priority);
-        let moved = place.readiness != self.readiness;
-        if moved {
-            self.readiness = place.readiness;
-            self.submitted = place.since;
+    /// Sets the effect of dependencies and dependents; nothing else changes it. Returns whether
+    /// anything has changed.
+    pub fn set_dependency_status(&mut self, status: DependencyStatus) -> bool {
+        let inherited = (status.due, status.priority);
+        let readiness_changed = status.readiness != self.readiness;
+        if readiness_changed {
+            self.readiness = status.readiness;
+            self.submitted = status.since;
         }
-        let changed = moved || left != self.inherited;
-        self.inherited = left;
+        let changed = readiness_changed || inherited != self.inherited;
+        self.inherited = inherited;
         changed
     }
 
-    /// Its priority, or that of the most important job that needs it.
+    /// Returns the priority of the job or of its most important dependent, whichever is higher.
     pub fn priority(&self) -> Priority {
         let own = self.request.priority;
-        self.inherited.1.map_or(own, |p| p.min(own))
+        self.inherited.1.map_or(own, |priority| priority.min(own))
     }
 
-    /// Where task `i` stands.
+    /// Returns the state of task `i`.
     pub fn step(&self, i: u32) -> TaskStep {
         if self.done.contains(i) {
             TaskStep::Done
@@ -229,7 +236,7 @@
         }
     }
 
-    /// The one function that changes a task's state. Done is final.
+    /// Changes the state of task `i`; nothing else does. `Done` is final.
     pub fn set(&mut self, i: u32, to: TaskStep) {
         if i >= self.request.tasks || self.done.contains(i) {
             return;
@@ -246,11 +253,11 @@
             }
             TaskStep::Reserved(host) => {
                 self.reserved.insert(i, host);
-                self.pass_cursor();
+                self.advance_cursor();
             }
             TaskStep::Live(host) => {
                 self.live.insert(i, host);
-                self.pass_cursor();
+                self.advance_cursor();
             }
             TaskStep::Done => {
                 self.done.insert(i);
@@ -259,37 +266,40 @@
         }
     }
 
-    /// A task is seen running.
+    /// Records that task `i` is reported as running.
     pub fn mark_running(&mut self, i: u32) {
         self.running.insert(i);
         self.ran_whole |= self.running.len() >= self.request.tasks as usize;
     }
 
-    fn is_taken(&self, i: u32) -> bool {
+    /// Returns whether task `i` is not pending.
+    fn is_assigned_or_done(&self, i: u32) -> bool {
         self.done.contains(i) || self.live.contains_key(&i) || self.reserved.contains_key(&i)
     }
 
-    fn pass_cursor(&mut self) {
-        while self.cursor < self.request.tasks && self.is_taken(self.cursor) {
+    /// Moves the cursor to the next pending task.
+    fn advance_cursor(&mut self) {
+        while self.cursor < self.request.tasks && self.is_assigned_or_done(self.cursor) {
             self.cursor += 1;
         }
     }
 
-    /// The first task that is neither finished, live nor reserved.
+    /// Returns the next task to start; `None` if no task is pending.
     pub fn next_pending(&mut self) -> Option<u32> {
         if let Some(i) = self.returned_to_pending.first() {
             return Some(*i);
         }
-        self.pass_cursor();
+        self.advance_cursor();
         (self.cursor < self.request.tasks).then_some(self.cursor)
     }
 
-    /// How many tasks are neither done, live nor reserved.
+    /// Returns the number of tasks that are neither done, live nor reserved.
     pub fn pending(&self) -> u32 {
         self.request.tasks - self.done.count() - self.live.len() as u32 - self.reserved.len() as u32
     }
 
-    /// How many more tasks may start: a suspect job tries one at a time.
+    /// Returns how many more tasks may start. A job that backs off runs one task at a time, unless it
+    /// is a gang.
     pub fn startable(&self) -> u32 {
         if !self.failures.is_backing_off() || self.is_gang() {
             self.pending()
@@ -299,17 +309,17 @@
         }
     }
 
-    /// Nothing of it runs, although nothing has ended it.
+    /// Returns whether the job has not ended, has no live tasks and no unsaved results.
     pub fn is_waiting(&self) -> bool {
         self.termination.is_none() && self.live.is_empty() && self.unsaved.is_empty()
     }
 
-    /// Since when nothing of it runs, for one that waits.
+    /// Returns the time since which a waiting job has had no running task.
     pub fn waiting_since(&self) -> Micros {
         self.submitted.max(self.last_started)
     }
 
-    /// How many of its tasks start at the same time at its beginning.
+    /// Returns how many tasks must start at the same time when the job begins.
     pub fn tasks_to_begin(&self) -> u64 {
         if self.is_gang() {
             u64::from(self.request.tasks)
@@ -318,27 +328,27 @@
         }
     }
 
-    /// Its tasks start and end together.
+    /// Returns whether the job is a gang, whose tasks start and end together.
     pub fn is_gang(&self) -> bool {
         self.request.shape == Shape::Gang
     }
-    /// Its tasks run until they are stopped.
+    /// Returns whether the job is a service, whose tasks run until they are stopped.
     pub fn is_service(&self) -> bool {
         self.request.shape == Shape::Service
     }
-    /// It is of the highest priority.
+    /// Returns whether the job was submitted with production priority.
     pub fn is_production(&self) -> bool {
         self.request.priority == Priority::Production
     }
 
-    /// Order of importance: production and urgent work by their bands, the rest by deadline;
-    /// without a deadline last, by priority and then age.
+    /// Returns the sort key of the job: production comes first, then urgent work, then the rest by
+    /// deadline. Jobs without a deadline come last, by priority and then by age.
     ///
-    /// A deadline that can't be met any more (`missed`) is none: in deadline order it would
-    /// go first and make those miss that still can be in time.
+    /// A deadline that can no longer be met is ignored. Otherwise the job would go first in deadline
+    /// order and cause other jobs to miss deadlines that can still be met.
     pub fn rank(&self) -> JobRank {
-        let p = self.priority();
-        let band = match p {
+        let priority = self.priority();
+        let band = match priority {
             _ if self.failures.is_backing_off() => Band::BackingOff,
             Priority::Production => Band::Production,
             Priority::High => Band::Urgent,
@@ -349,19 +359,19 @@
         JobRank {
             band,
             due,
-            priority: p,
+            priority,
             submitted: self.submitted,
         }
     }
 
-    /// Resources of what could be running unseen.
+    /// Returns the resources of the tasks that may be running on hosts not heard from yet.
     pub fn unconfirmed_use(&self) -> Resources {
         self.request
             .each
             .times(u64::from(self.request.tasks - self.done.count()) - self.live.len() as u64)
     }
 
-    /// Its tasks can be stopped without losing their work.
+    /// Returns whether the tasks save checkpoints, so that they can be stopped without losing work.
     pub fn checkpoints(&self) -> bool {
         self.request.checkpoint_every > Micros::ZERO
     }
--- a/crates/jasperhill-scheduler/src/lib.rs
+++ b/crates/jasperhill-scheduler/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions of jasperhill: host queues, the schedule simulation, density, team limits, gangs,
-//! preemption and the fleet plan. Pure: time is passed in, nothing here reads a clock or
-//! does I/O.
+//! Scheduling decisions of jasperhill: host queues, schedule simulation, admission, team limits, gang
+//! scheduling, preemption and capacity planning.
+//!
+//! The crate is deterministic: time is passed in, and nothing here reads a clock or does I/O.
 
 pub mod autoscaler;
 pub mod boot_times;
--- a/crates/jasperhill-scheduler/src/move_budget.rs
+++ b/crates/jasperhill-scheduler/src/move_budget.rs
@@ -1,30 +1,33 @@
-//! How fast replicas may be moved off hosts that are being drained.
+//! Rate limit for moving service replicas off hosts that are being drained.
 
 use jasperhill_wire::Micros;
 
-/// One in so many replicas is moved a second, and at most so many at a time. Each is away for
-/// about a second: what the users see of it is one in so many replicas missing.
-const MOVED: f64 = 500.0;
-const MOVES_MOST: f64 = 16.0;
+/// Number of replicas for which one move per second is allowed. A moved replica is unavailable for
+/// about a second, so that users see one in this many replicas missing.
+const REPLICAS_PER_MOVE: f64 = 500.0;
+/// Maximum number of replicas moved at a time.
+const MAX_BURST: f64 = 16.0;
 
-/// How many replicas may be moved by now.
+/// Token bucket that limits how many replicas may be moved.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct MoveBudget {
-    ready: f64,
-    at: Micros,
+    /// Number of replicas that may be moved now.
+    tokens: f64,
+    /// Time up to which tokens have been added.
+    updated: Micros,
 }
 
 impl MoveBudget {
-    /// Counts up to now, and takes one if there is one.
+    /// Adds the tokens due by `now` and takes one. Returns whether a replica may be moved.
     pub fn take(&mut self, replicas: usize, now: Micros) -> bool {
-        self.ready += (now - self.at).as_secs_f64() * replicas as f64 / MOVED;
-        self.ready = self
-            .ready
-            .min(MOVES_MOST.min(1.0 + replicas as f64 / MOVED));
-        self.at = self.at.max(now);
-        let may = self.ready >= 1.0;
-        self.ready -= f64::from(u8::from(may));
-        may
+        self.tokens += (now - self.updated).as_secs_f64() * replicas as f64 / REPLICAS_PER_MOVE;
+        self.tokens = self
+            .tokens
+            .min(MAX_BURST.min(1.0 + replicas as f64 / REPLICAS_PER_MOVE));
+        self.updated = self.updated.max(now);
+        let is_allowed = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(is_allowed));
+        is_allowed
     }
 }
 
--- a/crates/jasperhill-scheduler/src/move_budget/tests.rs
+++ b/crates/jasperhill-scheduler/src/move_budget/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// Guards against a consolidation that users see as replicas missing.
+/// Draining hosts without a rate limit makes so many replicas unavailable that users notice.
 #[test]
-fn few_of_the_replicas_move_at_a_time() {
-    let mut moves = MoveBudget::default();
-    let moved = |moves: &mut MoveBudget, replicas, seconds: u64| {
-        let tries = (0..seconds * 10).map(|t| Micros::from_millis(3_600_000 + t * 100));
-        tries.filter(|at| moves.take(replicas, *at)).count()
+fn limits_moves_to_a_fraction_of_the_replicas() {
+    let mut budget = MoveBudget::default();
+    let moved = |budget: &mut MoveBudget, replicas, seconds: u64| {
+        let attempts = (0..seconds * 10).map(|t| Micros::from_millis(3_600_000 + t * 100));
+        attempts.filter(|at| budget.take(replicas, *at)).count()
     };
-    assert!((30..=33).contains(&moved(&mut moves, 500, 30)));
-    let mut few = MoveBudget::default();
-    assert!((1..=4).contains(&moved(&mut few, 50, 30)));
+    assert!((30..=33).contains(&moved(&mut budget, 500, 30)));
+    let mut small_budget = MoveBudget::default();
+    assert!((1..=4).contains(&moved(&mut small_budget, 50, 30)));
 }
--- a/crates/jasperhill-scheduler/src/pace.rs
+++ b/crates/jasperhill-scheduler/src/pace.rs
@@ -1,99 +1,110 @@
-//! Slow machines, recognised while their tasks still run. Workers report states and no progress,
-//! so that all there is to go by is how long a task has been running, against what the job's
-//! other tasks took, or else against its estimate.
+//! Detection of slow machines while their tasks are still running.
 //!
-//! One long task says little: run times vary, and estimates are wrong by half. What convicts a
-//! machine is several tasks that overrun there while nothing has ended in time, weighed by how
-//! often tasks of their classes overrun anywhere. Tasks of one job count once unless others of
-//! the job have ended elsewhere: it may be the job that is long. Owns the moments at which tasks
-//! overrun, the classes' shares of overruns, and what follows for the machine.
+//! Workers report task states but no progress. The only evidence is how long a task has been running,
+//! compared with the run times of the job's other tasks or, without these, with its estimate.
+//!
+//! A single long task is weak evidence because run times vary and estimates are off by half. A machine
+//! is judged slow when several tasks overrun on it while no task has ended in time there, weighted by
+//! how often tasks of the same classes overrun on any machine. Tasks of one job count once unless
+//! other tasks of the job have ended on other hosts, because the job itself may be long.
+//!
+//! [`OverrunWatch`] holds the times at which tasks overrun and the overrun shares of classes, [`Pace`]
+//! the verdict on a machine.
 
 use jasperhill_wire::{Attempt, HostId, Micros, Name, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A task overruns when it has been running for so many times as long as expected.
+/// Multiple of the expected run time after which a task overruns.
 pub(crate) const OVER: f64 = 2.0;
-/// What ends within so many times of the expected time ends in time.
+/// Multiple of the expected run time within which a task ends in time.
 pub(crate) const IN_TIME: f64 = 1.5;
-/// Nothing has ended in time on the machine for this part of a task's expected time.
+/// Fraction of a task's expected run time during which no task may have ended in time on the machine
+/// if the task's overrun is to count as evidence.
 pub(crate) const QUIET: f64 = 0.75;
-/// The log of the odds that convict.
+/// Natural logarithm of the odds at which a machine is judged slow.
 pub(crate) const SLOW_LOG_ODDS: f64 = 5.0;
-/// Of a slow machine's tasks, so many overrun.
+/// Fraction of the tasks on a slow machine that overrun.
 pub(crate) const SLOW_OVERRUNS: f64 = 0.9;
-/// The share of overruns of a class that is not known, and its bounds.
+/// Initial overrun share of a class without data.
 pub(crate) const TAIL_FIRST: f64 = 0.15;
-const TAIL_LEAST: f64 = 0.03;
-const TAIL_MOST: f64 = 0.6;
-/// How fast shares are learned.
+/// Lower bound of a class's overrun share.
+const MIN_TAIL: f64 = 0.03;
+/// Upper bound of a class's overrun share.
+const MAX_TAIL: f64 = 0.6;
+/// Smoothing factor with which one ended task changes its class's overrun share.
 pub(crate) const LEARNS: f64 = 0.03;
-/// Ended tasks of a job that say how long its others take, and the hosts they must be from.
-const SIBLINGS: u32 = 3;
-const SIBLING_HOSTS: usize = 2;
-/// No more than this part of the machines is taken for slow at a time: beyond, it is the
-/// expectation that is wrong.
+/// Minimum number of ended tasks of a job for predicting the run time of its other tasks.
+const MIN_SIBLINGS: u32 = 3;
+/// Minimum number of hosts on which these tasks must have ended.
+const MIN_SIBLING_HOSTS: usize = 2;
+/// Divisor of the number of machines that gives the maximum judged slow at a time: one in eight. If
+/// more appear to be slow, the expected run times are wrong.
 pub(crate) const SLOW_PART: usize = 8;
-/// A task that runs for less is not looked at.
+/// Minimum expected run time, which shorter expectations are raised to.
 pub(crate) const LEAST: Micros = Micros::from_secs(4);
-/// The slowest that a machine is taken for.
+/// Maximum slowdown factor that a machine is judged to have.
 pub(crate) const SLOWEST: f64 = 5.0;
 
-/// How long the ended tasks of a job ran.
+/// Run times of the ended tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiblingRunTimes {
-    ended: u32,
-    seconds: f64,
-    /// A few of the hosts.
+    /// Number of ended tasks.
+    ended_tasks: u32,
+    /// Sum of their run times, in seconds.
+    total_seconds: f64,
+    /// Hosts on which tasks have ended, at most 8.
     hosts: BTreeSet<HostId>,
 }
 
 impl SiblingRunTimes {
-    /// A task of the job has ended on this host after so long.
+    /// Records that a task of the job ended on this host after running for `ran`.
     pub fn note(&mut self, host: &HostId, ran: Micros) {
-        self.ended += 1;
-        self.seconds += ran.as_secs_f64();
+        self.ended_tasks += 1;
+        self.total_seconds += ran.as_secs_f64();
         if self.hosts.len() < 8 {
             self.hosts.insert(host.clone());
         }
     }
 
-    /// What they took, if there are enough of them, seen from this host.
-    pub fn elapsed(&self, here: &HostId) -> Option<Micros> {
-        let elsewhere = self.hosts.iter().filter(|h| *h != here).count();
-        (self.ended >= SIBLINGS && self.hosts.len() >= SIBLING_HOSTS && elsewhere > 0)
-            .then(|| Micros::from_secs_f64(self.seconds / f64::from(self.ended)))
+    /// Returns the mean run time of the ended tasks; `None` if they are too few, or if none of them
+    /// ended on another host than `host`.
+    pub fn elapsed(&self, host: &HostId) -> Option<Micros> {
+        let elsewhere = self.hosts.iter().filter(|h| *h != host).count();
+        (self.ended_tasks >= MIN_SIBLINGS && self.hosts.len() >= MIN_SIBLING_HOSTS && elsewhere > 0)
+            .then(|| Micros::from_secs_f64(self.total_seconds / f64::from(self.ended_tasks)))
     }
 }
 
-/// Whether a machine keeps pace.
+/// Verdict on the speed of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Pace {
-    /// It keeps pace, as far as is known.
+    /// The machine is not known to be slow.
     #[default]
     Steady,
-    /// Takes so many times as long.
+    /// The machine is judged slow.
     Slow {
-        /// How many times as long its tasks take.
+        /// Factor by which its tasks take longer than expected.
         times: f64,
     },
 }
 
-/// What changes the pace.
+/// Event that changes the verdict on a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
-    /// The odds, as a logarithm, that it is slow, and how slow it then is.
+    /// The evidence from the running tasks has been evaluated.
     Weighed {
-        /// The logarithm of the odds that it is slow.
+        /// Natural logarithm of the odds that the machine is slow.
         odds: f64,
-        /// How many times as long its tasks take, if so.
+        /// Factor by which its tasks take longer than expected if it is slow.
         times: f64,
     },
-    /// A task that began after the verdict ended in time.
+    /// A task that started after the machine was judged slow ended in time.
     EndedInTime,
 }
 
 impl Pace {
-    /// The one function that changes it. True if it has been convicted now.
+    /// Applies an event; nothing else changes the verdict. Returns whether the machine has just been
+    /// judged slow.
     pub fn apply(&mut self, input: Input) -> bool {
         match (&mut *self, input) {
             (Self::Steady, Input::Weighed { odds, times }) if odds >= SLOW_LOG_ODDS => {
@@ -110,26 +121,26 @@
         }
     }
 
-    /// It is taken for slow.
+    /// Returns whether the machine is judged slow.
     pub fn is_slow(&self) -> bool {
         matches!(self, Self::Slow { .. })
     }
 }
 
-/// When tasks overrun, and how often tasks of a class do.
+/// Times at which running tasks overrun, and the overrun share of each class.
 #[derive(Debug, Default)]
 pub(crate) struct OverrunWatch {
-    /// When which attempt of a task on which host is overdue.
+    /// Time at which a task attempt on a host overruns, earliest first.
     pub due: BTreeSet<(Micros, HostId, TaskId, Attempt)>,
-    /// The share of a class's tasks that overrun anywhere, smoothed.
+    /// Smoothed fraction of a class's tasks that overrun on any machine.
     pub tails: BTreeMap<Name, f64>,
 }
 
 impl OverrunWatch {
-    /// The share of this class's tasks that overrun, within bounds.
+    /// Returns the fraction of this class's tasks that overrun, limited to its lower and upper bound.
     pub fn tail(&self, class: &Name) -> f64 {
         let tail = self.tails.get(class).copied().unwrap_or(TAIL_FIRST);
-        tail.clamp(TAIL_LEAST, TAIL_MOST)
+        tail.clamp(MIN_TAIL, MAX_TAIL)
     }
 }
 
--- a/crates/jasperhill-scheduler/src/pace/tests.rs
+++ b/crates/jasperhill-scheduler/src/pace/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_verdict_stands_until_a_later_task_ends_in_time() {
+fn stays_slow_until_a_later_task_ends_in_time() {
     let mut pace = Pace::default();
     let weighed = |odds| Input::Weighed { odds, times: 9.0 };
     assert!(!pace.apply(weighed(SLOW_LOG_ODDS - 0.1)));
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn others_of_the_job_count_from_several_hosts_and_elsewhere() {
-    let mut s = SiblingRunTimes::default();
-    let at = Micros::from_secs;
+fn sibling_run_time_requires_several_hosts_and_one_other_host() {
+    let mut run_times = SiblingRunTimes::default();
+    let secs = Micros::from_secs;
     let (a, b) = (HostId::new("n-1"), HostId::new("n-2"));
     for _ in 0..4 {
-        s.note(&a, at(10));
+        run_times.note(&a, secs(10));
     }
-    assert_eq!(s.elapsed(&b), None);
-    s.note(&b, at(20));
-    assert_eq!(s.elapsed(&a), Some(at(12)));
+    assert_eq!(run_times.elapsed(&b), None);
+    run_times.note(&b, secs(20));
+    assert_eq!(run_times.elapsed(&a), Some(secs(12)));
 }
--- a/crates/jasperhill-scheduler/src/recovery.rs
+++ b/crates/jasperhill-scheduler/src/recovery.rs
@@ -1,55 +1,57 @@
-//! What production has lost and may be losing. Owns the count of it, from the loss until every
-//! replica runs again, and the room that is kept for replicas on hosts that have gone silent:
-//! these may not start elsewhere before the lease has lapsed, and what starts on the free room
-//! meanwhile would stand in their way.
+//! Recovery of lost production replicas.
+//!
+//! [`Recovery`] counts lost replicas from the first loss until every replica runs again.
+//! [`ReplicaRecovery`] holds the capacity reserved for replicas on hosts that have stopped sending
+//! heartbeats. These replicas may not start elsewhere before the host's lease has expired, and
+//! lower-priority work that started on the free capacity in the meantime would block them.
 
 use jasperhill_wire::{HostId, Micros, Resources, TaskId};
 use std::collections::BTreeSet;
 
-/// How production stands.
+/// Whether all production replicas are running.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Recovery {
-    /// Every replica that ran runs.
+    /// Every replica that has been running is running.
     #[default]
     Complete,
-    /// Some replicas are lost, since a moment. `overtaken`: replicas that found no room while
-    /// lesser work that started meanwhile was where they could have been.
+    /// At least one replica that has been running is not running.
     Incomplete {
-        /// When the first was lost.
+        /// Time of the first loss.
         since: Micros,
-        /// How many were lost.
+        /// Number of replicas lost.
         lost: u32,
-        /// How many found no room because of lesser work started since.
+        /// Number of replicas that did not fit because lower-priority work started after the loss
+        /// occupied the capacity.
         overtaken: u32,
     },
 }
 
-/// What changes it.
+/// Event that changes the recovery state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// What runs is not known.
+    /// The partition was taken over, and it is not known which replicas are running.
     TakenOver,
-    /// A replica is gone that nobody stopped.
+    /// A replica ended without having been stopped.
     Lost,
-    /// A replica found no room because of lesser work that started meanwhile.
+    /// A replica did not fit because of lower-priority work that started after the loss.
     Overtaken,
-    /// So many replicas that ran are not running.
+    /// This number of replicas that have been running are not running.
     Missing(u32),
 }
 
-/// Production is whole again.
+/// Summary of a completed recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recovered {
-    /// Since the first loss.
+    /// Time from the first loss to the recovery.
     pub after: Micros,
-    /// Replicas that were lost.
+    /// Number of replicas lost.
     pub lost: u32,
-    /// Replicas that found no room because of lesser work started since.
+    /// Number of replicas that did not fit because of lower-priority work started after the loss.
     pub overtaken: u32,
 }
 
 impl Recovery {
-    /// The one function that changes it.
+    /// Applies an event; nothing else changes the state. Returns a summary when the recovery completes.
     pub fn apply(&mut self, input: Input, now: Micros) -> Option<Recovered> {
         match (&mut *self, input) {
             (Self::Complete, Input::TakenOver | Input::Lost) => {
@@ -85,29 +87,29 @@
         None
     }
 
-    /// Some replica that ran is not running.
+    /// Returns whether a replica that has been running is not running.
     pub fn is_incomplete(&self) -> bool {
         matches!(self, Self::Incomplete { .. })
     }
 }
 
-/// Room on a host that is kept for a replica that may be lost.
+/// Capacity of a host reserved for a replica that may be lost.
 #[derive(Clone, Debug)]
 pub(crate) struct ReservedCapacity {
-    /// Where.
+    /// Host on which the capacity is reserved.
     pub host: HostId,
-    /// How much.
+    /// Resources of the replica.
     pub each: Resources,
 }
 
-/// What is kept, and what waits.
+/// Reserved capacity and blocked replicas of a partition.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaRecovery {
-    /// Capacity that lesser work does not get.
+    /// Capacity that lower-priority work may not use.
     pub reserved: Vec<ReservedCapacity>,
-    /// When the choice is made anew.
+    /// Time at which the reserved capacity is chosen again.
     pub until: Micros,
-    /// Replicas that have found no room because of lesser work started since.
+    /// Replicas that did not fit because of lower-priority work started after the loss.
     pub overtaken: BTreeSet<TaskId>,
 }
 
--- a/crates/jasperhill-scheduler/src/reservation_window.rs
+++ b/crates/jasperhill-scheduler/src/reservation_window.rs
@@ -1,23 +1,29 @@
-//! When a team's limit is reserved for its gangs, and when not. Pure; every change goes through
+//! Time windows in which a team's limit is reserved for its gangs.
+//!
+//! [`ReservationWindow`] does no I/O and reads no clock; every change goes through
 //! [`ReservationWindow::apply`].
 
 use jasperhill_wire::Micros;
 
-/// How long gangs of a team may keep others of the team from its limit without a pause ...
-const RESERVED_MAX: Micros = Micros::from_secs(40);
-/// ... and how long the pause is. Together shorter than any job may wait beside room.
+/// Maximum time for which gangs of a team may keep the team's other work from its limit without a
+/// pause.
+const MAX_RESERVATION: Micros = Micros::from_secs(40);
+/// Pause between two reservations. [`MAX_RESERVATION`] and the pause together are shorter than the time for
+/// which a job may wait although there is free capacity.
 const PAUSE: Micros = Micros::from_secs(20);
 
-/// When a team's limit is reserved for its gangs. Guards against other work of the team that waits
-/// beside room for as long as a gang does.
+/// Alternating reservation and pause for the gangs of one team. Without the pause, the team's other work
+/// would wait next to free capacity for as long as a gang waits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservationWindow {
+    /// Start of the current reservation period.
     since: Micros,
+    /// Time at which a reservation was last allowed.
     last_used: Micros,
 }
 
 impl ReservationWindow {
-    /// One that begins now.
+    /// Creates a window whose reservation period begins now.
     pub fn new(now: Micros) -> Self {
         Self {
             since: now,
@@ -25,12 +31,13 @@
         }
     }
 
-    /// Whether something may be reserved now; the one function that changes it.
+    /// Returns whether the team's limit may be reserved now, and starts a new period when the previous
+    /// one is over or unused. Nothing else changes the window.
     pub fn apply(&mut self, now: Micros) -> bool {
-        if now - self.since >= RESERVED_MAX + PAUSE || now - self.last_used >= PAUSE {
+        if now - self.since >= MAX_RESERVATION + PAUSE || now - self.last_used >= PAUSE {
             self.since = now;
         }
-        let is_open = now - self.since < RESERVED_MAX;
+        let is_open = now - self.since < MAX_RESERVATION;
         if is_open {
             self.last_used = now;
         }
--- a/crates/jasperhill-scheduler/src/schedule_simulation/tests.rs
+++ b/crates/jasperhill-scheduler/src/schedule_simulation/tests.rs
@@ -12,16 +12,19 @@
 }
 
 #[test]
-fn two_at_a_time_meet_what_one_at_a_time_misses() {
+fn concurrent_tasks_meet_deadlines_that_sequential_tasks_miss() {
     let queue = [reservation(10, 10), reservation(10, 10)];
-    let one = Resources::from_units(1.0, 1.0, 1.0);
-    assert_eq!(count_missed(Micros::ZERO, one, &[], &queue), 1);
-    assert_eq!(count_missed(Micros::ZERO, one.times(2), &[], &queue), 0);
+    let single_capacity = Resources::from_units(1.0, 1.0, 1.0);
+    assert_eq!(count_missed(Micros::ZERO, single_capacity, &[], &queue), 1);
+    assert_eq!(
+        count_missed(Micros::ZERO, single_capacity.times(2), &[], &queue),
+        0
+    );
 }
 
 #[test]
-fn what_never_ends_is_never_waited_for() {
-    let held = Occupied {
+fn misses_when_capacity_is_held_forever() {
+    let occupied = Occupied {
         until: Micros::MAX,
         each: Resources::from_units(1.0, 1.0, 1.0),
     };
@@ -29,7 +32,7 @@
         count_missed(
             Micros::ZERO,
             Resources::default(),
-            &[held],
+            &[occupied],
             &[reservation(1000, 1)]
         ),
         1
@@ -43,14 +46,14 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn queues_stay_in_deadline_order_and_alone_nobody_waits(
+    fn queue_stays_sorted_and_only_overlong_tasks_miss_without_contention(
         items in proptest::collection::vec((1u64..300, 1u64..60), 1..30)
     ) {
         let mut queue = Vec::new();
-        for (d, e) in &items { insert_by_deadline(&mut queue, reservation(*d, *e)); }
+        for (deadline, estimate) in &items { insert_by_deadline(&mut queue, reservation(*deadline, *estimate)); }
         prop_assert!(queue.windows(2).all(|w| w[0].adjusted_deadline <= w[1].adjusted_deadline));
-        let wide = Resources::from_units(1.0, 1.0, 1.0).times(items.len() as u64);
-        let alone = items.iter().filter(|(d, e)| e > d).count();
-        prop_assert_eq!(count_missed(Micros::ZERO, wide, &[], &queue), alone);
+        let capacity_for_all = Resources::from_units(1.0, 1.0, 1.0).times(items.len() as u64);
+        let overlong = items.iter().filter(|(deadline, estimate)| estimate > deadline).count();
+        prop_assert_eq!(count_missed(Micros::ZERO, capacity_for_all, &[], &queue), overlong);
     }
 }
--- a/crates/jasperhill-scheduler/src/starvation.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -1,61 +1,67 @@
-//! Minimum shares: no class of jobs, no size of jobs within a class and no team starves for as long
-//! as others bring more important work, or more of it. Owns what has begun lately, by group; every
-//! change goes through [`StarvationGuard::apply`].
+//! Starvation prevention by minimum shares of started jobs.
 //!
-//! Which of two classes comes first is up to priorities and deadlines as long as both get on. A
-//! group of which less than the minimum share has begun is *starved*: of its jobs that have waited
-//! for too long the oldest few are boosted, before all work but production, until their first task
-//! starts. Nothing is stopped for them.
+//! No class of jobs, no job size within a class and no team may starve while others submit more
+//! important work, or more of it. [`StarvationGuard`] counts the recently started jobs by [`Group`];
+//! every change goes through [`StarvationGuard::apply`].
 //!
-//! Sizes count by themselves because a class whose small jobs start one after another has its share,
-//! while its large ones, which are harder to place, may wait behind them without end.
+//! Priorities and deadlines order the jobs as long as every group makes progress. A group with less
+//! than the minimum share of its jobs started is starved: among its jobs that have waited for too long,
+//! the oldest few are boosted ahead of all work except production until their first task starts. No
+//! running task is stopped for them.
+//!
+//! Job sizes are counted separately: a class whose small jobs start one after another reaches its
+//! share, while its large jobs, which are harder to place, could wait behind them without end.
 
 use jasperhill_wire::{JobId, Micros, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What has begun counts less and less.
-const MEMORY: Micros = Micros::from_secs(300);
-/// Fewer jobs than this that wait for too long don't put anybody behind.
-const FEW: usize = 2;
-/// How long a job must have waited, at the least, and so many times what its objective says.
+/// Time constant of the exponential decay of the number of started jobs.
+const DECAY_TIME: Micros = Micros::from_secs(300);
+/// Minimum number of jobs waiting for too long for a group to count as starved.
+const MIN_LONG_WAITING: usize = 2;
+/// Minimum time after which a job has waited for too long.
 const LONG_WAIT: Micros = Micros::from_secs(45);
-const LONG_WAIT_TIMES: f64 = 3.0;
-/// Turns of one class or team at a time: one, and one more for each so many that wait. Guards
-/// against a gang that gathers its machines, or can't, and holds up all behind it.
-const WAITING_PER_BOOST: usize = 4;
-const BOOSTED_MAX: usize = 4;
-/// A job that is alone of its size has waited for too long after so many times as long: a few in
-/// its class may still be what others of the class are.
-const LONG_WAIT_TIMES_ALONE: f64 = 2.0;
-/// How often who is behind is found out.
-const EVALUATE_EVERY: Micros = Micros::from_secs(1);
-/// Groups that are remembered.
-const GROUPS_MAX: usize = 1_000;
-
-/// Whose floor it is.
+/// Multiple of a class's start objective after which a job has waited for too long.
+const LONG_WAIT_FACTOR: f64 = 3.0;
+/// Number of waiting jobs in a group per additional boosted job. One job is always boosted; with more
+/// boosted jobs, a gang that is still collecting its machines, or never gets them, does not block all
+/// jobs behind it.
+const WAITING_PER_EXTRA_BOOST: usize = 4;
+/// Maximum number of boosted jobs per group.
+const MAX_BOOSTED: usize = 4;
+/// Multiple of the long wait after which a single job makes its size group count as starved. It is
+/// longer because with few jobs of a size the long wait may be no different from the rest of the class.
+const SINGLE_JOB_WAIT_FACTOR: f64 = 2.0;
+/// Interval between two evaluations of the groups.
+const EVALUATION_INTERVAL: Micros = Micros::from_secs(1);
+/// Maximum number of groups for which started jobs are counted.
+const MAX_GROUPS: usize = 1_000;
+
+/// Group of jobs that is guaranteed a minimum share.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Group {
     /// All jobs of a class.
     Class(Name),
     /// All jobs of a team.
     Team(Name),
-    /// The jobs of a class that have about as many tasks.
+    /// Jobs of a class with a similar number of tasks.
     Size(Name, SizeBucket),
 }
 
-/// Jobs from so many tasks up to twice as many, exclusively: the binary logarithm.
+/// Range of task counts from a power of two up to, but excluding, the next one; holds the binary
+/// logarithm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SizeBucket(u32);
 
 impl SizeBucket {
-    /// The one of a job with so many tasks.
+    /// Returns the bucket of a job with this number of tasks.
     pub fn of(tasks: u32) -> Self {
         Self(tasks.max(1).ilog2())
     }
 }
 
 impl Group {
-    /// Those that a job belongs to.
+    /// Returns all groups that a job belongs to.
     pub fn all_of(class: &Name, team: &Name, tasks: u32) -> [Self; 3] {
         [
             Self::Class(class.clone()),
@@ -65,80 +71,88 @@
     }
 }
 
-/// A job that could start, and has nothing running.
+/// A job that may start and has no running task.
 #[derive(Clone, Debug)]
 pub struct WaitingJob<'a> {
     /// The job.
     pub id: &'a JobId,
-    /// Those of its groups that it keeps waiting for others.
+    /// Groups in which the wait of this job counts.
     pub groups: Vec<Group>,
-    /// Since when it has nothing running.
+    /// Time since which the job has had no running task.
     pub since: Micros,
-    /// Within what time its objective wants it begun.
+    /// Start delay that the objective of its class allows.
     pub within: Micros,
 }
 
 impl WaitingJob<'_> {
+    /// Returns the time after which the job has waited for too long.
     fn long_wait(&self) -> Micros {
-        LONG_WAIT.max(self.within.scale(LONG_WAIT_TIMES))
+        LONG_WAIT.max(self.within.scale(LONG_WAIT_FACTOR))
     }
-    fn is_long(&self, now: Micros) -> bool {
+    /// Returns whether the job has waited for too long.
+    fn has_waited_too_long(&self, now: Micros) -> bool {
         now - self.since > self.long_wait()
     }
-    fn is_long_alone(&self, now: Micros) -> bool {
-        now - self.since > self.long_wait().scale(LONG_WAIT_TIMES_ALONE)
+    /// Returns whether the job has waited for so long that it alone makes its size group starved.
+    fn has_starved_alone(&self, now: Micros) -> bool {
+        now - self.since > self.long_wait().scale(SINGLE_JOB_WAIT_FACTOR)
     }
 }
 
-/// What changes it.
+/// Event that changes the starvation state.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// The first task of a job starts, after it had waited.
+    /// The first task of a waiting job starts.
     Begun {
         /// The job.
         id: &'a JobId,
-        /// Its class.
+        /// Class of the job.
         class: &'a Name,
-        /// Its team.
+        /// Team of the job.
         team: &'a Name,
-        /// How many tasks it has.
+        /// Number of tasks of the job.
         tasks: u32,
     },
-    /// All that waits now, for a look around.
+    /// All groups are evaluated with these waiting jobs.
     Evaluate(&'a [WaitingJob<'a>]),
 }
 
-/// Of one class or team.
+/// Share of started jobs of one group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedShare {
-    /// The part of its jobs that has begun, of those that have begun lately or wait for too long.
+    /// Jobs started recently, as a fraction of these and the jobs that have waited for too long.
     pub share: f64,
-    /// Those that wait for too long.
+    /// Number of jobs that have waited for too long.
     pub waiting: usize,
-    /// They are enough, or have waited for long enough, to starve.
-    counts: bool,
+    /// Whether the waiting jobs are enough, or one has waited for long enough, for the group to count
+    /// as starved.
+    is_significant: bool,
 }
 
 impl ServedShare {
-    fn is_below(&self, least: f64) -> bool {
-        self.counts && self.share < least
+    /// Returns whether the group is starved with this minimum share.
+    fn is_starved(&self, min_share: f64) -> bool {
+        self.is_significant && self.share < min_share
     }
 }
 
-/// What share of each class's and team's jobs has begun, and which jobs go first for it.
+/// Shares of started jobs by group, and the jobs that are boosted because their group is starved.
 #[derive(Clone, Debug, Default)]
 pub struct StarvationGuard {
-    /// How many jobs have begun lately, and as of when.
-    begun: BTreeMap<Group, (f64, Micros)>,
-    standing: BTreeMap<Group, ServedShare>,
+    /// Decayed number of started jobs by group, and the time up to which it has been decayed.
+    started: BTreeMap<Group, (f64, Micros)>,
+    /// Shares found in the last evaluation, for groups with jobs that have waited for too long.
+    group_shares: BTreeMap<Group, ServedShare>,
+    /// Jobs that are scheduled ahead of all work except production.
     boosted: BTreeSet<JobId>,
-    /// When it last looked around.
-    looked: Option<Micros>,
+    /// Time of the last evaluation; `None` before the first.
+    last_evaluated: Option<Micros>,
 }
 
 impl StarvationGuard {
-    /// The one function that changes it. `least`: the floor; 0: none.
-    pub fn apply(&mut self, input: Input<'_>, least: f64, now: Micros) {
+    /// Applies an event; nothing else changes the state. `min_share` is the minimum share; with 0 no group
+    /// is starved.
+    pub fn apply(&mut self, input: Input<'_>, min_share: f64, now: Micros) {
         match input {
             Input::Begun {
                 id,
@@ -148,81 +162,94 @@
             } => {
                 self.boosted.remove(id);
                 for group in Group::all_of(class, team, tasks) {
-                    self.count_begun(group, now);
+                    self.count_started(group, now);
                 }
             }
-            Input::Evaluate(waiting) => self.look(waiting, least, now),
+            Input::Evaluate(waiting) => self.evaluate(waiting, min_share, now),
         }
     }
 
-    fn count_begun(&mut self, group: Group, now: Micros) {
-        if self.begun.len() >= GROUPS_MAX && !self.begun.contains_key(&group) {
-            self.begun.retain(|_, (_, at)| now - *at < MEMORY);
-            if self.begun.len() >= GROUPS_MAX {
+    /// Counts one started job of a group.
+    fn count_started(&mut self, group: Group, now: Micros) {
+        if self.started.len() >= MAX_GROUPS && !self.started.contains_key(&group) {
+            self.started.retain(|_, (_, at)| now - *at < DECAY_TIME);
+            if self.started.len() >= MAX_GROUPS {
                 return;
             }
         }
-        let known = self.begun.entry(group).or_insert((0.0, now));
-        *known = (faded(*known, now) + 1.0, now);
+        let entry = self.started.entry(group).or_insert((0.0, now));
+        *entry = (decayed(*entry, now) + 1.0, now);
     }
 
-    fn look(&mut self, waiting: &[WaitingJob<'_>], least: f64, now: Micros) {
-        self.looked = Some(now);
-        self.standing.clear();
+    /// Recomputes the shares and the boosted jobs.
+    fn evaluate(&mut self, waiting: &[WaitingJob<'_>], min_share: f64, now: Micros) {
+        self.last_evaluated = Some(now);
+        self.group_shares.clear();
         self.boosted.clear();
-        let mut long: BTreeMap<Group, Vec<&WaitingJob<'_>>> = BTreeMap::new();
-        for job in waiting.iter().filter(|w| w.is_long(now)) {
+        let mut long_waiting: BTreeMap<Group, Vec<&WaitingJob<'_>>> = BTreeMap::new();
+        for job in waiting.iter().filter(|w| w.has_waited_too_long(now)) {
             for group in &job.groups {
-                long.entry(group.clone()).or_default().push(job);
+                long_waiting.entry(group.clone()).or_default().push(job);
             }
         }
-        for (group, jobs) in &long {
-            let begun = self.begun.get(group).map_or(0.0, |b| faded(*b, now));
-            let all = begun + jobs.len() as f64;
-            let share = begun / all.max(1.0);
+        for (group, jobs) in &long_waiting {
+            let started = self.started.get(group).map_or(0.0, |b| decayed(*b, now));
+            let total = started + jobs.len() as f64;
+            let share = started / total.max(1.0);
             let waiting = jobs.len();
             let is_size = matches!(group, Group::Size(..));
-            let counts = waiting >= FEW || is_size && jobs.iter().any(|j| j.is_long_alone(now));
+            let is_significant = waiting >= MIN_LONG_WAITING
+                || is_size && jobs.iter().any(|j| j.has_starved_alone(now));
             let served = ServedShare {
                 share,
                 waiting,
-                counts,
+                is_significant,
             };
-            self.standing.insert(group.clone(), served);
-            if served.is_below(least) {
+            self.group_shares.insert(group.clone(), served);
+            if served.is_starved(min_share) {
                 let mut oldest: Vec<_> = jobs.iter().map(|w| (w.since, w.id)).collect();
                 oldest.sort();
-                let turns = (1 + waiting / WAITING_PER_BOOST).min(BOOSTED_MAX);
-                self.boosted
-                    .extend(oldest.into_iter().take(turns).map(|(_, id)| id.clone()));
+                let boost_count = (1 + waiting / WAITING_PER_EXTRA_BOOST).min(MAX_BOOSTED);
+                self.boosted.extend(
+                    oldest
+                        .into_iter()
+                        .take(boost_count)
+                        .map(|(_, id)| id.clone()),
+                );
             }
         }
     }
 
-    /// It goes before all work but production.
+    /// Returns whether a job goes ahead of all work except production.
     pub fn is_boosted(&self, id: &JobId) -> bool {
         self.boosted.contains(id)
     }
 
-    /// Time to look around again. Not with every cycle: what waits may be thousands of jobs.
+    /// Returns whether the groups should be evaluated. This is not done in every cycle because
+    /// thousands of jobs may be waiting.
     pub fn is_due(&self, now: Micros) -> bool {
-        self.looked.is_none_or(|t| now - t >= EVALUATE_EVERY)
+        self.last_evaluated
+            .is_none_or(|t| now - t >= EVALUATION_INTERVAL)
     }
 
-    /// Those that get turns.
-    pub fn starved(&self, least: f64) -> BTreeSet<Group> {
-        let groups = self.standing.iter().filter(|(_, s)| s.is_below(least));
+    /// Returns the starved groups, whose longest-waiting jobs are boosted.
+    pub fn starved(&self, min_share: f64) -> BTreeSet<Group> {
+        let groups = self
+            .group_shares
+            .iter()
+            .filter(|(_, s)| s.is_starved(min_share));
         groups.map(|(g, _)| g.clone()).collect()
     }
 
-    /// Those of whose jobs some wait for too long.
+    /// Returns the shares of the groups with jobs that have waited for too long.
     pub fn shares(&self) -> &BTreeMap<Group, ServedShare> {
-        &self.standing
+        &self.group_shares
     }
 }
 
-fn faded((count, at): (f64, Micros), now: Micros) -> f64 {
-    count * (-(now - at).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+/// Returns a count decayed from its time to `now`.
+fn decayed((count, at): (f64, Micros), now: Micros) -> f64 {
+    count * (-(now - at).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
 }
 
 #[cfg(test)]
--- a/crates/jasperhill-scheduler/src/task_set.rs
+++ b/crates/jasperhill-scheduler/src/task_set.rs
@@ -1,4 +1,4 @@
-//! The set of a job's finished tasks, compact in memory and in its record.
+//! Set of a job's tasks, as a bit set in memory and as run lengths in the job's record.
 
 /// A set of a job's tasks, by their indices.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -9,7 +9,7 @@
 }
 
 impl TaskSet {
-    /// None of `len` tasks.
+    /// Creates an empty set for a job with `len` tasks.
     pub fn new(len: u32) -> Self {
         Self {
             words: vec![0; len.div_ceil(64) as usize],
@@ -17,11 +17,11 @@
             count: 0,
         }
     }
-    /// Whether task `i` is in the set.
+    /// Returns whether task `i` is in the set.
     pub fn contains(&self, i: u32) -> bool {
         i < self.len && self.words[(i / 64) as usize] >> (i % 64) & 1 == 1
     }
-    /// True if it was not in the set.
+    /// Adds task `i`. Returns whether it was added; `false` if it was in the set or out of range.
     pub fn insert(&mut self, i: u32) -> bool {
         if i >= self.len || self.contains(i) {
             return false;
@@ -30,19 +30,19 @@
         self.count += 1;
         true
     }
-    /// How many tasks are in the set.
+    /// Returns the number of tasks in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
-    /// All tasks are in the set.
+    /// Returns whether all tasks are in the set.
     pub fn is_full(&self) -> bool {
         self.count == self.len
     }
 
-    /// Alternating lengths of runs outside and inside the set, beginning outside; at most
-    /// `most` numbers. What is cut off counts as unfinished: such a task is started again
-    /// and its kept result ends it at once.
-    pub fn to_runs(&self, most: usize) -> Vec<u32> {
+    /// Returns the alternating lengths of runs outside and inside the set, beginning outside, as at
+    /// most `max_runs` numbers. Tasks beyond these count as unfinished: they are started again, and
+    /// their kept results end them immediately.
+    pub fn to_runs(&self, max_runs: usize) -> Vec<u32> {
         let mut runs = Vec::new();
         let (mut inside, mut start) = (false, 0);
         for i in 0..self.len {
@@ -54,22 +54,23 @@
         if inside {
             runs.push(self.len - start);
         }
-        runs.truncate(most / 2 * 2);
+        runs.truncate(max_runs / 2 * 2);
         runs
     }
 
-    /// Reads what [`Self::to_runs`] gives; anything beyond `len` is ignored.
+    /// Creates a set for `len` tasks from the run lengths of [`Self::to_runs`]. Tasks beyond `len` are
+    /// ignored.
     pub fn from_runs(len: u32, runs: &[u32]) -> Self {
         let mut set = Self::new(len);
-        let (mut at, mut inside) = (0u32, false);
+        let (mut position, mut inside) = (0u32, false);
         for run in runs {
-            let end = at.saturating_add(*run).min(len);
+            let end = position.saturating_add(*run).min(len);
             if inside {
-                (at..end).for_each(|i| {
+                (position..end).for_each(|i| {
                     set.insert(i);
                 });
             }
-            (at, inside) = (end, !inside);
+            (position, inside) = (end, !inside);
         }
         set
     }
