--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -1,6 +1,6 @@
-//! What a cycle costs at the size of a partition of the largest fleet, and how that grows when
-//! machines and waiting jobs are doubled and doubled again. It must grow no faster than both
-//! together.
+//! Benchmark of a scheduling cycle at the size of a partition of the largest fleet, and with two
+//! and four times as many machines and waiting jobs. The cost must grow no faster than machines and
+//! jobs together.
 //!
 //! `cargo bench -p jasperhill-scheduler --bench pass`
 
@@ -19,7 +19,7 @@
 use std::{collections::BTreeMap, hint::black_box, rc::Rc};
 
 const NOW: Micros = Micros::from_secs(10_000);
-/// A third of the largest fleet.
+/// Number of hosts: a third of the largest fleet.
 const HOSTS: u64 = 450;
 
 #[derive(Clone, Copy)]
@@ -74,8 +74,8 @@
     part.hosts.keys().cloned().collect()
 }
 
-/// Everything that was told to run is reported as running.
-fn report_all(part: &mut Partition, counter: u64) {
+/// Sends a heartbeat of every host that reports all its tasks as running.
+fn report_all(part: &mut Partition, sequence: u64) {
     for id in hosts(part) {
         let host = &part.hosts[&id];
         let tasks = host.tasks.iter().map(|(task, t)| TaskStatus {
@@ -90,7 +90,7 @@
             zone: host.zone.clone(),
             spot: host.spot,
             incarnation: 1,
-            sequence: counter,
+            sequence,
             token: FencingToken(5),
             termination_notice: None,
             tasks: tasks.collect(),
@@ -100,7 +100,7 @@
     }
 }
 
-fn machines(count: u64) -> Partition {
+fn partition_with_hosts(count: u64) -> Partition {
     let zones: Vec<Name> = ["a", "b", "c"].map(Name::from).into();
     let spec = Rc::new(MachineSpec {
         machine_type: "box".into(),
@@ -151,15 +151,15 @@
     }
 }
 
-/// Machines that are nearly full, and as many jobs again as a fifth of them waiting.
-fn full(scale: u64) -> Partition {
-    let mut part = machines(HOSTS * scale);
+/// Returns a partition with nearly full machines and, per machine, a fifth of a job that waits.
+fn nearly_full(scale: u64) -> Partition {
+    let mut part = partition_with_hosts(HOSTS * scale);
     submit(&mut part, Kind::Service, 0, 120 * scale);
     submit(&mut part, Kind::Gang, 0, 100 * scale);
     submit(&mut part, Kind::Array, 0, 60 * scale);
-    for counter in 2..6 {
+    for sequence in 2..6 {
         part.run_cycle(NOW);
-        report_all(&mut part, counter);
+        report_all(&mut part, sequence);
     }
     submit(&mut part, Kind::Gang, 10_000, 60 * scale);
     submit(&mut part, Kind::Array, 10_000, 30 * scale);
@@ -169,20 +169,20 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "one measured setting after another")]
-fn passes(c: &mut Criterion) {
+fn cycle_benchmarks(c: &mut Criterion) {
     let mut group = c.benchmark_group("pass");
     group.sample_size(10);
     for scale in [1, 2, 4] {
         group.throughput(Throughput::Elements(HOSTS * scale));
-        // Nothing can start: what every change costs while work waits behind a full fleet.
-        let mut waiting = full(scale);
+        // No task can start: the cost of every change while jobs wait for a full fleet.
+        let mut waiting = nearly_full(scale);
         group.bench_function(BenchmarkId::new("work waits", HOSTS * scale), |b| {
             b.iter(|| waiting.run_cycle(black_box(NOW)));
         });
-        // A third of the machines fail in one moment: the cycle that follows.
+        // The cycle after a third of the machines have failed at the same time.
         group.bench_function(BenchmarkId::new("a third is lost", HOSTS * scale), |b| {
-            let lost = || {
-                let mut part = full(scale);
+            let after_loss = || {
+                let mut part = nearly_full(scale);
                 for id in hosts(&part).iter().step_by(3) {
                     part.apply(id, HostInput::Gone, NOW);
                 }
@@ -192,15 +192,15 @@
                 part.run_cycle(black_box(NOW));
                 part
             };
-            b.iter_batched(lost, cycle, BatchSize::PerIteration);
+            b.iter_batched(after_loss, cycle, BatchSize::PerIteration);
         });
-        // A takeover of this many machines: all their heartbeats, and the cycle that follows.
+        // The takeover of this many machines: all their heartbeats, and the cycle that follows.
         group.bench_function(BenchmarkId::new("taken over", HOSTS * scale), |b| {
-            let known = full(scale);
-            let reports: Vec<Heartbeat> = hosts(&known)
+            let before_takeover = nearly_full(scale);
+            let reports: Vec<Heartbeat> = hosts(&before_takeover)
                 .into_iter()
                 .map(|id| {
-                    let host = &known.hosts[&id];
+                    let host = &before_takeover.hosts[&id];
                     let tasks = host.tasks.iter().map(|(task, t)| TaskStatus {
                         task: task.clone(),
                         attempt: t.attempt,
@@ -220,11 +220,18 @@
                     }
                 })
                 .collect();
-            let requests: Vec<_> = known.jobs.values().map(|j| j.request.clone()).collect();
-            let begin = || {
-                let (config, specs) = (known.config.clone(), known.specs.clone());
+            let requests: Vec<_> = before_takeover
+                .jobs
+                .values()
+                .map(|j| j.request.clone())
+                .collect();
+            let new_partition = || {
+                let (config, specs) = (
+                    before_takeover.config.clone(),
+                    before_takeover.specs.clone(),
+                );
                 let mut part = Partition::new(0, Revision(9), config, specs);
-                for (id, host) in &known.hosts {
+                for (id, host) in &before_takeover.hosts {
                     let record = HostRecord {
                         assignment: HostAssignment::Partition(0),
                         address: host.address.clone(),
@@ -240,18 +247,18 @@
                 }
                 part
             };
-            let take = |mut part: Partition| {
+            let process_takeover = |mut part: Partition| {
                 for report in &reports {
                     part.on_heartbeat(report, HeartbeatSource::Direct, NOW);
                 }
                 part.run_cycle(black_box(NOW));
                 part
             };
-            b.iter_batched(begin, take, BatchSize::PerIteration);
+            b.iter_batched(new_partition, process_takeover, BatchSize::PerIteration);
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, passes);
+criterion_group!(benches, cycle_benchmarks);
 criterion_main!(benches);
--- a/crates/jasperhill-scheduler/src/autoscaler/tests.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler/tests.rs
@@ -3,8 +3,8 @@
 use jasperhill_wire::Resources;
 use std::rc::Rc;
 
-/// Arrivals are counted only from some time after the first submission. The rate is too low if it is
-/// computed over the time before that as well.
+/// Arrivals are counted only from some time after the first submission. The rate is too low if it
+/// is computed over the time before that as well.
 #[test]
 fn ignores_backlog_and_forecasts_after_few_arrivals() {
     let text = r#"{"uid":"job-1","jobclass":"c","tenant":"red","shape":"ensemble","urgency":"urgent",
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -1,7 +1,7 @@
 //! Scheduler configuration from the settings, and the machine types that the cloud offers.
 //!
-//! [`SchedulerConfig`] holds team limits, worker timings and [`Tuning`]; [`Specs`] holds the machine
-//! types. [`impossible`] checks a job against both.
+//! [`SchedulerConfig`] holds team limits, worker timings and [`Tuning`]; [`Specs`] holds the
+//! machine types. [`impossible`] checks a job against both.
 
 use jasperhill_wire::{
     Micros, Name, Resources,
@@ -50,8 +50,8 @@
     pub idle_keep: Micros,
     /// Minimum number of machines in the deployment, kept even without work.
     pub min_machines: u32,
-    /// Minimum share of jobs started, from 0 to 1: the longest-waiting jobs of a class or team below
-    /// it go first. 0 turns this off.
+    /// Minimum share of jobs started, from 0 to 1: the longest-waiting jobs of a class or team
+    /// below it go first. 0 turns this off.
     pub least_share: f64,
 }
 
@@ -217,8 +217,8 @@
     None
 }
 
-/// Returns the estimated time to download an image of `gb` gigabytes to a machine that has not cached
-/// it.
+/// Returns the estimated time to download an image of `gb` gigabytes to a machine that has not
+/// cached it.
 pub fn fetch_time(gb: f64, spec: &MachineSpec) -> Micros {
     Micros::from_secs_f64(gb / spec.fetch_gb_per_s.max(1e-6))
 }
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -15,8 +15,8 @@
     Ready,
     /// At least one job that it depends on is not done.
     Waiting,
-    /// A job that it depends on, directly or indirectly, is cancelled; the job is cancelled too, which
-    /// is final.
+    /// A job that it depends on, directly or indirectly, is cancelled; the job is cancelled too,
+    /// which is final.
     Doomed,
 }
 
@@ -116,8 +116,8 @@
     urgency: Option<JobUrgency>,
 }
 
-/// Maximum number of steps for which one event propagates urgency. Stopping early is harmless because
-/// urgency only affects the order of jobs.
+/// Maximum number of steps for which one event propagates urgency. Stopping early is harmless
+/// because urgency only affects the order of jobs.
 const MAX_PROPAGATION_STEPS: usize = 4_000;
 /// Maximum number of jobs visited for one estimate.
 const MAX_JOBS_VISITED: usize = 2_000;
@@ -150,8 +150,8 @@
         self.nodes.get(id).is_some_and(|n| !n.dependents.is_empty())
     }
 
-    /// Returns the jobs that are cancelled because of a dependency while their own records do not say
-    /// so yet.
+    /// Returns the jobs that are cancelled because of a dependency while their own records do not
+    /// say so yet.
     pub fn cancelled_upstream(&self) -> impl Iterator<Item = &JobId> {
         self.upstream_cancelled.iter()
     }
@@ -165,21 +165,22 @@
                 needs,
                 terms,
                 fate,
-            } => self.accepted(id, needs, terms, fate, &mut outputs),
-            Input::Ended { id, done } => self.ended(id, done, &mut outputs),
+            } => self.add_job(id, needs, terms, fate, &mut outputs),
+            Input::Ended { id, done } => self.remove_job(id, done, &mut outputs),
         }
         outputs
     }
 
-    fn accepted(
+    /// Adds an unfinished job whose record is seen for the first time.
+    fn add_job(
         &mut self,
         id: &JobId,
-        needs: &[JobId],
+        dependencies: &[JobId],
         urgency: JobUrgency,
         recorded_outcome: &dyn Fn(&JobId) -> RecordedOutcome,
         outputs: &mut Vec<Output>,
     ) {
-        if needs.is_empty() {
+        if dependencies.is_empty() {
             if let Some(node) = self.nodes.get_mut(id) {
                 node.urgency = Some(urgency);
             }
@@ -188,7 +189,7 @@
         let mut upstream_cancelled = false;
         let mut unfinished_dependencies = BTreeSet::new();
         // A job cannot depend on itself: only jobs accepted earlier can be named.
-        for dependency in needs.iter().filter(|n| *n != id) {
+        for dependency in dependencies.iter().filter(|n| *n != id) {
             match recorded_outcome(dependency) {
                 RecordedOutcome::Done => {}
                 RecordedOutcome::Cancelled => upstream_cancelled = true,
@@ -210,7 +211,8 @@
         }
     }
 
-    fn ended(&mut self, id: &JobId, done: bool, outputs: &mut Vec<Output>) {
+    /// Removes a job whose record has become final.
+    fn remove_job(&mut self, id: &JobId, done: bool, outputs: &mut Vec<Output>) {
         self.upstream_cancelled.remove(id);
         let Some(node) = self.nodes.remove(id) else {
             return;
@@ -293,8 +295,8 @@
         }
     }
 
-    /// Recomputes the inherited urgency of a job and of its dependencies after one of its dependents
-    /// has ended, and removes nodes without dependencies and dependents.
+    /// Recomputes the inherited urgency of a job and of its dependencies after one of its
+    /// dependents has ended, and removes nodes without dependencies and dependents.
     fn recompute_urgency(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
         let mut next = vec![id.clone()];
         let mut steps = 0;
@@ -327,16 +329,16 @@
         }
     }
 
-    /// Returns the expected time until all jobs in `needs` are done. `remaining_time` returns how
+    /// Returns the expected time until all `jobs` are done. `remaining_time` returns how
     /// long a job still takes once it may run. The search stops at a fixed number of jobs, and the
     /// result then covers only the jobs visited.
     pub fn time_until_ready(
         &self,
-        needs: &[JobId],
+        jobs: &[JobId],
         remaining_time: impl Fn(&JobId) -> Micros,
     ) -> Micros {
         let mut completion_times: HashMap<&JobId, Micros> = HashMap::new();
-        let mut next: Vec<(&JobId, bool)> = needs.iter().map(|n| (n, false)).collect();
+        let mut next: Vec<(&JobId, bool)> = jobs.iter().map(|n| (n, false)).collect();
         let mut visited = 0;
         while let Some((id, is_expanded)) = next.pop() {
             if completion_times.contains_key(id) {
@@ -359,7 +361,7 @@
             let ready_in = dependency_times.copied().max().unwrap_or_default();
             completion_times.insert(id, ready_in + remaining_time(id));
         }
-        let times = needs.iter().filter_map(|n| completion_times.get(n));
+        let times = jobs.iter().filter_map(|n| completion_times.get(n));
         times.copied().max().unwrap_or_default()
     }
 }
--- a/crates/jasperhill-scheduler/src/dependencies/tests.rs
+++ b/crates/jasperhill-scheduler/src/dependencies/tests.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Generates a valid history: jobs depend on earlier jobs only, end once, and are done only after they
-/// were ready.
+/// Generates a valid history: jobs depend on earlier jobs only, end once, and are done only after
+/// they were ready.
 fn history() -> impl Strategy<Value = Vec<Event>> {
     proptest::collection::vec((any::<u8>(), any::<u16>(), any::<u16>()), 1..60).prop_map(|steps| {
         let (mut reference, mut events) = (Reference::default(), Vec::new());
@@ -153,9 +153,9 @@
         cases: 400,
         ..ProptestConfig::default()
     })]
-    /// Compares the graph with the reference implementation for arbitrary histories. Whatever the order
-    /// in which the records are seen, every unfinished job has the expected state, and no node of an
-    /// ended job is kept.
+    /// Compares the graph with the reference implementation for arbitrary histories. Whatever the
+    /// order in which the records are seen, every unfinished job has the expected state, and no
+    /// node of an ended job is kept.
     #[test]
     fn state_matches_reference_in_any_record_order(
         events in history(),
@@ -217,8 +217,8 @@
     })
 }
 
-/// A recursive implementation overflows the stack on deep chains. A chain, a fan-out and a fan-in are
-/// cancelled completely by one event.
+/// A recursive implementation overflows the stack on deep chains. A chain, a fan-out and a fan-in
+/// are cancelled completely by one event.
 #[test]
 fn cancels_deep_chains_and_wide_fans_completely() {
     let mut graph = DependencyGraph::default();
--- a/crates/jasperhill-scheduler/src/failures.rs
+++ b/crates/jasperhill-scheduler/src/failures.rs
@@ -1,23 +1,23 @@
 //! Attribution of task failures to hosts or to jobs.
 //!
-//! A host is blamed for tasks that fail on it and succeed elsewhere, a job for failures on hosts that
-//! run other jobs successfully. A job that fails wherever it runs was submitted with a mistake: it
-//! backs off, which means that it runs one task at a time after increasing delays until its user
-//! cancels it, and its failures do not count against hosts. Every change goes through
+//! A host is blamed for tasks that fail on it and succeed elsewhere, a job for failures on hosts
+//! that run other jobs successfully. A job that fails wherever it runs was submitted with a
+//! mistake: it backs off, which means that it runs one task at a time after increasing delays until
+//! its user cancels it, and its failures do not count against hosts. Every change goes through
 //! [`FailureHistory::apply`].
 
 use jasperhill_wire::{HostId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of hosts with failures, and without a success, after which a job backs off. A host that has
-/// recently run other jobs successfully counts twice.
+/// Number of hosts with failures, and without a success, after which a job backs off. A host that
+/// has recently run other jobs successfully counts twice.
 const BACKOFF_WEIGHT: u32 = 3;
 /// Delay before the first retry of a job that backs off.
 const INITIAL_BACKOFF: Micros = Micros::from_secs(4);
 /// Maximum number of times that the delay doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// Multiple of the longest run of a failed task after which, plus [`OUTLIVED_MARGIN`], a running task
-/// shows that the job no longer fails for the same reason.
+/// Multiple of the longest run of a failed task after which, plus [`OUTLIVED_MARGIN`], a running
+/// task shows that the job no longer fails for the same reason.
 const OUTLIVED_FACTOR: u64 = 3;
 /// Time added to the multiple of the longest failed run; see [`OUTLIVED_FACTOR`].
 const OUTLIVED_MARGIN: Micros = Micros::from_secs(10);
@@ -67,8 +67,8 @@
 
 impl FailureHistory {
     /// Restores the history from the number of failed retries in a job's record.
-    pub fn from_record(failing: u32, now: Micros) -> Self {
-        match failing.checked_sub(1) {
+    pub fn from_record(failed_attempts: u32, now: Micros) -> Self {
+        match failed_attempts.checked_sub(1) {
             None => Self::Clean,
             // The job backs off further, so that only one task is retried after a takeover.
             Some(level) => Self::BackingOff {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns the number of failed retries to write to the job's record; 0 if the job does not back
-    /// off.
+    /// Returns the number of failed retries to write to the job's record; 0 if the job does not
+    /// back off.
     pub fn failed_attempts(&self) -> u32 {
         match self {
             Self::BackingOff { level, .. } => level + 1,
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -1,7 +1,7 @@
 //! State machine of a job: which of its tasks are done, live, reserved or pending.
 //!
-//! Every change of a task's state goes through [`Job::set`]. [`JobRank`] orders the jobs of a scheduling
-//! cycle.
+//! Every change of a task's state goes through [`Job::set`]. [`JobRank`] orders the jobs of a
+//! scheduling cycle.
 
 use crate::{failures::FailureHistory, pace::SiblingRunTimes, task_set::TaskSet};
 use jasperhill_wire::{
@@ -108,10 +108,11 @@
 pub struct Job {
     /// Job as submitted by its user.
     pub request: Rc<JobRequest>,
-    /// Revision at which its record was created. Jobs newer than a takeover have no unconfirmed tasks.
+    /// Revision at which its record was created. Jobs newer than a takeover have no unconfirmed
+    /// tasks.
     pub created: Revision,
-    /// Time from which the job's age counts: its submission, or the time at which its last dependency
-    /// was done.
+    /// Time from which the job's age counts: its submission, or the time at which its last
+    /// dependency was done.
     pub submitted: Micros,
     /// Deadline on the monotonic clock; `None` if the job has none.
     pub due: Option<Micros>,
@@ -298,8 +299,8 @@
         self.request.tasks - self.done.count() - self.live.len() as u32 - self.reserved.len() as u32
     }
 
-    /// Returns how many more tasks may start. A job that backs off runs one task at a time, unless it
-    /// is a gang.
+    /// Returns how many more tasks may start. A job that backs off runs one task at a time, unless
+    /// it is a gang.
     pub fn startable(&self) -> u32 {
         if !self.failures.is_backing_off() || self.is_gang() {
             self.pending()
@@ -344,8 +345,8 @@
     /// Returns the sort key of the job: production comes first, then urgent work, then the rest by
     /// deadline. Jobs without a deadline come last, by priority and then by age.
     ///
-    /// A deadline that can no longer be met is ignored. Otherwise the job would go first in deadline
-    /// order and cause other jobs to miss deadlines that can still be met.
+    /// A deadline that can no longer be met is ignored. Otherwise the job would go first in
+    /// deadline order and cause other jobs to miss deadlines that can still be met.
     pub fn rank(&self) -> JobRank {
         let priority = self.priority();
         let band = match priority {
--- a/crates/jasperhill-scheduler/src/lib.rs
+++ b/crates/jasperhill-scheduler/src/lib.rs
@@ -1,5 +1,5 @@
-//! Scheduling decisions of jasperhill: host queues, schedule simulation, admission, team limits, gang
-//! scheduling, preemption and capacity planning.
+//! Scheduling decisions of jasperhill: host queues, schedule simulation, admission, team limits,
+//! gang scheduling, preemption and capacity planning.
 //!
 //! The crate is deterministic: time is passed in, and nothing here reads a clock or does I/O.
 
--- a/crates/jasperhill-scheduler/src/pace.rs
+++ b/crates/jasperhill-scheduler/src/pace.rs
@@ -1,15 +1,17 @@
 //! Detection of slow machines while their tasks are still running.
 //!
-//! Workers report task states but no progress. The only evidence is how long a task has been running,
-//! compared with the run times of the job's other tasks or, without these, with its estimate.
+//! Workers report task states but no progress. The only evidence is how long a task has been
+//! running, compared with the run times of the job's other tasks or, without these, with its
+//! estimate.
 //!
-//! A single long task is weak evidence because run times vary and estimates are off by half. A machine
-//! is judged slow when several tasks overrun on it while no task has ended in time there, weighted by
-//! how often tasks of the same classes overrun on any machine. Tasks of one job count once unless
-//! other tasks of the job have ended on other hosts, because the job itself may be long.
+//! A single long task is weak evidence because run times vary and estimates are off by half. A
+//! machine is judged slow when several tasks overrun on it while no task has ended in time there,
+//! weighted by how often tasks of the same classes overrun on any machine. Tasks of one job count
+//! once unless other tasks of the job have ended on other hosts, because the job itself may be
+//! long.
 //!
-//! [`OverrunWatch`] holds the times at which tasks overrun and the overrun shares of classes, [`Pace`]
-//! the verdict on a machine.
+//! `OverrunWatch` holds the times at which tasks overrun and the overrun shares of classes,
+//! [`Pace`] the verdict on a machine.
 
 use jasperhill_wire::{Attempt, HostId, Micros, Name, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,8 +20,8 @@
 pub(crate) const OVER: f64 = 2.0;
 /// Multiple of the expected run time within which a task ends in time.
 pub(crate) const IN_TIME: f64 = 1.5;
-/// Fraction of a task's expected run time during which no task may have ended in time on the machine
-/// if the task's overrun is to count as evidence.
+/// Fraction of a task's expected run time during which no task may have ended in time on the
+/// machine if the task's overrun is to count as evidence.
 pub(crate) const QUIET: f64 = 0.75;
 /// Natural logarithm of the odds at which a machine is judged slow.
 pub(crate) const SLOW_LOG_ODDS: f64 = 5.0;
@@ -28,9 +30,9 @@
 /// Initial overrun share of a class without data.
 pub(crate) const TAIL_FIRST: f64 = 0.15;
 /// Lower bound of a class's overrun share.
-const MIN_TAIL: f64 = 0.03;
+const MIN_OVERRUN_SHARE: f64 = 0.03;
 /// Upper bound of a class's overrun share.
-const MAX_TAIL: f64 = 0.6;
+const MAX_OVERRUN_SHARE: f64 = 0.6;
 /// Smoothing factor with which one ended task changes its class's overrun share.
 pub(crate) const LEARNS: f64 = 0.03;
 /// Minimum number of ended tasks of a job for predicting the run time of its other tasks.
@@ -103,8 +105,8 @@
 }
 
 impl Pace {
-    /// Applies an event; nothing else changes the verdict. Returns whether the machine has just been
-    /// judged slow.
+    /// Applies an event; nothing else changes the verdict. Returns whether the machine has just
+    /// been judged slow.
     pub fn apply(&mut self, input: Input) -> bool {
         match (&mut *self, input) {
             (Self::Steady, Input::Weighed { odds, times }) if odds >= SLOW_LOG_ODDS => {
@@ -137,10 +139,11 @@
 }
 
 impl OverrunWatch {
-    /// Returns the fraction of this class's tasks that overrun, limited to its lower and upper bound.
+    /// Returns the fraction of this class's tasks that overrun, limited to its lower and upper
+    /// bound.
     pub fn tail(&self, class: &Name) -> f64 {
-        let tail = self.tails.get(class).copied().unwrap_or(TAIL_FIRST);
-        tail.clamp(MIN_TAIL, MAX_TAIL)
+        let share = self.tails.get(class).copied().unwrap_or(TAIL_FIRST);
+        share.clamp(MIN_OVERRUN_SHARE, MAX_OVERRUN_SHARE)
     }
 }
 
--- a/crates/jasperhill-scheduler/src/recovery.rs
+++ b/crates/jasperhill-scheduler/src/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery of lost production replicas.
 //!
 //! [`Recovery`] counts lost replicas from the first loss until every replica runs again.
-//! [`ReplicaRecovery`] holds the capacity reserved for replicas on hosts that have stopped sending
+//! `ReplicaRecovery` holds the capacity reserved for replicas on hosts that have stopped sending
 //! heartbeats. These replicas may not start elsewhere before the host's lease has expired, and
 //! lower-priority work that started on the free capacity in the meantime would block them.
 
@@ -51,7 +51,8 @@
 }
 
 impl Recovery {
-    /// Applies an event; nothing else changes the state. Returns a summary when the recovery completes.
+    /// Applies an event; nothing else changes the state. Returns a summary when the recovery
+    /// completes.
     pub fn apply(&mut self, input: Input, now: Micros) -> Option<Recovered> {
         match (&mut *self, input) {
             (Self::Complete, Input::TakenOver | Input::Lost) => {
--- a/crates/jasperhill-scheduler/src/reservation_window.rs
+++ b/crates/jasperhill-scheduler/src/reservation_window.rs
@@ -8,12 +8,12 @@
 /// Maximum time for which gangs of a team may keep the team's other work from its limit without a
 /// pause.
 const MAX_RESERVATION: Micros = Micros::from_secs(40);
-/// Pause between two reservations. [`MAX_RESERVATION`] and the pause together are shorter than the time for
-/// which a job may wait although there is free capacity.
+/// Pause between two reservations. [`MAX_RESERVATION`] and the pause together are shorter than the
+/// time for which a job may wait although there is free capacity.
 const PAUSE: Micros = Micros::from_secs(20);
 
-/// Alternating reservation and pause for the gangs of one team. Without the pause, the team's other work
-/// would wait next to free capacity for as long as a gang waits.
+/// Alternating reservation and pause for the gangs of one team. Without the pause, the team's other
+/// work would wait next to free capacity for as long as a gang waits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservationWindow {
     /// Start of the current reservation period.
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Returns whether the team's limit may be reserved now, and starts a new period when the previous
-    /// one is over or unused. Nothing else changes the window.
+    /// Returns whether the team's limit may be reserved now, and starts a new period when the
+    /// previous one is over or unused. Nothing else changes the window.
     pub fn apply(&mut self, now: Micros) -> bool {
         if now - self.since >= MAX_RESERVATION + PAUSE || now - self.last_used >= PAUSE {
             self.since = now;
--- a/crates/jasperhill-scheduler/src/schedule_simulation.rs
+++ b/crates/jasperhill-scheduler/src/schedule_simulation.rs
@@ -1,8 +1,8 @@
 //! Simulation of a host's schedule.
 //!
-//! [`count_missed`] runs a copy of a host's queue in deadline order on the host's capacity and counts
-//! the tasks that would miss their deadlines. This is the admission test of the paper's section 4.2,
-//! extended from one task at a time to as many as fit.
+//! [`count_missed`] runs a copy of a host's queue in deadline order on the host's capacity and
+//! counts the tasks that would miss their deadlines. This is the admission test of the paper's
+//! section 4.2, extended from one task at a time to as many as fit.
 
 use jasperhill_wire::{Micros, Resources, TaskId};
 
@@ -29,14 +29,16 @@
 }
 
 /// Returns the remaining run time of a task. A task near or past its estimate is given a minimum
-/// remainder, so that start times that cannot be kept are not promised to the tasks queued behind it.
+/// remainder, so that start times that cannot be kept are not promised to the tasks queued behind
+/// it.
 pub fn remaining(estimate: Micros, elapsed: Micros) -> Micros {
     let least = elapsed.scale(0.15).max(Micros::from_secs(2));
     (estimate - elapsed).max(least)
 }
 
-/// Simulates the queue from `now` and returns the number of tasks that would end after their adjusted
-/// deadlines. `free` is the free capacity. `running` is sorted by expected end, the earliest last.
+/// Simulates the queue from `now` and returns the number of tasks that would end after their
+/// adjusted deadlines. `free` is the free capacity. `running` is sorted by expected end, the
+/// earliest last.
 ///
 /// The simulation stops with one more miss at the first task that can never run.
 pub fn count_missed<'a>(
@@ -46,8 +48,8 @@
     queue: impl IntoIterator<Item = &'a Reservation>,
 ) -> usize {
     let (mut clock, mut missed) = (now, 0);
-    // The first `running_count` entries of `running` are still running; `started` holds the tasks started in
-    // the simulation, the earliest end last.
+    // The first `running_count` entries of `running` are still running; `started` holds the tasks
+    // started in the simulation, the earliest end last.
     let mut running_count = running.len();
     let mut started: Vec<Occupied> = Vec::new();
     for reservation in queue {
@@ -85,8 +87,8 @@
     missed
 }
 
-/// Returns the sum over the queue of estimate divided by time to the adjusted deadline. For a deadline
-/// that has passed, the time is taken as 1 ms, which gives the highest density.
+/// Returns the sum over the queue of estimate divided by time to the adjusted deadline. For a
+/// deadline that has passed, the time is taken as 1 ms, which gives the highest density.
 pub fn density<'a>(now: Micros, queue: impl IntoIterator<Item = &'a Reservation>) -> f64 {
     queue
         .into_iter()
@@ -99,8 +101,8 @@
         .sum()
 }
 
-/// Returns the position of a reservation in a queue sorted by adjusted deadline, after reservations with
-/// the same deadline.
+/// Returns the position of a reservation in a queue sorted by adjusted deadline, after reservations
+/// with the same deadline.
 pub fn insert_position(queue: &[Reservation], reservation: &Reservation) -> usize {
     queue.partition_point(|queued| queued.adjusted_deadline <= reservation.adjusted_deadline)
 }
--- a/crates/jasperhill-scheduler/src/sharding.rs
+++ b/crates/jasperhill-scheduler/src/sharding.rs
@@ -4,8 +4,8 @@
 use jasperhill_wire::Name;
 use std::collections::BTreeMap;
 
-/// Assigns each team to a partition so that the guaranteed resources are balanced. The result depends
-/// only on the settings, so that all controllers compute the same assignment.
+/// Assigns each team to a partition so that the guaranteed resources are balanced. The result
+/// depends only on the settings, so that all controllers compute the same assignment.
 pub fn split(teams: &[TeamLimits], partitions: u32) -> BTreeMap<Name, u32> {
     let mut teams_by_guarantee: Vec<&TeamLimits> = teams.iter().collect();
     teams_by_guarantee.sort_by(|a, b| {
--- a/crates/jasperhill-scheduler/src/starvation.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -1,13 +1,13 @@
 //! Starvation prevention by minimum shares of started jobs.
 //!
 //! No class of jobs, no job size within a class and no team may starve while others submit more
-//! important work, or more of it. [`StarvationGuard`] counts the recently started jobs by [`Group`];
-//! every change goes through [`StarvationGuard::apply`].
+//! important work, or more of it. [`StarvationGuard`] counts the recently started jobs by
+//! [`Group`]; every change goes through [`StarvationGuard::apply`].
 //!
 //! Priorities and deadlines order the jobs as long as every group makes progress. A group with less
-//! than the minimum share of its jobs started is starved: among its jobs that have waited for too long,
-//! the oldest few are boosted ahead of all work except production until their first task starts. No
-//! running task is stopped for them.
+//! than the minimum share of its jobs started is starved: among its jobs that have waited for too
+//! long, the oldest few are boosted ahead of all work except production until their first task
+//! starts. No running task is stopped for them.
 //!
 //! Job sizes are counted separately: a class whose small jobs start one after another reaches its
 //! share, while its large jobs, which are harder to place, could wait behind them without end.
@@ -23,14 +23,15 @@
 const LONG_WAIT: Micros = Micros::from_secs(45);
 /// Multiple of a class's start objective after which a job has waited for too long.
 const LONG_WAIT_FACTOR: f64 = 3.0;
-/// Number of waiting jobs in a group per additional boosted job. One job is always boosted; with more
-/// boosted jobs, a gang that is still collecting its machines, or never gets them, does not block all
-/// jobs behind it.
+/// Number of waiting jobs in a group per additional boosted job. One job is always boosted; with
+/// more boosted jobs, a gang that is still collecting its machines, or never gets them, does not
+/// block all jobs behind it.
 const WAITING_PER_EXTRA_BOOST: usize = 4;
 /// Maximum number of boosted jobs per group.
 const MAX_BOOSTED: usize = 4;
 /// Multiple of the long wait after which a single job makes its size group count as starved. It is
-/// longer because with few jobs of a size the long wait may be no different from the rest of the class.
+/// longer because with few jobs of a size the long wait may be no different from the rest of the
+/// class.
 const SINGLE_JOB_WAIT_FACTOR: f64 = 2.0;
 /// Interval between two evaluations of the groups.
 const EVALUATION_INTERVAL: Micros = Micros::from_secs(1);
@@ -124,8 +125,8 @@
     pub share: f64,
     /// Number of jobs that have waited for too long.
     pub waiting: usize,
-    /// Whether the waiting jobs are enough, or one has waited for long enough, for the group to count
-    /// as starved.
+    /// Whether the waiting jobs are enough, or one has waited for long enough, for the group to
+    /// count as starved.
     is_significant: bool,
 }
 
@@ -150,8 +151,8 @@
 }
 
 impl StarvationGuard {
-    /// Applies an event; nothing else changes the state. `min_share` is the minimum share; with 0 no group
-    /// is starved.
+    /// Applies an event; nothing else changes the state. `min_share` is the minimum share; with 0
+    /// no group is starved.
     pub fn apply(&mut self, input: Input<'_>, min_share: f64, now: Micros) {
         match input {
             Input::Begun {
--- a/crates/jasperhill-scheduler/src/task_set.rs
+++ b/crates/jasperhill-scheduler/src/task_set.rs
@@ -58,8 +58,8 @@
         runs
     }
 
-    /// Creates a set for `len` tasks from the run lengths of [`Self::to_runs`]. Tasks beyond `len` are
-    /// ignored.
+    /// Creates a set for `len` tasks from the run lengths of [`Self::to_runs`]. Tasks beyond `len`
+    /// are ignored.
     pub fn from_runs(len: u32, runs: &[u32]) -> Self {
         let mut set = Self::new(len);
         let (mut position, mut inside) = (0u32, false);
--- a/crates/jasperhill-scheduler/tests/config.rs
+++ b/crates/jasperhill-scheduler/tests/config.rs
@@ -1,4 +1,4 @@
-//! What can never run, and what an idle deployment keeps.
+//! Tests of the refusal of jobs that can never run and of the minimum number of machines.
 
 use jasperhill_scheduler::config::{
     MachineSpec, SchedulerConfig, Specs, TeamLimits, Tuning, impossible,
@@ -8,47 +8,47 @@
 use std::{collections::BTreeMap, rc::Rc};
 
 #[test]
-fn an_idle_deployment_shrinks_to_its_floor() {
-    let none = Tuning::default();
-    assert_eq!(none.planned(0.0, 0.3, 0), 0);
-    assert_eq!(none.planned(0.01, 0.0, 0), 1);
-    assert_eq!(none.planned(10.0, 2.0, 0), 14);
-    let seven = Tuning {
+fn idle_deployment_shrinks_to_its_minimum() {
+    let default = Tuning::default();
+    assert_eq!(default.planned(0.0, 0.3, 0), 0);
+    assert_eq!(default.planned(0.01, 0.0, 0), 1);
+    assert_eq!(default.planned(10.0, 2.0, 0), 14);
+    let min_seven = Tuning {
         min_machines: 7,
-        ..none
+        ..default
     };
-    let shares: Vec<u32> = (0..3).map(|p| seven.min_machines_of(p, 3)).collect();
+    let shares: Vec<u32> = (0..3).map(|p| min_seven.min_machines_of(p, 3)).collect();
     assert_eq!(shares, [3, 2, 2]);
-    assert_eq!(seven.planned(0.0, 0.0, 3), 3);
+    assert_eq!(min_seven.planned(0.0, 0.0, 3), 3);
 }
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const SHAPES: [&str; 3] = ["array", "ensemble", "daemon"];
-/// What the one team may use.
-const MOST: u32 = 6;
+/// Limit of the team, in GPUs.
+const TEAM_GPU_LIMIT: u32 = 6;
 
-/// Types `t0` and `t1` with so many GPUs, in the zones of which the bits are set.
+/// Returns machine types `t0` and `t1`, each given as number of GPUs and bit mask of zones.
 fn specs(types: &[(u32, u8); 2]) -> Specs {
     let spec = |(n, (gpus, zones)): (usize, &(u32, u8))| {
-        let kind: jasperhill_wire::Name = format!("t{n}").as_str().into();
-        let here = (0..3).filter(|z| zones & (1 << z) != 0);
+        let machine_type: jasperhill_wire::Name = format!("t{n}").as_str().into();
+        let zones_of_type = (0..3).filter(|z| zones & (1 << z) != 0);
         let spec = MachineSpec {
-            machine_type: kind.clone(),
+            machine_type: machine_type.clone(),
             capacity: Resources::from_units(16.0, f64::from(*gpus), 64.0),
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
             boot: Micros::from_secs(20),
             price: 4.0,
             spot_price: 2.0,
-            zones: here.map(|z| ZONES[z].into()).collect(),
+            zones: zones_of_type.map(|z| ZONES[z].into()).collect(),
         };
-        (kind, Rc::new(spec))
+        (machine_type, Rc::new(spec))
     };
     types.iter().enumerate().map(spec).collect()
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct JobSpec {
     shape: usize,
     tasks: u32,
     gpus: u32,
@@ -58,12 +58,12 @@
     apart: bool,
 }
 
-fn asked() -> impl Strategy<Value = Asked> {
+fn job_spec() -> impl Strategy<Value = JobSpec> {
     let types = proptest::option::of(0usize..3);
     let zone = proptest::option::of(0usize..3);
     let flags = (any::<bool>(), any::<bool>());
     (0usize..3, 1u32..6, 0u32..5, types, zone, flags).prop_map(
-        |(shape, tasks, gpus, types, zone, (together, apart))| Asked {
+        |(shape, tasks, gpus, types, zone, (together, apart))| JobSpec {
             shape,
             tasks,
             gpus,
@@ -75,39 +75,40 @@
     )
 }
 
-fn request(a: &Asked) -> JobRequest {
+fn request(job: &JobSpec) -> JobRequest {
     let body = serde_json::json!({"uid":"job-000001","jobclass":"c","tenant":"red",
-        "shape":SHAPES[a.shape],"urgency":"standard","shards":a.tasks,"vcpus":1.0,
-        "accelerators":f64::from(a.gpus),"memory_gb":1.0,"bundle":"i","size_gb":1.0,
-        "hosttypes":a.types.map(|t| vec![format!("t{t}")]),"hall":a.zone.map(|z| ZONES[z]),
-        "together":a.together,"apart":a.apart,"reclaimable":false,"expected_s":9.0,
+        "shape":SHAPES[job.shape],"urgency":"standard","shards":job.tasks,"vcpus":1.0,
+        "accelerators":f64::from(job.gpus),"memory_gb":1.0,"bundle":"i","size_gb":1.0,
+        "hosttypes":job.types.map(|t| vec![format!("t{t}")]),"hall":job.zone.map(|z| ZONES[z]),
+        "together":job.together,"apart":job.apart,"reclaimable":false,"expected_s":9.0,
         "snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":null});
     JobRequest::parse(body.to_string().as_bytes()).unwrap()
 }
 
-/// Whether so many tasks at once have zones that the job allows, by trying every way.
-fn can_run(a: &Asked, types: &[(u32, u8); 2]) -> bool {
+/// Returns whether the job's concurrent tasks can be assigned to zones and fit the team's limit, by
+/// trying every assignment.
+fn can_run(job: &JobSpec, types: &[(u32, u8); 2]) -> bool {
     let fits = |z: usize| {
-        let here = |n: usize| {
+        let type_fits = |n: usize| {
             let (gpus, zones) = types[n];
-            a.types.is_none_or(|t| t == n) && a.gpus <= gpus && zones & (1 << z) != 0
+            job.types.is_none_or(|t| t == n) && job.gpus <= gpus && zones & (1 << z) != 0
         };
-        a.zone.is_none_or(|only| only == z) && (0..2).any(here)
+        job.zone.is_none_or(|only| only == z) && (0..2).any(type_fits)
     };
-    let at_once = if a.shape == 0 { 1 } else { a.tasks };
-    let ways = 3usize.pow(at_once);
-    let allowed = |mut way: usize| {
+    let concurrent_tasks = if job.shape == 0 { 1 } else { job.tasks };
+    let assignments = 3usize.pow(concurrent_tasks);
+    let allowed = |mut assignment: usize| {
         let mut counts = [0u32; 3];
-        for _ in 0..at_once {
-            counts[way % 3] += 1;
-            way /= 3;
+        for _ in 0..concurrent_tasks {
+            counts[assignment % 3] += 1;
+            assignment /= 3;
         }
         let used = counts.iter().filter(|n| **n > 0).count();
         (0..3).all(|z| counts[z] == 0 || fits(z))
-            && !(a.together && used > 1)
-            && !(a.apart && counts.iter().any(|n| *n > a.tasks.div_ceil(2)))
+            && !(job.together && used > 1)
+            && !(job.apart && counts.iter().any(|n| *n > job.tasks.div_ceil(2)))
     };
-    at_once * a.gpus <= MOST && (0..ways).any(allowed)
+    concurrent_tasks * job.gpus <= TEAM_GPU_LIMIT && (0..assignments).any(allowed)
 }
 
 proptest! {
@@ -117,11 +118,11 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// What is refused for good is just what no order of events lets run. Guards against jobs that
-    /// are accepted and wait for ever, and against refusals of what could run.
+    /// Refuses exactly the jobs that can never run. Otherwise accepted jobs wait forever, or jobs
+    /// that could run are refused.
     #[test]
-    fn just_what_can_never_run_is_refused(
-        a in asked(),
+    fn refuses_exactly_the_jobs_that_can_never_run(
+        job in job_spec(),
         types in [(0u32..5, 0u8..8), (0u32..5, 0u8..8)],
     ) {
         let config = SchedulerConfig {
@@ -129,7 +130,7 @@
             teams: vec![TeamLimits {
                 name: "red".into(),
                 guaranteed: Resources::default(),
-                limit: Resources::from_units(0.0, f64::from(MOST), 0.0),
+                limit: Resources::from_units(0.0, f64::from(TEAM_GPU_LIMIT), 0.0),
             }],
             report: Micros::from_secs(3),
             lease: Micros::from_secs(16),
@@ -138,11 +139,11 @@
             start_within: BTreeMap::new(),
             tuning: Tuning::default(),
         };
-        let refused = impossible(&request(&a), &config, &specs(&types));
-        prop_assert_eq!(refused.is_none(), can_run(&a, &types), "{:?}", refused);
-        // The reason begins with a field of the submission.
+        let refused = impossible(&request(&job), &config, &specs(&types));
+        prop_assert_eq!(refused.is_none(), can_run(&job, &types), "{:?}", refused);
+        // The reason starts with the name of a field of the submission.
         let fields = ["tenant: ", "hosttypes: ", "apart: ", "shards: "];
-        let named = refused.is_none_or(|r| fields.iter().any(|f| r.starts_with(f)));
-        prop_assert!(named);
+        let names_a_field = refused.is_none_or(|r| fields.iter().any(|f| r.starts_with(f)));
+        prop_assert!(names_a_field);
     }
 }
--- a/crates/jasperhill-scheduler/tests/machines/admission.rs
+++ b/crates/jasperhill-scheduler/tests/machines/admission.rs
@@ -1,4 +1,4 @@
-//! The admission test, and jobs that wait for others.
+//! Tests of job admission and of jobs that wait for their dependencies.
 
 use crate::support::{NOW, live, partition, request};
 use jasperhill_scheduler::AdmissionDecision;
@@ -7,25 +7,25 @@
 use jasperhill_wire::{JobId, Micros, Revision};
 
 #[test]
-fn the_admission_test_refuses_what_would_miss_and_books_what_fits() {
+fn admits_jobs_that_meet_their_deadline_and_refuses_others() {
     let part = partition(1, false);
     let fits = request("job-1", "array", 2, 1.0, Some(20.0));
     let two_rounds = request("job-2", "array", 4, 1.0, Some(20.0));
     let hopeless = request("job-3", "array", 1, 1.0, Some(9.0));
-    let none = (0, Micros::ZERO);
+    let no_rentable_machines = (0, Micros::ZERO);
     assert_eq!(
-        part.admit(&fits, NOW, NOW, Micros::ZERO, none),
+        part.admit(&fits, NOW, NOW, Micros::ZERO, no_rentable_machines),
         AdmissionDecision::Admit
     );
     assert_eq!(
-        part.admit(&two_rounds, NOW, NOW, Micros::ZERO, none),
+        part.admit(&two_rounds, NOW, NOW, Micros::ZERO, no_rentable_machines),
         AdmissionDecision::Refuse
     );
     assert_eq!(
-        part.admit(&hopeless, NOW, NOW, Micros::ZERO, none),
+        part.admit(&hopeless, NOW, NOW, Micros::ZERO, no_rentable_machines),
         AdmissionDecision::Refuse
     );
-    // Machines that can be had in time count as well.
+    // Machines that can be rented in time count as capacity.
     assert_eq!(
         part.admit(
             &two_rounds,
@@ -36,21 +36,28 @@
         ),
         AdmissionDecision::Admit
     );
-    // A retry does not get more time than the first try had.
+    // The deadline of a retried submission counts from the first attempt.
     assert_eq!(
-        part.admit(&fits, NOW - Micros::from_secs(15), NOW, Micros::ZERO, none),
+        part.admit(
+            &fits,
+            NOW - Micros::from_secs(15),
+            NOW,
+            Micros::ZERO,
+            no_rentable_machines
+        ),
         AdmissionDecision::Refuse
     );
 }
 
-/// A job that waits for others is not reserved, started, or counted as running unseen, whatever
-/// room there is; once it may, it starts, and ranks by what the jobs after it leave it.
+/// A job that waits for its dependencies is not reserved, started or counted as possibly running on
+/// unknown hosts, whatever capacity is free. Once released it starts, and its rank includes the
+/// urgency inherited from its dependents.
 #[test]
-fn a_waiting_job_holds_nothing_until_it_is_released() {
+fn waiting_job_gets_no_resources_until_it_is_released() {
     let mut part = partition(2, false);
     let id = JobId::new("job-2");
-    let place = |gate, due| DependencyStatus {
-        readiness: gate,
+    let status = |readiness, due| DependencyStatus {
+        readiness,
         since: NOW,
         due,
         priority: Some(Priority::High),
@@ -58,14 +65,14 @@
     for (shape, due) in [("array", Some(100.0)), ("array", None), ("ensemble", None)] {
         let job = request("job-2", shape, 2, 1.0, due);
         part.upsert_job(&job, Revision(0), NOW, &[], (0, NOW));
-        part.set_dependency_status(&id, place(Readiness::Waiting, None));
+        part.set_dependency_status(&id, status(Readiness::Waiting, None));
         part.run_cycle(NOW);
         assert_eq!(live(&part, "job-2"), 0);
         assert!(part.jobs[&id].reserved.is_empty());
         let other = request("job-3", "array", 1, 1.0, None);
         part.upsert_job(&other, Revision(7), NOW, &[], (0, NOW));
         let soon = NOW + Micros::from_secs(5);
-        part.set_dependency_status(&id, place(Readiness::Open, Some(soon)));
+        part.set_dependency_status(&id, status(Readiness::Open, Some(soon)));
         let rank = |id: &str| part.jobs[&JobId::new(id)].rank();
         assert!(rank("job-2") < rank("job-3"));
         part.run_cycle(NOW);
@@ -74,13 +81,21 @@
     }
 }
 
-/// The last job of a pipeline is admitted by when it will be released, not as if it were now.
+/// A job with dependencies is admitted by its expected release time instead of the current time.
 #[test]
-fn admission_counts_from_the_release() {
+fn admission_uses_the_expected_release_time() {
     let part = partition(1, false);
-    let last = request("job-2", "array", 2, 1.0, Some(30.0));
-    let none = (0, Micros::ZERO);
-    let admit = |release| part.admit(&last, NOW, NOW, Micros::from_secs(release), none);
+    let dependent_job = request("job-2", "array", 2, 1.0, Some(30.0));
+    let no_rentable_machines = (0, Micros::ZERO);
+    let admit = |release| {
+        part.admit(
+            &dependent_job,
+            NOW,
+            NOW,
+            Micros::from_secs(release),
+            no_rentable_machines,
+        )
+    };
     assert_eq!(admit(0), AdmissionDecision::Admit);
     assert_eq!(admit(18), AdmissionDecision::Admit);
     assert_eq!(admit(25), AdmissionDecision::Refuse);
--- a/crates/jasperhill-scheduler/tests/machines/failures.rs
+++ b/crates/jasperhill-scheduler/tests/machines/failures.rs
@@ -1,4 +1,4 @@
-//! Failures and slowness: whose fault they are, and what follows.
+//! Tests of failure attribution, quarantine and the detection of slow hosts.
 
 use crate::support::{NOW, all_exit, all_runs, heartbeat, live, partition, request};
 use jasperhill_scheduler::HeartbeatSource;
@@ -8,8 +8,7 @@
 use std::rc::Rc;
 
 #[test]
-fn a_host_that_fails_all_is_quarantined_and_a_job_that_fails_everywhere_is_not_held_against_hosts()
-{
+fn quarantines_only_the_host_on_which_all_tasks_fail() {
     let mut part = partition(2, false);
     for n in 0..2 {
         let id = format!("job-{n}");
@@ -22,17 +21,17 @@
         );
     }
     let host = HostId::new("n-1");
-    let mut counter = 10;
+    let mut sequence = 10;
     for round in 0..2u64 {
         part.run_cycle(NOW);
         let now = NOW + Micros::from_millis(round);
-        let on: Vec<(TaskId, Attempt)> = part.hosts[&host]
+        let host_tasks: Vec<(TaskId, Attempt)> = part.hosts[&host]
             .tasks
             .iter()
             .filter(|(_, t)| t.holds_resources())
             .map(|(id, t)| (id.clone(), t.attempt))
             .collect();
-        let tasks = on
+        let tasks = host_tasks
             .into_iter()
             .map(|(task, attempt)| TaskStatus {
                 task,
@@ -40,9 +39,9 @@
                 phase: TaskPhase::Exited(ExitCause::Error),
             })
             .collect();
-        counter += 1;
+        sequence += 1;
         part.on_heartbeat(
-            &heartbeat("n-1", 1, counter, 5, tasks),
+            &heartbeat("n-1", 1, sequence, 5, tasks),
             HeartbeatSource::Heartbeat,
             now,
         );
@@ -53,9 +52,10 @@
     assert!(part.hosts[&HostId::new("n-2")].quarantined_until.is_none());
 }
 
-/// Guards against arrays submitted with a mistake that quarantined a large part of the fleet.
+/// An array submitted with a mistake quarantined a large part of the fleet, because its failures
+/// counted against the hosts.
 #[test]
-fn an_array_that_fails_everywhere_quarantines_no_host_and_tries_one_task_at_a_time() {
+fn array_that_fails_everywhere_backs_off_and_quarantines_no_host() {
     let mut part = partition(6, false);
     let id = JobId::new("job-1");
     part.upsert_job(
@@ -66,7 +66,11 @@
         (0, NOW),
     );
     part.run_cycle(NOW);
-    assert_eq!(live(&part, "job-1"), 40, "all tasks run, on several hosts");
+    assert_eq!(
+        live(&part, "job-1"),
+        40,
+        "all tasks are live, on several hosts"
+    );
     let mut failed = 0;
     for n in 1..=6 {
         failed += all_exit(&mut part, &format!("n-{n}"), 5, ExitCause::Error, NOW);
@@ -74,14 +78,15 @@
     assert_eq!(failed, 40);
     assert!(part.jobs[&id].failures.is_backing_off());
     assert!(part.hosts.values().all(|h| h.is_usable(NOW, &part.config)));
-    assert!(part.unsaved.contains(&id), "the suspicion is to be written");
-    // Nothing during the pause, one task after it, and the pause grows.
+    assert!(part.unsaved.contains(&id), "the back-off has to be saved");
+    // No task starts during the delay, and one task starts after it.
     part.run_cycle(NOW + Micros::from_secs(1));
     assert_eq!(live(&part, "job-1"), 0);
     let later = NOW + Micros::from_secs(5);
     part.run_cycle(later);
     assert_eq!(live(&part, "job-1"), 1);
-    // The try completes: it was not the job, and the others are blamed after all.
+    // The retry completes, so that the failures are not the job's fault and the other hosts are
+    // blamed.
     let host = part.jobs[&id].live.values().next().unwrap().clone();
     all_exit(&mut part, host.as_str(), 6, ExitCause::Done, later);
     assert!(!part.jobs[&id].failures.is_backing_off());
@@ -90,32 +95,38 @@
     }
 }
 
-/// A job of one task with an estimate, on as much of a host as leaves room for others.
-fn timed(id: &str, estimate: u64) -> Rc<JobRequest> {
+/// Returns a job of one task with an estimate in seconds, which takes a quarter of a host's CPUs.
+fn job_with_estimate(id: &str, estimate: u64) -> Rc<JobRequest> {
     let mut r = (*request(id, "array", 1, 0.0, None)).clone();
     r.each = Resources::from_units(4.0, 0.0, 1.0);
     r.estimate = Micros::from_secs(estimate);
     Rc::new(r)
 }
 
-/// Guards against a machine that is blamed for a task that is merely long, and against a slow
-/// one that is found out only when its tasks have ended.
+/// A machine must not be judged slow because of one long task, and a slow machine must be detected
+/// before its tasks have ended.
 #[test]
-fn a_machine_is_slow_by_several_tasks_that_overrun_and_not_by_one() {
-    let slow = |estimates: &[u64], ended: bool| {
+fn host_is_slow_when_several_tasks_overrun_and_not_when_one_does() {
+    let slow_verdict = |estimates: &[u64], has_task_in_time: bool| {
         let mut part = partition(1, false);
         let host = HostId::new("n-1");
         for (n, estimate) in estimates.iter().enumerate() {
-            let job = timed(&format!("job-{n}"), *estimate);
+            let job = job_with_estimate(&format!("job-{n}"), *estimate);
             part.upsert_job(&job, Revision(6), NOW, &[], (0, NOW));
         }
         part.run_cycle(NOW);
         assert_eq!(part.hosts[&host].tasks.len(), estimates.len());
         all_runs(&mut part, "n-1", 5, NOW);
-        if ended {
-            // Another task there ends in time, just before.
+        if has_task_in_time {
+            // Another task on the host ends in time shortly before the others overrun.
             let at = NOW + Micros::from_secs(18);
-            part.upsert_job(&timed("job-x", 10), Revision(6), NOW, &[], (0, NOW));
+            part.upsert_job(
+                &job_with_estimate("job-x", 10),
+                Revision(6),
+                NOW,
+                &[],
+                (0, NOW),
+            );
             part.run_cycle(NOW);
             all_runs(&mut part, "n-1", 6, NOW + Micros::from_secs(9));
             let tasks = part.hosts[&host].tasks.iter();
@@ -130,16 +141,16 @@
             let report = heartbeat("n-1", 1, 7, 5, tasks.collect());
             part.on_heartbeat(&report, HeartbeatSource::Heartbeat, at);
         }
-        let over = NOW + Micros::from_secs(21);
-        all_runs(&mut part, "n-1", 9, over);
-        part.run_cycle(over);
+        let overrun_at = NOW + Micros::from_secs(21);
+        all_runs(&mut part, "n-1", 9, overrun_at);
+        part.run_cycle(overrun_at);
         (
             part.hosts[&host].pace.is_slow(),
             part.hosts[&host].slowness > 1.5,
         )
     };
-    assert_eq!(slow(&[10, 10, 10], false), (true, true));
-    assert_eq!(slow(&[10, 300, 300], false), (false, false));
-    assert_eq!(slow(&[10], false), (false, false));
-    assert_eq!(slow(&[10, 10, 10], true), (false, false));
+    assert_eq!(slow_verdict(&[10, 10, 10], false), (true, true));
+    assert_eq!(slow_verdict(&[10, 300, 300], false), (false, false));
+    assert_eq!(slow_verdict(&[10], false), (false, false));
+    assert_eq!(slow_verdict(&[10, 10, 10], true), (false, false));
 }
--- a/crates/jasperhill-scheduler/tests/machines/host_commands.rs
+++ b/crates/jasperhill-scheduler/tests/machines/host_commands.rs
@@ -1,4 +1,4 @@
-//! Commands to a host: settled, in doubt, late, or never heard.
+//! Tests of commands to a host whose outcome is known, unknown, late or never received.
 
 use crate::support::{
     NOW, all_exit, config, heartbeat, host, listed, live, partition, record, request, spec, start,
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 
 #[test]
-fn a_result_is_not_cleared_while_its_run_is_in_doubt() {
+fn result_is_not_cleared_while_its_start_command_is_in_doubt() {
     let mut host = host();
     start(&mut host, 0, 7);
-    let orders = host.commands(|_, _| true);
-    host.apply(HostInput::DirectSent(orders, NOW), NOW);
+    let commands = host.commands(|_, _| true);
+    host.apply(HostInput::DirectSent(commands, NOW), NOW);
     host.apply(HostInput::DirectUnanswered, NOW);
     assert!(host.needs_token());
     let exited = vec![listed(0, 7, TaskPhase::Exited(ExitCause::Done))];
@@ -28,7 +28,7 @@
         ),
         NOW,
     );
-    // The late `run` would start it once more.
+    // A delayed start command would run the task again if its result were cleared.
     assert_eq!(host.commands(|_, _| true), vec![]);
     host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
@@ -42,14 +42,14 @@
         host.commands(|_, _| true),
         vec![Command::Clear(task(0), Attempt(7))]
     );
-    // And not before the result is durable.
+    // The result is not cleared before it is saved.
     assert_eq!(host.commands(|_, _| false), vec![]);
 }
 
-/// A worker that has seen a higher token drops every order: without this the host looks
-/// usable, and what is started there stays «ordered» for ever.
+/// A worker that has seen a higher fencing token drops every command. If the host is taken to be
+/// usable all the same, tasks started on it stay in the commanded state forever.
 #[test]
-fn a_host_that_has_seen_a_higher_token_gets_none_until_ours_is_raised() {
+fn host_with_higher_token_is_unusable_until_own_token_is_raised() {
     let mut host = host();
     host.apply(
         HostInput::Heartbeat(
@@ -71,13 +71,14 @@
 }
 
 #[test]
-fn a_stopped_task_counts_until_no_order_can_start_it() {
+fn stopped_task_is_kept_until_no_command_can_start_it() {
     let mut host = host();
     start(&mut host, 0, 7);
-    let orders = host.commands(|_, _| true);
-    host.apply(HostInput::Answered(&orders), NOW);
+    let commands = host.commands(|_, _| true);
+    host.apply(HostInput::Answered(&commands), NOW);
     host.apply(HostInput::Stop(&task(0), Micros::ZERO), NOW);
-    // A direct answer can overtake the answer to the report: absent there proves nothing.
+    // A direct answer can overtake the answer to the heartbeat, so that a task missing in it may
+    // still run.
     host.apply(
         HostInput::Heartbeat(&heartbeat("n-1", 1, 2, 5, vec![]), HeartbeatSource::Direct),
         NOW,
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn late_reports_change_nothing_and_a_new_session_clears_all() {
+fn late_heartbeats_are_ignored_and_a_new_session_clears_all_tasks() {
     let mut host = host();
     start(&mut host, 0, 7);
     let running = vec![listed(0, 7, TaskPhase::Running)];
@@ -123,11 +124,11 @@
     assert!(host.is_empty());
 }
 
-/// A worker's lease ran out while its owner stood still. The owner learns of the new session
-/// by a direct order, and starts a task there once the worker speaks: that must outlive the old
-/// session's lapse.
+/// A worker's lease expires while its owner makes no progress. The owner learns of the new session
+/// by a direct request and starts a task once the worker sends a heartbeat. This task must survive
+/// the expiry of the old session.
 #[test]
-fn a_new_session_does_not_lapse_with_the_old_one() {
+fn new_session_does_not_expire_with_the_old_one() {
     let mut part = partition(1, false);
     let id = HostId::new("n-1");
     part.apply(&id, HostInput::Answered(&[]), NOW);
@@ -146,7 +147,8 @@
         (0, NOW),
     );
     part.run_cycle(just_before);
-    // Nobody may renew that session: it may reach nobody.
+    // The new session's lease may not be renewed by any controller, because the worker may reach
+    // none.
     assert_eq!(live(&part, "job-1"), 0);
     part.on_heartbeat(
         &heartbeat("n-1", 2, 10, 5, vec![]),
@@ -158,17 +160,17 @@
     part.run_cycle(NOW + lease + Micros::from_secs(1));
     assert_eq!(part.hosts[&id].fencing, FencingState::Fenced);
     assert_eq!(live(&part, "job-1"), 1);
-    // The new session lapses in its own time.
+    // The new session expires one lease after its own heartbeat.
     part.run_cycle(just_before + lease + Micros::from_secs(1));
     assert_eq!(part.hosts[&id].fencing, FencingState::Lapsed);
 }
 
-/// A machine that answers direct requests and reaches no controller. Guards against work that it is
-/// given straight, in each of its sessions, and that its lease kills each time.
+/// A machine answers direct requests but reaches no controller. Tasks started on it by direct
+/// requests would be killed at the end of the lease in each of its sessions.
 #[test]
-fn a_machine_that_reaches_nobody_gets_no_work() {
+fn host_that_reaches_no_controller_is_unusable() {
     let (config, silence) = (config(), config().silence_limit());
-    let taken = |unconfirmed| {
+    let new_host = |unconfirmed| {
         let now = NOW;
         Host::new(
             "n-1".into(),
@@ -179,73 +181,79 @@
             now,
         )
     };
-    let heard = |host: &mut Host, (tenure, counter), source, at| {
+    // Delivers a heartbeat or a direct answer and returns whether the host is usable afterwards.
+    let usable = |host: &mut Host, (incarnation, sequence), source, at| {
         host.apply(
-            HostInput::Heartbeat(&heartbeat("n-1", tenure, counter, 5, vec![]), source),
+            HostInput::Heartbeat(&heartbeat("n-1", incarnation, sequence, 5, vec![]), source),
             at,
         );
         host.is_usable(at, &config)
     };
-    // New here: it may not come round to us for as long as its lease lasts.
-    let mut host = taken(false);
-    assert!(!heard(&mut host, (1, 1), HeartbeatSource::Direct, NOW));
-    assert!(heard(&mut host, (1, 2), HeartbeatSource::Heartbeat, NOW));
-    // It goes on answering, and does not report.
+    // The host is new to this controller, and its heartbeats may not arrive here before its lease
+    // ends.
+    let mut host = new_host(false);
+    assert!(!usable(&mut host, (1, 1), HeartbeatSource::Direct, NOW));
+    assert!(usable(&mut host, (1, 2), HeartbeatSource::Heartbeat, NOW));
+    // The host still answers direct requests but sends no heartbeats.
     let later = NOW + silence;
-    assert!(!heard(&mut host, (1, 3), HeartbeatSource::Direct, later));
-    assert!(heard(&mut host, (1, 4), HeartbeatSource::Heartbeat, later));
-    // Another session, known by a direct answer.
-    assert!(!heard(&mut host, (2, 5), HeartbeatSource::Direct, later));
-    assert!(heard(&mut host, (2, 6), HeartbeatSource::Heartbeat, later));
-    // New to us, and not in its first session: nobody has answered it.
-    let mut host = taken(false);
-    assert!(!heard(&mut host, (3, 1), HeartbeatSource::Direct, NOW));
-    assert!(heard(&mut host, (3, 2), HeartbeatSource::Heartbeat, NOW));
-    // After a takeover any session may be one that is renewed, for a while.
-    let mut host = taken(true);
-    assert!(heard(&mut host, (3, 1), HeartbeatSource::Direct, NOW));
-    assert!(!heard(&mut host, (3, 2), HeartbeatSource::Direct, later));
+    assert!(!usable(&mut host, (1, 3), HeartbeatSource::Direct, later));
+    assert!(usable(&mut host, (1, 4), HeartbeatSource::Heartbeat, later));
+    // A new session becomes known by a direct answer.
+    assert!(!usable(&mut host, (2, 5), HeartbeatSource::Direct, later));
+    assert!(usable(&mut host, (2, 6), HeartbeatSource::Heartbeat, later));
+    // The host is new to this controller and not in its first session: no controller has answered
+    // it.
+    let mut host = new_host(false);
+    assert!(!usable(&mut host, (3, 1), HeartbeatSource::Direct, NOW));
+    assert!(usable(&mut host, (3, 2), HeartbeatSource::Heartbeat, NOW));
+    // After a takeover, the previous owner may have renewed the lease of any session, for a limited
+    // time.
+    let mut host = new_host(true);
+    assert!(usable(&mut host, (3, 1), HeartbeatSource::Direct, NOW));
+    assert!(!usable(&mut host, (3, 2), HeartbeatSource::Direct, later));
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum HostEvent {
     Start(u32),
     Stop(u32),
-    Send,
+    SendDirect,
     Answer,
-    Settle,
-    Lose,
-    Raise,
+    SettleDirect,
+    LoseAnswer,
+    RaiseToken,
     Gone,
-    Report {
-        counter: u64,
-        tenure: u64,
+    ReceiveHeartbeat {
+        sequence: u64,
+        incarnation: u64,
         token: u64,
         phases: Vec<Option<u8>>,
     },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn host_event() -> impl Strategy<Value = HostEvent> {
     prop_oneof![
-        (0u32..4).prop_map(Step::Start),
-        (0u32..4).prop_map(Step::Stop),
-        Just(Step::Send),
-        Just(Step::Answer),
-        Just(Step::Settle),
-        Just(Step::Lose),
-        Just(Step::Raise),
-        Just(Step::Gone),
+        (0u32..4).prop_map(HostEvent::Start),
+        (0u32..4).prop_map(HostEvent::Stop),
+        Just(HostEvent::SendDirect),
+        Just(HostEvent::Answer),
+        Just(HostEvent::SettleDirect),
+        Just(HostEvent::LoseAnswer),
+        Just(HostEvent::RaiseToken),
+        Just(HostEvent::Gone),
         (
             0u64..40,
             1u64..4,
             0u64..60,
             proptest::collection::vec(proptest::option::of(0u8..5), 4)
         )
-            .prop_map(|(counter, tenure, token, phases)| Step::Report {
-                counter,
-                tenure,
-                token,
-                phases
+            .prop_map(|(sequence, incarnation, token, phases)| {
+                HostEvent::ReceiveHeartbeat {
+                    sequence,
+                    incarnation,
+                    token,
+                    phases,
+                }
             }),
     ]
 }
@@ -258,42 +266,43 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a worker and the network do: tokens only grow, a task that may still start is
-    /// never cleared or forgotten, and what is emptied has nothing in doubt.
+    /// For arbitrary behaviour of worker and network: fencing tokens never decrease, a task that
+    /// may still start is never cleared or forgotten, and an empty host has no command with unknown
+    /// outcome.
     #[test]
-    fn hosts_keep_their_guards(steps in proptest::collection::vec(step(), 1..60)) {
+    fn host_invariants_hold_for_arbitrary_events(events in proptest::collection::vec(host_event(), 1..60)) {
         let mut host = host();
         let (mut attempt, mut token) = (100, 5);
-        let mut unsettled: Vec<(TaskId, Attempt)> = Vec::new();
-        let mut doubted: Vec<(TaskId, Attempt)> = Vec::new();
-        for step in steps {
-            match step {
-                Step::Start(i) if !host.tasks.contains_key(&task(i)) => {
+        let mut in_flight_starts: Vec<(TaskId, Attempt)> = Vec::new();
+        let mut in_doubt_starts: Vec<(TaskId, Attempt)> = Vec::new();
+        for host_event in events {
+            match host_event {
+                HostEvent::Start(i) if !host.tasks.contains_key(&task(i)) => {
                     attempt += 1;
                     start(&mut host, i, attempt);
                 }
-                Step::Stop(i) => { host.apply(HostInput::Stop(&task(i), Micros::ZERO), NOW); }
-                Step::Send if !host.in_flight() && !host.in_doubt() => {
-                    let orders = host.commands(|_, _| true);
-                    unsettled = orders.iter().filter(|o| matches!(o, Command::Start(..)))
+                HostEvent::Stop(i) => { host.apply(HostInput::Stop(&task(i), Micros::ZERO), NOW); }
+                HostEvent::SendDirect if !host.in_flight() && !host.in_doubt() => {
+                    let commands = host.commands(|_, _| true);
+                    in_flight_starts = commands.iter().filter(|o| matches!(o, Command::Start(..)))
                         .map(|o| (o.key().0.clone(), o.key().1)).collect();
-                    host.apply(HostInput::DirectSent(orders, NOW), NOW);
+                    host.apply(HostInput::DirectSent(commands, NOW), NOW);
                 }
-                Step::Settle => { unsettled.clear(); host.apply(HostInput::DirectSettled, NOW); }
-                Step::Lose => {
-                    if host.in_flight() && host.fencing != FencingState::Lapsed { doubted.append(&mut unsettled); }
-                    unsettled.clear();
+                HostEvent::SettleDirect => { in_flight_starts.clear(); host.apply(HostInput::DirectSettled, NOW); }
+                HostEvent::LoseAnswer => {
+                    if host.in_flight() && host.fencing != FencingState::Lapsed { in_doubt_starts.append(&mut in_flight_starts); }
+                    in_flight_starts.clear();
                     host.apply(HostInput::DirectUnanswered, NOW);
                 }
-                Step::Answer => {
-                    let orders = host.commands(|_, _| true);
-                    host.apply(HostInput::Answered(&orders), NOW);
+                HostEvent::Answer => {
+                    let commands = host.commands(|_, _| true);
+                    host.apply(HostInput::Answered(&commands), NOW);
                 }
-                Step::Raise => { token += 10; host.apply(HostInput::TokenRaised(FencingToken(token)), NOW); }
-                Step::Gone => { doubted.clear(); host.apply(HostInput::Gone, NOW); }
-                Step::Report { counter, tenure, token: shown, phases } => {
+                HostEvent::RaiseToken => { token += 10; host.apply(HostInput::TokenRaised(FencingToken(token)), NOW); }
+                HostEvent::Gone => { in_doubt_starts.clear(); host.apply(HostInput::Gone, NOW); }
+                HostEvent::ReceiveHeartbeat { sequence, incarnation, token: reported_token, phases } => {
                     let tasks: Vec<TaskStatus> = phases.iter().enumerate().filter_map(|(i, p)| {
-                        let known = host.tasks.get(&task(i as u32))?;
+                        let task_on_host = host.tasks.get(&task(i as u32))?;
                         let phase = match (*p)? {
                             0 => TaskPhase::Fetching,
                             1 => TaskPhase::Running,
@@ -301,48 +310,48 @@
                             3 => TaskPhase::Exited(ExitCause::Done),
                             _ => TaskPhase::Exited(ExitCause::Error),
                         };
-                        Some(listed(i as u32, known.attempt.0, phase))
+                        Some(listed(i as u32, task_on_host.attempt.0, phase))
                     }).collect();
                     let before = host.incarnation;
-                    host.apply(HostInput::Heartbeat(&heartbeat("n-1", tenure, counter, shown.min(token), tasks), HeartbeatSource::Heartbeat), NOW);
-                    if host.incarnation > before || !host.in_doubt() { doubted.clear(); }
+                    host.apply(HostInput::Heartbeat(&heartbeat("n-1", incarnation, sequence, reported_token.min(token), tasks), HeartbeatSource::Heartbeat), NOW);
+                    if host.incarnation > before || !host.in_doubt() { in_doubt_starts.clear(); }
                 }
                 _ => {}
             }
             prop_assert!(host.token.0 >= 5);
-            for order in host.commands(|_, _| true) {
-                if let Command::Clear(task, attempt) = order {
-                    prop_assert!(!doubted.contains(&(task.clone(), attempt)), "cleared in doubt");
-                    prop_assert!(!unsettled.contains(&(task, attempt)), "cleared in flight");
+            for command in host.commands(|_, _| true) {
+                if let Command::Clear(task, attempt) = command {
+                    prop_assert!(!in_doubt_starts.contains(&(task.clone(), attempt)), "cleared in doubt");
+                    prop_assert!(!in_flight_starts.contains(&(task, attempt)), "cleared in flight");
                 }
             }
             if host.is_empty() {
-                prop_assert!(doubted.is_empty() && !host.in_flight());
+                prop_assert!(in_doubt_starts.is_empty() && !host.in_flight());
             }
         }
     }
 }
 
-/// Guards against heartbeats that outgrow what a request body may have: a guest's tasks can be so
-/// small that thousands would fit a machine.
+/// Heartbeats must not exceed the maximum size of a request body. Tasks of a user can be so small
+/// that thousands of them fit on a machine.
 #[test]
-fn a_host_lists_no_more_tasks_than_a_report_may_hold() {
+fn host_lists_no_more_tasks_than_fit_in_a_heartbeat() {
     let mut part = partition(1, false);
     let mut tiny = (*request("job-1", "array", 50_000, 0.0, None)).clone();
     tiny.each = Resources::from_units(0.001, 0.0, 0.001);
     part.upsert_job(&Rc::new(tiny), Revision(6), NOW, &[], (0, NOW));
     part.run_cycle(NOW);
     let id = HostId::new("n-1");
-    let on = live(&part, "job-1");
-    assert!((100..1_000).contains(&on), "{on}");
-    let orders = part.commands(&id);
-    let text = jasperhill_wire::worker::commands_body(part.hosts[&id].token, Some(1), &orders);
+    let live_tasks = live(&part, "job-1");
+    assert!((100..1_000).contains(&live_tasks), "{live_tasks}");
+    let commands = part.commands(&id);
+    let text = jasperhill_wire::worker::commands_body(part.hosts[&id].token, Some(1), &commands);
     assert!(text.len() < 60_000, "{}", text.len());
-    // Exited tasks that can't be cleared yet count as well.
+    // Exited tasks that cannot be cleared yet count as well.
     all_exit(&mut part, "n-1", 9, ExitCause::Done, NOW);
     part.run_cycle(NOW);
-    assert!(part.hosts[&id].listed() <= on + 1);
-    // Once the results are in the record, others follow.
+    assert!(part.hosts[&id].listed() <= live_tasks + 1);
+    // More tasks start once the results are saved in the record.
     let done: std::collections::BTreeSet<u32> = (0..50_000).collect();
     part.saved(&JobId::new("job-1"), &done, 0);
     part.on_heartbeat(
@@ -354,58 +363,62 @@
     assert!(live(&part, "job-1") > 100);
 }
 
-/// Guards against a machine whose heartbeats arrive and that hears nothing: it would get new work in
-/// each of its sessions, which a lease later would begin elsewhere.
+/// The heartbeats of a machine arrive, but it receives no answers. It would get new tasks in each
+/// of its sessions, which would start again elsewhere after one lease.
 #[test]
-fn a_machine_that_does_not_hear_gets_no_work_until_it_does() {
+fn host_that_receives_no_answers_is_unusable_until_it_does() {
     let id = HostId::new("n-1");
     let usable = |part: &Partition, at: Micros| part.hosts[&id].is_usable(at, &config());
     let secs = Micros::from_secs;
-    let heard = |part: &mut Partition, tenure, counter, token, at| {
+    let report = |part: &mut Partition, incarnation, sequence, token, at| {
         part.on_heartbeat(
-            &heartbeat("n-1", tenure, counter, token, vec![]),
+            &heartbeat("n-1", incarnation, sequence, token, vec![]),
             HeartbeatSource::Heartbeat,
             at,
         );
         part.apply(&id, HostInput::Answered(&[]), at);
     };
     let mut part = partition(1, false);
-    // Its lease ran out, and so did ours with it: nobody had answered. It hears as ever.
-    heard(&mut part, 1, 2, 5, NOW);
-    heard(&mut part, 2, 3, 5, NOW + secs(17));
+    // Its lease expired at both ends because its heartbeats were not answered. The machine still
+    // receives answers.
+    report(&mut part, 1, 2, 5, NOW);
+    report(&mut part, 2, 3, 5, NOW + secs(17));
     assert!(usable(&part, NOW + secs(17)));
-    // Answered every three seconds, and a new session all the same.
+    // It starts a new session although its heartbeats are answered every three seconds.
     for n in 0..6 {
-        heard(&mut part, 2, 4 + n, 5, NOW + secs(20 + 3 * n));
+        report(&mut part, 2, 4 + n, 5, NOW + secs(20 + 3 * n));
     }
     let later = NOW + secs(38);
-    heard(&mut part, 3, 20, 5, later);
+    report(&mut part, 3, 20, 5, later);
     assert!(!usable(&part, later) && part.hosts[&id].needs_token());
     part.apply(&id, HostInput::TokenRaised(FencingToken(9)), later);
-    heard(&mut part, 3, 21, 5, later);
+    report(&mut part, 3, 21, 5, later);
     assert!(!usable(&part, later));
-    heard(&mut part, 3, 22, 9, later);
+    report(&mut part, 3, 22, 9, later);
     assert!(usable(&part, later));
 }
 
 #[derive(Clone, Debug)]
-enum Word {
-    /// A heartbeat of one of two hosts: how much newer than its last one (none: a copy of an old one),
-    /// whether in a new session, and what runs: job, task, attempt, phase.
-    Report(usize, u64, bool, Vec<(usize, u32, u64, u8)>),
+enum PartitionEvent {
+    /// Heartbeat of one of two hosts: host, increment of the sequence number (0 for a copy of an
+    /// old heartbeat), whether it starts a new session, and the listed tasks as job, task, attempt
+    /// and phase.
+    ReceiveHeartbeat(usize, u64, bool, Vec<(usize, u32, u64, u8)>),
     End(usize, bool),
-    Pass,
+    RunCycle,
     Answer(usize),
 }
 
-fn word() -> impl Strategy<Value = Word> {
-    let ran = proptest::collection::vec((0usize..4, 0u32..3, 1u64..4, 0u8..5), 0..5);
+fn partition_event() -> impl Strategy<Value = PartitionEvent> {
+    let listed_tasks = proptest::collection::vec((0usize..4, 0u32..3, 1u64..4, 0u8..5), 0..5);
     prop_oneof![
-        5 => (0usize..2, 0u64..3, proptest::bool::weighted(0.1), ran)
-            .prop_map(|(host, newer, session, ran)| Word::Report(host, newer, session, ran)),
-        1 => (0usize..3, any::<bool>()).prop_map(|(job, done)| Word::End(job, done)),
-        2 => Just(Word::Pass),
-        2 => (0usize..2).prop_map(Word::Answer),
+        5 => (0usize..2, 0u64..3, proptest::bool::weighted(0.1), listed_tasks)
+            .prop_map(|(host, increment, session, tasks)| {
+                PartitionEvent::ReceiveHeartbeat(host, increment, session, tasks)
+            }),
+        1 => (0usize..3, any::<bool>()).prop_map(|(job, done)| PartitionEvent::End(job, done)),
+        2 => Just(PartitionEvent::RunCycle),
+        2 => (0usize..2).prop_map(PartitionEvent::Answer),
     ]
 }
 
@@ -417,12 +430,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a worker says that it runs, in whatever order it is heard: an answer that renews its
-    /// lease stops what is cancelled, done, unknown or counted elsewhere. Never a bare renewal.
+    /// Whatever tasks a worker lists, in whatever order its heartbeats arrive: an answer that
+    /// renews its lease also stops every listed task that is cancelled, done, unknown or assigned
+    /// to another host.
     #[test]
-    fn no_answer_leaves_running_what_should_not_be(
+    fn answers_stop_all_tasks_that_should_not_run(
         at_takeover in any::<bool>(),
-        words in proptest::collection::vec(word(), 1..50),
+        events in proptest::collection::vec(partition_event(), 1..50),
     ) {
         let mut part = partition(2, at_takeover);
         let jobs = ["job-1", "job-2", "job-3", "job-unknown"];
@@ -430,20 +444,20 @@
             let request = request(jobs[n], shape, 2, 0.0, None);
             part.upsert_job(&request, Revision(0), NOW, &[], (0, NOW));
         }
-        let mut newest = [(1, 1), (1, 1)];
-        let mut told: [Vec<TaskStatus>; 2] = [vec![], vec![]];
-        for word in words {
-            match word {
-                Word::Report(h, newer, session, ran) => {
-                    let (mut tenure, mut counter) = newest[h];
-                    tenure += u64::from(session);
-                    counter += newer;
+        let mut latest = [(1, 1), (1, 1)];
+        let mut reported: [Vec<TaskStatus>; 2] = [vec![], vec![]];
+        for partition_event in events {
+            match partition_event {
+                PartitionEvent::ReceiveHeartbeat(host_index, increment, session, listed_tasks) => {
+                    let (mut incarnation, mut sequence) = latest[host_index];
+                    incarnation += u64::from(session);
+                    sequence += increment;
                     let mut tasks: BTreeMap<TaskId, TaskStatus> = BTreeMap::new();
-                    for (job, index, attempt, phase) in ran {
+                    for (job, index, attempt, phase) in listed_tasks {
                         let task = TaskId::new(&JobId::new(jobs[job]), index);
-                        // What we ordered there, as likely as not.
-                        let ours = part.hosts[&HostId::new(&format!("n-{}", h + 1))].tasks.get(&task);
-                        let attempt = match ours {
+                        // Often the attempt that this controller started on the host.
+                        let commanded = part.hosts[&HostId::new(&format!("n-{}", host_index + 1))].tasks.get(&task);
+                        let attempt = match commanded {
                             Some(t) if attempt != 1 => t.attempt,
                             _ => Attempt(attempt),
                         };
@@ -457,36 +471,36 @@
                         tasks.insert(task.clone(), TaskStatus { task, attempt, phase });
                     }
                     let tasks: Vec<TaskStatus> = tasks.into_values().collect();
-                    let host = format!("n-{}", h + 1);
-                    let said = heartbeat(&host, tenure, counter, 5, tasks.clone());
-                    part.on_heartbeat(&said, HeartbeatSource::Heartbeat, NOW);
-                    if (tenure, counter) > newest[h] {
-                        newest[h] = (tenure, counter);
-                        told[h] = tasks;
+                    let host = format!("n-{}", host_index + 1);
+                    let report = heartbeat(&host, incarnation, sequence, 5, tasks.clone());
+                    part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
+                    if (incarnation, sequence) > latest[host_index] {
+                        latest[host_index] = (incarnation, sequence);
+                        reported[host_index] = tasks;
                     }
                 }
-                Word::End(job, done) => {
-                    let ending = if done { Termination::Done } else { Termination::Cancelled };
-                    part.end_job(&JobId::new(jobs[job]), ending, NOW);
+                PartitionEvent::End(job, done) => {
+                    let termination = if done { Termination::Done } else { Termination::Cancelled };
+                    part.end_job(&JobId::new(jobs[job]), termination, NOW);
                 }
-                Word::Pass => part.run_cycle(NOW),
-                Word::Answer(h) => {
-                    let host = HostId::new(&format!("n-{}", h + 1));
-                    let orders = part.commands(&host);
-                    part.apply(&host, HostInput::Answered(&orders), NOW);
+                PartitionEvent::RunCycle => part.run_cycle(NOW),
+                PartitionEvent::Answer(host_index) => {
+                    let host = HostId::new(&format!("n-{}", host_index + 1));
+                    let commands = part.commands(&host);
+                    part.apply(&host, HostInput::Answered(&commands), NOW);
                 }
             }
-            for (h, tasks) in told.iter().enumerate() {
-                let host = HostId::new(&format!("n-{}", h + 1));
-                let orders = part.commands(&host);
+            for (host_index, tasks) in reported.iter().enumerate() {
+                let host = HostId::new(&format!("n-{}", host_index + 1));
+                let commands = part.commands(&host);
                 for t in tasks.iter().filter(|t| !matches!(t.phase, TaskPhase::Exited(_))) {
-                    let counted = part.jobs.get(&t.task.job).is_some_and(|j| {
+                    let is_assigned = part.jobs.get(&t.task.job).is_some_and(|j| {
                         j.termination.is_none() && j.live.get(&t.task.index) == Some(&host)
                     });
-                    let stopped = orders.iter().any(|o| {
+                    let is_stopped = commands.iter().any(|o| {
                         matches!(o, Command::Stop(task, attempt, _) if *task == t.task && *attempt == t.attempt)
                     });
-                    prop_assert!(counted || stopped, "{t:?} on {host}: {orders:?}");
+                    prop_assert!(is_assigned || is_stopped, "{t:?} on {host}: {commands:?}");
                 }
             }
         }
--- a/crates/jasperhill-scheduler/tests/machines/main.rs
+++ b/crates/jasperhill-scheduler/tests/machines/main.rs
@@ -1,4 +1,4 @@
-//! The host and partition state machines, driven by chosen and by generated events.
+//! Tests of the host and partition state machines with scripted and generated events.
 
 mod admission;
 mod failures;
--- a/crates/jasperhill-scheduler/tests/machines/placement.rs
+++ b/crates/jasperhill-scheduler/tests/machines/placement.rs
@@ -1,4 +1,4 @@
-//! Where tasks go, what makes room for them, and which hosts are emptied.
+//! Tests of task placement, preemption, reserved capacity and host draining.
 
 use crate::support::{NOW, all_runs, heartbeat, live, partition, request};
 use jasperhill_scheduler::job::Termination;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 #[test]
-fn a_gang_passes_whole_and_is_mended_whole() {
+fn gang_starts_as_a_whole_and_restarts_with_a_new_attempt() {
     let mut part = partition(2, false);
     part.upsert_job(
         &request("job-1", "ensemble", 2, 2.0, None),
@@ -23,9 +23,10 @@
     let attempt = part.jobs[&JobId::new("job-1")].attempt.unwrap();
     part.apply(&"n-1".into(), HostInput::Gone, NOW);
     part.run_cycle(NOW);
-    let orders = part.commands(&"n-2".into());
-    // Never sent, so taken back at once; nothing of the attempt is left.
-    assert_eq!(orders, vec![]);
+    let commands = part.commands(&"n-2".into());
+    // The start command was never sent, so that it is withdrawn immediately and nothing of the
+    // attempt is left.
+    assert_eq!(commands, vec![]);
     assert_eq!(live(&part, "job-1"), 0);
     part.on_heartbeat(
         &heartbeat("n-1", 2, 20, 5, vec![]),
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_cancelled_job_is_stopped_and_never_started() {
+fn cancelled_job_is_stopped_and_not_started_again() {
     let mut part = partition(1, false);
     part.upsert_job(
         &request("job-1", "daemon", 1, 1.0, None),
@@ -48,44 +49,47 @@
         (0, NOW),
     );
     part.run_cycle(NOW);
-    let orders = part.commands(&"n-1".into());
-    part.apply(&"n-1".into(), HostInput::Answered(&orders), NOW);
+    let commands = part.commands(&"n-1".into());
+    part.apply(&"n-1".into(), HostInput::Answered(&commands), NOW);
     part.end_job(&JobId::new("job-1"), Termination::Cancelled, NOW);
     part.run_cycle(NOW);
-    let orders = part.commands(&"n-1".into());
-    assert!(matches!(orders[..], [Command::Stop(..)]), "{orders:?}");
+    let commands = part.commands(&"n-1".into());
+    assert!(matches!(commands[..], [Command::Stop(..)]), "{commands:?}");
 }
 
-/// Small tasks without accelerators go where accelerators are taken or spoilt already; whole
-/// machines stay for gangs that need them.
+/// Small tasks without accelerators are placed on hosts whose accelerators are in use or can no
+/// longer be used, so that whole machines remain free for gangs that need them.
 #[test]
-fn tasks_without_accelerators_keep_off_the_cpus_of_free_ones() {
+fn tasks_without_accelerators_avoid_cpus_of_free_accelerators() {
     let mut part = partition(6, false);
-    // All accelerators of one machine are taken, and one of another: there the CPUs left over
-    // are fewer, and the other accelerator's.
+    // On one machine all accelerators are in use. On another machine one accelerator is in use; it
+    // has fewer free CPUs, which the other accelerator needs.
     for (id, cpus, gpus) in [("job-1", 14.0, 2.0), ("job-2", 15.0, 1.0)] {
         let mut gang = (*request(id, "ensemble", 1, 2.0, None)).clone();
         gang.each = Resources::from_units(cpus, gpus, 100.0);
         part.upsert_job(&Rc::new(gang), Revision(6), NOW, &[], (0, NOW));
     }
     part.run_cycle(NOW);
-    let full = part.jobs[&JobId::new("job-1")].live[&0].clone();
-    assert_ne!(full, part.jobs[&JobId::new("job-2")].live[&0]);
+    let host_without_free_gpus = part.jobs[&JobId::new("job-1")].live[&0].clone();
+    assert_ne!(
+        host_without_free_gpus,
+        part.jobs[&JobId::new("job-2")].live[&0]
+    );
     let mut small = (*request("job-9", "array", 2, 0.0, None)).clone();
     small.each = Resources::from_units(1.0, 0.0, 1.0);
     part.upsert_job(&Rc::new(small), Revision(7), NOW, &[], (0, NOW));
     part.run_cycle(NOW);
     let live = &part.jobs[&JobId::new("job-9")].live;
     assert!(
-        live.len() == 2 && live.values().all(|h| h == &full),
+        live.len() == 2 && live.values().all(|h| h == &host_without_free_gpus),
         "{live:?}"
     );
 }
 
-/// Guards against hosts that wait for a long task and hold up the emptying of others, and
-/// against hosts that stay out of use when what is wanted has risen again.
+/// Draining takes too long if a host with a long task is chosen before others, and capacity is lost
+/// if hosts stay in draining after the demand has risen again.
 #[test]
-fn what_is_empty_soonest_is_emptied_first_and_used_again_when_wanted() {
+fn drains_host_that_is_empty_soonest_and_resumes_it_on_demand() {
     let mut part = partition(4, false);
     for (job, shape, estimate) in [("job-1", "array", 60), ("job-2", "array", 5)] {
         let mut r = (*request(job, shape, 1, 2.0, None)).clone();
@@ -94,22 +98,22 @@
     }
     part.run_cycle(NOW);
     let host_of = |part: &Partition, job: &str| part.jobs[&JobId::new(job)].live[&0].clone();
-    let (long, short) = (host_of(&part, "job-1"), host_of(&part, "job-2"));
-    let drained = |part: &Partition| -> Vec<HostId> {
+    let (long_host, short_host) = (host_of(&part, "job-1"), host_of(&part, "job-2"));
+    let draining_hosts = |part: &Partition| -> Vec<HostId> {
         let hosts = part.hosts.values().filter(|h| h.draining.is_some());
         hosts.map(|h| h.id.clone()).collect()
     };
-    // Ordinary machines are not too many: none is emptied.
+    // There are not too many on-demand machines, so that none is drained.
     part.drain_surplus(NOW, (2, 0));
-    assert_eq!(drained(&part), Vec::<HostId>::new());
+    assert_eq!(draining_hosts(&part), Vec::<HostId>::new());
     part.drain_surplus(NOW, (1, 1));
-    assert_eq!(drained(&part), [short]);
+    assert_eq!(draining_hosts(&part), [short_host]);
     part.drain_surplus(NOW, (2, 2));
-    assert_eq!(part.hosts[&long].draining, Some(NOW));
+    assert_eq!(part.hosts[&long_host].draining, Some(NOW));
     part.drain_surplus(NOW, (1, 2));
-    assert_eq!(drained(&part).len(), 1);
+    assert_eq!(draining_hosts(&part).len(), 1);
     part.drain_surplus(NOW, (0, 0));
-    assert_eq!(drained(&part), Vec::<HostId>::new());
+    assert_eq!(draining_hosts(&part), Vec::<HostId>::new());
 }
 
 fn whole_host(id: &str, shape: &str, tasks: u32, priority: Priority) -> Rc<JobRequest> {
@@ -119,59 +123,64 @@
     Rc::new(r)
 }
 
-/// Guards against lesser work that takes, while a lease runs out, the room that a lost replica
-/// needs: and against room that stays kept when the host is back.
+/// A lost replica cannot restart if lower-priority work takes the free capacity while the lease of
+/// the silent host runs out. The capacity must not stay reserved once the host is back.
 #[test]
-fn room_for_a_replica_on_a_silent_host_is_kept_from_lesser_work() {
+fn reserves_capacity_for_replica_on_silent_host() {
     let mut part = partition(2, false);
     let service = whole_host("job-live", "daemon", 1, Priority::Production);
     part.upsert_job(&service, Revision(6), NOW, &[], (0, NOW));
     part.run_cycle(NOW);
-    let home = part.jobs[&JobId::new("job-live")].live[&0].clone();
-    let other = if home.as_str() == "n-1" { "n-2" } else { "n-1" };
-    all_runs(&mut part, home.as_str(), 5, NOW);
-    let silent = NOW + Micros::from_secs(7);
+    let replica_host = part.jobs[&JobId::new("job-live")].live[&0].clone();
+    let other_host = if replica_host.as_str() == "n-1" {
+        "n-2"
+    } else {
+        "n-1"
+    };
+    all_runs(&mut part, replica_host.as_str(), 5, NOW);
+    let silent_at = NOW + Micros::from_secs(7);
     part.on_heartbeat(
-        &heartbeat(other, 1, 5, 5, vec![]),
+        &heartbeat(other_host, 1, 5, 5, vec![]),
         HeartbeatSource::Heartbeat,
-        silent,
+        silent_at,
     );
-    let lesser = whole_host("job-batch", "array", 1, Priority::Normal);
-    part.upsert_job(&lesser, Revision(7), silent, &[], (0, silent));
-    part.run_cycle(silent);
+    let batch_job = whole_host("job-batch", "array", 1, Priority::Normal);
+    part.upsert_job(&batch_job, Revision(7), silent_at, &[], (0, silent_at));
+    part.run_cycle(silent_at);
     assert_eq!(live(&part, "job-batch"), 0);
-    // It is heard again: the room is free for all.
-    let back = silent + Micros::from_secs(1);
-    all_runs(&mut part, home.as_str(), 6, back);
+    // The host sends heartbeats again, so that the capacity is available to all jobs.
+    let back = silent_at + Micros::from_secs(1);
+    all_runs(&mut part, replica_host.as_str(), 6, back);
     part.run_cycle(back);
     assert_eq!(live(&part, "job-batch"), 1);
-    // And without it in the way, the replica is whole again as soon as its host is lost.
+    // Without lower-priority work on the other host, the replica restarts as soon as its host is
+    // lost.
     part.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
     part.on_heartbeat(
-        &heartbeat(other, 1, 6, 5, vec![]),
+        &heartbeat(other_host, 1, 6, 5, vec![]),
         HeartbeatSource::Heartbeat,
         back,
     );
     part.run_cycle(back);
     let lost = back + part.config.lease_expiry();
     part.on_heartbeat(
-        &heartbeat(other, 1, 7, 5, vec![]),
+        &heartbeat(other_host, 1, 7, 5, vec![]),
         HeartbeatSource::Heartbeat,
         lost,
     );
-    part.apply(&other.into(), HostInput::Answered(&[]), lost);
+    part.apply(&other_host.into(), HostInput::Answered(&[]), lost);
     part.run_cycle(lost);
     assert!(part.recovery.is_incomplete());
-    let now = part.jobs[&JobId::new("job-live")].live[&0].clone();
-    assert_eq!(now.as_str(), other);
-    all_runs(&mut part, other, 8, lost);
+    let new_host = part.jobs[&JobId::new("job-live")].live[&0].clone();
+    assert_eq!(new_host.as_str(), other_host);
+    all_runs(&mut part, other_host, 8, lost);
     part.run_cycle(lost + Micros::from_secs(1));
     assert!(!part.recovery.is_incomplete());
 }
 
-/// Guards against a replica that waits for as long as a gang of several tasks runs.
+/// If a gang of several tasks cannot be preempted, a replica waits for as long as the gang runs.
 #[test]
-fn a_replica_takes_the_place_of_a_gang_where_there_is_no_other() {
+fn replica_preempts_gang_without_other_capacity() {
     let mut part = partition(2, false);
     let gang = whole_host("job-gang", "ensemble", 2, Priority::High);
     part.upsert_job(&gang, Revision(6), NOW, &[], (0, NOW));
@@ -183,9 +192,9 @@
     let service = whole_host("job-live", "daemon", 1, Priority::Production);
     part.upsert_job(&service, Revision(7), NOW, &[], (0, NOW));
     part.run_cycle(NOW);
-    let stops = |host: &str| {
-        let orders = part.commands(&host.into());
-        orders.iter().any(|o| matches!(o, Command::Stop(..)))
+    let is_stopped = |host: &str| {
+        let commands = part.commands(&host.into());
+        commands.iter().any(|o| matches!(o, Command::Stop(..)))
     };
-    assert!(stops("n-1") && stops("n-2"));
+    assert!(is_stopped("n-1") && is_stopped("n-2"));
 }
--- a/crates/jasperhill-scheduler/tests/machines/support.rs
+++ b/crates/jasperhill-scheduler/tests/machines/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state machines are made of.
+//! Fixtures and helpers of the state machine tests.
 
 use jasperhill_scheduler::{
     HeartbeatSource, Host, HostInput, MachineSpec, Partition, SchedulerConfig, TeamLimits, Tuning,
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The time at which every test begins.
+/// Start time of every test.
 pub const NOW: Micros = Micros::from_secs(10_000);
 
-/// A machine type with two accelerators.
+/// Returns a machine type with two accelerators.
 pub fn spec() -> Rc<MachineSpec> {
     Rc::new(MachineSpec {
         machine_type: "box".into(),
@@ -27,7 +27,7 @@
     })
 }
 
-/// The record of a host in this zone.
+/// Returns the record of a host in this zone.
 pub fn record(zone: &str) -> HostRecord {
     HostRecord {
         assignment: HostAssignment::Partition(0),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A heartbeat of a host, with the tasks that it lists.
+/// Returns a heartbeat of a host with these task statuses.
 pub fn heartbeat(
     host: &str,
     incarnation: u64,
@@ -61,12 +61,12 @@
     }
 }
 
-/// A task of the one job.
+/// Returns the id of task `i` of `job-1`.
 pub fn task(i: u32) -> TaskId {
     TaskId::new(&JobId::new("job-1"), i)
 }
 
-/// How a worker lists a task of the one job.
+/// Returns the status in which a worker lists task `i` of `job-1`.
 pub fn listed(i: u32, attempt: u64, phase: TaskPhase) -> TaskStatus {
     TaskStatus {
         task: task(i),
@@ -75,7 +75,7 @@
     }
 }
 
-/// A host that has shown its token.
+/// Returns a host that has reported the current fencing token in a heartbeat.
 pub fn host() -> Host {
     let mut host = Host::new(
         "n-1".into(),
@@ -95,7 +95,7 @@
     host
 }
 
-/// Tells the host to start a task.
+/// Makes the host start a task of `job-1`.
 pub fn start(host: &mut Host, i: u32, attempt: u64) {
     let each = Resources::from_units(1.0, 1.0, 1.0);
     host.apply(
@@ -104,7 +104,7 @@
     );
 }
 
-/// One team with a guarantee and a limit.
+/// Returns settings with one team, `red`, that has a guarantee and a limit.
 pub fn config() -> Rc<SchedulerConfig> {
     Rc::new(SchedulerConfig {
         partitions: 1,
@@ -122,7 +122,7 @@
     })
 }
 
-/// A job of that team.
+/// Returns a job of team `red`. `due` is its deadline in seconds after submission.
 pub fn request(id: &str, shape: &str, tasks: u32, gpus: f64, due: Option<f64>) -> Rc<JobRequest> {
     let due = due.map_or("null".to_owned(), |d| d.to_string());
     let text = format!(
@@ -134,7 +134,8 @@
     Rc::new(JobRequest::parse(text.as_bytes()).unwrap())
 }
 
-/// A partition with so many hosts.
+/// Returns a partition with this number of hosts. Unless `at_takeover` is set, each of them has
+/// sent a heartbeat.
 pub fn partition(hosts: usize, at_takeover: bool) -> Partition {
     let specs = Rc::new(BTreeMap::from([("box".into(), spec())]));
     let mut part = Partition::new(0, Revision(5), config(), specs);
@@ -152,16 +153,17 @@
     part
 }
 
-/// How many tasks of a job are on hosts.
+/// Returns the number of tasks of a job that are on hosts.
 pub fn live(part: &Partition, id: &str) -> usize {
     part.jobs.get(&JobId::new(id)).map_or(0, |j| j.live.len())
 }
 
-/// What a host says: all tasks that are on it have failed, or have completed.
+/// Sends a heartbeat in which all tasks on the host have exited with `cause`. Returns the number of
+/// tasks.
 pub fn all_exit(
     part: &mut Partition,
     host: &str,
-    counter: u64,
+    sequence: u64,
     cause: ExitCause,
     now: Micros,
 ) -> usize {
@@ -170,22 +172,22 @@
         attempt: t.attempt,
         phase: TaskPhase::Exited(cause),
     };
-    let on = part.hosts[&HostId::new(host)].tasks.iter();
-    let tasks: Vec<TaskStatus> = on
+    let host_tasks = part.hosts[&HostId::new(host)].tasks.iter();
+    let tasks: Vec<TaskStatus> = host_tasks
         .filter(|(_, t)| t.holds_resources())
         .map(exited)
         .collect();
     let n = tasks.len();
     part.on_heartbeat(
-        &heartbeat(host, 1, counter, 5, tasks),
+        &heartbeat(host, 1, sequence, 5, tasks),
         HeartbeatSource::Heartbeat,
         now,
     );
     n
 }
 
-/// The host heartbeats everything that it was told to run as running.
-pub fn all_runs(part: &mut Partition, host: &str, counter: u64, now: Micros) {
+/// Sends a heartbeat in which all tasks on the host are running, and answers it.
+pub fn all_runs(part: &mut Partition, host: &str, sequence: u64, now: Micros) {
     let id = HostId::new(host);
     let tasks = part.hosts[&id]
         .tasks
@@ -196,7 +198,7 @@
         attempt: t.attempt,
         phase: TaskPhase::Running,
     });
-    let report = heartbeat(host, 1, counter, 5, tasks.collect());
+    let report = heartbeat(host, 1, sequence, 5, tasks.collect());
     part.on_heartbeat(&report, HeartbeatSource::Heartbeat, now);
     part.apply(&id, HostInput::Answered(&[]), now);
 }
--- a/crates/jasperhill-scheduler/tests/machines/takeover.rs
+++ b/crates/jasperhill-scheduler/tests/machines/takeover.rs
@@ -1,4 +1,4 @@
-//! What a predecessor may have left running.
+//! Tests of takeovers, after which tasks started by the previous owner may still be running.
 
 use crate::support::{NOW, heartbeat, live, partition, record, request};
 use jasperhill_scheduler::job::Termination;
@@ -8,11 +8,12 @@
 use jasperhill_wire::{Attempt, HostId, JobId, Micros, Revision, TaskId};
 use std::rc::Rc;
 
-/// After a takeover one host is known and one is not. Guards against a team's limit that is given out
-/// again while tasks of a cancelled job may run unseen, or are seen and not gone yet.
+/// After a takeover, one host has sent a heartbeat and the other has not. A team exceeds its limit
+/// if the share of a cancelled job is reused while its tasks may still run on the unknown host, or
+/// are known and have not ended yet.
 #[test]
-fn what_was_cancelled_counts_until_its_tasks_are_gone() {
-    let one = HostId::new("n-1");
+fn cancelled_job_counts_against_limit_until_its_tasks_have_ended() {
+    let first_host = HostId::new("n-1");
     let gpus = |part: &Partition| part.team_use(&"red".into()).gpus / 1_000_000;
     let cancelled = request("job-old", "array", 3, 1.0, None);
     let running = |n: u32| {
@@ -23,10 +24,10 @@
             phase: TaskPhase::Running,
         }
     };
-    // Cancelled after the takeover, and before it: then its record tells.
-    for recalled in [false, true] {
+    // The job is cancelled after the takeover, or before it, which its record shows.
+    for is_restored_from_record in [false, true] {
         let mut part = partition(2, true);
-        if recalled {
+        if is_restored_from_record {
             let record = JobRecord::cancelled(&cancelled, 0, NOW);
             part.restore_cancelled(&cancelled.id, &record.residual_usage.unwrap(), NOW);
         } else {
@@ -39,18 +40,19 @@
             HeartbeatSource::Direct,
             NOW,
         );
-        if !recalled {
+        if !is_restored_from_record {
             part.end_job(&cancelled.id, Termination::Cancelled, NOW);
         }
         part.run_cycle(NOW);
-        // Three of four may be there: one more may start.
+        // Three of the four GPUs of the limit may be in use, so that one more task may start.
         assert_eq!((gpus(&part), live(&part, "job-new")), (4, 1));
         let stops = part
-            .commands(&one)
+            .commands(&first_host)
             .iter()
             .any(|o| matches!(o, Command::Stop(t, ..) if t.index == 0));
         assert!(stops);
-        // The other host shows one, which is stopped as well; the third is nowhere.
+        // The other host reports a second task, which is stopped as well. The third task runs on no
+        // host.
         part.on_heartbeat(
             &heartbeat("n-2", 1, 1, 5, vec![running(2)]),
             HeartbeatSource::Direct,
@@ -58,12 +60,12 @@
         );
         part.run_cycle(NOW);
         assert_eq!((gpus(&part), live(&part, "job-new")), (4, 2));
-        // Gone, both.
+        // Both tasks have ended.
         for (host, n) in [("n-1", 0), ("n-2", 2)] {
-            let mut gone = running(n);
-            gone.phase = TaskPhase::Exited(ExitCause::Stopped { saved: false });
+            let mut exited = running(n);
+            exited.phase = TaskPhase::Exited(ExitCause::Stopped { saved: false });
             part.on_heartbeat(
-                &heartbeat(host, 1, 2, 5, vec![gone]),
+                &heartbeat(host, 1, 2, 5, vec![exited]),
                 HeartbeatSource::Heartbeat,
                 NOW,
             );
@@ -75,16 +77,17 @@
     }
 }
 
-/// The same where the host that is known shows nothing of it.
+/// The limit also counts a cancelled job of which the known host reports no task, until the lease
+/// of the unknown host has expired.
 #[test]
-fn what_was_cancelled_counts_while_it_may_run_unseen() {
+fn cancelled_job_counts_against_limit_while_a_host_is_unknown() {
     let cancelled = request("job-old", "array", 3, 1.0, None);
     let record = JobRecord::cancelled(&cancelled, 0, NOW);
-    for recalled in [false, true] {
+    for is_restored_from_record in [false, true] {
         let mut part = partition(2, true);
-        if recalled {
-            let remains = record.residual_usage.as_ref().unwrap();
-            part.restore_cancelled(&cancelled.id, remains, NOW);
+        if is_restored_from_record {
+            let residual_usage = record.residual_usage.as_ref().unwrap();
+            part.restore_cancelled(&cancelled.id, residual_usage, NOW);
         } else {
             part.upsert_job(&cancelled, Revision(3), NOW, &[], (0, NOW));
             part.end_job(&cancelled.id, Termination::Cancelled, NOW);
@@ -98,7 +101,7 @@
         );
         part.run_cycle(NOW);
         assert_eq!(live(&part, "job-new"), 1);
-        // The other host's lease has surely lapsed: nothing of it is left.
+        // The other host's lease has certainly expired, so that none of its tasks is left.
         let later = NOW + part.config.lease_expiry() + Micros::from_secs(1);
         part.on_heartbeat(
             &heartbeat("n-1", 1, 2, 5, vec![]),
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn after_a_takeover_old_jobs_wait_for_the_last_host_and_new_ones_do_not() {
+fn after_takeover_old_jobs_wait_for_the_last_host_and_new_jobs_do_not() {
     let mut part = partition(2, true);
     part.upsert_job(
         &request("job-old", "array", 1, 1.0, None),
@@ -140,7 +143,7 @@
     );
     part.run_cycle(NOW);
     assert_eq!((live(&part, "job-old"), live(&part, "job-new")), (0, 1));
-    // The other host's lease has surely lapsed.
+    // The other host's lease has certainly expired.
     let later = NOW + part.config.lease_expiry();
     part.on_heartbeat(
         &heartbeat("n-1", 1, 10, 5, vec![]),
@@ -157,17 +160,17 @@
 }
 
 #[test]
-fn an_unknown_spot_machine_does_not_hold_up_work_that_never_runs_on_such() {
+fn unknown_spot_machine_does_not_delay_jobs_that_never_use_spot_machines() {
     let mut part = partition(1, true);
-    let silent = HostRecord {
+    let unknown_spot_host = HostRecord {
         spot: true,
         ..record("a")
     };
-    part.upsert_host(&"n-9".into(), &silent, Revision(4), true, NOW);
-    let steady = request("job-steady", "array", 1, 1.0, None);
-    let mut flexible = (*request("job-flexible", "array", 1, 1.0, None)).clone();
-    flexible.spot = true;
-    for job in [steady, Rc::new(flexible)] {
+    part.upsert_host(&"n-9".into(), &unknown_spot_host, Revision(4), true, NOW);
+    let on_demand = request("job-steady", "array", 1, 1.0, None);
+    let mut spot_allowed = (*request("job-flexible", "array", 1, 1.0, None)).clone();
+    spot_allowed.spot = true;
+    for job in [on_demand, Rc::new(spot_allowed)] {
         part.upsert_job(&job, Revision(3), NOW, &[], (0, NOW));
     }
     part.on_heartbeat(
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn the_limit_counts_what_may_run_unseen() {
+fn team_limit_counts_tasks_that_may_run_on_unknown_hosts() {
     let mut part = partition(2, true);
     part.upsert_job(
         &request("job-old", "array", 3, 1.0, None),
@@ -206,9 +209,9 @@
     assert_eq!(live(&part, "job-new"), 1);
 }
 
-/// What was learned before a takeover is not forgotten: one task is tried, not the array.
+/// The failure history survives a takeover: one task is retried instead of the whole array.
 #[test]
-fn a_job_that_backs_off_still_does_after_a_takeover() {
+fn job_still_backs_off_after_takeover() {
     let mut part = partition(6, false);
     part.upsert_job(
         &request("job-1", "array", 40, 0.0, None),
