--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -70,14 +70,14 @@
     })
 }
 
-fn hosts(part: &Partition) -> Vec<HostId> {
-    part.hosts.keys().cloned().collect()
+fn hosts(partition: &Partition) -> Vec<HostId> {
+    partition.hosts.keys().cloned().collect()
 }
 
 /// Sends a heartbeat of every host that reports all its tasks as running.
-fn report_all(part: &mut Partition, sequence: u64) {
-    for id in hosts(part) {
-        let host = &part.hosts[&id];
+fn report_all(partition: &mut Partition, sequence: u64) {
+    for id in hosts(partition) {
+        let host = &partition.hosts[&id];
         let tasks = host.tasks.iter().map(|(task, t)| TaskStatus {
             task: task.clone(),
             attempt: t.attempt,
@@ -95,8 +95,8 @@
             termination_notice: None,
             tasks: tasks.collect(),
         };
-        part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
-        part.apply(&id, HostInput::Answered(&[]), NOW);
+        partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
+        partition.apply(&id, HostInput::Answered(&[]), NOW);
     }
 }
 
@@ -128,7 +128,7 @@
         tuning: Tuning::default(),
     });
     let specs = Rc::new(BTreeMap::from([(Name::from("box"), spec)]));
-    let mut part = Partition::new(0, Revision(5), config, specs);
+    let mut partition = Partition::new(0, Revision(5), config, specs);
     for n in 0..count {
         let record = HostRecord {
             assignment: HostAssignment::Partition(0),
@@ -139,33 +139,33 @@
             rewrites: 0,
         };
         let id = HostId::new(&format!("n-{n:06}"));
-        part.upsert_host(&id, &record, Revision(4), false, NOW);
+        partition.upsert_host(&id, &record, Revision(4), false, NOW);
     }
-    report_all(&mut part, 1);
-    part
+    report_all(&mut partition, 1);
+    partition
 }
 
-fn submit(part: &mut Partition, kind: Kind, from: u64, count: u64) {
+fn submit(partition: &mut Partition, kind: Kind, from: u64, count: u64) {
     for n in from..from + count {
-        part.upsert_job(&request(kind, n), Revision(6), NOW, &[], (0, NOW));
+        partition.upsert_job(&request(kind, n), Revision(6), NOW, &[], (0, NOW));
     }
 }
 
 /// Returns a partition with nearly full machines and, per machine, a fifth of a job that waits.
 fn nearly_full(scale: u64) -> Partition {
-    let mut part = partition_with_hosts(HOSTS * scale);
-    submit(&mut part, Kind::Service, 0, 120 * scale);
-    submit(&mut part, Kind::Gang, 0, 100 * scale);
-    submit(&mut part, Kind::Array, 0, 60 * scale);
+    let mut partition = partition_with_hosts(HOSTS * scale);
+    submit(&mut partition, Kind::Service, 0, 120 * scale);
+    submit(&mut partition, Kind::Gang, 0, 100 * scale);
+    submit(&mut partition, Kind::Array, 0, 60 * scale);
     for sequence in 2..6 {
-        part.run_cycle(NOW);
-        report_all(&mut part, sequence);
+        partition.run_cycle(NOW);
+        report_all(&mut partition, sequence);
     }
-    submit(&mut part, Kind::Gang, 10_000, 60 * scale);
-    submit(&mut part, Kind::Array, 10_000, 30 * scale);
-    part.run_cycle(NOW);
-    report_all(&mut part, 6);
-    part
+    submit(&mut partition, Kind::Gang, 10_000, 60 * scale);
+    submit(&mut partition, Kind::Array, 10_000, 30 * scale);
+    partition.run_cycle(NOW);
+    report_all(&mut partition, 6);
+    partition
 }
 
 #[expect(clippy::too_many_lines, reason = "one measured setting after another")]
@@ -182,15 +182,15 @@
         // The cycle after a third of the machines have failed at the same time.
         group.bench_function(BenchmarkId::new("a third is lost", HOSTS * scale), |b| {
             let after_loss = || {
-                let mut part = nearly_full(scale);
-                for id in hosts(&part).iter().step_by(3) {
-                    part.apply(id, HostInput::Gone, NOW);
+                let mut partition = nearly_full(scale);
+                for id in hosts(&partition).iter().step_by(3) {
+                    partition.apply(id, HostInput::Gone, NOW);
                 }
-                part
+                partition
             };
-            let cycle = |mut part: Partition| {
-                part.run_cycle(black_box(NOW));
-                part
+            let cycle = |mut partition: Partition| {
+                partition.run_cycle(black_box(NOW));
+                partition
             };
             b.iter_batched(after_loss, cycle, BatchSize::PerIteration);
         });
@@ -230,7 +230,7 @@
                     before_takeover.config.clone(),
                     before_takeover.specs.clone(),
                 );
-                let mut part = Partition::new(0, Revision(9), config, specs);
+                let mut partition = Partition::new(0, Revision(9), config, specs);
                 for (id, host) in &before_takeover.hosts {
                     let record = HostRecord {
                         assignment: HostAssignment::Partition(0),
@@ -240,19 +240,19 @@
                         spot: host.spot,
                         rewrites: 0,
                     };
-                    part.upsert_host(id, &record, Revision(4), true, NOW);
+                    partition.upsert_host(id, &record, Revision(4), true, NOW);
                 }
                 for request in &requests {
-                    part.upsert_job(request, Revision(6), NOW, &[], (0, NOW));
+                    partition.upsert_job(request, Revision(6), NOW, &[], (0, NOW));
                 }
-                part
+                partition
             };
-            let process_takeover = |mut part: Partition| {
+            let process_takeover = |mut partition: Partition| {
                 for report in &reports {
-                    part.on_heartbeat(report, HeartbeatSource::Direct, NOW);
+                    partition.on_heartbeat(report, HeartbeatSource::Direct, NOW);
                 }
-                part.run_cycle(black_box(NOW));
-                part
+                partition.run_cycle(black_box(NOW));
+                partition
             };
             b.iter_batched(new_partition, process_takeover, BatchSize::PerIteration);
         });
--- a/crates/jasperhill-scheduler/src/autoscaler.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler.rs
@@ -14,7 +14,7 @@
 /// Demand of one unfinished job, as input to [`plan`].
 #[derive(Clone, Debug)]
 pub struct JobDemand<'a> {
-    /// The job.
+    /// Submitted job.
     pub request: &'a JobRequest,
     /// The partition that the job's team belongs to.
     pub partition: u32,
@@ -42,7 +42,7 @@
     /// Hosts for work that must run on on-demand machines.
     pub ordinary: f64,
     /// Hosts for work that may run on spot machines.
-    pub flexible: f64,
+    pub spot_eligible: f64,
     /// Hosts for production and urgent work, which is included in the other two fields.
     pub pressing: f64,
 }
@@ -50,7 +50,7 @@
 impl CapacityDemand {
     /// Returns the number of hosts needed, on-demand and spot.
     pub fn total(&self) -> f64 {
-        self.ordinary + self.flexible
+        self.ordinary + self.spot_eligible
     }
 }
 
@@ -63,43 +63,43 @@
     let mut partition_demands = vec![CapacityDemand::default(); config.partitions as usize];
     // Team limits bound the number of tasks that can run at the same time.
     let mut gpus_by_team: BTreeMap<&Name, u64> = BTreeMap::new();
-    for d in demands {
-        let r = d.request;
+    for job in demands {
+        let request = job.request;
         let Some(spec) = specs
             .values()
-            .find(|s| r.allows_type(&s.machine_type) && r.each.fits(&s.capacity))
+            .find(|s| request.allows_type(&s.machine_type) && request.each.fits(&s.capacity))
         else {
             continue;
         };
-        let mut tasks = u64::from(d.unfinished);
-        if let Some(team) = config.team(&r.team) {
-            let gpus = gpus_by_team.entry(&r.team).or_default();
+        let mut tasks = u64::from(job.unfinished);
+        if let Some(team) = config.team(&request.team) {
+            let gpus = gpus_by_team.entry(&request.team).or_default();
             if let Some(max_tasks) = team
                 .limit
                 .gpus
                 .saturating_sub(*gpus)
-                .checked_div(r.each.gpus)
+                .checked_div(request.each.gpus)
                 && team.limit.gpus > 0
             {
                 tasks = tasks.min(max_tasks);
             }
-            *gpus += tasks * r.each.gpus;
+            *gpus += tasks * request.each.gpus;
         }
-        let per_host = r.each.count_in(&spec.capacity).clamp(1, 1 << 20) as f64;
-        let mut share = tasks as f64 / per_host;
-        if let (Some(left), Shape::Array) = (d.left, r.shape) {
+        let per_host = request.each.count_in(&spec.capacity).clamp(1, 1 << 20) as f64;
+        let mut hosts = tasks as f64 / per_host;
+        if let (Some(left), Shape::Array) = (job.left, request.shape) {
             // An array with time for two rounds before its deadline needs half the machines.
-            let rounds = left.as_secs_f64() / r.estimate.as_secs_f64().max(1.0);
-            share /= rounds.clamp(1.0, 2.0);
+            let rounds = left.as_secs_f64() / request.estimate.as_secs_f64().max(1.0);
+            hosts /= rounds.clamp(1.0, 2.0);
         }
-        if let Some(demand) = partition_demands.get_mut(d.partition as usize) {
-            if r.priority <= Priority::High {
-                demand.pressing += share;
+        if let Some(demand) = partition_demands.get_mut(job.partition as usize) {
+            if request.priority <= Priority::High {
+                demand.pressing += hosts;
             }
-            if r.spot {
-                demand.flexible += share
+            if request.spot {
+                demand.spot_eligible += hosts
             } else {
-                demand.ordinary += share
+                demand.ordinary += hosts
             }
         }
     }
@@ -188,13 +188,13 @@
 
     /// Records the arrival of a job of this partition that has become ready to start.
     pub fn record(&mut self, partition: u32, request: &JobRequest, specs: &Specs, now: Micros) {
-        let share = hosts_for(request, specs);
+        let hosts = hosts_for(request, specs);
         let stats = self
             .arrivals
             .entry((partition, request.class.clone()))
             .or_default();
         stats.decay(now);
-        stats.sum += share;
+        stats.sum += hosts;
         // A job that must run in one zone needs enough free capacity in a single zone, and free
         // hosts may be in any zone, so its square counts once per zone.
         let zones = if request.one_zone {
@@ -202,7 +202,7 @@
         } else {
             1
         };
-        stats.squared_sum += share * share * zones as f64;
+        stats.squared_sum += hosts * hosts * zones as f64;
         if stats.last_arrival > Micros::ZERO {
             let interval = (now - stats.last_arrival).as_secs_f64();
             stats.interval = Some(
--- a/crates/jasperhill-scheduler/src/boot_times.rs
+++ b/crates/jasperhill-scheduler/src/boot_times.rs
@@ -51,7 +51,7 @@
             .get(&(machine_type.clone(), zone.clone()))
             .into_iter()
             .flatten()
-            .filter(|(at, _)| now - *at < SAMPLE_MAX_AGE)
+            .filter(|(observed_at, _)| now - *observed_at < SAMPLE_MAX_AGE)
             .map(|(_, elapsed)| *elapsed)
             .collect();
         while elapsed.len() < MIN_SAMPLES {
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -25,8 +25,9 @@
 }
 
 impl TeamLimits {
-    fn is_within(used: &Resources, bound: &Resources) -> bool {
-        (bound.cpus == 0 || used.cpus <= bound.cpus) && (bound.gpus == 0 || used.gpus <= bound.gpus)
+    fn is_within(used: &Resources, maximum: &Resources) -> bool {
+        (maximum.cpus == 0 || used.cpus <= maximum.cpus)
+            && (maximum.gpus == 0 || used.gpus <= maximum.gpus)
     }
     /// Returns whether this usage is within the limit.
     pub fn allows(&self, used: &Resources) -> bool {
@@ -39,12 +40,12 @@
     }
 }
 
-/// Parameters that operators may set. The defaults are suitable for most deployments.
+/// Parameters that operators may set. The defaults are safe to use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
     /// Uncertainty factor of the paper's admission test, by which the start delay is multiplied.
     pub uncertainty: f64,
-    /// Machines kept in addition to the planned ones, as a fraction of these.
+    /// Machines kept in addition to the demand, as a fraction of the demand.
     pub headroom: f64,
     /// Time for which an idle machine is kept.
     pub idle_keep: Micros,
@@ -58,8 +59,9 @@
 impl Tuning {
     /// Returns the part of `min_machines` that a partition keeps.
     pub fn min_machines_of(&self, partition: u32, partitions: u32) -> u32 {
-        let all = partitions.max(1);
-        self.min_machines / all + u32::from(partition < self.min_machines % all)
+        let partition_count = partitions.max(1);
+        self.min_machines / partition_count
+            + u32::from(partition < self.min_machines % partition_count)
     }
 
     /// Returns the number of machines that a partition should have: the demand with
@@ -96,7 +98,7 @@
     pub teams: Vec<TeamLimits>,
     /// Interval between two heartbeats of a worker.
     pub report: Micros,
-    /// Time after its last answered heartbeat for which a worker keeps its tasks running.
+    /// Time after the last answered heartbeat for which a worker keeps its tasks running.
     pub lease: Micros,
     /// Time for which a worker lets a task of a gang wait for the gang's other tasks.
     pub gang_wait: Micros,
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -11,12 +11,11 @@
 /// State of an unfinished job with regard to the jobs that it depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyState {
-    /// All jobs that it depends on are done.
+    /// All dependencies of the job are done.
     Ready,
-    /// At least one job that it depends on is not done.
+    /// At least one dependency of the job is not done.
     Waiting,
-    /// A job that it depends on, directly or indirectly, is cancelled; the job is cancelled too,
-    /// which is final.
+    /// The job is cancelled, finally, because a direct or indirect dependency is cancelled.
     Doomed,
 }
 
@@ -72,18 +71,18 @@
 pub enum Input<'a> {
     /// The record of an unfinished job is seen for the first time.
     Accepted {
-        /// The job.
+        /// Id of the accepted job.
         id: &'a JobId,
-        /// Jobs that it depends on.
+        /// Dependencies of the job.
         needs: &'a [JobId],
-        /// Urgency that the jobs it depends on inherit.
+        /// Urgency of the job, which its dependencies inherit.
         terms: JobUrgency,
         /// Returns the current outcome of another job according to the records.
         fate: &'a dyn Fn(&JobId) -> RecordedOutcome,
     },
     /// The record of a job has become final.
     Ended {
-        /// The job.
+        /// Id of the ended job.
         id: &'a JobId,
         /// Whether the job is done; otherwise it is cancelled.
         done: bool,
@@ -95,22 +94,22 @@
 pub enum Output {
     /// The job was waiting and may start now.
     Released(JobId),
-    /// The job is cancelled because a job that it depends on is cancelled.
+    /// The job is cancelled because one of its dependencies is cancelled.
     Doomed(JobId),
     /// The urgency that the job inherits from its dependents has changed.
     UrgencyChanged(JobId),
 }
 
-/// A job with dependencies or dependents.
+/// Graph node of a job with dependencies or dependents.
 #[derive(Debug, Default)]
 struct Node {
-    /// Jobs that it depends on and that are not done.
+    /// Dependencies of the job that are not done.
     unfinished_dependencies: BTreeSet<JobId>,
-    /// Unfinished jobs that depend on it.
+    /// Unfinished jobs that depend on the job.
     dependents: BTreeSet<JobId>,
-    /// Whether a job that it depends on is cancelled.
+    /// Whether a direct or indirect dependency of the job is cancelled.
     upstream_cancelled: bool,
-    /// Urgency inherited from its dependents.
+    /// Urgency that the job inherits from its dependents.
     inherited: InheritedUrgency,
     /// Urgency of the job itself; `None` until its own record has been seen.
     urgency: Option<JobUrgency>,
@@ -119,7 +118,7 @@
 /// Maximum number of steps for which one event propagates urgency. Stopping early is harmless
 /// because urgency only affects the order of jobs.
 const MAX_PROPAGATION_STEPS: usize = 4_000;
-/// Maximum number of jobs visited for one estimate.
+/// Maximum number of jobs visited by one call of [`DependencyGraph::time_until_ready`].
 const MAX_JOBS_VISITED: usize = 2_000;
 
 /// Graph of the unfinished jobs that depend on other jobs, and of the jobs that these depend on.
@@ -238,15 +237,15 @@
 
     /// Cancels a job and all its direct and indirect dependents, reporting each of them once.
     fn cancel_with_dependents(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
-        let mut next = vec![id.clone()];
-        while let Some(id) = next.pop() {
+        let mut worklist = vec![id.clone()];
+        while let Some(id) = worklist.pop() {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
             if std::mem::replace(&mut node.upstream_cancelled, true) {
                 continue;
             }
-            next.extend(node.dependents.iter().cloned());
+            worklist.extend(node.dependents.iter().cloned());
             self.upstream_cancelled.insert(id.clone());
             outputs.push(Output::Doomed(id));
         }
@@ -264,18 +263,18 @@
             due: urgency.due,
             priority: Some(urgency.priority),
         };
-        let all = node.inherited.merged_with(own);
+        let merged = node.inherited.merged_with(own);
         InheritedUrgency {
-            due: all.due.map(|due| due - urgency.span),
-            ..all
+            due: merged.due.map(|due| due - urgency.span),
+            ..merged
         }
     }
 
     /// Propagates a job's urgency to its direct and indirect dependencies.
     fn propagate_urgency(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
-        let mut next = vec![id.clone()];
+        let mut worklist = vec![id.clone()];
         let mut steps = 0;
-        while let Some(id) = next.pop() {
+        while let Some(id) = worklist.pop() {
             let urgency = self.urgency_for_dependencies(&id);
             let dependencies = self.nodes.get(&id).map(|n| &n.unfinished_dependencies);
             let dependencies: Vec<JobId> = dependencies.into_iter().flatten().cloned().collect();
@@ -289,7 +288,7 @@
                 {
                     node.inherited = node.inherited.merged_with(urgency);
                     outputs.push(Output::UrgencyChanged(dependency.clone()));
-                    next.push(dependency);
+                    worklist.push(dependency);
                 }
             }
         }
@@ -298,9 +297,9 @@
     /// Recomputes the inherited urgency of a job and of its dependencies after one of its
     /// dependents has ended, and removes nodes without dependencies and dependents.
     fn recompute_urgency(&mut self, id: &JobId, outputs: &mut Vec<Output>) {
-        let mut next = vec![id.clone()];
+        let mut worklist = vec![id.clone()];
         let mut steps = 0;
-        while let Some(id) = next.pop() {
+        while let Some(id) = worklist.pop() {
             let Some(node) = self.nodes.get(&id) else {
                 continue;
             };
@@ -311,14 +310,14 @@
             let inherited = node
                 .dependents
                 .iter()
-                .fold(InheritedUrgency::default(), |all, dependent| {
-                    all.merged_with(self.urgency_for_dependencies(dependent))
+                .fold(InheritedUrgency::default(), |merged, dependent| {
+                    merged.merged_with(self.urgency_for_dependencies(dependent))
                 });
             let is_isolated = node.dependents.is_empty()
                 && node.unfinished_dependencies.is_empty()
                 && !node.upstream_cancelled;
             if inherited != node.inherited {
-                next.extend(node.unfinished_dependencies.iter().cloned());
+                worklist.extend(node.unfinished_dependencies.iter().cloned());
                 outputs.push(Output::UrgencyChanged(id.clone()));
             }
             if is_isolated {
@@ -338,9 +337,9 @@
         remaining_time: impl Fn(&JobId) -> Micros,
     ) -> Micros {
         let mut completion_times: HashMap<&JobId, Micros> = HashMap::new();
-        let mut next: Vec<(&JobId, bool)> = jobs.iter().map(|n| (n, false)).collect();
+        let mut worklist: Vec<(&JobId, bool)> = jobs.iter().map(|n| (n, false)).collect();
         let mut visited = 0;
-        while let Some((id, is_expanded)) = next.pop() {
+        while let Some((id, is_expanded)) = worklist.pop() {
             if completion_times.contains_key(id) {
                 continue;
             }
@@ -350,8 +349,8 @@
                 && visited <= MAX_JOBS_VISITED
                 && dependencies.is_some_and(|d| !d.is_empty())
             {
-                next.push((id, true));
-                next.extend(dependencies.into_iter().flatten().map(|n| (n, false)));
+                worklist.push((id, true));
+                worklist.extend(dependencies.into_iter().flatten().map(|n| (n, false)));
                 continue;
             }
             let dependency_times = dependencies
--- a/crates/jasperhill-scheduler/src/dependencies/tests.rs
+++ b/crates/jasperhill-scheduler/src/dependencies/tests.rs
@@ -102,7 +102,8 @@
     })
 }
 
-/// Dependency graph of one controller. The first record that it sees of a job may be the final one.
+/// Dependency graph of one controller. The first record that the controller sees of a job may be
+/// the final one.
 #[derive(Default)]
 struct Observed {
     graph: DependencyGraph,
--- a/crates/jasperhill-scheduler/src/failures.rs
+++ b/crates/jasperhill-scheduler/src/failures.rs
@@ -42,7 +42,7 @@
         next: Micros,
         /// Longest run time of a failed task.
         ran: Micros,
-        /// Hosts against which its failures do not count.
+        /// Hosts against which the job's failures do not count.
         hosts: BTreeSet<HostId>,
     },
 }
@@ -61,7 +61,7 @@
     },
     /// A task completed.
     Succeeded,
-    /// A task has been running for this time.
+    /// A task is still running after this run time.
     RunningFor(Micros),
 }
 
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -29,7 +29,7 @@
 /// Reason why no more tasks of a job start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
-    /// The user has cancelled the job or a job that it depends on.
+    /// The user has cancelled the job or one of its dependencies.
     Cancelled,
     /// All tasks are done.
     Done,
@@ -49,10 +49,10 @@
 /// Whether the dependencies of a job allow its tasks to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// A job that it depends on is not done. The waiting job gets no resources and no reservations,
-    /// and preempts no other work.
+    /// At least one dependency of the job is not done. The waiting job gets no resources and no
+    /// reservations, and preempts no other work.
     Waiting,
-    /// All jobs that it depends on are done.
+    /// All dependencies of the job are done.
     Open,
 }
 
@@ -108,8 +108,8 @@
 pub struct Job {
     /// Job as submitted by its user.
     pub request: Rc<JobRequest>,
-    /// Revision at which its record was created. Jobs newer than a takeover have no unconfirmed
-    /// tasks.
+    /// Revision at which the job's record was created. Jobs newer than a takeover have no
+    /// unconfirmed tasks.
     pub created: Revision,
     /// Time from which the job's age counts: its submission, or the time at which its last
     /// dependency was done.
@@ -118,15 +118,15 @@
     pub due: Option<Micros>,
     /// Whether the dependencies of the job allow its tasks to start.
     pub readiness: Readiness,
-    /// Deadline and priority inherited from its dependents.
+    /// Deadline and priority that the job inherits from its dependents.
     inherited: (Option<Micros>, Option<Priority>),
     /// Set of tasks that are done.
     pub done: TaskSet,
     /// Tasks that are done but not yet saved in the job's record.
     pub unsaved: BTreeSet<u32>,
-    /// Tasks that are on a host or that a host is commanded to start, with the host.
+    /// Tasks that are on a host or that a host is commanded to start, by task index.
     pub live: BTreeMap<u32, HostId>,
-    /// Tasks with a reservation in a host's queue, with the host.
+    /// Tasks with a reservation in a host's queue, by task index.
     pub reserved: BTreeMap<u32, HostId>,
     /// Tasks reported as running, for the job's status and for choosing which task to stop.
     pub running: BTreeSet<u32>,
--- a/crates/jasperhill-scheduler/src/pace.rs
+++ b/crates/jasperhill-scheduler/src/pace.rs
@@ -37,7 +37,8 @@
 pub(crate) const LEARNS: f64 = 0.03;
 /// Minimum number of ended tasks of a job for predicting the run time of its other tasks.
 const MIN_SIBLINGS: u32 = 3;
-/// Minimum number of hosts on which these tasks must have ended.
+/// Minimum number of hosts on which a job's tasks must have ended for predicting the run time of
+/// its other tasks.
 const MIN_SIBLING_HOSTS: usize = 2;
 /// Divisor of the number of machines that gives the maximum judged slow at a time: one in eight. If
 /// more appear to be slow, the expected run times are wrong.
@@ -85,7 +86,7 @@
     Steady,
     /// The machine is judged slow.
     Slow {
-        /// Factor by which its tasks take longer than expected.
+        /// Factor by which tasks on the machine take longer than expected.
         times: f64,
     },
 }
@@ -97,7 +98,7 @@
     Weighed {
         /// Natural logarithm of the odds that the machine is slow.
         odds: f64,
-        /// Factor by which its tasks take longer than expected if it is slow.
+        /// Factor by which tasks on the machine take longer than expected if the machine is slow.
         times: f64,
     },
     /// A task that started after the machine was judged slow ended in time.
--- a/crates/jasperhill-scheduler/src/reservation_window.rs
+++ b/crates/jasperhill-scheduler/src/reservation_window.rs
@@ -8,8 +8,8 @@
 /// Maximum time for which gangs of a team may keep the team's other work from its limit without a
 /// pause.
 const MAX_RESERVATION: Micros = Micros::from_secs(40);
-/// Pause between two reservations. [`MAX_RESERVATION`] and the pause together are shorter than the
-/// time for which a job may wait although there is free capacity.
+/// Pause between two reservations. A reservation and the following pause together are shorter than
+/// the time for which a job may wait although there is free capacity.
 const PAUSE: Micros = Micros::from_secs(20);
 
 /// Alternating reservation and pause for the gangs of one team. Without the pause, the team's other
--- a/crates/jasperhill-scheduler/src/starvation.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -20,18 +20,16 @@
 /// Minimum number of jobs waiting for too long for a group to count as starved.
 const MIN_LONG_WAITING: usize = 2;
 /// Minimum time after which a job has waited for too long.
-const LONG_WAIT: Micros = Micros::from_secs(45);
+const MIN_LONG_WAIT: Micros = Micros::from_secs(45);
 /// Multiple of a class's start objective after which a job has waited for too long.
 const LONG_WAIT_FACTOR: f64 = 3.0;
-/// Number of waiting jobs in a group per additional boosted job. One job is always boosted; with
-/// more boosted jobs, a gang that is still collecting its machines, or never gets them, does not
-/// block all jobs behind it.
+/// Number of waiting jobs per additional boosted job of a group, beyond the first. With one boosted
+/// job, a gang that is collecting its machines, or cannot get them, would block all jobs behind it.
 const WAITING_PER_EXTRA_BOOST: usize = 4;
 /// Maximum number of boosted jobs per group.
 const MAX_BOOSTED: usize = 4;
-/// Multiple of the long wait after which a single job makes its size group count as starved. It is
-/// longer because with few jobs of a size the long wait may be no different from the rest of the
-/// class.
+/// Multiple of the long wait after which a single job makes its size group count as starved. One
+/// job is weak evidence, because its wait may be no different from that of the rest of the class.
 const SINGLE_JOB_WAIT_FACTOR: f64 = 2.0;
 /// Interval between two evaluations of the groups.
 const EVALUATION_INTERVAL: Micros = Micros::from_secs(1);
@@ -75,9 +73,9 @@
 /// A job that may start and has no running task.
 #[derive(Clone, Debug)]
 pub struct WaitingJob<'a> {
-    /// The job.
+    /// Id of the waiting job.
     pub id: &'a JobId,
-    /// Groups in which the wait of this job counts.
+    /// Groups of the job in which its wait counts as starvation.
     pub groups: Vec<Group>,
     /// Time since which the job has had no running task.
     pub since: Micros,
@@ -88,14 +86,14 @@
 impl WaitingJob<'_> {
     /// Returns the time after which the job has waited for too long.
     fn long_wait(&self) -> Micros {
-        LONG_WAIT.max(self.within.scale(LONG_WAIT_FACTOR))
+        MIN_LONG_WAIT.max(self.within.scale(LONG_WAIT_FACTOR))
     }
     /// Returns whether the job has waited for too long.
     fn has_waited_too_long(&self, now: Micros) -> bool {
         now - self.since > self.long_wait()
     }
     /// Returns whether the job has waited for so long that it alone makes its size group starved.
-    fn has_starved_alone(&self, now: Micros) -> bool {
+    fn exceeds_single_job_wait(&self, now: Micros) -> bool {
         now - self.since > self.long_wait().scale(SINGLE_JOB_WAIT_FACTOR)
     }
 }
@@ -105,7 +103,7 @@
 pub enum Input<'a> {
     /// The first task of a waiting job starts.
     Begun {
-        /// The job.
+        /// Id of the job.
         id: &'a JobId,
         /// Class of the job.
         class: &'a Name,
@@ -114,14 +112,15 @@
         /// Number of tasks of the job.
         tasks: u32,
     },
-    /// All groups are evaluated with these waiting jobs.
+    /// Request to evaluate all groups, with all jobs that are waiting now.
     Evaluate(&'a [WaitingJob<'a>]),
 }
 
 /// Share of started jobs of one group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedShare {
-    /// Jobs started recently, as a fraction of these and the jobs that have waited for too long.
+    /// Number of recently started jobs divided by the number of recently started jobs and of jobs
+    /// that have waited for too long.
     pub share: f64,
     /// Number of jobs that have waited for too long.
     pub waiting: usize,
@@ -131,7 +130,7 @@
 }
 
 impl ServedShare {
-    /// Returns whether the group is starved with this minimum share.
+    /// Returns whether the group has enough waiting jobs and a share below `min_share`.
     fn is_starved(&self, min_share: f64) -> bool {
         self.is_significant && self.share < min_share
     }
@@ -200,14 +199,14 @@
             let waiting = jobs.len();
             let is_size = matches!(group, Group::Size(..));
             let is_significant = waiting >= MIN_LONG_WAITING
-                || is_size && jobs.iter().any(|j| j.has_starved_alone(now));
-            let served = ServedShare {
+                || is_size && jobs.iter().any(|j| j.exceeds_single_job_wait(now));
+            let group_share = ServedShare {
                 share,
                 waiting,
                 is_significant,
             };
-            self.group_shares.insert(group.clone(), served);
-            if served.is_starved(min_share) {
+            self.group_shares.insert(group.clone(), group_share);
+            if group_share.is_starved(min_share) {
                 let mut oldest: Vec<_> = jobs.iter().map(|w| (w.since, w.id)).collect();
                 oldest.sort();
                 let boost_count = (1 + waiting / WAITING_PER_EXTRA_BOOST).min(MAX_BOOSTED);
@@ -248,7 +247,7 @@
     }
 }
 
-/// Returns a count decayed from its time to `now`.
+/// Returns a number of started jobs, decayed from the time `at` to `now`.
 fn decayed((count, at): (f64, Micros), now: Micros) -> f64 {
     count * (-(now - at).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
 }
--- a/crates/jasperhill-scheduler/src/task_set.rs
+++ b/crates/jasperhill-scheduler/src/task_set.rs
@@ -21,7 +21,8 @@
     pub fn contains(&self, i: u32) -> bool {
         i < self.len && self.words[(i / 64) as usize] >> (i % 64) & 1 == 1
     }
-    /// Adds task `i`. Returns whether it was added; `false` if it was in the set or out of range.
+    /// Adds task `i` to the set. Returns `false` if the task was in the set before or is out of
+    /// range.
     pub fn insert(&mut self, i: u32) -> bool {
         if i >= self.len || self.contains(i) {
             return false;
--- a/crates/jasperhill-scheduler/tests/machines/failures.rs
+++ b/crates/jasperhill-scheduler/tests/machines/failures.rs
@@ -1,6 +1,8 @@
 //! Tests of failure attribution, quarantine and the detection of slow hosts.
 
-use crate::support::{NOW, all_exit, all_runs, heartbeat, live, partition, request};
+use crate::support::{
+    NOW, heartbeat, live, new_partition, report_all_exited, report_all_running, request,
+};
 use jasperhill_scheduler::HeartbeatSource;
 use jasperhill_wire::user::JobRequest;
 use jasperhill_wire::worker::{ExitCause, TaskPhase, TaskStatus};
@@ -9,10 +11,10 @@
 
 #[test]
 fn quarantines_only_the_host_on_which_all_tasks_fail() {
-    let mut part = partition(2, false);
+    let mut partition = new_partition(2, false);
     for n in 0..2 {
         let id = format!("job-{n}");
-        part.upsert_job(
+        partition.upsert_job(
             &request(&id, "array", 1, 2.0, None),
             Revision(6),
             NOW,
@@ -23,9 +25,9 @@
     let host = HostId::new("n-1");
     let mut sequence = 10;
     for round in 0..2u64 {
-        part.run_cycle(NOW);
+        partition.run_cycle(NOW);
         let now = NOW + Micros::from_millis(round);
-        let host_tasks: Vec<(TaskId, Attempt)> = part.hosts[&host]
+        let host_tasks: Vec<(TaskId, Attempt)> = partition.hosts[&host]
             .tasks
             .iter()
             .filter(|(_, t)| t.holds_resources())
@@ -40,58 +42,70 @@
             })
             .collect();
         sequence += 1;
-        part.on_heartbeat(
+        partition.on_heartbeat(
             &heartbeat("n-1", 1, sequence, 5, tasks),
             HeartbeatSource::Heartbeat,
             now,
         );
         let later = request(&format!("job-9{round}"), "array", 1, 2.0, None);
-        part.upsert_job(&later, Revision(6), now, &[], (0, NOW));
+        partition.upsert_job(&later, Revision(6), now, &[], (0, NOW));
     }
-    assert!(!part.hosts[&host].is_usable(NOW, &part.config));
-    assert!(part.hosts[&HostId::new("n-2")].quarantined_until.is_none());
+    assert!(!partition.hosts[&host].is_usable(NOW, &partition.config));
+    assert!(
+        partition.hosts[&HostId::new("n-2")]
+            .quarantined_until
+            .is_none()
+    );
 }
 
 /// An array submitted with a mistake quarantined a large part of the fleet, because its failures
 /// counted against the hosts.
 #[test]
 fn array_that_fails_everywhere_backs_off_and_quarantines_no_host() {
-    let mut part = partition(6, false);
+    let mut partition = new_partition(6, false);
     let id = JobId::new("job-1");
-    part.upsert_job(
+    partition.upsert_job(
         &request("job-1", "array", 40, 0.0, Some(500.0)),
         Revision(6),
         NOW,
         &[],
         (0, NOW),
     );
-    part.run_cycle(NOW);
+    partition.run_cycle(NOW);
     assert_eq!(
-        live(&part, "job-1"),
+        live(&partition, "job-1"),
         40,
         "all tasks are live, on several hosts"
     );
     let mut failed = 0;
     for n in 1..=6 {
-        failed += all_exit(&mut part, &format!("n-{n}"), 5, ExitCause::Error, NOW);
+        failed += report_all_exited(&mut partition, &format!("n-{n}"), 5, ExitCause::Error, NOW);
     }
     assert_eq!(failed, 40);
-    assert!(part.jobs[&id].failures.is_backing_off());
-    assert!(part.hosts.values().all(|h| h.is_usable(NOW, &part.config)));
-    assert!(part.unsaved.contains(&id), "the back-off has to be saved");
+    assert!(partition.jobs[&id].failures.is_backing_off());
+    assert!(
+        partition
+            .hosts
+            .values()
+            .all(|h| h.is_usable(NOW, &partition.config))
+    );
+    assert!(
+        partition.unsaved.contains(&id),
+        "the back-off has to be saved"
+    );
     // No task starts during the delay, and one task starts after it.
-    part.run_cycle(NOW + Micros::from_secs(1));
-    assert_eq!(live(&part, "job-1"), 0);
+    partition.run_cycle(NOW + Micros::from_secs(1));
+    assert_eq!(live(&partition, "job-1"), 0);
     let later = NOW + Micros::from_secs(5);
-    part.run_cycle(later);
-    assert_eq!(live(&part, "job-1"), 1);
+    partition.run_cycle(later);
+    assert_eq!(live(&partition, "job-1"), 1);
     // The retry completes, so that the failures are not the job's fault and the other hosts are
     // blamed.
-    let host = part.jobs[&id].live.values().next().unwrap().clone();
-    all_exit(&mut part, host.as_str(), 6, ExitCause::Done, later);
-    assert!(!part.jobs[&id].failures.is_backing_off());
-    for h in part.hosts.values() {
-        assert_eq!(h.is_usable(later, &part.config), h.id == host);
+    let host = partition.jobs[&id].live.values().next().unwrap().clone();
+    report_all_exited(&mut partition, host.as_str(), 6, ExitCause::Done, later);
+    assert!(!partition.jobs[&id].failures.is_backing_off());
+    for h in partition.hosts.values() {
+        assert_eq!(h.is_usable(later, &partition.config), h.id == host);
     }
 }
 
@@ -108,28 +122,28 @@
 #[test]
 fn host_is_slow_when_several_tasks_overrun_and_not_when_one_does() {
     let slow_verdict = |estimates: &[u64], has_task_in_time: bool| {
-        let mut part = partition(1, false);
+        let mut partition = new_partition(1, false);
         let host = HostId::new("n-1");
         for (n, estimate) in estimates.iter().enumerate() {
             let job = job_with_estimate(&format!("job-{n}"), *estimate);
-            part.upsert_job(&job, Revision(6), NOW, &[], (0, NOW));
+            partition.upsert_job(&job, Revision(6), NOW, &[], (0, NOW));
         }
-        part.run_cycle(NOW);
-        assert_eq!(part.hosts[&host].tasks.len(), estimates.len());
-        all_runs(&mut part, "n-1", 5, NOW);
+        partition.run_cycle(NOW);
+        assert_eq!(partition.hosts[&host].tasks.len(), estimates.len());
+        report_all_running(&mut partition, "n-1", 5, NOW);
         if has_task_in_time {
             // Another task on the host ends in time shortly before the others overrun.
             let at = NOW + Micros::from_secs(18);
-            part.upsert_job(
+            partition.upsert_job(
                 &job_with_estimate("job-x", 10),
                 Revision(6),
                 NOW,
                 &[],
                 (0, NOW),
             );
-            part.run_cycle(NOW);
-            all_runs(&mut part, "n-1", 6, NOW + Micros::from_secs(9));
-            let tasks = part.hosts[&host].tasks.iter();
+            partition.run_cycle(NOW);
+            report_all_running(&mut partition, "n-1", 6, NOW + Micros::from_secs(9));
+            let tasks = partition.hosts[&host].tasks.iter();
             let tasks = tasks.map(|(task, t)| TaskStatus {
                 task: task.clone(),
                 attempt: t.attempt,
@@ -139,14 +153,14 @@
                 },
             });
             let report = heartbeat("n-1", 1, 7, 5, tasks.collect());
-            part.on_heartbeat(&report, HeartbeatSource::Heartbeat, at);
+            partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, at);
         }
         let overrun_at = NOW + Micros::from_secs(21);
-        all_runs(&mut part, "n-1", 9, overrun_at);
-        part.run_cycle(overrun_at);
+        report_all_running(&mut partition, "n-1", 9, overrun_at);
+        partition.run_cycle(overrun_at);
         (
-            part.hosts[&host].pace.is_slow(),
-            part.hosts[&host].slowness > 1.5,
+            partition.hosts[&host].pace.is_slow(),
+            partition.hosts[&host].slowness > 1.5,
         )
     };
     assert_eq!(slow_verdict(&[10, 10, 10], false), (true, true));
--- a/crates/jasperhill-scheduler/tests/machines/host_commands.rs
+++ b/crates/jasperhill-scheduler/tests/machines/host_commands.rs
@@ -1,8 +1,8 @@
 //! Tests of commands to a host whose outcome is known, unknown, late or never received.
 
 use crate::support::{
-    NOW, all_exit, config, heartbeat, host, listed, live, partition, record, request, spec, start,
-    task,
+    NOW, config, heartbeat, host, live, new_partition, record, report_all_exited, request, spec,
+    start, task, task_status,
 };
 use jasperhill_scheduler::job::Termination;
 use jasperhill_scheduler::{FencingState, HeartbeatSource, Host, HostInput, Partition};
@@ -20,7 +20,7 @@
     host.apply(HostInput::DirectSent(commands, NOW), NOW);
     host.apply(HostInput::DirectUnanswered, NOW);
     assert!(host.needs_token());
-    let exited = vec![listed(0, 7, TaskPhase::Exited(ExitCause::Done))];
+    let exited = vec![task_status(0, 7, TaskPhase::Exited(ExitCause::Done))];
     host.apply(
         HostInput::Heartbeat(
             &heartbeat("n-1", 1, 2, 5, exited.clone()),
@@ -98,7 +98,7 @@
 fn late_heartbeats_are_ignored_and_a_new_session_clears_all_tasks() {
     let mut host = host();
     start(&mut host, 0, 7);
-    let running = vec![listed(0, 7, TaskPhase::Running)];
+    let running = vec![task_status(0, 7, TaskPhase::Running)];
     host.apply(
         HostInput::Heartbeat(
             &heartbeat("n-1", 1, 5, 5, running),
@@ -129,40 +129,40 @@
 /// the expiry of the old session.
 #[test]
 fn new_session_does_not_expire_with_the_old_one() {
-    let mut part = partition(1, false);
+    let mut partition = new_partition(1, false);
     let id = HostId::new("n-1");
-    part.apply(&id, HostInput::Answered(&[]), NOW);
-    let lease = part.config.lease_expiry();
+    partition.apply(&id, HostInput::Answered(&[]), NOW);
+    let lease = partition.config.lease_expiry();
     let just_before = NOW + lease - Micros::from_millis(100);
-    part.on_heartbeat(
+    partition.on_heartbeat(
         &heartbeat("n-1", 2, 9, 5, vec![]),
         HeartbeatSource::Direct,
         just_before,
     );
-    part.upsert_job(
+    partition.upsert_job(
         &request("job-1", "array", 1, 1.0, None),
         Revision(6),
         NOW,
         &[],
         (0, NOW),
     );
-    part.run_cycle(just_before);
-    // The new session's lease may not be renewed by any controller, because the worker may reach
+    partition.run_cycle(just_before);
+    // Possibly no controller renews the lease of the new session, because the worker may reach
     // none.
-    assert_eq!(live(&part, "job-1"), 0);
-    part.on_heartbeat(
+    assert_eq!(live(&partition, "job-1"), 0);
+    partition.on_heartbeat(
         &heartbeat("n-1", 2, 10, 5, vec![]),
         HeartbeatSource::Heartbeat,
         just_before,
     );
-    part.run_cycle(just_before);
-    assert_eq!(live(&part, "job-1"), 1);
-    part.run_cycle(NOW + lease + Micros::from_secs(1));
-    assert_eq!(part.hosts[&id].fencing, FencingState::Fenced);
-    assert_eq!(live(&part, "job-1"), 1);
+    partition.run_cycle(just_before);
+    assert_eq!(live(&partition, "job-1"), 1);
+    partition.run_cycle(NOW + lease + Micros::from_secs(1));
+    assert_eq!(partition.hosts[&id].fencing, FencingState::Fenced);
+    assert_eq!(live(&partition, "job-1"), 1);
     // The new session expires one lease after its own heartbeat.
-    part.run_cycle(just_before + lease + Micros::from_secs(1));
-    assert_eq!(part.hosts[&id].fencing, FencingState::Lapsed);
+    partition.run_cycle(just_before + lease + Micros::from_secs(1));
+    assert_eq!(partition.hosts[&id].fencing, FencingState::Lapsed);
 }
 
 /// A machine answers direct requests but reaches no controller. Tasks started on it by direct
@@ -310,7 +310,7 @@
                             3 => TaskPhase::Exited(ExitCause::Done),
                             _ => TaskPhase::Exited(ExitCause::Error),
                         };
-                        Some(listed(i as u32, task_on_host.attempt.0, phase))
+                        Some(task_status(i as u32, task_on_host.attempt.0, phase))
                     }).collect();
                     let before = host.incarnation;
                     host.apply(HostInput::Heartbeat(&heartbeat("n-1", incarnation, sequence, reported_token.min(token), tasks), HeartbeatSource::Heartbeat), NOW);
@@ -336,31 +336,32 @@
 /// that thousands of them fit on a machine.
 #[test]
 fn host_lists_no_more_tasks_than_fit_in_a_heartbeat() {
-    let mut part = partition(1, false);
+    let mut partition = new_partition(1, false);
     let mut tiny = (*request("job-1", "array", 50_000, 0.0, None)).clone();
     tiny.each = Resources::from_units(0.001, 0.0, 0.001);
-    part.upsert_job(&Rc::new(tiny), Revision(6), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
+    partition.upsert_job(&Rc::new(tiny), Revision(6), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
     let id = HostId::new("n-1");
-    let live_tasks = live(&part, "job-1");
-    assert!((100..1_000).contains(&live_tasks), "{live_tasks}");
-    let commands = part.commands(&id);
-    let text = jasperhill_wire::worker::commands_body(part.hosts[&id].token, Some(1), &commands);
+    let task_count = live(&partition, "job-1");
+    assert!((100..1_000).contains(&task_count), "{task_count}");
+    let commands = partition.commands(&id);
+    let text =
+        jasperhill_wire::worker::commands_body(partition.hosts[&id].token, Some(1), &commands);
     assert!(text.len() < 60_000, "{}", text.len());
     // Exited tasks that cannot be cleared yet count as well.
-    all_exit(&mut part, "n-1", 9, ExitCause::Done, NOW);
-    part.run_cycle(NOW);
-    assert!(part.hosts[&id].listed() <= live_tasks + 1);
+    report_all_exited(&mut partition, "n-1", 9, ExitCause::Done, NOW);
+    partition.run_cycle(NOW);
+    assert!(partition.hosts[&id].listed() <= task_count + 1);
     // More tasks start once the results are saved in the record.
     let done: std::collections::BTreeSet<u32> = (0..50_000).collect();
-    part.saved(&JobId::new("job-1"), &done, 0);
-    part.on_heartbeat(
+    partition.saved(&JobId::new("job-1"), &done, 0);
+    partition.on_heartbeat(
         &heartbeat("n-1", 1, 10, 5, vec![]),
         HeartbeatSource::Heartbeat,
         NOW,
     );
-    part.run_cycle(NOW);
-    assert!(live(&part, "job-1") > 100);
+    partition.run_cycle(NOW);
+    assert!(live(&partition, "job-1") > 100);
 }
 
 /// The heartbeats of a machine arrive, but it receives no answers. It would get new tasks in each
@@ -368,34 +369,34 @@
 #[test]
 fn host_that_receives_no_answers_is_unusable_until_it_does() {
     let id = HostId::new("n-1");
-    let usable = |part: &Partition, at: Micros| part.hosts[&id].is_usable(at, &config());
+    let usable = |partition: &Partition, at: Micros| partition.hosts[&id].is_usable(at, &config());
     let secs = Micros::from_secs;
-    let report = |part: &mut Partition, incarnation, sequence, token, at| {
-        part.on_heartbeat(
+    let report = |partition: &mut Partition, incarnation, sequence, token, at| {
+        partition.on_heartbeat(
             &heartbeat("n-1", incarnation, sequence, token, vec![]),
             HeartbeatSource::Heartbeat,
             at,
         );
-        part.apply(&id, HostInput::Answered(&[]), at);
+        partition.apply(&id, HostInput::Answered(&[]), at);
     };
-    let mut part = partition(1, false);
-    // Its lease expired at both ends because its heartbeats were not answered. The machine still
-    // receives answers.
-    report(&mut part, 1, 2, 5, NOW);
-    report(&mut part, 2, 3, 5, NOW + secs(17));
-    assert!(usable(&part, NOW + secs(17)));
-    // It starts a new session although its heartbeats are answered every three seconds.
+    let mut partition = new_partition(1, false);
+    // The lease expired on the machine and on the controller because no heartbeat was answered. The
+    // machine still receives answers.
+    report(&mut partition, 1, 2, 5, NOW);
+    report(&mut partition, 2, 3, 5, NOW + secs(17));
+    assert!(usable(&partition, NOW + secs(17)));
+    // The machine starts a new session although its heartbeats are answered every three seconds.
     for n in 0..6 {
-        report(&mut part, 2, 4 + n, 5, NOW + secs(20 + 3 * n));
+        report(&mut partition, 2, 4 + n, 5, NOW + secs(20 + 3 * n));
     }
     let later = NOW + secs(38);
-    report(&mut part, 3, 20, 5, later);
-    assert!(!usable(&part, later) && part.hosts[&id].needs_token());
-    part.apply(&id, HostInput::TokenRaised(FencingToken(9)), later);
-    report(&mut part, 3, 21, 5, later);
-    assert!(!usable(&part, later));
-    report(&mut part, 3, 22, 9, later);
-    assert!(usable(&part, later));
+    report(&mut partition, 3, 20, 5, later);
+    assert!(!usable(&partition, later) && partition.hosts[&id].needs_token());
+    partition.apply(&id, HostInput::TokenRaised(FencingToken(9)), later);
+    report(&mut partition, 3, 21, 5, later);
+    assert!(!usable(&partition, later));
+    report(&mut partition, 3, 22, 9, later);
+    assert!(usable(&partition, later));
 }
 
 #[derive(Clone, Debug)]
@@ -438,11 +439,11 @@
         at_takeover in any::<bool>(),
         events in proptest::collection::vec(partition_event(), 1..50),
     ) {
-        let mut part = partition(2, at_takeover);
+        let mut partition = new_partition(2, at_takeover);
         let jobs = ["job-1", "job-2", "job-3", "job-unknown"];
         for (n, shape) in ["array", "ensemble", "daemon"].into_iter().enumerate() {
             let request = request(jobs[n], shape, 2, 0.0, None);
-            part.upsert_job(&request, Revision(0), NOW, &[], (0, NOW));
+            partition.upsert_job(&request, Revision(0), NOW, &[], (0, NOW));
         }
         let mut latest = [(1, 1), (1, 1)];
         let mut reported: [Vec<TaskStatus>; 2] = [vec![], vec![]];
@@ -455,8 +456,8 @@
                     let mut tasks: BTreeMap<TaskId, TaskStatus> = BTreeMap::new();
                     for (job, index, attempt, phase) in listed_tasks {
                         let task = TaskId::new(&JobId::new(jobs[job]), index);
-                        // Often the attempt that this controller started on the host.
-                        let commanded = part.hosts[&HostId::new(&format!("n-{}", host_index + 1))].tasks.get(&task);
+                        // Often uses the attempt that the controller has started on the host.
+                        let commanded = partition.hosts[&HostId::new(&format!("n-{}", host_index + 1))].tasks.get(&task);
                         let attempt = match commanded {
                             Some(t) if attempt != 1 => t.attempt,
                             _ => Attempt(attempt),
@@ -473,7 +474,7 @@
                     let tasks: Vec<TaskStatus> = tasks.into_values().collect();
                     let host = format!("n-{}", host_index + 1);
                     let report = heartbeat(&host, incarnation, sequence, 5, tasks.clone());
-                    part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
+                    partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
                     if (incarnation, sequence) > latest[host_index] {
                         latest[host_index] = (incarnation, sequence);
                         reported[host_index] = tasks;
@@ -481,20 +482,20 @@
                 }
                 PartitionEvent::End(job, done) => {
                     let termination = if done { Termination::Done } else { Termination::Cancelled };
-                    part.end_job(&JobId::new(jobs[job]), termination, NOW);
+                    partition.end_job(&JobId::new(jobs[job]), termination, NOW);
                 }
-                PartitionEvent::RunCycle => part.run_cycle(NOW),
+                PartitionEvent::RunCycle => partition.run_cycle(NOW),
                 PartitionEvent::Answer(host_index) => {
                     let host = HostId::new(&format!("n-{}", host_index + 1));
-                    let commands = part.commands(&host);
-                    part.apply(&host, HostInput::Answered(&commands), NOW);
+                    let commands = partition.commands(&host);
+                    partition.apply(&host, HostInput::Answered(&commands), NOW);
                 }
             }
             for (host_index, tasks) in reported.iter().enumerate() {
                 let host = HostId::new(&format!("n-{}", host_index + 1));
-                let commands = part.commands(&host);
+                let commands = partition.commands(&host);
                 for t in tasks.iter().filter(|t| !matches!(t.phase, TaskPhase::Exited(_))) {
-                    let is_assigned = part.jobs.get(&t.task.job).is_some_and(|j| {
+                    let is_assigned = partition.jobs.get(&t.task.job).is_some_and(|j| {
                         j.termination.is_none() && j.live.get(&t.task.index) == Some(&host)
                     });
                     let is_stopped = commands.iter().any(|o| {
--- a/crates/jasperhill-scheduler/tests/machines/placement.rs
+++ b/crates/jasperhill-scheduler/tests/machines/placement.rs
@@ -1,6 +1,6 @@
 //! Tests of task placement, preemption, reserved capacity and host draining.
 
-use crate::support::{NOW, all_runs, heartbeat, live, partition, request};
+use crate::support::{NOW, heartbeat, live, new_partition, report_all_running, request};
 use jasperhill_scheduler::job::Termination;
 use jasperhill_scheduler::{HeartbeatSource, HostInput, Partition};
 use jasperhill_wire::user::{JobRequest, Priority};
@@ -10,50 +10,50 @@
 
 #[test]
 fn gang_starts_as_a_whole_and_restarts_with_a_new_attempt() {
-    let mut part = partition(2, false);
-    part.upsert_job(
+    let mut partition = new_partition(2, false);
+    partition.upsert_job(
         &request("job-1", "ensemble", 2, 2.0, None),
         Revision(6),
         NOW,
         &[],
         (0, NOW),
     );
-    part.run_cycle(NOW);
-    assert_eq!(live(&part, "job-1"), 2);
-    let attempt = part.jobs[&JobId::new("job-1")].attempt.unwrap();
-    part.apply(&"n-1".into(), HostInput::Gone, NOW);
-    part.run_cycle(NOW);
-    let commands = part.commands(&"n-2".into());
+    partition.run_cycle(NOW);
+    assert_eq!(live(&partition, "job-1"), 2);
+    let attempt = partition.jobs[&JobId::new("job-1")].attempt.unwrap();
+    partition.apply(&"n-1".into(), HostInput::Gone, NOW);
+    partition.run_cycle(NOW);
+    let commands = partition.commands(&"n-2".into());
     // The start command was never sent, so that it is withdrawn immediately and nothing of the
     // attempt is left.
     assert_eq!(commands, vec![]);
-    assert_eq!(live(&part, "job-1"), 0);
-    part.on_heartbeat(
+    assert_eq!(live(&partition, "job-1"), 0);
+    partition.on_heartbeat(
         &heartbeat("n-1", 2, 20, 5, vec![]),
         HeartbeatSource::Heartbeat,
         NOW,
     );
-    part.run_cycle(NOW);
-    let next = part.jobs[&JobId::new("job-1")].attempt;
+    partition.run_cycle(NOW);
+    let next = partition.jobs[&JobId::new("job-1")].attempt;
     assert!(next.is_none() || next > Some(attempt));
 }
 
 #[test]
 fn cancelled_job_is_stopped_and_not_started_again() {
-    let mut part = partition(1, false);
-    part.upsert_job(
+    let mut partition = new_partition(1, false);
+    partition.upsert_job(
         &request("job-1", "daemon", 1, 1.0, None),
         Revision(6),
         NOW,
         &[],
         (0, NOW),
     );
-    part.run_cycle(NOW);
-    let commands = part.commands(&"n-1".into());
-    part.apply(&"n-1".into(), HostInput::Answered(&commands), NOW);
-    part.end_job(&JobId::new("job-1"), Termination::Cancelled, NOW);
-    part.run_cycle(NOW);
-    let commands = part.commands(&"n-1".into());
+    partition.run_cycle(NOW);
+    let commands = partition.commands(&"n-1".into());
+    partition.apply(&"n-1".into(), HostInput::Answered(&commands), NOW);
+    partition.end_job(&JobId::new("job-1"), Termination::Cancelled, NOW);
+    partition.run_cycle(NOW);
+    let commands = partition.commands(&"n-1".into());
     assert!(matches!(commands[..], [Command::Stop(..)]), "{commands:?}");
 }
 
@@ -61,25 +61,25 @@
 /// longer be used, so that whole machines remain free for gangs that need them.
 #[test]
 fn tasks_without_accelerators_avoid_cpus_of_free_accelerators() {
-    let mut part = partition(6, false);
+    let mut partition = new_partition(6, false);
     // On one machine all accelerators are in use. On another machine one accelerator is in use; it
     // has fewer free CPUs, which the other accelerator needs.
     for (id, cpus, gpus) in [("job-1", 14.0, 2.0), ("job-2", 15.0, 1.0)] {
         let mut gang = (*request(id, "ensemble", 1, 2.0, None)).clone();
         gang.each = Resources::from_units(cpus, gpus, 100.0);
-        part.upsert_job(&Rc::new(gang), Revision(6), NOW, &[], (0, NOW));
+        partition.upsert_job(&Rc::new(gang), Revision(6), NOW, &[], (0, NOW));
     }
-    part.run_cycle(NOW);
-    let host_without_free_gpus = part.jobs[&JobId::new("job-1")].live[&0].clone();
+    partition.run_cycle(NOW);
+    let host_without_free_gpus = partition.jobs[&JobId::new("job-1")].live[&0].clone();
     assert_ne!(
         host_without_free_gpus,
-        part.jobs[&JobId::new("job-2")].live[&0]
+        partition.jobs[&JobId::new("job-2")].live[&0]
     );
     let mut small = (*request("job-9", "array", 2, 0.0, None)).clone();
     small.each = Resources::from_units(1.0, 0.0, 1.0);
-    part.upsert_job(&Rc::new(small), Revision(7), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
-    let live = &part.jobs[&JobId::new("job-9")].live;
+    partition.upsert_job(&Rc::new(small), Revision(7), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
+    let live = &partition.jobs[&JobId::new("job-9")].live;
     assert!(
         live.len() == 2 && live.values().all(|h| h == &host_without_free_gpus),
         "{live:?}"
@@ -90,33 +90,34 @@
 /// if hosts stay in draining after the demand has risen again.
 #[test]
 fn drains_host_that_is_empty_soonest_and_resumes_it_on_demand() {
-    let mut part = partition(4, false);
+    let mut partition = new_partition(4, false);
     for (job, shape, estimate) in [("job-1", "array", 60), ("job-2", "array", 5)] {
         let mut r = (*request(job, shape, 1, 2.0, None)).clone();
         r.estimate = Micros::from_secs(estimate);
-        part.upsert_job(&Rc::new(r), Revision(6), NOW, &[], (0, NOW));
+        partition.upsert_job(&Rc::new(r), Revision(6), NOW, &[], (0, NOW));
     }
-    part.run_cycle(NOW);
-    let host_of = |part: &Partition, job: &str| part.jobs[&JobId::new(job)].live[&0].clone();
-    let (long_host, short_host) = (host_of(&part, "job-1"), host_of(&part, "job-2"));
-    let draining_hosts = |part: &Partition| -> Vec<HostId> {
-        let hosts = part.hosts.values().filter(|h| h.draining.is_some());
+    partition.run_cycle(NOW);
+    let host_of =
+        |partition: &Partition, job: &str| partition.jobs[&JobId::new(job)].live[&0].clone();
+    let (long_host, short_host) = (host_of(&partition, "job-1"), host_of(&partition, "job-2"));
+    let draining_hosts = |partition: &Partition| -> Vec<HostId> {
+        let hosts = partition.hosts.values().filter(|h| h.draining.is_some());
         hosts.map(|h| h.id.clone()).collect()
     };
     // There are not too many on-demand machines, so that none is drained.
-    part.drain_surplus(NOW, (2, 0));
-    assert_eq!(draining_hosts(&part), Vec::<HostId>::new());
-    part.drain_surplus(NOW, (1, 1));
-    assert_eq!(draining_hosts(&part), [short_host]);
-    part.drain_surplus(NOW, (2, 2));
-    assert_eq!(part.hosts[&long_host].draining, Some(NOW));
-    part.drain_surplus(NOW, (1, 2));
-    assert_eq!(draining_hosts(&part).len(), 1);
-    part.drain_surplus(NOW, (0, 0));
-    assert_eq!(draining_hosts(&part), Vec::<HostId>::new());
+    partition.drain_surplus(NOW, (2, 0));
+    assert_eq!(draining_hosts(&partition), Vec::<HostId>::new());
+    partition.drain_surplus(NOW, (1, 1));
+    assert_eq!(draining_hosts(&partition), [short_host]);
+    partition.drain_surplus(NOW, (2, 2));
+    assert_eq!(partition.hosts[&long_host].draining, Some(NOW));
+    partition.drain_surplus(NOW, (1, 2));
+    assert_eq!(draining_hosts(&partition).len(), 1);
+    partition.drain_surplus(NOW, (0, 0));
+    assert_eq!(draining_hosts(&partition), Vec::<HostId>::new());
 }
 
-fn whole_host(id: &str, shape: &str, tasks: u32, priority: Priority) -> Rc<JobRequest> {
+fn whole_host_job(id: &str, shape: &str, tasks: u32, priority: Priority) -> Rc<JobRequest> {
     let mut r = (*request(id, shape, tasks, 0.0, None)).clone();
     r.each = Resources::from_units(16.0, 0.0, 1.0);
     r.priority = priority;
@@ -127,73 +128,73 @@
 /// the silent host runs out. The capacity must not stay reserved once the host is back.
 #[test]
 fn reserves_capacity_for_replica_on_silent_host() {
-    let mut part = partition(2, false);
-    let service = whole_host("job-live", "daemon", 1, Priority::Production);
-    part.upsert_job(&service, Revision(6), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
-    let replica_host = part.jobs[&JobId::new("job-live")].live[&0].clone();
+    let mut partition = new_partition(2, false);
+    let service = whole_host_job("job-live", "daemon", 1, Priority::Production);
+    partition.upsert_job(&service, Revision(6), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
+    let replica_host = partition.jobs[&JobId::new("job-live")].live[&0].clone();
     let other_host = if replica_host.as_str() == "n-1" {
         "n-2"
     } else {
         "n-1"
     };
-    all_runs(&mut part, replica_host.as_str(), 5, NOW);
+    report_all_running(&mut partition, replica_host.as_str(), 5, NOW);
     let silent_at = NOW + Micros::from_secs(7);
-    part.on_heartbeat(
+    partition.on_heartbeat(
         &heartbeat(other_host, 1, 5, 5, vec![]),
         HeartbeatSource::Heartbeat,
         silent_at,
     );
-    let batch_job = whole_host("job-batch", "array", 1, Priority::Normal);
-    part.upsert_job(&batch_job, Revision(7), silent_at, &[], (0, silent_at));
-    part.run_cycle(silent_at);
-    assert_eq!(live(&part, "job-batch"), 0);
+    let batch_job = whole_host_job("job-batch", "array", 1, Priority::Normal);
+    partition.upsert_job(&batch_job, Revision(7), silent_at, &[], (0, silent_at));
+    partition.run_cycle(silent_at);
+    assert_eq!(live(&partition, "job-batch"), 0);
     // The host sends heartbeats again, so that the capacity is available to all jobs.
     let back = silent_at + Micros::from_secs(1);
-    all_runs(&mut part, replica_host.as_str(), 6, back);
-    part.run_cycle(back);
-    assert_eq!(live(&part, "job-batch"), 1);
+    report_all_running(&mut partition, replica_host.as_str(), 6, back);
+    partition.run_cycle(back);
+    assert_eq!(live(&partition, "job-batch"), 1);
     // Without lower-priority work on the other host, the replica restarts as soon as its host is
     // lost.
-    part.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
-    part.on_heartbeat(
+    partition.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
+    partition.on_heartbeat(
         &heartbeat(other_host, 1, 6, 5, vec![]),
         HeartbeatSource::Heartbeat,
         back,
     );
-    part.run_cycle(back);
-    let lost = back + part.config.lease_expiry();
-    part.on_heartbeat(
+    partition.run_cycle(back);
+    let lost = back + partition.config.lease_expiry();
+    partition.on_heartbeat(
         &heartbeat(other_host, 1, 7, 5, vec![]),
         HeartbeatSource::Heartbeat,
         lost,
     );
-    part.apply(&other_host.into(), HostInput::Answered(&[]), lost);
-    part.run_cycle(lost);
-    assert!(part.recovery.is_incomplete());
-    let new_host = part.jobs[&JobId::new("job-live")].live[&0].clone();
+    partition.apply(&other_host.into(), HostInput::Answered(&[]), lost);
+    partition.run_cycle(lost);
+    assert!(partition.recovery.is_incomplete());
+    let new_host = partition.jobs[&JobId::new("job-live")].live[&0].clone();
     assert_eq!(new_host.as_str(), other_host);
-    all_runs(&mut part, other_host, 8, lost);
-    part.run_cycle(lost + Micros::from_secs(1));
-    assert!(!part.recovery.is_incomplete());
+    report_all_running(&mut partition, other_host, 8, lost);
+    partition.run_cycle(lost + Micros::from_secs(1));
+    assert!(!partition.recovery.is_incomplete());
 }
 
 /// If a gang of several tasks cannot be preempted, a replica waits for as long as the gang runs.
 #[test]
 fn replica_preempts_gang_without_other_capacity() {
-    let mut part = partition(2, false);
-    let gang = whole_host("job-gang", "ensemble", 2, Priority::High);
-    part.upsert_job(&gang, Revision(6), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
-    assert_eq!(live(&part, "job-gang"), 2);
+    let mut partition = new_partition(2, false);
+    let gang = whole_host_job("job-gang", "ensemble", 2, Priority::High);
+    partition.upsert_job(&gang, Revision(6), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
+    assert_eq!(live(&partition, "job-gang"), 2);
     for (counter, host) in [(5, "n-1"), (6, "n-2")] {
-        all_runs(&mut part, host, counter, NOW);
+        report_all_running(&mut partition, host, counter, NOW);
     }
-    let service = whole_host("job-live", "daemon", 1, Priority::Production);
-    part.upsert_job(&service, Revision(7), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
+    let service = whole_host_job("job-live", "daemon", 1, Priority::Production);
+    partition.upsert_job(&service, Revision(7), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
     let is_stopped = |host: &str| {
-        let commands = part.commands(&host.into());
+        let commands = partition.commands(&host.into());
         commands.iter().any(|o| matches!(o, Command::Stop(..)))
     };
     assert!(is_stopped("n-1") && is_stopped("n-2"));
--- a/crates/jasperhill-scheduler/tests/machines/support.rs
+++ b/crates/jasperhill-scheduler/tests/machines/support.rs
@@ -67,7 +67,7 @@
 }
 
 /// Returns the status in which a worker lists task `i` of `job-1`.
-pub fn listed(i: u32, attempt: u64, phase: TaskPhase) -> TaskStatus {
+pub fn task_status(i: u32, attempt: u64, phase: TaskPhase) -> TaskStatus {
     TaskStatus {
         task: task(i),
         attempt: Attempt(attempt),
@@ -136,32 +136,35 @@
 
 /// Returns a partition with this number of hosts. Unless `at_takeover` is set, each of them has
 /// sent a heartbeat.
-pub fn partition(hosts: usize, at_takeover: bool) -> Partition {
+pub fn new_partition(hosts: usize, at_takeover: bool) -> Partition {
     let specs = Rc::new(BTreeMap::from([("box".into(), spec())]));
-    let mut part = Partition::new(0, Revision(5), config(), specs);
+    let mut partition = Partition::new(0, Revision(5), config(), specs);
     for n in 1..=hosts {
         let id = HostId::new(&format!("n-{n}"));
-        part.upsert_host(&id, &record("a"), Revision(4), at_takeover, NOW);
+        partition.upsert_host(&id, &record("a"), Revision(4), at_takeover, NOW);
         if !at_takeover {
-            part.on_heartbeat(
+            partition.on_heartbeat(
                 &heartbeat(id.as_str(), 1, 1, 5, vec![]),
                 HeartbeatSource::Heartbeat,
                 NOW,
             );
         }
     }
-    part
+    partition
 }
 
 /// Returns the number of tasks of a job that are on hosts.
-pub fn live(part: &Partition, id: &str) -> usize {
-    part.jobs.get(&JobId::new(id)).map_or(0, |j| j.live.len())
+pub fn live(partition: &Partition, id: &str) -> usize {
+    partition
+        .jobs
+        .get(&JobId::new(id))
+        .map_or(0, |j| j.live.len())
 }
 
 /// Sends a heartbeat in which all tasks on the host have exited with `cause`. Returns the number of
 /// tasks.
-pub fn all_exit(
-    part: &mut Partition,
+pub fn report_all_exited(
+    partition: &mut Partition,
     host: &str,
     sequence: u64,
     cause: ExitCause,
@@ -172,13 +175,13 @@
         attempt: t.attempt,
         phase: TaskPhase::Exited(cause),
     };
-    let host_tasks = part.hosts[&HostId::new(host)].tasks.iter();
+    let host_tasks = partition.hosts[&HostId::new(host)].tasks.iter();
     let tasks: Vec<TaskStatus> = host_tasks
         .filter(|(_, t)| t.holds_resources())
         .map(exited)
         .collect();
     let n = tasks.len();
-    part.on_heartbeat(
+    partition.on_heartbeat(
         &heartbeat(host, 1, sequence, 5, tasks),
         HeartbeatSource::Heartbeat,
         now,
@@ -187,9 +190,9 @@
 }
 
 /// Sends a heartbeat in which all tasks on the host are running, and answers it.
-pub fn all_runs(part: &mut Partition, host: &str, sequence: u64, now: Micros) {
+pub fn report_all_running(partition: &mut Partition, host: &str, sequence: u64, now: Micros) {
     let id = HostId::new(host);
-    let tasks = part.hosts[&id]
+    let tasks = partition.hosts[&id]
         .tasks
         .iter()
         .filter(|(_, t)| t.holds_resources());
@@ -199,6 +202,6 @@
         phase: TaskPhase::Running,
     });
     let report = heartbeat(host, 1, sequence, 5, tasks.collect());
-    part.on_heartbeat(&report, HeartbeatSource::Heartbeat, now);
-    part.apply(&id, HostInput::Answered(&[]), now);
+    partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, now);
+    partition.apply(&id, HostInput::Answered(&[]), now);
 }
