--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -151,7 +151,7 @@
     }
 }
 
-/// Returns a partition with nearly full machines and, per machine, a fifth of a job that waits.
+/// Returns a partition with nearly full machines and one waiting job for every five machines.
 fn nearly_full(scale: u64) -> Partition {
     let mut partition = partition_with_hosts(HOSTS * scale);
     submit(&mut partition, Kind::Service, 0, 120 * scale);
--- a/crates/jasperhill-scheduler/src/autoscaler.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler.rs
@@ -153,7 +153,7 @@
 const CEASED_INTERVALS: f64 = 5.0;
 
 /// Time within which jobs that had accumulated before the start of a deployment are submitted.
-/// They are ignored because they say nothing about later arrivals.
+/// Such jobs are ignored because they say nothing about later arrivals.
 const BACKLOG_SUBMISSION_TIME: Micros = Micros::from_secs(15);
 /// Minimum time over which a rate is computed: a shorter observation has too few arrivals to
 /// extrapolate.
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Returns whether a job submitted at this time counts as an arrival, which is not the case for
-    /// jobs that had accumulated before the deployment started.
+    /// Returns whether a job submitted at this time counts as an arrival. Jobs submitted before the
+    /// forecast began to count are ignored.
     pub fn counts(&self, submitted: Micros) -> bool {
         submitted >= self.since
     }
--- a/crates/jasperhill-scheduler/src/boot_times/tests.rs
+++ b/crates/jasperhill-scheduler/src/boot_times/tests.rs
@@ -1,10 +1,16 @@
 use super::*;
 
-const NOMINAL: Micros = Micros::from_secs(30);
+const NOMINAL_BOOT_TIME: Micros = Micros::from_secs(30);
 
 fn is_late_at(boot_times: &BootTimes, age: u64, now: Micros) -> bool {
     let (machine_type, zone) = ("box".into(), "a".into());
-    boot_times.is_late(&machine_type, &zone, NOMINAL, Micros::from_secs(age), now)
+    boot_times.is_late(
+        &machine_type,
+        &zone,
+        NOMINAL_BOOT_TIME,
+        Micros::from_secs(age),
+        now,
+    )
 }
 
 /// Without this rule, machines that never finish booting count as supply for minutes.
@@ -19,7 +25,7 @@
         boot_times.record(&"box".into(), &"a".into(), Micros::from_secs(90), now);
     }
     assert!(!is_late_at(&boot_times, 100, now) && is_late_at(&boot_times, 120, now));
-    let elsewhere = boot_times.usual(&"box".into(), &"b".into(), NOMINAL, now);
+    let elsewhere = boot_times.usual(&"box".into(), &"b".into(), NOMINAL_BOOT_TIME, now);
     assert_eq!(elsewhere, Micros::from_secs(45));
     // Observed boot times expire.
     assert!(is_late_at(&boot_times, 60, now + SAMPLE_MAX_AGE));
@@ -28,5 +34,8 @@
         boot_times.record(&"box".into(), &"a".into(), Micros::from_secs(1), now);
     }
     assert!(!is_late_at(&boot_times, 45, now));
-    assert!(BootTimes::never_comes(NOMINAL, Micros::from_secs(141)));
+    assert!(BootTimes::never_comes(
+        NOMINAL_BOOT_TIME,
+        Micros::from_secs(141)
+    ));
 }
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -360,8 +360,8 @@
             let ready_in = dependency_times.copied().max().unwrap_or_default();
             completion_times.insert(id, ready_in + remaining_time(id));
         }
-        let times = jobs.iter().filter_map(|n| completion_times.get(n));
-        times.copied().max().unwrap_or_default()
+        let job_times = jobs.iter().filter_map(|n| completion_times.get(n));
+        job_times.copied().max().unwrap_or_default()
     }
 }
 
--- a/crates/jasperhill-scheduler/src/pace.rs
+++ b/crates/jasperhill-scheduler/src/pace.rs
@@ -51,11 +51,11 @@
 /// Run times of the ended tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiblingRunTimes {
-    /// Number of ended tasks.
+    /// Number of the job's tasks that have ended.
     ended_tasks: u32,
-    /// Sum of their run times, in seconds.
+    /// Sum of the run times of ended tasks, in seconds.
     total_seconds: f64,
-    /// Hosts on which tasks have ended, at most 8.
+    /// Hosts on which tasks of the job have ended; at most 8 are kept.
     hosts: BTreeSet<HostId>,
 }
 
--- a/crates/jasperhill-scheduler/src/starvation.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -193,9 +193,9 @@
             }
         }
         for (group, jobs) in &long_waiting {
-            let started = self.started.get(group).map_or(0.0, |b| decayed(*b, now));
-            let total = started + jobs.len() as f64;
-            let share = started / total.max(1.0);
+            let started_count = self.started.get(group).map_or(0.0, |b| decayed(*b, now));
+            let total = started_count + jobs.len() as f64;
+            let share = started_count / total.max(1.0);
             let waiting = jobs.len();
             let is_size = matches!(group, Group::Size(..));
             let is_significant = waiting >= MIN_LONG_WAITING
--- a/crates/jasperhill-scheduler/tests/machines/failures.rs
+++ b/crates/jasperhill-scheduler/tests/machines/failures.rs
@@ -111,10 +111,10 @@
 
 /// Returns a job of one task with an estimate in seconds, which takes a quarter of a host's CPUs.
 fn job_with_estimate(id: &str, estimate: u64) -> Rc<JobRequest> {
-    let mut r = (*request(id, "array", 1, 0.0, None)).clone();
-    r.each = Resources::from_units(4.0, 0.0, 1.0);
-    r.estimate = Micros::from_secs(estimate);
-    Rc::new(r)
+    let mut job_request = (*request(id, "array", 1, 0.0, None)).clone();
+    job_request.each = Resources::from_units(4.0, 0.0, 1.0);
+    job_request.estimate = Micros::from_secs(estimate);
+    Rc::new(job_request)
 }
 
 /// A machine must not be judged slow because of one long task, and a slow machine must be detected
@@ -133,7 +133,7 @@
         report_all_running(&mut partition, "n-1", 5, NOW);
         if has_task_in_time {
             // Another task on the host ends in time shortly before the others overrun.
-            let at = NOW + Micros::from_secs(18);
+            let ended_at = NOW + Micros::from_secs(18);
             partition.upsert_job(
                 &job_with_estimate("job-x", 10),
                 Revision(6),
@@ -153,7 +153,7 @@
                 },
             });
             let report = heartbeat("n-1", 1, 7, 5, tasks.collect());
-            partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, at);
+            partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, ended_at);
         }
         let overrun_at = NOW + Micros::from_secs(21);
         report_all_running(&mut partition, "n-1", 9, overrun_at);
--- a/crates/jasperhill-scheduler/tests/machines/host_commands.rs
+++ b/crates/jasperhill-scheduler/tests/machines/host_commands.rs
@@ -133,11 +133,11 @@
     let id = HostId::new("n-1");
     partition.apply(&id, HostInput::Answered(&[]), NOW);
     let lease = partition.config.lease_expiry();
-    let just_before = NOW + lease - Micros::from_millis(100);
+    let before_expiry = NOW + lease - Micros::from_millis(100);
     partition.on_heartbeat(
         &heartbeat("n-1", 2, 9, 5, vec![]),
         HeartbeatSource::Direct,
-        just_before,
+        before_expiry,
     );
     partition.upsert_job(
         &request("job-1", "array", 1, 1.0, None),
@@ -146,22 +146,22 @@
         &[],
         (0, NOW),
     );
-    partition.run_cycle(just_before);
+    partition.run_cycle(before_expiry);
     // Possibly no controller renews the lease of the new session, because the worker may reach
     // none.
     assert_eq!(live(&partition, "job-1"), 0);
     partition.on_heartbeat(
         &heartbeat("n-1", 2, 10, 5, vec![]),
         HeartbeatSource::Heartbeat,
-        just_before,
+        before_expiry,
     );
-    partition.run_cycle(just_before);
+    partition.run_cycle(before_expiry);
     assert_eq!(live(&partition, "job-1"), 1);
     partition.run_cycle(NOW + lease + Micros::from_secs(1));
     assert_eq!(partition.hosts[&id].fencing, FencingState::Fenced);
     assert_eq!(live(&partition, "job-1"), 1);
     // The new session expires one lease after its own heartbeat.
-    partition.run_cycle(just_before + lease + Micros::from_secs(1));
+    partition.run_cycle(before_expiry + lease + Micros::from_secs(1));
     assert_eq!(partition.hosts[&id].fencing, FencingState::Lapsed);
 }
 
--- a/crates/jasperhill-scheduler/tests/machines/placement.rs
+++ b/crates/jasperhill-scheduler/tests/machines/placement.rs
@@ -34,8 +34,8 @@
         NOW,
     );
     partition.run_cycle(NOW);
-    let next = partition.jobs[&JobId::new("job-1")].attempt;
-    assert!(next.is_none() || next > Some(attempt));
+    let next_attempt = partition.jobs[&JobId::new("job-1")].attempt;
+    assert!(next_attempt.is_none() || next_attempt > Some(attempt));
 }
 
 #[test]
@@ -75,9 +75,9 @@
         host_without_free_gpus,
         partition.jobs[&JobId::new("job-2")].live[&0]
     );
-    let mut small = (*request("job-9", "array", 2, 0.0, None)).clone();
-    small.each = Resources::from_units(1.0, 0.0, 1.0);
-    partition.upsert_job(&Rc::new(small), Revision(7), NOW, &[], (0, NOW));
+    let mut small_job = (*request("job-9", "array", 2, 0.0, None)).clone();
+    small_job.each = Resources::from_units(1.0, 0.0, 1.0);
+    partition.upsert_job(&Rc::new(small_job), Revision(7), NOW, &[], (0, NOW));
     partition.run_cycle(NOW);
     let live = &partition.jobs[&JobId::new("job-9")].live;
     assert!(
@@ -92,9 +92,9 @@
 fn drains_host_that_is_empty_soonest_and_resumes_it_on_demand() {
     let mut partition = new_partition(4, false);
     for (job, shape, estimate) in [("job-1", "array", 60), ("job-2", "array", 5)] {
-        let mut r = (*request(job, shape, 1, 2.0, None)).clone();
-        r.estimate = Micros::from_secs(estimate);
-        partition.upsert_job(&Rc::new(r), Revision(6), NOW, &[], (0, NOW));
+        let mut job_request = (*request(job, shape, 1, 2.0, None)).clone();
+        job_request.estimate = Micros::from_secs(estimate);
+        partition.upsert_job(&Rc::new(job_request), Revision(6), NOW, &[], (0, NOW));
     }
     partition.run_cycle(NOW);
     let host_of =
@@ -118,10 +118,10 @@
 }
 
 fn whole_host_job(id: &str, shape: &str, tasks: u32, priority: Priority) -> Rc<JobRequest> {
-    let mut r = (*request(id, shape, tasks, 0.0, None)).clone();
-    r.each = Resources::from_units(16.0, 0.0, 1.0);
-    r.priority = priority;
-    Rc::new(r)
+    let mut job_request = (*request(id, shape, tasks, 0.0, None)).clone();
+    job_request.each = Resources::from_units(16.0, 0.0, 1.0);
+    job_request.priority = priority;
+    Rc::new(job_request)
 }
 
 /// A lost replica cannot restart if lower-priority work takes the free capacity while the lease of
@@ -150,32 +150,32 @@
     partition.run_cycle(silent_at);
     assert_eq!(live(&partition, "job-batch"), 0);
     // The host sends heartbeats again, so that the capacity is available to all jobs.
-    let back = silent_at + Micros::from_secs(1);
-    report_all_running(&mut partition, replica_host.as_str(), 6, back);
-    partition.run_cycle(back);
+    let back_at = silent_at + Micros::from_secs(1);
+    report_all_running(&mut partition, replica_host.as_str(), 6, back_at);
+    partition.run_cycle(back_at);
     assert_eq!(live(&partition, "job-batch"), 1);
     // Without lower-priority work on the other host, the replica restarts as soon as its host is
     // lost.
-    partition.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
+    partition.end_job(&JobId::new("job-batch"), Termination::Cancelled, back_at);
     partition.on_heartbeat(
         &heartbeat(other_host, 1, 6, 5, vec![]),
         HeartbeatSource::Heartbeat,
-        back,
+        back_at,
     );
-    partition.run_cycle(back);
-    let lost = back + partition.config.lease_expiry();
+    partition.run_cycle(back_at);
+    let lost_at = back_at + partition.config.lease_expiry();
     partition.on_heartbeat(
         &heartbeat(other_host, 1, 7, 5, vec![]),
         HeartbeatSource::Heartbeat,
-        lost,
+        lost_at,
     );
-    partition.apply(&other_host.into(), HostInput::Answered(&[]), lost);
-    partition.run_cycle(lost);
+    partition.apply(&other_host.into(), HostInput::Answered(&[]), lost_at);
+    partition.run_cycle(lost_at);
     assert!(partition.recovery.is_incomplete());
     let new_host = partition.jobs[&JobId::new("job-live")].live[&0].clone();
     assert_eq!(new_host.as_str(), other_host);
-    report_all_running(&mut partition, other_host, 8, lost);
-    partition.run_cycle(lost + Micros::from_secs(1));
+    report_all_running(&mut partition, other_host, 8, lost_at);
+    partition.run_cycle(lost_at + Micros::from_secs(1));
     assert!(!partition.recovery.is_incomplete());
 }
 
