--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -1,6 +1,6 @@
-//! What a cycle costs at the size of a partition of the largest fleet, and how that grows when
-//! machines and waiting jobs are doubled and doubled again. It must grow no faster than both
-//! together.
+//! Benchmark of a scheduling cycle at the size of a partition of the largest fleet, and with two
+//! and four times as many machines and waiting jobs. The cost must grow no faster than machines and
+//! jobs together.
 //!
 //! `cargo bench -p jasperhill-scheduler --bench pass`
 
@@ -19,7 +19,7 @@
 use std::{collections::BTreeMap, hint::black_box, rc::Rc};
 
 const NOW: Micros = Micros::from_secs(10_000);
-/// A third of the largest fleet.
+/// Number of hosts: a third of the largest fleet.
 const HOSTS: u64 = 450;
 
 #[derive(Clone, Copy)]
@@ -70,14 +70,14 @@
     })
 }
 
-fn hosts(part: &Partition) -> Vec<HostId> {
-    part.hosts.keys().cloned().collect()
+fn hosts(partition: &Partition) -> Vec<HostId> {
+    partition.hosts.keys().cloned().collect()
 }
 
-/// Everything that was told to run is reported as running.
-fn report_all(part: &mut Partition, counter: u64) {
-    for id in hosts(part) {
-        let host = &part.hosts[&id];
+/// Sends a heartbeat of every host that reports all its tasks as running.
+fn report_all(partition: &mut Partition, sequence: u64) {
+    for id in hosts(partition) {
+        let host = &partition.hosts[&id];
         let tasks = host.tasks.iter().map(|(task, t)| TaskStatus {
             task: task.clone(),
             attempt: t.attempt,
@@ -90,17 +90,17 @@
             zone: host.zone.clone(),
             spot: host.spot,
             incarnation: 1,
-            sequence: counter,
+            sequence,
             token: FencingToken(5),
             termination_notice: None,
             tasks: tasks.collect(),
         };
-        part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
-        part.apply(&id, HostInput::Answered(&[]), NOW);
+        partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
+        partition.apply(&id, HostInput::Answered(&[]), NOW);
     }
 }
 
-fn machines(count: u64) -> Partition {
+fn partition_with_hosts(count: u64) -> Partition {
     let zones: Vec<Name> = ["a", "b", "c"].map(Name::from).into();
     let spec = Rc::new(MachineSpec {
         machine_type: "box".into(),
@@ -128,7 +128,7 @@
         tuning: Tuning::default(),
     });
     let specs = Rc::new(BTreeMap::from([(Name::from("box"), spec)]));
-    let mut part = Partition::new(0, Revision(5), config, specs);
+    let mut partition = Partition::new(0, Revision(5), config, specs);
     for n in 0..count {
         let record = HostRecord {
             assignment: HostAssignment::Partition(0),
@@ -139,68 +139,68 @@
             rewrites: 0,
         };
         let id = HostId::new(&format!("n-{n:06}"));
-        part.upsert_host(&id, &record, Revision(4), false, NOW);
+        partition.upsert_host(&id, &record, Revision(4), false, NOW);
     }
-    report_all(&mut part, 1);
-    part
+    report_all(&mut partition, 1);
+    partition
 }
 
-fn submit(part: &mut Partition, kind: Kind, from: u64, count: u64) {
+fn submit(partition: &mut Partition, kind: Kind, from: u64, count: u64) {
     for n in from..from + count {
-        part.upsert_job(&request(kind, n), Revision(6), NOW, &[], (0, NOW));
+        partition.upsert_job(&request(kind, n), Revision(6), NOW, &[], (0, NOW));
     }
 }
 
-/// Machines that are nearly full, and as many jobs again as a fifth of them waiting.
-fn full(scale: u64) -> Partition {
-    let mut part = machines(HOSTS * scale);
-    submit(&mut part, Kind::Service, 0, 120 * scale);
-    submit(&mut part, Kind::Gang, 0, 100 * scale);
-    submit(&mut part, Kind::Array, 0, 60 * scale);
-    for counter in 2..6 {
-        part.run_cycle(NOW);
-        report_all(&mut part, counter);
+/// Returns a partition with nearly full machines and one waiting job for every five machines.
+fn nearly_full(scale: u64) -> Partition {
+    let mut partition = partition_with_hosts(HOSTS * scale);
+    submit(&mut partition, Kind::Service, 0, 120 * scale);
+    submit(&mut partition, Kind::Gang, 0, 100 * scale);
+    submit(&mut partition, Kind::Array, 0, 60 * scale);
+    for sequence in 2..6 {
+        partition.run_cycle(NOW);
+        report_all(&mut partition, sequence);
     }
-    submit(&mut part, Kind::Gang, 10_000, 60 * scale);
-    submit(&mut part, Kind::Array, 10_000, 30 * scale);
-    part.run_cycle(NOW);
-    report_all(&mut part, 6);
-    part
+    submit(&mut partition, Kind::Gang, 10_000, 60 * scale);
+    submit(&mut partition, Kind::Array, 10_000, 30 * scale);
+    partition.run_cycle(NOW);
+    report_all(&mut partition, 6);
+    partition
 }
 
 #[expect(clippy::too_many_lines, reason = "one measured setting after another")]
-fn passes(c: &mut Criterion) {
+fn cycle_benchmarks(c: &mut Criterion) {
     let mut group = c.benchmark_group("pass");
     group.sample_size(10);
     for scale in [1, 2, 4] {
         group.throughput(Throughput::Elements(HOSTS * scale));
-        // Nothing can start: what every change costs while work waits behind a full fleet.
-        let mut waiting = full(scale);
+        // No task can start: the cost of every change while jobs wait for a full fleet.
+        let mut waiting = nearly_full(scale);
         group.bench_function(BenchmarkId::new("work waits", HOSTS * scale), |b| {
             b.iter(|| waiting.run_cycle(black_box(NOW)));
         });
-        // A third of the machines fail in one moment: the cycle that follows.
+        // The cycle after a third of the machines have failed at the same time.
         group.bench_function(BenchmarkId::new("a third is lost", HOSTS * scale), |b| {
-            let lost = || {
-                let mut part = full(scale);
-                for id in hosts(&part).iter().step_by(3) {
-                    part.apply(id, HostInput::Gone, NOW);
+            let after_loss = || {
+                let mut partition = nearly_full(scale);
+                for id in hosts(&partition).iter().step_by(3) {
+                    partition.apply(id, HostInput::Gone, NOW);
                 }
-                part
+                partition
             };
-            let cycle = |mut part: Partition| {
-                part.run_cycle(black_box(NOW));
-                part
+            let cycle = |mut partition: Partition| {
+                partition.run_cycle(black_box(NOW));
+                partition
             };
-            b.iter_batched(lost, cycle, BatchSize::PerIteration);
+            b.iter_batched(after_loss, cycle, BatchSize::PerIteration);
         });
-        // A takeover of this many machines: all their heartbeats, and the cycle that follows.
+        // The takeover of this many machines: all their heartbeats, and the cycle that follows.
         group.bench_function(BenchmarkId::new("taken over", HOSTS * scale), |b| {
-            let known = full(scale);
-            let reports: Vec<Heartbeat> = hosts(&known)
+            let before_takeover = nearly_full(scale);
+            let reports: Vec<Heartbeat> = hosts(&before_takeover)
                 .into_iter()
                 .map(|id| {
-                    let host = &known.hosts[&id];
+                    let host = &before_takeover.hosts[&id];
                     let tasks = host.tasks.iter().map(|(task, t)| TaskStatus {
                         task: task.clone(),
                         attempt: t.attempt,
@@ -220,11 +220,18 @@
                     }
                 })
                 .collect();
-            let requests: Vec<_> = known.jobs.values().map(|j| j.request.clone()).collect();
-            let begin = || {
-                let (config, specs) = (known.config.clone(), known.specs.clone());
-                let mut part = Partition::new(0, Revision(9), config, specs);
-                for (id, host) in &known.hosts {
+            let requests: Vec<_> = before_takeover
+                .jobs
+                .values()
+                .map(|j| j.request.clone())
+                .collect();
+            let new_partition = || {
+                let (config, specs) = (
+                    before_takeover.config.clone(),
+                    before_takeover.specs.clone(),
+                );
+                let mut partition = Partition::new(0, Revision(9), config, specs);
+                for (id, host) in &before_takeover.hosts {
                     let record = HostRecord {
                         assignment: HostAssignment::Partition(0),
                         address: host.address.clone(),
@@ -233,25 +240,25 @@
                         spot: host.spot,
                         rewrites: 0,
                     };
-                    part.upsert_host(id, &record, Revision(4), true, NOW);
+                    partition.upsert_host(id, &record, Revision(4), true, NOW);
                 }
                 for request in &requests {
-                    part.upsert_job(request, Revision(6), NOW, &[], (0, NOW));
+                    partition.upsert_job(request, Revision(6), NOW, &[], (0, NOW));
                 }
-                part
+                partition
             };
-            let take = |mut part: Partition| {
+            let process_takeover = |mut partition: Partition| {
                 for report in &reports {
-                    part.on_heartbeat(report, HeartbeatSource::Direct, NOW);
+                    partition.on_heartbeat(report, HeartbeatSource::Direct, NOW);
                 }
-                part.run_cycle(black_box(NOW));
-                part
+                partition.run_cycle(black_box(NOW));
+                partition
             };
-            b.iter_batched(begin, take, BatchSize::PerIteration);
+            b.iter_batched(new_partition, process_takeover, BatchSize::PerIteration);
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, passes);
+criterion_group!(benches, cycle_benchmarks);
 criterion_main!(benches);
--- a/crates/jasperhill-scheduler/tests/machines/placement.rs
+++ b/crates/jasperhill-scheduler/tests/machines/placement.rs
@@ -1,6 +1,6 @@
-//! Where tasks go, what makes room for them, and which hosts are emptied.
+//! Tests of task placement, preemption, reserved capacity and host draining.
 
-use crate::support::{NOW, all_runs, heartbeat, live, partition, request};
+use crate::support::{NOW, heartbeat, live, new_partition, report_all_running, request};
 use jasperhill_scheduler::job::Termination;
 use jasperhill_scheduler::{HeartbeatSource, HostInput, Partition};
 use jasperhill_wire::user::{JobRequest, Priority};
@@ -9,183 +9,193 @@
 use std::rc::Rc;
 
 #[test]
-fn a_gang_passes_whole_and_is_mended_whole() {
-    let mut part = partition(2, false);
-    part.upsert_job(
+fn gang_starts_as_a_whole_and_restarts_with_a_new_attempt() {
+    let mut partition = new_partition(2, false);
+    partition.upsert_job(
         &request("job-1", "ensemble", 2, 2.0, None),
         Revision(6),
         NOW,
         &[],
         (0, NOW),
     );
-    part.run_cycle(NOW);
-    assert_eq!(live(&part, "job-1"), 2);
-    let attempt = part.jobs[&JobId::new("job-1")].attempt.unwrap();
-    part.apply(&"n-1".into(), HostInput::Gone, NOW);
-    part.run_cycle(NOW);
-    let orders = part.commands(&"n-2".into());
-    // Never sent, so taken back at once; nothing of the attempt is left.
-    assert_eq!(orders, vec![]);
-    assert_eq!(live(&part, "job-1"), 0);
-    part.on_heartbeat(
+    partition.run_cycle(NOW);
+    assert_eq!(live(&partition, "job-1"), 2);
+    let attempt = partition.jobs[&JobId::new("job-1")].attempt.unwrap();
+    partition.apply(&"n-1".into(), HostInput::Gone, NOW);
+    partition.run_cycle(NOW);
+    let commands = partition.commands(&"n-2".into());
+    // The start command was never sent, so that it is withdrawn immediately and nothing of the
+    // attempt is left.
+    assert_eq!(commands, vec![]);
+    assert_eq!(live(&partition, "job-1"), 0);
+    partition.on_heartbeat(
         &heartbeat("n-1", 2, 20, 5, vec![]),
         HeartbeatSource::Heartbeat,
         NOW,
     );
-    part.run_cycle(NOW);
-    let next = part.jobs[&JobId::new("job-1")].attempt;
-    assert!(next.is_none() || next > Some(attempt));
+    partition.run_cycle(NOW);
+    let next_attempt = partition.jobs[&JobId::new("job-1")].attempt;
+    assert!(next_attempt.is_none() || next_attempt > Some(attempt));
 }
 
 #[test]
-fn a_cancelled_job_is_stopped_and_never_started() {
-    let mut part = partition(1, false);
-    part.upsert_job(
+fn cancelled_job_is_stopped_and_not_started_again() {
+    let mut partition = new_partition(1, false);
+    partition.upsert_job(
         &request("job-1", "daemon", 1, 1.0, None),
         Revision(6),
         NOW,
         &[],
         (0, NOW),
     );
-    part.run_cycle(NOW);
-    let orders = part.commands(&"n-1".into());
-    part.apply(&"n-1".into(), HostInput::Answered(&orders), NOW);
-    part.end_job(&JobId::new("job-1"), Termination::Cancelled, NOW);
-    part.run_cycle(NOW);
-    let orders = part.commands(&"n-1".into());
-    assert!(matches!(orders[..], [Command::Stop(..)]), "{orders:?}");
+    partition.run_cycle(NOW);
+    let commands = partition.commands(&"n-1".into());
+    partition.apply(&"n-1".into(), HostInput::Answered(&commands), NOW);
+    partition.end_job(&JobId::new("job-1"), Termination::Cancelled, NOW);
+    partition.run_cycle(NOW);
+    let commands = partition.commands(&"n-1".into());
+    assert!(matches!(commands[..], [Command::Stop(..)]), "{commands:?}");
 }
 
-/// Small tasks without accelerators go where accelerators are taken or spoilt already; whole
-/// machines stay for gangs that need them.
+/// Small tasks without accelerators are placed on hosts whose accelerators are in use or can no
+/// longer be used, so that whole machines remain free for gangs that need them.
 #[test]
-fn tasks_without_accelerators_keep_off_the_cpus_of_free_ones() {
-    let mut part = partition(6, false);
-    // All accelerators of one machine are taken, and one of another: there the CPUs left over
-    // are fewer, and the other accelerator's.
+fn tasks_without_accelerators_avoid_cpus_of_free_accelerators() {
+    let mut partition = new_partition(6, false);
+    // On one machine all accelerators are in use. On another machine one accelerator is in use; it
+    // has fewer free CPUs, which the other accelerator needs.
     for (id, cpus, gpus) in [("job-1", 14.0, 2.0), ("job-2", 15.0, 1.0)] {
         let mut gang = (*request(id, "ensemble", 1, 2.0, None)).clone();
         gang.each = Resources::from_units(cpus, gpus, 100.0);
-        part.upsert_job(&Rc::new(gang), Revision(6), NOW, &[], (0, NOW));
+        partition.upsert_job(&Rc::new(gang), Revision(6), NOW, &[], (0, NOW));
     }
-    part.run_cycle(NOW);
-    let full = part.jobs[&JobId::new("job-1")].live[&0].clone();
-    assert_ne!(full, part.jobs[&JobId::new("job-2")].live[&0]);
-    let mut small = (*request("job-9", "array", 2, 0.0, None)).clone();
-    small.each = Resources::from_units(1.0, 0.0, 1.0);
-    part.upsert_job(&Rc::new(small), Revision(7), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
-    let live = &part.jobs[&JobId::new("job-9")].live;
+    partition.run_cycle(NOW);
+    let host_without_free_gpus = partition.jobs[&JobId::new("job-1")].live[&0].clone();
+    assert_ne!(
+        host_without_free_gpus,
+        partition.jobs[&JobId::new("job-2")].live[&0]
+    );
+    let mut small_job = (*request("job-9", "array", 2, 0.0, None)).clone();
+    small_job.each = Resources::from_units(1.0, 0.0, 1.0);
+    partition.upsert_job(&Rc::new(small_job), Revision(7), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
+    let live = &partition.jobs[&JobId::new("job-9")].live;
     assert!(
-        live.len() == 2 && live.values().all(|h| h == &full),
+        live.len() == 2 && live.values().all(|h| h == &host_without_free_gpus),
         "{live:?}"
     );
 }
 
-/// Guards against hosts that wait for a long task and hold up the emptying of others, and
-/// against hosts that stay out of use when what is wanted has risen again.
+/// Draining takes too long if a host with a long task is chosen before others, and capacity is lost
+/// if hosts stay in draining after the demand has risen again.
 #[test]
-fn what_is_empty_soonest_is_emptied_first_and_used_again_when_wanted() {
-    let mut part = partition(4, false);
+fn drains_host_that_is_empty_soonest_and_resumes_it_on_demand() {
+    let mut partition = new_partition(4, false);
     for (job, shape, estimate) in [("job-1", "array", 60), ("job-2", "array", 5)] {
-        let mut r = (*request(job, shape, 1, 2.0, None)).clone();
-        r.estimate = Micros::from_secs(estimate);
-        part.upsert_job(&Rc::new(r), Revision(6), NOW, &[], (0, NOW));
+        let mut job_request = (*request(job, shape, 1, 2.0, None)).clone();
+        job_request.estimate = Micros::from_secs(estimate);
+        partition.upsert_job(&Rc::new(job_request), Revision(6), NOW, &[], (0, NOW));
     }
-    part.run_cycle(NOW);
-    let host_of = |part: &Partition, job: &str| part.jobs[&JobId::new(job)].live[&0].clone();
-    let (long, short) = (host_of(&part, "job-1"), host_of(&part, "job-2"));
-    let drained = |part: &Partition| -> Vec<HostId> {
-        let hosts = part.hosts.values().filter(|h| h.draining.is_some());
+    partition.run_cycle(NOW);
+    let host_of =
+        |partition: &Partition, job: &str| partition.jobs[&JobId::new(job)].live[&0].clone();
+    let (long_host, short_host) = (host_of(&partition, "job-1"), host_of(&partition, "job-2"));
+    let draining_hosts = |partition: &Partition| -> Vec<HostId> {
+        let hosts = partition.hosts.values().filter(|h| h.draining.is_some());
         hosts.map(|h| h.id.clone()).collect()
     };
-    // Ordinary machines are not too many: none is emptied.
-    part.drain_surplus(NOW, (2, 0));
-    assert_eq!(drained(&part), Vec::<HostId>::new());
-    part.drain_surplus(NOW, (1, 1));
-    assert_eq!(drained(&part), [short]);
-    part.drain_surplus(NOW, (2, 2));
-    assert_eq!(part.hosts[&long].draining, Some(NOW));
-    part.drain_surplus(NOW, (1, 2));
-    assert_eq!(drained(&part).len(), 1);
-    part.drain_surplus(NOW, (0, 0));
-    assert_eq!(drained(&part), Vec::<HostId>::new());
+    // There are not too many on-demand machines, so that none is drained.
+    partition.drain_surplus(NOW, (2, 0));
+    assert_eq!(draining_hosts(&partition), Vec::<HostId>::new());
+    partition.drain_surplus(NOW, (1, 1));
+    assert_eq!(draining_hosts(&partition), [short_host]);
+    partition.drain_surplus(NOW, (2, 2));
+    assert_eq!(partition.hosts[&long_host].draining, Some(NOW));
+    partition.drain_surplus(NOW, (1, 2));
+    assert_eq!(draining_hosts(&partition).len(), 1);
+    partition.drain_surplus(NOW, (0, 0));
+    assert_eq!(draining_hosts(&partition), Vec::<HostId>::new());
 }
 
-fn whole_host(id: &str, shape: &str, tasks: u32, priority: Priority) -> Rc<JobRequest> {
-    let mut r = (*request(id, shape, tasks, 0.0, None)).clone();
-    r.each = Resources::from_units(16.0, 0.0, 1.0);
-    r.priority = priority;
-    Rc::new(r)
+fn whole_host_job(id: &str, shape: &str, tasks: u32, priority: Priority) -> Rc<JobRequest> {
+    let mut job_request = (*request(id, shape, tasks, 0.0, None)).clone();
+    job_request.each = Resources::from_units(16.0, 0.0, 1.0);
+    job_request.priority = priority;
+    Rc::new(job_request)
 }
 
-/// Guards against lesser work that takes, while a lease runs out, the room that a lost replica
-/// needs: and against room that stays kept when the host is back.
+/// A lost replica cannot restart if lower-priority work takes the free capacity while the lease of
+/// the silent host runs out. The capacity must not stay reserved once the host is back.
 #[test]
-fn room_for_a_replica_on_a_silent_host_is_kept_from_lesser_work() {
-    let mut part = partition(2, false);
-    let service = whole_host("job-live", "daemon", 1, Priority::Production);
-    part.upsert_job(&service, Revision(6), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
-    let home = part.jobs[&JobId::new("job-live")].live[&0].clone();
-    let other = if home.as_str() == "n-1" { "n-2" } else { "n-1" };
-    all_runs(&mut part, home.as_str(), 5, NOW);
-    let silent = NOW + Micros::from_secs(7);
-    part.on_heartbeat(
-        &heartbeat(other, 1, 5, 5, vec![]),
+fn reserves_capacity_for_replica_on_silent_host() {
+    let mut partition = new_partition(2, false);
+    let service = whole_host_job("job-live", "daemon", 1, Priority::Production);
+    partition.upsert_job(&service, Revision(6), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
+    let replica_host = partition.jobs[&JobId::new("job-live")].live[&0].clone();
+    let other_host = if replica_host.as_str() == "n-1" {
+        "n-2"
+    } else {
+        "n-1"
+    };
+    report_all_running(&mut partition, replica_host.as_str(), 5, NOW);
+    let silent_at = NOW + Micros::from_secs(7);
+    partition.on_heartbeat(
+        &heartbeat(other_host, 1, 5, 5, vec![]),
         HeartbeatSource::Heartbeat,
-        silent,
+        silent_at,
     );
-    let lesser = whole_host("job-batch", "array", 1, Priority::Normal);
-    part.upsert_job(&lesser, Revision(7), silent, &[], (0, silent));
-    part.run_cycle(silent);
-    assert_eq!(live(&part, "job-batch"), 0);
-    // It is heard again: the room is free for all.
-    let back = silent + Micros::from_secs(1);
-    all_runs(&mut part, home.as_str(), 6, back);
-    part.run_cycle(back);
-    assert_eq!(live(&part, "job-batch"), 1);
-    // And without it in the way, the replica is whole again as soon as its host is lost.
-    part.end_job(&JobId::new("job-batch"), Termination::Cancelled, back);
-    part.on_heartbeat(
-        &heartbeat(other, 1, 6, 5, vec![]),
+    let batch_job = whole_host_job("job-batch", "array", 1, Priority::Normal);
+    partition.upsert_job(&batch_job, Revision(7), silent_at, &[], (0, silent_at));
+    partition.run_cycle(silent_at);
+    assert_eq!(live(&partition, "job-batch"), 0);
+    // The host sends heartbeats again, so that the capacity is available to all jobs.
+    let back_at = silent_at + Micros::from_secs(1);
+    report_all_running(&mut partition, replica_host.as_str(), 6, back_at);
+    partition.run_cycle(back_at);
+    assert_eq!(live(&partition, "job-batch"), 1);
+    // Without lower-priority work on the other host, the replica restarts as soon as its host is
+    // lost.
+    partition.end_job(&JobId::new("job-batch"), Termination::Cancelled, back_at);
+    partition.on_heartbeat(
+        &heartbeat(other_host, 1, 6, 5, vec![]),
         HeartbeatSource::Heartbeat,
-        back,
+        back_at,
     );
-    part.run_cycle(back);
-    let lost = back + part.config.lease_expiry();
-    part.on_heartbeat(
-        &heartbeat(other, 1, 7, 5, vec![]),
+    partition.run_cycle(back_at);
+    let lost_at = back_at + partition.config.lease_expiry();
+    partition.on_heartbeat(
+        &heartbeat(other_host, 1, 7, 5, vec![]),
         HeartbeatSource::Heartbeat,
-        lost,
+        lost_at,
     );
-    part.apply(&other.into(), HostInput::Answered(&[]), lost);
-    part.run_cycle(lost);
-    assert!(part.recovery.is_incomplete());
-    let now = part.jobs[&JobId::new("job-live")].live[&0].clone();
-    assert_eq!(now.as_str(), other);
-    all_runs(&mut part, other, 8, lost);
-    part.run_cycle(lost + Micros::from_secs(1));
-    assert!(!part.recovery.is_incomplete());
+    partition.apply(&other_host.into(), HostInput::Answered(&[]), lost_at);
+    partition.run_cycle(lost_at);
+    assert!(partition.recovery.is_incomplete());
+    let new_host = partition.jobs[&JobId::new("job-live")].live[&0].clone();
+    assert_eq!(new_host.as_str(), other_host);
+    report_all_running(&mut partition, other_host, 8, lost_at);
+    partition.run_cycle(lost_at + Micros::from_secs(1));
+    assert!(!partition.recovery.is_incomplete());
 }
 
-/// Guards against a replica that waits for as long as a gang of several tasks runs.
+/// If a gang of several tasks cannot be preempted, a replica waits for as long as the gang runs.
 #[test]
-fn a_replica_takes_the_place_of_a_gang_where_there_is_no_other() {
-    let mut part = partition(2, false);
-    let gang = whole_host("job-gang", "ensemble", 2, Priority::High);
-    part.upsert_job(&gang, Revision(6), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
-    assert_eq!(live(&part, "job-gang"), 2);
+fn replica_preempts_gang_without_other_capacity() {
+    let mut partition = new_partition(2, false);
+    let gang = whole_host_job("job-gang", "ensemble", 2, Priority::High);
+    partition.upsert_job(&gang, Revision(6), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
+    assert_eq!(live(&partition, "job-gang"), 2);
     for (counter, host) in [(5, "n-1"), (6, "n-2")] {
-        all_runs(&mut part, host, counter, NOW);
+        report_all_running(&mut partition, host, counter, NOW);
     }
-    let service = whole_host("job-live", "daemon", 1, Priority::Production);
-    part.upsert_job(&service, Revision(7), NOW, &[], (0, NOW));
-    part.run_cycle(NOW);
-    let stops = |host: &str| {
-        let orders = part.commands(&host.into());
-        orders.iter().any(|o| matches!(o, Command::Stop(..)))
+    let service = whole_host_job("job-live", "daemon", 1, Priority::Production);
+    partition.upsert_job(&service, Revision(7), NOW, &[], (0, NOW));
+    partition.run_cycle(NOW);
+    let is_stopped = |host: &str| {
+        let commands = partition.commands(&host.into());
+        commands.iter().any(|o| matches!(o, Command::Stop(..)))
     };
-    assert!(stops("n-1") && stops("n-2"));
+    assert!(is_stopped("n-1") && is_stopped("n-2"));
 }
--- a/crates/jasperhill-scheduler/tests/machines/support.rs
+++ b/crates/jasperhill-scheduler/tests/machines/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state machines are made of.
+//! Fixtures and helpers of the state machine tests.
 
 use jasperhill_scheduler::{
     HeartbeatSource, Host, HostInput, MachineSpec, Partition, SchedulerConfig, TeamLimits, Tuning,
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The time at which every test begins.
+/// Start time of every test.
 pub const NOW: Micros = Micros::from_secs(10_000);
 
-/// A machine type with two accelerators.
+/// Returns a machine type with two accelerators.
 pub fn spec() -> Rc<MachineSpec> {
     Rc::new(MachineSpec {
         machine_type: "box".into(),
@@ -27,7 +27,7 @@
     })
 }
 
-/// The record of a host in this zone.
+/// Returns the record of a host in this zone.
 pub fn record(zone: &str) -> HostRecord {
     HostRecord {
         assignment: HostAssignment::Partition(0),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A heartbeat of a host, with the tasks that it lists.
+/// Returns a heartbeat of a host with these task statuses.
 pub fn heartbeat(
     host: &str,
     incarnation: u64,
@@ -61,13 +61,13 @@
     }
 }
 
-/// A task of the one job.
+/// Returns the id of task `i` of `job-1`.
 pub fn task(i: u32) -> TaskId {
     TaskId::new(&JobId::new("job-1"), i)
 }
 
-/// How a worker lists a task of the one job.
-pub fn listed(i: u32, attempt: u64, phase: TaskPhase) -> TaskStatus {
+/// Returns the status in which a worker lists task `i` of `job-1`.
+pub fn task_status(i: u32, attempt: u64, phase: TaskPhase) -> TaskStatus {
     TaskStatus {
         task: task(i),
         attempt: Attempt(attempt),
@@ -75,7 +75,7 @@
     }
 }
 
-/// A host that has shown its token.
+/// Returns a host that has reported the current fencing token in a heartbeat.
 pub fn host() -> Host {
     let mut host = Host::new(
         "n-1".into(),
@@ -95,7 +95,7 @@
     host
 }
 
-/// Tells the host to start a task.
+/// Makes the host start a task of `job-1`.
 pub fn start(host: &mut Host, i: u32, attempt: u64) {
     let each = Resources::from_units(1.0, 1.0, 1.0);
     host.apply(
@@ -104,7 +104,7 @@
     );
 }
 
-/// One team with a guarantee and a limit.
+/// Returns settings with one team, `red`, that has a guarantee and a limit.
 pub fn config() -> Rc<SchedulerConfig> {
     Rc::new(SchedulerConfig {
         partitions: 1,
@@ -122,7 +122,7 @@
     })
 }
 
-/// A job of that team.
+/// Returns a job of team `red`. `due` is its deadline in seconds after submission.
 pub fn request(id: &str, shape: &str, tasks: u32, gpus: f64, due: Option<f64>) -> Rc<JobRequest> {
     let due = due.map_or("null".to_owned(), |d| d.to_string());
     let text = format!(
@@ -134,34 +134,39 @@
     Rc::new(JobRequest::parse(text.as_bytes()).unwrap())
 }
 
-/// A partition with so many hosts.
-pub fn partition(hosts: usize, at_takeover: bool) -> Partition {
+/// Returns a partition with this number of hosts. Unless `at_takeover` is set, each of them has
+/// sent a heartbeat.
+pub fn new_partition(hosts: usize, at_takeover: bool) -> Partition {
     let specs = Rc::new(BTreeMap::from([("box".into(), spec())]));
-    let mut part = Partition::new(0, Revision(5), config(), specs);
+    let mut partition = Partition::new(0, Revision(5), config(), specs);
     for n in 1..=hosts {
         let id = HostId::new(&format!("n-{n}"));
-        part.upsert_host(&id, &record("a"), Revision(4), at_takeover, NOW);
+        partition.upsert_host(&id, &record("a"), Revision(4), at_takeover, NOW);
         if !at_takeover {
-            part.on_heartbeat(
+            partition.on_heartbeat(
                 &heartbeat(id.as_str(), 1, 1, 5, vec![]),
                 HeartbeatSource::Heartbeat,
                 NOW,
             );
         }
     }
-    part
+    partition
 }
 
-/// How many tasks of a job are on hosts.
-pub fn live(part: &Partition, id: &str) -> usize {
-    part.jobs.get(&JobId::new(id)).map_or(0, |j| j.live.len())
+/// Returns the number of tasks of a job that are on hosts.
+pub fn live(partition: &Partition, id: &str) -> usize {
+    partition
+        .jobs
+        .get(&JobId::new(id))
+        .map_or(0, |j| j.live.len())
 }
 
-/// What a host says: all tasks that are on it have failed, or have completed.
-pub fn all_exit(
-    part: &mut Partition,
+/// Sends a heartbeat in which all tasks on the host have exited with `cause`. Returns the number of
+/// tasks.
+pub fn report_all_exited(
+    partition: &mut Partition,
     host: &str,
-    counter: u64,
+    sequence: u64,
     cause: ExitCause,
     now: Micros,
 ) -> usize {
@@ -170,24 +175,24 @@
         attempt: t.attempt,
         phase: TaskPhase::Exited(cause),
     };
-    let on = part.hosts[&HostId::new(host)].tasks.iter();
-    let tasks: Vec<TaskStatus> = on
+    let host_tasks = partition.hosts[&HostId::new(host)].tasks.iter();
+    let tasks: Vec<TaskStatus> = host_tasks
         .filter(|(_, t)| t.holds_resources())
         .map(exited)
         .collect();
     let n = tasks.len();
-    part.on_heartbeat(
-        &heartbeat(host, 1, counter, 5, tasks),
+    partition.on_heartbeat(
+        &heartbeat(host, 1, sequence, 5, tasks),
         HeartbeatSource::Heartbeat,
         now,
     );
     n
 }
 
-/// The host heartbeats everything that it was told to run as running.
-pub fn all_runs(part: &mut Partition, host: &str, counter: u64, now: Micros) {
+/// Sends a heartbeat in which all tasks on the host are running, and answers it.
+pub fn report_all_running(partition: &mut Partition, host: &str, sequence: u64, now: Micros) {
     let id = HostId::new(host);
-    let tasks = part.hosts[&id]
+    let tasks = partition.hosts[&id]
         .tasks
         .iter()
         .filter(|(_, t)| t.holds_resources());
@@ -196,7 +201,7 @@
         attempt: t.attempt,
         phase: TaskPhase::Running,
     });
-    let report = heartbeat(host, 1, counter, 5, tasks.collect());
-    part.on_heartbeat(&report, HeartbeatSource::Heartbeat, now);
-    part.apply(&id, HostInput::Answered(&[]), now);
+    let report = heartbeat(host, 1, sequence, 5, tasks.collect());
+    partition.on_heartbeat(&report, HeartbeatSource::Heartbeat, now);
+    partition.apply(&id, HostInput::Answered(&[]), now);
 }
