--- a/crates/jasperhill-connections/src/lib.rs
+++ b/crates/jasperhill-connections/src/lib.rs
@@ -1,8 +1,9 @@
-//! Limits on a process's network connections. Pure: no clock, no I/O; the caller passes the time.
+//! Limits on the network connections of a process. The crate reads no clock and does no I/O; the
+//! caller passes the time.
 //!
-//! - [`BudgetPlan`]: how many connections there may be and what each [`Class`] is guaranteed.
-//! - [`ConnectionBudget`]: admission, keep-alive and eviction of every connection of the process.
-//! - [`ConcurrencyLimiter`]: how many hosts are sent commands at a time, and the back-off of hosts
+//! - [`BudgetPlan`]: the limit on open connections and the guarantee of each [`Class`].
+//! - [`ConnectionBudget`]: admission, keep-alive and eviction of the connections of the process.
+//! - [`ConcurrencyLimiter`]: the limit on hosts with a command in flight, and the back-off of hosts
 //!   that do not respond.
 //!
 //! `jasperhill-http` drives the budget from its client and server; the controller drives the
--- a/crates/jasperhill-connections/src/limiter.rs
+++ b/crates/jasperhill-connections/src/limiter.rs
@@ -1,52 +1,55 @@
-//! The concurrency limiter for commands to workers: at most so many hosts have a request in flight,
-//! one request a host, responsive hosts before others, and exponential back-off for a host that
-//! does not respond.
+//! The concurrency limiter for commands to workers. It bounds the number of hosts with a request in
+//! flight to one request per host, prefers responsive hosts, and applies exponential back-off to
+//! hosts that do not respond.
 //!
 //! [`ConcurrencyLimiter`] owns the queue and the back-off of each host. Every change goes through
 //! [`ConcurrencyLimiter::apply`], which returns the hosts that the caller sends to next.
 //!
-//! Guards against a connection to each host of the cluster at the moment of a failover, and against
-//! unreachable hosts that take a slot each, again every second, while reachable ones wait.
+//! Without the limit, a failover would open a connection to every host of the cluster at once.
+//! Without the back-off, unreachable hosts would each take a slot again every second while
+//! reachable hosts wait.
 
 use hdrhistogram::Histogram;
 use jasperhill_wire::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The first back-off of a host that does not respond: below a second, so that a host that restarts
-/// is served again soon.
+/// The first back-off of a host that does not respond. Below a second, so that commands reach a
+/// restarted host soon.
 const BACKOFF_MIN: Micros = Micros::from_millis(900);
-/// The longest back-off; each failure doubles it up to here.
+/// The longest back-off; each failure doubles the back-off up to this value.
 const BACKOFF_MAX: Micros = Micros::from_secs(8);
-/// The most hosts that are tracked (count): beyond, hosts that are neither queued, in flight nor in
-/// back-off are dropped.
+/// Above this number of tracked hosts (count), hosts that are neither queued, in flight nor backing
+/// off are removed.
 const TRACKED_HOSTS_MAX: usize = 20_000;
 
-/// Up to two digits are kept of a wait, of at most an hour in microseconds.
-const WAIT_MAX_MICROS: u64 = 3_600_000_000;
-const WAIT_SIGNIFICANT_DIGITS: u8 = 2;
-/// The least size: one slot for responsive hosts beside one for the others.
-const SIZE_MIN: usize = 2;
+/// The longest queueing time that the histogram resolves: one hour, in microseconds.
+const QUEUE_TIME_MAX_MICROS: u64 = 3_600_000_000;
+/// The number of significant digits that the histogram keeps of a queueing time.
+const QUEUE_TIME_SIGNIFICANT_DIGITS: u8 = 2;
+/// The least number of slots: one for responsive hosts and one for unresponsive hosts.
+const MAX_CONCURRENCY_FLOOR: usize = 2;
 
-/// The phase of a host.
+/// Whether a host is queued, being sent a request, backing off or idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// In a queue since then.
+    /// Queued since the given time.
     Queued(Micros),
-    /// A request is in flight; `unresponsive` says which count of requests in flight includes it.
+    /// A request is in flight. `unresponsive`: whether the request counts against the slots of
+    /// unresponsive hosts.
     InFlight { unresponsive: bool },
-    /// Nothing is sent before `until`; then the host is queued if `pending`.
+    /// Nothing is sent before `until`; the host is queued afterwards if a request is `pending`.
     BackingOff { until: Micros, pending: bool },
-    /// Nothing is to be sent.
+    /// There is no request to send.
     Idle,
 }
 
-/// The record of one host.
+/// The queueing and back-off state of one host.
 #[derive(Clone, Copy, Debug)]
 struct Host {
     phase: Phase,
-    /// It responded to the last request, or was heard since.
+    /// Whether the host responded to the last request or was heard from since.
     responsive: bool,
-    /// The back-off after the next failure.
+    /// The length of the back-off after the next failure.
     backoff: Micros,
 }
 
@@ -55,14 +58,14 @@
 pub enum Input<K> {
     /// A request is to be sent to the host.
     Enqueue(K),
-    /// The host was heard by another way (a heartbeat): its back-off ends.
+    /// The host was heard from in another way (a heartbeat), which ends its back-off.
     Heard(K),
-    /// The request in flight is over: with a response (`Some(true)`), without one (`Some(false)`),
-    /// or nothing was sent after all (`None`).
+    /// The request in flight has ended: with a response (`Some(true)`), without a response
+    /// (`Some(false)`), or without having been sent (`None`).
     Completed(K, Option<bool>),
-    /// Time has passed: hosts whose back-off is over are queued.
+    /// Time has passed: hosts with a pending request whose back-off is over are queued.
     Tick,
-    /// The most requests in flight from now on; at least two are allowed.
+    /// Sets the most requests in flight; values below two are raised to two.
     Resize(usize),
 }
 
@@ -70,68 +73,74 @@
 #[derive(Debug)]
 pub struct ConcurrencyLimiter<K: Ord + Clone> {
     /// The most requests in flight.
-    size: usize,
+    max_concurrency: usize,
     hosts: BTreeMap<K, Host>,
     responsive_queue: VecDeque<K>,
     unresponsive_queue: VecDeque<K>,
     in_flight: usize,
-    /// Those of `in_flight` whose host was not known to be responsive.
+    /// Requests in flight to hosts that were not known to be responsive when dispatched.
     in_flight_unresponsive: usize,
-    /// How long hosts were queued, in microseconds.
-    wait_times: Histogram<u64>,
+    /// Queueing times of hosts, in microseconds.
+    queue_times: Histogram<u64>,
 }
 
 impl<K: Ord + Clone> ConcurrencyLimiter<K> {
-    /// Creates a limiter of `size` requests in flight, at least two.
+    /// Creates a limiter for at most `max_concurrency` requests in flight; values below two are
+    /// raised to two.
     ///
     /// # Panics
     ///
     /// Never: the number of significant digits is a constant that the histogram allows.
-    pub fn new(size: usize) -> Self {
+    pub fn new(max_concurrency: usize) -> Self {
         Self {
-            size: size.max(SIZE_MIN),
+            max_concurrency: max_concurrency.max(MAX_CONCURRENCY_FLOOR),
             hosts: BTreeMap::new(),
             responsive_queue: VecDeque::new(),
             unresponsive_queue: VecDeque::new(),
             in_flight: 0,
             in_flight_unresponsive: 0,
-            wait_times: Histogram::new_with_bounds(1, WAIT_MAX_MICROS, WAIT_SIGNIFICANT_DIGITS)
-                .unwrap_or_else(|_| {
-                    Histogram::new(WAIT_SIGNIFICANT_DIGITS).expect("two digits are allowed")
-                }),
+            queue_times: Histogram::new_with_bounds(
+                1,
+                QUEUE_TIME_MAX_MICROS,
+                QUEUE_TIME_SIGNIFICANT_DIGITS,
+            )
+            .unwrap_or_else(|_| {
+                Histogram::new(QUEUE_TIME_SIGNIFICANT_DIGITS).expect("two digits are allowed")
+            }),
         }
     }
 
-    /// The number of requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// The number of queued hosts.
+    /// Returns the number of queued hosts.
     pub fn queued(&self) -> usize {
         let is_queued = |host: &&Host| matches!(host.phase, Phase::Queued(_));
         self.hosts.values().filter(is_queued).count()
     }
 
-    /// The quantile (0 to 1) of the times that hosts were queued since the last reset.
+    /// Returns a quantile (0 to 1) of the queueing times of hosts since the last reset.
     pub fn wait_time_quantile(&self, quantile: f64) -> Micros {
-        Micros(self.wait_times.value_at_quantile(quantile))
+        Micros(self.queue_times.value_at_quantile(quantile))
     }
 
-    /// Drops the recorded wait times, after they were logged.
+    /// Clears the recorded queueing times. Called after they were logged.
     pub fn reset_wait_times(&mut self) {
-        self.wait_times.reset();
+        self.queue_times.reset();
     }
 
-    /// Applies one input at time `now`: the only function that changes the limiter. Returns the
-    /// hosts that the caller sends a request to now, and reports as completed later.
+    /// Applies one input at time `now`. Returns the hosts that the caller sends a request to now
+    /// and reports as completed later. Only this function changes the queues, slots and back-offs.
     pub fn apply(&mut self, input: Input<K>, now: Micros) -> Vec<K> {
         match input {
             Input::Enqueue(key) => self.enqueue(key, now),
             Input::Heard(key) => {
                 if let Some(host) = self.hosts.get_mut(&key) {
                     let was_responsive = std::mem::replace(&mut host.responsive, true);
-                    // It does not wait behind hosts that may be unreachable.
+                    // A host that was heard from does not wait behind hosts that may be
+                    // unreachable.
                     if !was_responsive && matches!(host.phase, Phase::Queued(_)) {
                         self.responsive_queue.push_back(key.clone());
                     }
@@ -141,7 +150,7 @@
                     }
                 }
             }
-            Input::Completed(key, answered) => self.complete(&key, answered, now),
+            Input::Completed(key, responded) => self.complete(&key, responded, now),
             Input::Tick => {
                 let is_due = |host: &Host| matches!(host.phase, Phase::BackingOff { until, pending: true } if now >= until);
                 let due: Vec<K> = (self.hosts.iter())
@@ -152,13 +161,16 @@
                     self.enqueue(key, now);
                 }
             }
-            Input::Resize(size) => self.size = size.max(SIZE_MIN),
+            Input::Resize(max_concurrency) => {
+                self.max_concurrency = max_concurrency.max(MAX_CONCURRENCY_FLOOR)
+            }
         }
         self.dispatch(now)
     }
 
-    /// Queues a host, or notes the request on one that is backing off. A host that is queued or in
-    /// flight already stays as it is: the caller sends all that is pending at once.
+    /// Queues a host, or marks the request as pending if the host is backing off. A host that is
+    /// already queued or in flight is unchanged, because the caller sends all pending commands of a
+    /// host in one request.
     fn enqueue(&mut self, key: K, now: Micros) {
         if self.hosts.len() > TRACKED_HOSTS_MAX {
             self.hosts.retain(|_, host| match host.phase {
@@ -192,7 +204,7 @@
     }
 
     /// Frees the slot of a host and updates its back-off.
-    fn complete(&mut self, key: &K, answered: Option<bool>, now: Micros) {
+    fn complete(&mut self, key: &K, responded: Option<bool>, now: Micros) {
         let Some(host) = self.hosts.get_mut(key) else {
             return;
         };
@@ -201,7 +213,7 @@
         };
         self.in_flight -= 1;
         self.in_flight_unresponsive -= usize::from(unresponsive);
-        match answered {
+        match responded {
             Some(true) => {
                 host.responsive = true;
                 host.phase = Phase::Idle;
@@ -219,12 +231,13 @@
         }
     }
 
-    /// Takes hosts from the queues while slots are free. Responsive hosts may use all slots, the
-    /// others half of them.
+    /// Takes hosts from the queues while slots are free. Responsive hosts may use all slots,
+    /// unresponsive hosts at most half of the slots, rounded up.
     fn dispatch(&mut self, now: Micros) -> Vec<K> {
         let mut dispatched = Vec::new();
-        while self.in_flight < self.size {
-            let unresponsive_allowed = self.in_flight_unresponsive < self.size.div_ceil(2);
+        while self.in_flight < self.max_concurrency {
+            let unresponsive_allowed =
+                self.in_flight_unresponsive < self.max_concurrency.div_ceil(2);
             let key = match self.responsive_queue.pop_front() {
                 Some(key) => Some(key),
                 None if unresponsive_allowed => self.unresponsive_queue.pop_front(),
@@ -234,11 +247,11 @@
             let Some(host) = self.hosts.get_mut(&key) else {
                 continue;
             };
-            // A host that was heard while it was queued is in both queues.
+            // A host that was heard from while queued is in both queues.
             let Phase::Queued(since) = host.phase else {
                 continue;
             };
-            self.wait_times.saturating_record((now - since).0.max(1));
+            self.queue_times.saturating_record((now - since).0.max(1));
             let unresponsive = !host.responsive;
             host.phase = Phase::InFlight { unresponsive };
             self.in_flight += 1;
--- a/crates/jasperhill-connections/src/plan.rs
+++ b/crates/jasperhill-connections/src/plan.rs
@@ -7,15 +7,16 @@
 
 use enum_map::{Enum, EnumMap, enum_map};
 
-/// The least connection limit that a plan assumes, so that each class has at least one.
+/// The lowest connection limit that a plan assumes, so that each class gets at least one
+/// connection.
 pub const MAX_CONNECTIONS_FLOOR: usize = 16;
-/// The least total that a plan grants: three quarters of [`MAX_CONNECTIONS_FLOOR`].
+/// The lowest [`BudgetPlan::limit`]: three quarters of [`MAX_CONNECTIONS_FLOOR`].
 const LIMIT_FLOOR: usize = 12;
-/// Guarantees of the peer classes grow with the number of peers up to this many, the largest
-/// control plane that is planned for.
+/// The number of peers up to which the guarantees of [`Class::Peers`] and [`Class::Mesh`] grow: the
+/// largest supported control plane.
 const PLANNED_PEERS_MAX: usize = 8;
 
-/// The purpose of a connection. The budget guarantees connections by class.
+/// The purpose of a connection. The budget guarantees a number of connections to each class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Enum)]
 pub enum Class {
     /// Outbound, to the key-value store.
@@ -39,7 +40,7 @@
 }
 
 impl Class {
-    /// Every class, in order of declaration.
+    /// All classes, in order of declaration.
     pub const ALL: [Self; 9] = [
         Self::State,
         Self::Cloud,
@@ -52,7 +53,8 @@
         Self::Users,
     ];
 
-    /// The name of the class in log lines and in the response of `/ready`, which fixes these strings.
+    /// Returns the name of the class in log lines and in the response of `/ready`. These strings
+    /// are part of the API and must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::State => "state",
@@ -71,12 +73,12 @@
 /// The inputs of [`BudgetPlan::new`], all counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanInputs {
-    /// The connections that the platform allows the process, from its settings. Values below
+    /// The connections that the settings of the platform allow the process. Values below
     /// [`MAX_CONNECTIONS_FLOOR`] are raised to it.
     pub max_connections: usize,
-    /// Other controllers of the cluster.
+    /// The number of other controllers of the cluster.
     pub peers: usize,
-    /// Known machines. Each may hold a heartbeat connection to this process.
+    /// The number of known machines. Each machine may hold a heartbeat connection to this process.
     pub machines: usize,
 }
 
@@ -87,20 +89,21 @@
     pub max_connections: usize,
     /// The most connections that the budget grants; the rest of `max_connections` is headroom.
     pub limit: usize,
-    /// Above this many open connections, those without a guarantee are closed after their
+    /// Above this many open connections, connections without a guarantee are closed after their
     /// response instead of being kept alive.
     pub keep_alive_limit: usize,
-    /// The connections that each class may hold whatever the others do.
+    /// The connections that each class may hold regardless of the usage of other classes.
     pub guaranteed: EnumMap<Class, usize>,
 }
 
 impl BudgetPlan {
-    /// Derives the plan. A quarter of the platform's limit is headroom, for connections that the
-    /// kernel is still closing and for those that the budget does not track.
+    /// Derives the plan from its inputs. A quarter of the platform's limit is headroom, for
+    /// connections that the kernel is still closing and connections that the budget does not track.
     pub fn new(inputs: PlanInputs) -> Self {
         let max_connections = inputs.max_connections.max(MAX_CONNECTIONS_FLOOR);
         let limit = (max_connections * 3 / 4).max(LIMIT_FLOOR);
-        // Fractions of the limit, so that a small limit is divided in the same way as a large one.
+        // Guarantees are fractions of the limit, so that small and large limits are divided in the
+        // same proportions.
         let fraction = |divisor: usize, min: usize, max: usize| (limit / divisor).clamp(min, max);
         let mut guaranteed = enum_map! {
             Class::State => fraction(100, 3, 12),
@@ -112,11 +115,15 @@
             Class::Users => fraction(12, 1, 4_096),
             Class::Heartbeats => 0,
         };
-        // One for each machine and 5 % more for replacements, as far as the other classes leave it.
-        let others: usize = guaranteed.values().sum();
-        let workers = inputs.machines + inputs.machines / 20 + 1;
-        guaranteed[Class::Heartbeats] = workers.min(limit.saturating_sub(others)).max(1);
-        // With a limit of a few dozen the sum may exceed it: the largest guarantees shrink first.
+        // One connection per machine and 5 % more for replacement machines, as far as the
+        // guarantees of other classes leave capacity.
+        let other_classes: usize = guaranteed.values().sum();
+        let heartbeat_connections = inputs.machines + inputs.machines / 20 + 1;
+        guaranteed[Class::Heartbeats] = heartbeat_connections
+            .min(limit.saturating_sub(other_classes))
+            .max(1);
+        // The minimum guarantees may exceed a limit of a few dozen connections: the largest
+        // guarantees shrink first.
         while guaranteed.values().sum::<usize>() > limit {
             let largest = Class::ALL
                 .into_iter()
--- a/crates/jasperhill-connections/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -1,5 +1,6 @@
-//! Generated histories: in any order of events the connection budget stays within its limit and
-//! honours its guarantees, and the concurrency limiter stays within its size.
+//! Property tests over generated event histories. In any order of events the connection budget
+//! stays within its limit and honours its guarantees, and the concurrency limiter stays within its
+//! size.
 
 use jasperhill_connections::{
     BudgetPlan, Class, ConcurrencyLimiter, ConnectionBudget, ConnectionId, Input, Output,
@@ -22,13 +23,18 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
+    /// A connection of a class (index into `Class::ALL`) is opened.
     Open(usize),
-    /// On the connection at this index (modulo their number) a request starts or finishes, or it is
-    /// closed.
+    /// A request of a class (index into `Class::ALL`) starts on a connection (index modulo the
+    /// number of open connections).
     StartRequest(usize, usize),
+    /// The request on a connection (index modulo the number of open connections) finishes.
     FinishRequest(usize),
+    /// A connection (index modulo the number of open connections) is closed.
     Close(usize),
+    /// Time passes, in milliseconds.
     Wait(u64),
+    /// The plan is replaced by a plan for this number of machines.
     Machines(usize),
 }
 
@@ -44,7 +50,7 @@
     prop::collection::vec(step, 1..600)
 }
 
-/// A connection that the history has open.
+/// A connection that is open at this point of the history.
 #[derive(Clone, Copy, Debug)]
 struct OpenConnection {
     id: ConnectionId,
@@ -52,7 +58,7 @@
     is_idle: bool,
 }
 
-/// A budget under test, and what the history expects it to hold.
+/// A budget under test and the connections that the budget is expected to track.
 struct History {
     budget: ConnectionBudget,
     open: Vec<OpenConnection>,
@@ -78,8 +84,8 @@
         }
     }
 
-    /// The open connection at this index modulo their number.
-    fn pick(&self, index: usize) -> Option<usize> {
+    /// Returns `index` modulo the number of open connections, or `None` if none is open.
+    fn open_index(&self, index: usize) -> Option<usize> {
         (!self.open.is_empty()).then(|| index % self.open.len())
     }
 
@@ -104,10 +110,10 @@
     fn open_connection(&mut self, class: Class) -> Result<(), TestCaseError> {
         let open_of_class = self.open.iter().filter(|c| c.class == class).count();
         let guaranteed = open_of_class < self.budget.plan().guaranteed[class];
-        let full = self.budget.open() >= self.budget.plan().limit;
+        let limit_reached = self.budget.open() >= self.budget.plan().limit;
         match self.apply(Input::Open(class)) {
             Output::Granted(id, evicted) => {
-                prop_assert!(evicted.is_none() || full, "evicted without need");
+                prop_assert!(evicted.is_none() || limit_reached, "evicted without need");
                 if let Some(evicted) = evicted {
                     self.close_evicted(evicted)?;
                 }
@@ -118,7 +124,10 @@
                 });
             }
             Output::Refused => {
-                prop_assert!(!guaranteed || full, "{class:?} was guaranteed more");
+                prop_assert!(
+                    !guaranteed || limit_reached,
+                    "{class:?} was guaranteed more"
+                );
                 prop_assert!(
                     class != Class::State || self.budget.open() + 4 >= self.max_connections
                 );
@@ -137,7 +146,7 @@
     }
 
     fn start_request(&mut self, index: usize, wanted: Class) -> Result<(), TestCaseError> {
-        let Some(index) = self.pick(index) else {
+        let Some(index) = self.open_index(index) else {
             return Ok(());
         };
         let OpenConnection { id, class, .. } = self.open[index];
@@ -157,7 +166,7 @@
     }
 
     fn finish_request(&mut self, index: usize) -> Result<(), TestCaseError> {
-        let Some(index) = self.pick(index) else {
+        let Some(index) = self.open_index(index) else {
             return Ok(());
         };
         let OpenConnection { id, class, .. } = self.open[index];
@@ -173,19 +182,19 @@
     }
 
     fn close(&mut self, index: usize) {
-        let Some(index) = self.pick(index) else {
+        let Some(index) = self.open_index(index) else {
             return;
         };
         let closed = self.open.swap_remove(index);
         self.apply(Input::Closed(closed.id));
-        // Reported twice, it has no effect.
+        // Reporting the same connection as closed a second time has no effect.
         self.apply(Input::Closed(closed.id));
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
         let budget = &self.budget;
-        let counted: usize = Class::ALL.iter().map(|c| budget.usage(*c).open).sum();
-        prop_assert_eq!(counted, self.open.len());
+        let open_total: usize = Class::ALL.iter().map(|c| budget.usage(*c).open).sum();
+        prop_assert_eq!(open_total, self.open.len());
         prop_assert_eq!(budget.open(), self.open.len());
         let state = budget.usage(Class::State).open;
         prop_assert!(budget.open() <= budget.plan().limit + state);
@@ -194,8 +203,8 @@
     }
 }
 
-/// Replays a history. An evicted connection is closed at once, as in the process.
-fn play(max_connections: usize, steps: &[Step]) -> Result<(), TestCaseError> {
+/// Replays a history. Evicted connections are closed immediately, as in the process.
+fn replay(max_connections: usize, steps: &[Step]) -> Result<(), TestCaseError> {
     let mut history = History::new(max_connections);
     for step in steps {
         history.step(*step)?;
@@ -208,25 +217,27 @@
     #![proptest_config(config(200))]
 
     #[test]
-    fn the_budget_stays_within_its_limit_and_honours_guarantees(max_connections in 16..400usize, steps in steps()) {
-        play(max_connections, &steps)?;
+    fn budget_stays_within_limit_and_honours_guarantees(max_connections in 16..400usize, steps in steps()) {
+        replay(max_connections, &steps)?;
     }
 
-    /// Guarantees fit within the limit, whatever the platform allows and the number of machines.
+    /// Guarantees fit within the limit for any connection limit of the platform and any number of
+    /// machines.
     #[test]
     fn guarantees_fit_within_the_limit(max_connections in 16..100_000usize, peers in 0..10usize, machines in 0..50_000usize) {
         let plan = BudgetPlan::new(PlanInputs { max_connections, peers, machines });
-        let all: usize = plan.guaranteed.values().sum();
-        prop_assert!(all <= plan.limit, "{plan:?}");
+        let total_guaranteed: usize = plan.guaranteed.values().sum();
+        prop_assert!(total_guaranteed <= plan.limit, "{plan:?}");
         prop_assert!(plan.limit * 5 <= max_connections * 4);
         prop_assert!(plan.guaranteed.values().all(|n| *n > 0));
     }
 
-    /// Hosts that respond, or don't, or are heard by other ways; requests at any time.
+    /// Hosts respond, do not respond, or send heartbeats, and requests come at any time: the
+    /// limiter stays within its size, honours back-offs and sends every request in the end.
     #[test]
-    fn the_limiter_stays_within_its_size_and_drops_no_request(
+    fn limiter_stays_within_size_and_drops_no_request(
         size in 2..12usize,
-        dead in prop::collection::btree_set(0..40u32, 0..30),
+        dead_hosts in prop::collection::btree_set(0..40u32, 0..30),
         steps in prop::collection::vec((0..40u32, 0..4u8, 1..400u64), 1..500),
     ) {
         let mut limiter = ConcurrencyLimiter::new(size);
@@ -243,11 +254,11 @@
                 }
                 2 if !in_flight.is_empty() => {
                     let host = in_flight.remove(host as usize % in_flight.len());
-                    let answered = !dead.contains(&host);
-                    if !answered {
+                    let responded = !dead_hosts.contains(&host);
+                    if !responded {
                         failed_at.insert(host, now);
                     }
-                    limiter.apply(limiter::Input::Completed(host, Some(answered)), now)
+                    limiter.apply(limiter::Input::Completed(host, Some(responded)), now)
                 }
                 3 => {
                     failed_at.remove(&host);
@@ -267,12 +278,12 @@
             prop_assert_eq!(limiter.in_flight(), in_flight.len());
             now += Micros::from_millis(ms);
         }
-        // Every request is sent once a slot is free, whichever hosts are dead.
+        // Every request is sent once a slot is free, regardless of which hosts are dead.
         for _ in 0..400 {
             now += Micros::from_millis(500);
             for host in std::mem::take(&mut in_flight) {
-                let answered = !dead.contains(&host);
-                in_flight.extend(limiter.apply(limiter::Input::Completed(host, Some(answered)), now));
+                let responded = !dead_hosts.contains(&host);
+                in_flight.extend(limiter.apply(limiter::Input::Completed(host, Some(responded)), now));
             }
             in_flight.extend(limiter.apply(limiter::Input::Tick, now));
             sent.extend(&in_flight);
@@ -282,16 +293,17 @@
     }
 }
 
-/// A failover with a third of 900 hosts dead, each of which occupies its slot for 1.5 s: the live
-/// ones respond within a heartbeat interval, and commands to responsive hosts are never queued.
+/// Failover with a third of 900 hosts dead, each of which occupies its slot for 1.5 s. All live
+/// hosts must respond within a heartbeat interval, and commands to responsive hosts must never be
+/// queued.
 #[test]
 fn dead_hosts_do_not_delay_live_ones() {
-    const HEARTBEAT_INTERVAL: u64 = 5_000;
+    const HEARTBEAT_INTERVAL_MS: u64 = 5_000;
     let is_dead = |host: u32| host.is_multiple_of(3);
     let mut limiter = ConcurrencyLimiter::new(64);
     let mut busy: Vec<(u64, u32)> = Vec::new();
-    let mut answered = BTreeSet::new();
-    let (mut all_responded_ms, mut commands, mut queued) = (None, 0, 0);
+    let mut responsive_hosts = BTreeSet::new();
+    let (mut all_responded_ms, mut commands_sent, mut queued_commands) = (None, 0, 0);
     for ms in 0..20_000u64 {
         let now = START + Micros::from_millis(ms);
         let (completed, remaining): (Vec<_>, Vec<_>) =
@@ -302,7 +314,8 @@
             if ms == 0 {
                 dispatched.extend(limiter.apply(limiter::Input::Enqueue(host), now));
             }
-            if !is_dead(host) && ms % HEARTBEAT_INTERVAL == u64::from(host) * 7 % HEARTBEAT_INTERVAL
+            if !is_dead(host)
+                && ms % HEARTBEAT_INTERVAL_MS == u64::from(host) * 7 % HEARTBEAT_INTERVAL_MS
             {
                 dispatched.extend(limiter.apply(limiter::Input::Heard(host), now));
             }
@@ -310,17 +323,17 @@
         for (_, host) in completed {
             let responded = !is_dead(host);
             if responded {
-                answered.insert(host);
+                responsive_hosts.insert(host);
             }
             dispatched.extend(limiter.apply(limiter::Input::Completed(host, Some(responded)), now));
         }
-        if answered.len() == 600 {
+        if responsive_hosts.len() == 600 {
             all_responded_ms.get_or_insert(ms);
         }
-        if ms % 100 == 0 && answered.contains(&1) {
+        if ms % 100 == 0 && responsive_hosts.contains(&1) {
             let dispatched_now = limiter.apply(limiter::Input::Enqueue(1), now);
-            commands += 1;
-            queued += usize::from(!dispatched_now.contains(&1));
+            commands_sent += 1;
+            queued_commands += usize::from(!dispatched_now.contains(&1));
             dispatched.extend(dispatched_now);
         }
         for host in dispatched {
@@ -328,8 +341,11 @@
         }
     }
     assert!(
-        all_responded_ms.is_some_and(|ms| ms <= HEARTBEAT_INTERVAL + 50),
+        all_responded_ms.is_some_and(|ms| ms <= HEARTBEAT_INTERVAL_MS + 50),
         "{all_responded_ms:?}"
     );
-    assert!(commands > 100 && queued == 0, "{queued} of {commands}");
+    assert!(
+        commands_sent > 100 && queued_commands == 0,
+        "{queued_commands} of {commands_sent}"
+    );
 }
