--- a/crates/jasperhill-membership/src/authority.rs
+++ b/crates/jasperhill-membership/src/authority.rs
@@ -1,15 +1,17 @@
-//! Sessions and authority. A controller may act only while its session surely lives and its
-//! watch cache is surely recent; both are judged from the *sending* of the requests that showed it.
-//! Every change goes through [`Authority::apply`].
+//! The session of a controller and its authority to act.
+//!
+//! A controller may act only while its session is certain to be alive and its watch cache is
+//! certain to be recent. Both are measured from the time at which a request was *sent*, not from
+//! its response. Every change goes through [`Authority::apply`].
 
 use jasperhill_wire::{Micros, Revision};
 
-/// The session of this controller with the store.
+/// The session of this controller in the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Session {
-    /// None; nothing may be owned.
+    /// There is no session; the controller may own no role.
     None,
-    /// Tied to the session's key, written at `version`.
+    /// A session whose key was written at `version`. The session may have expired.
     Held {
         /// The session's lease in the store.
         lease: u64,
@@ -18,86 +20,87 @@
     },
 }
 
-/// What changes the authority. All times are of the steady clock.
+/// An event that changes the authority. All times are of the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A session was begun; its lease was asked for at `sent`.
+    /// A session began; its lease was requested at `sent`.
     Begun {
         /// The session's lease in the store.
         lease: u64,
         /// The revision of the session's key.
         version: Revision,
-        /// When the lease was asked for.
+        /// The time at which the lease request was sent.
         sent: Micros,
     },
     /// The renewal sent at `sent` succeeded.
     Renewed {
         /// The lease that was renewed.
         lease: u64,
-        /// When the renewal was sent.
+        /// The time at which the renewal request was sent.
         sent: Micros,
     },
-    /// The state service says that the lease or its key is gone.
+    /// The key-value store reports that the lease or the key of the session no longer exists.
     Lost {
-        /// The lease that is gone.
+        /// The lease that no longer exists.
         lease: u64,
     },
-    /// The watch cache holds everything up to `sent`.
+    /// The watch cache contains all changes up to `sent`.
     Fresh {
-        /// When the request was sent that showed it.
+        /// The time at which the request that confirmed this was sent.
         sent: Micros,
     },
 }
 
-/// Margin for clocks that drift, as a part of the session's time to live ...
+/// Safety margin for clock drift, as a fraction of the session's time to live.
 const CLOCK_DRIFT_MARGIN: f64 = 0.002;
-/// ... and for late timers.
-const LATE_TIMERS: Micros = Micros::from_millis(200);
+/// Safety margin for timers that fire late.
+const TIMER_DELAY_MARGIN: Micros = Micros::from_millis(200);
 
-/// Whether this controller may act. Owned by the controller's state; asked before every command
-/// and every answer.
+/// Decides whether this controller may act. The controller checks it before every command and every
+/// response.
 #[derive(Clone, Debug)]
 pub struct Authority {
     session: Session,
-    /// When the last renewal that succeeded was sent.
-    renewed: Micros,
-    /// The watch cache holds everything up to this time.
+    /// The time at which the last successful renewal, or the lease request, was sent.
+    last_renewal_sent: Micros,
+    /// The watch cache contains all changes up to this time.
     fresh: Micros,
-    /// The session's time to live.
+    /// The session's time to live after a renewal.
     ttl: Micros,
-    /// How old the watch cache may be.
-    age_max: Micros,
+    /// The maximum age of the watch cache at which the controller may act.
+    cache_age_max: Micros,
 }
 
 impl Authority {
-    /// Without a session. `ttl`: how long a session outlives its last renewal; `age_max`: how old
-    /// the watch cache may be.
-    pub fn new(ttl: Micros, age_max: Micros) -> Self {
+    /// Creates an authority without a session. `ttl` is the time from a renewal to the expiry of
+    /// the session, `cache_age_max` the maximum age of the watch cache at which the controller may
+    /// act.
+    pub fn new(ttl: Micros, cache_age_max: Micros) -> Self {
         Self {
             session: Session::None,
-            renewed: Micros::ZERO,
+            last_renewal_sent: Micros::ZERO,
             fresh: Micros::ZERO,
             ttl,
-            age_max,
+            cache_age_max,
         }
     }
 
-    /// The session, alive or not.
+    /// Returns the session, which may have expired.
     pub fn session(&self) -> Session {
         self.session
     }
 
-    /// How long a session outlives its last renewal.
+    /// Returns the time from a renewal to the expiry of the session.
     pub fn ttl(&self) -> Micros {
         self.ttl
     }
 
-    /// The time up to which the watch cache holds everything.
+    /// Returns the time up to which the watch cache contains all changes.
     pub fn fresh(&self) -> Micros {
         self.fresh
     }
 
-    /// The one function that changes the authority.
+    /// Applies one input. No other function changes the authority.
     pub fn apply(&mut self, input: Input) {
         match input {
             Input::Begun {
@@ -106,11 +109,11 @@
                 sent,
             } => {
                 self.session = Session::Held { lease, version };
-                self.renewed = sent;
+                self.last_renewal_sent = sent;
             }
             Input::Renewed { lease, sent } => {
                 if matches!(self.session, Session::Held { lease: held, .. } if held == lease) {
-                    self.renewed = self.renewed.max(sent);
+                    self.last_renewal_sent = self.last_renewal_sent.max(sent);
                 }
             }
             Input::Lost { lease } => {
@@ -122,22 +125,23 @@
         }
     }
 
-    fn margin(&self) -> Micros {
-        self.ttl.scale(CLOCK_DRIFT_MARGIN) + LATE_TIMERS
+    /// Returns how long before the expiry of the session the authority ends.
+    fn safety_margin(&self) -> Micros {
+        self.ttl.scale(CLOCK_DRIFT_MARGIN) + TIMER_DELAY_MARGIN
     }
 
-    /// When the authority ends, unless something extends it.
+    /// Returns the time at which the authority ends unless it is extended; zero without a session.
     pub fn until(&self) -> Micros {
         match self.session {
             Session::None => Micros::ZERO,
-            Session::Held { .. } => {
-                (self.renewed + self.ttl - self.margin()).min(self.fresh + self.age_max)
-            }
+            Session::Held { .. } => (self.last_renewal_sent + self.ttl - self.safety_margin())
+                .min(self.fresh + self.cache_age_max),
         }
     }
 
-    /// Whether there is authority at `now`. Asked again before every command and every answer, not
-    /// once per round: a process may have been stalled in between.
+    /// Returns whether the controller has authority at `now`. The caller checks before every
+    /// command and every response, not once per event loop iteration, because the process may have
+    /// been stalled since an earlier check.
     pub fn holds(&self, now: Micros) -> bool {
         now < self.until()
     }
--- a/crates/jasperhill-membership/src/freshness.rs
+++ b/crates/jasperhill-membership/src/freshness.rs
@@ -1,89 +1,104 @@
-//! How old the knowledge may be on which a renewal of a worker's lease rests. Pure, and the one
-//! place where it is computed: owners, delegates and those who send commands straight all ask here.
+//! Bounds on the age of the knowledge on which a renewal of a worker's lease may be based.
 //!
-//! A cancellation may be confirmed to its user by any controller at any moment. Whoever has not
-//! heard of it must have renewed the last lease early enough for that lease to have run out by
-//! `cancel`, and can't tell an outage of the state service from a refusal of its own: so nothing
-//! but fresh knowledge lengthens this, neither silence everywhere nor others' word.
+//! Owners, delegates and controllers that send commands directly to workers all use these bounds;
+//! they are computed only here, without a clock and without I/O.
+//!
+//! Any controller may confirm a cancellation to its user at any time. A controller that has not
+//! heard of the cancellation must have renewed the worker's lease for the last time early enough
+//! that the lease expires within [`LeaseTerms::cancel`]. Such a controller cannot distinguish an
+//! outage of the state service from a refusal of its own requests. Therefore only fresh knowledge
+//! extends the permission to renew; missing responses from everybody or statements of other
+//! controllers do not.
 
 use jasperhill_wire::Micros;
 
-/// By how much the steady clocks of two machines may drift apart.
+/// The maximum relative drift between the monotonic clocks of two machines.
 const CLOCK_DRIFT: f64 = 0.0005;
-/// Late timers: of whoever answers, and of the worker that ends its tasks.
-const LATE_TIMERS: Micros = Micros::from_millis(1_500);
-/// Drift is counted this many times over: of both clocks, over lease and knowledge, and more.
+/// The allowance for late timers of both the controller that answers a heartbeat and the worker
+/// that ends its tasks.
+const TIMER_DELAY_ALLOWANCE: Micros = Micros::from_millis(1_500);
+/// The multiple of [`CLOCK_DRIFT`] that is subtracted: covers the drift of both clocks, over the
+/// lease as well as the age of the knowledge, and a reserve.
 const DRIFT_FACTOR: f64 = 10.0;
-/// A delegate answers under a grant of an owner whom it can't hear: its knowledge must be no
-/// older than this.
-const DELEGATE_MAX: Micros = Micros::from_secs(3);
-/// The least that an owner can go on with: below it each late answer of the state service would
-/// cost the authority.
-const FRESHNESS_MIN: Micros = Micros::from_millis(1_300);
+/// The maximum age of a delegate's knowledge. A delegate answers heartbeats under a grant of an
+/// owner that it cannot communicate with.
+const DELEGATE_KNOWLEDGE_AGE_MAX: Micros = Micros::from_secs(3);
+/// The lowest usable bound for an owner: with a lower bound, every late response of the state
+/// service would end the owner's authority.
+const OWNER_KNOWLEDGE_AGE_MIN: Micros = Micros::from_millis(1_300);
 
-/// What the platform's settings say. Made by the settings, which ask for the bounds.
+/// The lease time of workers and the cancellation time of jobs, from the platform's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// A worker's tasks end so long after it sent the last heartbeat that was answered.
+    /// The time after sending its last answered heartbeat at which a worker ends its tasks.
     pub lease: Micros,
-    /// The tasks of a cancelled job are gone so long after its user was told.
+    /// The time after confirming a cancellation to the user by which the tasks of the job must have
+    /// ended.
     pub cancel: Micros,
 }
 
-/// How old the knowledge may be that a renewal of a lease rests on.
+/// The maximum age of the knowledge on which a lease renewal may be based, for owners and
+/// delegates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessBounds {
     owner: Micros,
     delegate: Micros,
 }
 
-/// `cancel` leaves no room beside the lease.
+/// Error: [`LeaseTerms::cancel`] is too short for the lease time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooShort {
-    /// What `cancel` would have to be at least.
+pub struct CancelTooShort {
+    /// The lowest permitted value of `cancel`.
     pub least: Micros,
 }
 
 impl LeaseTerms {
-    /// What is spent before and after an answer, whatever it rests on.
-    fn spent(&self) -> Micros {
-        self.lease + self.lease.scale(CLOCK_DRIFT * DRIFT_FACTOR) + LATE_TIMERS
+    /// Returns the part of `cancel` that is needed regardless of the age of the knowledge: the
+    /// lease, clock drift and late timers.
+    fn fixed_time(&self) -> Micros {
+        self.lease + self.lease.scale(CLOCK_DRIFT * DRIFT_FACTOR) + TIMER_DELAY_ALLOWANCE
     }
 
-    /// The bounds that let whatever goes on unheard of end within `cancel`.
+    /// Returns the bounds that guarantee that tasks end within `cancel` even if the controllers
+    /// that renew their leases have not heard of the cancellation.
     ///
     /// # Errors
-    /// [`TooShort`] if no answer could be given that surely ends in time.
-    pub fn bounds(&self) -> Result<FreshnessBounds, TooShort> {
-        let left = self.cancel - self.spent();
-        if left < FRESHNESS_MIN {
-            let least = self.spent() + FRESHNESS_MIN;
-            return Err(TooShort { least });
+    ///
+    /// Returns [`CancelTooShort`] if no lease renewal could be guaranteed to expire in time.
+    pub fn bounds(&self) -> Result<FreshnessBounds, CancelTooShort> {
+        let remaining = self.cancel - self.fixed_time();
+        if remaining < OWNER_KNOWLEDGE_AGE_MIN {
+            let least = self.fixed_time() + OWNER_KNOWLEDGE_AGE_MIN;
+            return Err(CancelTooShort { least });
         }
-        // No longer than a lease: by then those whom it does not answer are lost anyway.
-        let owner = left.min(self.lease);
+        // A bound longer than a lease has no benefit: the leases of workers that an owner does not
+        // answer for that long have expired anyway.
+        let owner = remaining.min(self.lease);
         Ok(FreshnessBounds {
             owner,
-            delegate: DELEGATE_MAX.min(owner),
+            delegate: DELEGATE_KNOWLEDGE_AGE_MAX.min(owner),
         })
     }
 }
 
 impl FreshnessBounds {
-    /// How old an owner's knowledge may be when it renews a lease.
+    /// Returns the maximum age of an owner's knowledge when the owner renews a lease.
     pub fn owner(&self) -> Micros {
         self.owner
     }
 
-    /// Until when a lease may be renewed by whoever knows what had been confirmed by `known`, or
-    /// has sent a start resting on that which may still be carried out under the same token.
-    pub fn until(&self, known: Micros) -> Micros {
-        known + self.owner
+    /// Returns the time until which an owner may renew a lease if it knows all cancellations
+    /// confirmed before `known_as_of`. The same limit applies to a controller that has sent a start
+    /// command based on that knowledge, because the worker may still execute the command under the
+    /// same token.
+    pub fn until(&self, known_as_of: Micros) -> Micros {
+        known_as_of + self.owner
     }
 
-    /// The same for a delegate. Called where a delegate answers a heartbeat.
-    pub fn delegate_until(&self, known: Micros) -> Micros {
-        known + self.delegate
+    /// Returns the time until which a delegate may answer heartbeats if it knows all cancellations
+    /// confirmed before `known_as_of`.
+    pub fn delegate_until(&self, known_as_of: Micros) -> Micros {
+        known_as_of + self.delegate
     }
 }
 
--- a/crates/jasperhill-membership/src/freshness/tests.rs
+++ b/crates/jasperhill-membership/src/freshness/tests.rs
@@ -1,19 +1,19 @@
-//! Whatever goes on unheard of ends in time: over the private constants too.
+//! Tests of the freshness bounds that need the private constants.
 
 use super::*;
 use proptest::prelude::*;
 
-/// When something ends that a worker does, in the worst case: by the true time, in seconds.
-/// `answered`: the last renewal. The report was sent no later than it was answered, and the
-/// worker's clock may be the slow one; it looks at its clock a little late.
-fn gone(answered: f64, lease: f64, late: f64) -> f64 {
-    answered + lease * (1.0 + CLOCK_DRIFT) + late
+/// Returns the latest time at which a worker ends its tasks, in seconds of true time. `answered` is
+/// the time of the last renewal. The heartbeat was sent no later than it was answered, the worker's
+/// clock may run slow, and the worker checks its clock `timer_delay` seconds late.
+fn tasks_ended_by(answered: f64, lease: f64, timer_delay: f64) -> f64 {
+    answered + lease * (1.0 + CLOCK_DRIFT) + timer_delay
 }
 
-fn settings() -> impl Strategy<Value = LeaseTerms> {
-    (100u64..120_000, 0u64..200_000).prop_map(|(lease, more)| LeaseTerms {
+fn lease_terms() -> impl Strategy<Value = LeaseTerms> {
+    (100u64..120_000, 0u64..200_000).prop_map(|(lease, extra_ms)| LeaseTerms {
         lease: Micros::from_millis(lease),
-        cancel: Micros::from_millis(lease + more),
+        cancel: Micros::from_millis(lease + extra_ms),
     })
 }
 
@@ -25,57 +25,69 @@
         ..ProptestConfig::default()
     })]
 
-    /// The whole sum, for every way in which a task can go on or begin after a confirmation
-    /// that those concerned have not heard of: it is gone within `cancel`. See the account of
-    /// time in docs/meetings.md.
+    /// A task that runs on or starts after the confirmation of its cancellation, because the
+    /// controllers and workers involved have not heard of the cancellation, has ended within
+    /// `cancel`. Covers every way in which this can happen; docs/meetings.md has the derivation of
+    /// the time bounds.
     #[test]
-    fn whatever_goes_on_unheard_of_ends_in_time(
-        terms in settings(),
-        // How long before the confirmation the knowledge was, and how far into what is allowed
-        // the answer comes, in thousandths; late timers of answerer and worker in all.
-        (before, into) in (0u64..=1_000, 0u64..=1_000),
-        late_ms in (0u64..=700, 0u64..=700),
+    fn tasks_end_within_cancel_time_without_news_of_cancellation(
+        terms in lease_terms(),
+        // The age of the knowledge at the confirmation, as thousandths of the owner's bound, and
+        // the time of the answer, as thousandths of the permitted time. Then the delays of the
+        // timers of the answering controller and of the worker, in milliseconds.
+        (knowledge_age_thousandths, answer_time_thousandths) in (0u64..=1_000, 0u64..=1_000),
+        timer_delays_ms in (0u64..=700, 0u64..=700),
     ) {
         let lease = terms.lease.as_secs_f64();
         let cancel = terms.cancel.as_secs_f64();
         let Ok(bounds) = terms.bounds() else {
-            // Refused: and rightly, there is no room for an answer.
-            prop_assert!(lease + LATE_TIMERS.as_secs_f64() + FRESHNESS_MIN.as_secs_f64() >= cancel - lease * 0.006);
+            // The terms are rejected: `cancel` leaves no time for an answer.
+            prop_assert!(
+                lease + TIMER_DELAY_ALLOWANCE.as_secs_f64() + OWNER_KNOWLEDGE_AGE_MIN.as_secs_f64()
+                    >= cancel - lease * 0.006
+            );
             return Ok(());
         };
-        let (late, worker_late) = (late_ms.0 as f64 / 1e3, late_ms.1 as f64 / 1e3);
-        // Everything by the true time, from the confirmation on.
-        let known = -(before as f64 / 1e3) * bounds.owner().as_secs_f64();
-        let part = into as f64 / 1e3;
-        // A clock that runs slow lets whoever answers go on for longer.
-        let by = |bound: Micros| known + bound.as_secs_f64() * (1.0 + CLOCK_DRIFT) * part + late;
-        let owner = by(bounds.until(Micros::ZERO));
-        let delegate = by(bounds.delegate_until(Micros::ZERO));
-        // The owner's own answer, one passed on, one held for a takeover: given by an owner.
-        prop_assert!(gone(owner, lease, worker_late) < cancel);
-        // A delegate's, whose own knowledge counts.
-        prop_assert!(gone(delegate, lease, worker_late) < cancel);
-        // A start sent straight, resting on that knowledge, carried out whenever the lease
-        // lives and the token is the same: renewals end as the owner's do, by `until` of the
-        // knowledge of the start, also where a delegate gives them under a grant.
-        let grant = by(bounds.until(Micros::ZERO));
-        prop_assert!(gone(grant, lease, worker_late) < cancel);
+        let (timer_delay, worker_timer_delay) =
+            (timer_delays_ms.0 as f64 / 1e3, timer_delays_ms.1 as f64 / 1e3);
+        // All times are in seconds of true time since the confirmation.
+        let known_as_of = -(knowledge_age_thousandths as f64 / 1e3) * bounds.owner().as_secs_f64();
+        let fraction_of_allowed = answer_time_thousandths as f64 / 1e3;
+        // A controller with a slow clock continues to answer for longer.
+        let last_answer = |bound: Micros| {
+            known_as_of
+                + bound.as_secs_f64() * (1.0 + CLOCK_DRIFT) * fraction_of_allowed
+                + timer_delay
+        };
+        let owner = last_answer(bounds.until(Micros::ZERO));
+        let delegate = last_answer(bounds.delegate_until(Micros::ZERO));
+        // An answer of an owner: sent directly, relayed, or held back until a takeover.
+        prop_assert!(tasks_ended_by(owner, lease, worker_timer_delay) < cancel);
+        // An answer of a delegate, limited by the delegate's own knowledge.
+        prop_assert!(tasks_ended_by(delegate, lease, worker_timer_delay) < cancel);
+        // A start command sent directly to the worker, based on that knowledge. The worker may
+        // execute the command while its lease is alive and the token is unchanged. Renewals end at
+        // `until` of the knowledge behind the start command, as for an owner, including renewals by
+        // a delegate under a grant.
+        let grant = last_answer(bounds.until(Micros::ZERO));
+        prop_assert!(tasks_ended_by(grant, lease, worker_timer_delay) < cancel);
     }
 
-    /// A longer cancellation or a shorter lease never lets less go on; a delegate never more
-    /// than an owner.
+    /// A longer cancellation time never lowers the bound for an owner, a delegate's bound never
+    /// exceeds the owner's bound, and the rejected terms are accepted with the reported lowest
+    /// `cancel`.
     #[test]
-    fn bounds_are_monotone(terms in settings(), more in 0u64..60_000) {
+    fn bounds_are_monotone(terms in lease_terms(), extra_ms in 0u64..60_000) {
         if let Ok(bounds) = terms.bounds() {
-            let longer = LeaseTerms { cancel: terms.cancel + Micros::from_millis(more), ..terms };
-            let wider = longer.bounds().unwrap();
-            prop_assert!(wider.owner() >= bounds.owner());
+            let longer = LeaseTerms { cancel: terms.cancel + Micros::from_millis(extra_ms), ..terms };
+            let longer_bounds = longer.bounds().unwrap();
+            prop_assert!(longer_bounds.owner() >= bounds.owner());
             prop_assert!(bounds.delegate_until(Micros::ZERO) <= bounds.until(Micros::ZERO));
             prop_assert!(bounds.owner() <= terms.lease);
         } else {
-            let TooShort { least } = terms.bounds().unwrap_err();
-            let enough = LeaseTerms { cancel: least, ..terms };
-            prop_assert!(enough.bounds().is_ok());
+            let CancelTooShort { least } = terms.bounds().unwrap_err();
+            let sufficient = LeaseTerms { cancel: least, ..terms };
+            prop_assert!(sufficient.bounds().is_ok());
         }
     }
 }
--- a/crates/jasperhill-membership/src/lib.rs
+++ b/crates/jasperhill-membership/src/lib.rs
@@ -1,6 +1,14 @@
-//! Membership, without a clock and without I/O: a controller's authority, what it knows of the
-//! links, and who should hold which role. The time is passed in, as microseconds of the steady
-//! clock unless it says otherwise; what follows from a decision is done by the controller.
+//! Cluster membership of a controller: its session and authority, the health of its network links,
+//! and the assignment of roles to controllers.
+//!
+//! The crate reads no clock and does no I/O. The caller passes the time, in microseconds of the
+//! monotonic clock unless documented otherwise, and carries out the returned decisions.
+//!
+//! - [`Authority`]: whether the controller may act now.
+//! - [`FreshnessBounds`]: the permitted age of the knowledge on which a lease renewal is based.
+//! - [`Reachability`]: the health of the links of this controller and of its peers.
+//! - [`RestartHistory`]: detection of crash loops.
+//! - [`Roles`]: takeover, hand-over and release of roles.
 
 pub mod authority;
 pub mod freshness;
--- a/crates/jasperhill-membership/src/link.rs
+++ b/crates/jasperhill-membership/src/link.rs
@@ -1,110 +1,114 @@
-//! One link, in one direction, as this controller sees it: up, suspect or down, by what gets
-//! through and what does not. Every change goes through [`LinkHealth::apply`].
+//! Health of one network link in one direction, as observed by this controller.
 //!
-//! A single machine that hangs must not look like a cut, and a lossy link must not look whole for
-//! the part that it carries: a link goes down when several counterparts in a row are not reached
-//! for a while, or when more fails than gets through; it comes up once things have got through for
-//! a while without a failure.
+//! [`LinkHealth`] classifies a link as up, suspect or down from the successes and failures of
+//! messages. Every change goes through [`LinkHealth::apply`].
+//!
+//! A single machine that hangs must not count as a network partition, and a lossy link must not
+//! count as healthy because some messages get through. A link therefore goes down when several
+//! counterparts in a row have been unreachable for some time, or when failures outweigh successes.
+//! It comes up again after messages have got through for some time without a failure.
 
 use jasperhill_wire::{Micros, mesh::LinkState};
 use std::collections::BTreeSet;
 
-/// Counterparts in a row that must fail, as far as there are so many: one machine that hangs is
-/// no cut.
+/// The number of different counterparts, or all if there are fewer, that must fail without a
+/// success in between before a link is down: one machine that hangs is no network partition.
 const FAILED_COUNTERPARTS_MIN: usize = 3;
-/// Failures in a row at least: a single one happens on any link.
+/// The number of consecutive failures before a link is down: a single failure happens on any link.
 const FAILURES_MIN: u32 = 2;
-/// Counterparts that failed are remembered up to this number; more than have to fail.
+/// The most failed counterparts that are tracked (count); must exceed [`FAILED_COUNTERPARTS_MIN`].
 const FAILED_COUNTERPARTS_MAX: usize = 8;
-/// The weight of an observation falls to 1/e within this time, in seconds.
-const MEMORY_S: f64 = 4.0;
-/// What failed in a cut is forgiven no more often than this: a link that flaps is not whole.
-const FORGIVE_INTERVAL: Micros = Micros::from_secs(20);
-/// Failures of this weight that outweigh the successes make a link lossy.
-const LOSSY_WEIGHT: f64 = 4.0;
-/// A link comes up only if its successes weigh so many times as much as its failures.
-const STEADY_RATIO: f64 = 2.0;
+/// The time within which the weight of an observation decays to 1/e, in seconds.
+const DECAY_TIME_S: f64 = 4.0;
+/// The minimum time between two resets of the failure weight at the end of an outage. Without this
+/// minimum a flapping link would count as healthy.
+const FAILURE_RESET_INTERVAL: Micros = Micros::from_secs(20);
+/// The failure weight from which on a link is lossy if failures also outweigh successes.
+const LOSSY_FAILURE_WEIGHT: f64 = 4.0;
+/// The minimum ratio of success weight to failure weight at which a link comes up again.
+const RECOVERY_WEIGHT_RATIO: f64 = 2.0;
 
-/// What is known without asking, or was asked for where nothing else speaks.
+/// An observation of a link: from regular traffic, or from a probe where there is no traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// Something got through, in time to be of use.
+    /// A message got through within its time limit.
     Success,
-    /// Something did not.
+    /// A message did not get through within its time limit.
     Failure {
-        /// Tells the counterparts apart.
+        /// Identifies the counterpart that was not reached.
         by: u64,
-        /// How many counterparts there are.
+        /// The number of counterparts on the link.
         of: usize,
     },
-    /// Nobody is there that could speak: nothing is known any more.
+    /// There is no counterpart to observe: the state of the link becomes unknown.
     NoCounterpart,
 }
 
-/// How soon a link is believed to be down, and up again.
+/// The durations after which a link counts as down, and as up again.
 #[derive(Clone, Copy, Debug)]
 pub struct Thresholds {
-    /// Failures must go on for so long before the link is down.
+    /// The time without a success after which the link is down.
     pub down: Micros,
-    /// Successes must go on for so long before it is up again.
+    /// The time without a failure after which a link that is down is up again.
     pub up: Micros,
 }
 
-/// The health of a link. Owned by [`Reachability`](crate::Reachability), which feeds it.
+/// The health of one link. Owned and updated by [`Reachability`](crate::Reachability).
 #[derive(Clone, Debug)]
 pub struct LinkHealth {
     state: LinkState,
     thresholds: Thresholds,
-    /// Since when nothing has got through.
+    /// The time of the first failure since the last success; `None` after a success.
     failing_since: Option<Micros>,
-    /// Failures since something last got through.
+    /// The number of failures since the last success.
     failures: u32,
-    /// The counterparts of these failures.
-    failed: BTreeSet<u64>,
-    /// Since when nothing has failed.
+    /// Counterparts that were not reached since the last success.
+    failed_counterparts: BTreeSet<u64>,
+    /// The time of the first success since the last failure; `None` after a failure.
     succeeding_since: Option<Micros>,
-    /// The weight of what got through, fading.
+    /// The exponentially decaying weight of successes.
     success_weight: f64,
-    /// The weight of what did not, fading.
+    /// The exponentially decaying weight of failures.
     failure_weight: f64,
-    /// When what failed was last forgiven.
-    forgiven: Option<Micros>,
+    /// The time of the last reset of `failure_weight` at the end of an outage.
+    last_failure_reset: Option<Micros>,
     last_observation: Micros,
 }
 
 impl LinkHealth {
-    /// That of a link of which nothing is known.
+    /// Creates the health of a link without observations, whose state is unknown.
     pub fn new(thresholds: Thresholds) -> Self {
         Self {
             state: LinkState::Unknown,
             thresholds,
             failing_since: None,
             failures: 0,
-            failed: BTreeSet::new(),
+            failed_counterparts: BTreeSet::new(),
             succeeding_since: None,
             success_weight: 0.0,
             failure_weight: 0.0,
-            forgiven: None,
+            last_failure_reset: None,
             last_observation: Micros::ZERO,
         }
     }
 
-    /// The state that the link is believed to be in.
+    /// Returns the current state of the link.
     pub fn state(&self) -> LinkState {
         self.state
     }
 
-    /// When the last observation came.
+    /// Returns the time of the last observation; zero if there was none.
     pub fn last_observation(&self) -> Micros {
         self.last_observation
     }
 
-    /// The one function that changes it. True if the state is another one now.
+    /// Applies one observation and returns whether the state changed. No other function changes the
+    /// health of the link.
     pub fn apply(&mut self, observation: Observation, now: Micros) -> bool {
-        let passed = (now - self.last_observation).as_secs_f64();
-        let fade = (-passed / MEMORY_S).exp();
-        self.success_weight *= fade;
-        self.failure_weight *= fade;
+        let elapsed_s = (now - self.last_observation).as_secs_f64();
+        let decay = (-elapsed_s / DECAY_TIME_S).exp();
+        self.success_weight *= decay;
+        self.failure_weight *= decay;
         self.last_observation = now;
         let state = match observation {
             Observation::Success => self.after_success(now),
@@ -118,51 +122,56 @@
         std::mem::replace(&mut self.state, state) != state
     }
 
+    /// Records a success and returns the new state.
     fn after_success(&mut self, now: Micros) -> LinkState {
         self.success_weight += 1.0;
-        // A cut that is over leaves nothing behind: what failed in it does not speak against
-        // the link. But not again and again, or a lossy link would look whole.
+        // The failures of an outage that is over do not count against the link. The reset is
+        // limited by FAILURE_RESET_INTERVAL, because otherwise a lossy link would count as healthy.
         if self.state == LinkState::Down
             && self.failures >= FAILURES_MIN
-            && self.forgiven.is_none_or(|at| now - at >= FORGIVE_INTERVAL)
+            && self
+                .last_failure_reset
+                .is_none_or(|at| now - at >= FAILURE_RESET_INTERVAL)
         {
-            self.forgiven = Some(now);
+            self.last_failure_reset = Some(now);
             self.failure_weight = 0.0;
         }
         self.failing_since = None;
         self.failures = 0;
-        self.failed.clear();
+        self.failed_counterparts.clear();
         let since = *self.succeeding_since.get_or_insert(now);
-        let steady = self.failure_weight * STEADY_RATIO <= self.success_weight;
+        let is_stable = self.failure_weight * RECOVERY_WEIGHT_RATIO <= self.success_weight;
         match self.state {
-            LinkState::Down if steady && now - since >= self.thresholds.up => LinkState::Up,
+            LinkState::Down if is_stable && now - since >= self.thresholds.up => LinkState::Up,
             LinkState::Down => LinkState::Down,
-            // Guards against a lossy link that is up after each thing that gets through.
+            // Without this check a lossy link would be up after each success.
             _ if self.is_lossy() => LinkState::Down,
             LinkState::Suspect if self.failure_weight > self.success_weight => LinkState::Suspect,
             _ => LinkState::Up,
         }
     }
 
+    /// Records a failure to reach the counterpart `by`, one of `of`, and returns the new state.
     fn after_failure(&mut self, by: u64, of: usize, now: Micros) -> LinkState {
         self.failure_weight += 1.0;
         self.succeeding_since = None;
         self.failures = self.failures.saturating_add(1);
-        if self.failed.len() < FAILED_COUNTERPARTS_MAX {
-            self.failed.insert(by);
+        if self.failed_counterparts.len() < FAILED_COUNTERPARTS_MAX {
+            self.failed_counterparts.insert(by);
         }
         let since = *self.failing_since.get_or_insert(now);
-        let cut = self.failed.len() >= of.clamp(1, FAILED_COUNTERPARTS_MIN)
+        let is_cut_off = self.failed_counterparts.len() >= of.clamp(1, FAILED_COUNTERPARTS_MIN)
             && self.failures >= FAILURES_MIN
             && now - since >= self.thresholds.down;
         match self.state {
             LinkState::Down => LinkState::Down,
-            _ if cut || self.is_lossy() => LinkState::Down,
+            _ if is_cut_off || self.is_lossy() => LinkState::Down,
             _ => LinkState::Suspect,
         }
     }
 
+    /// Returns whether failures are significant and outweigh successes.
     fn is_lossy(&self) -> bool {
-        self.failure_weight >= LOSSY_WEIGHT && self.failure_weight > self.success_weight
+        self.failure_weight >= LOSSY_FAILURE_WEIGHT && self.failure_weight > self.success_weight
     }
 }
--- a/crates/jasperhill-membership/src/reachability.rs
+++ b/crates/jasperhill-membership/src/reachability.rs
@@ -1,5 +1,7 @@
-//! What this controller knows of the links: its own, and those that others have told it of.
-//! Advice only: safety never rests on it. Every change goes through [`Reachability::apply`].
+//! The health of the network links of this controller and, from their reports, of its peers.
+//!
+//! [`Reachability`] guides the placement of roles and the relaying of messages. It is advisory:
+//! safety never depends on it. Every change goes through [`Reachability::apply`].
 
 mod queries;
 
@@ -11,126 +13,136 @@
 };
 use std::collections::BTreeMap;
 
-/// What others reported counts for so long.
-const PEER_REPORT_VALID: Micros = Micros::from_secs(5);
-/// Silence of fewer hosts than this is judged host by host, by their longest pause.
+/// The time for which a report of a peer is valid.
+const PEER_REPORT_VALIDITY: Micros = Micros::from_secs(5);
+/// The number of hosts from which on a zone is large. Many hosts together send heartbeats almost
+/// continuously; in a smaller zone, the longest pause of a single host is decisive.
 const LARGE_ZONE_HOSTS: u32 = 30;
-/// Hosts of a large zone send heartbeats all the time: after this silence some are probed.
+/// The time without heartbeats after which some hosts of a large zone are probed. Hosts of a large
+/// zone together send heartbeats almost continuously.
 const LARGE_ZONE_SILENCE: Micros = Micros::from_millis(1_500);
-/// A link without an observation for so long is probed.
+/// The time without an observation after which a command link is probed.
 const OBSERVATION_MAX_AGE: Micros = Micros::from_secs(8);
-/// Younger than this, what a member got through to a zone shows that it still does: less than
+/// The age up to which a successful contact shows that a member still reaches a zone. Shorter than
 /// the time after which a role moves.
-const CONTACT_VALID: Micros = Micros::from_millis(2_500);
-/// The time between two probes of a zone where something may be wrong ...
+const CONTACT_VALIDITY: Micros = Micros::from_millis(2_500);
+/// The minimum time between two probes of a zone that shows signs of a failure.
 const PROBE_INTERVAL: Micros = Micros::from_secs(1);
-/// ... and where nothing is.
+/// The minimum time between two probes of a zone without signs of a failure.
 const PROBE_INTERVAL_IDLE: Micros = Micros::from_secs(4);
-/// The part of the probe interval after which a link that is suspect or down is probed again.
-const REPROBE_PER_INTERVAL: f64 = 0.5;
-/// A worker finds out within so long that a controller does not answer it, and tries the next.
-const WORKER_RETRY: Micros = Micros::from_secs(5);
-/// A zone whose heartbeats do not come, while commands go out, is given another chance after this:
-/// nothing can show that they would come but hosts that are told to.
-const SILENCE_FORGOTTEN: Micros = Micros::from_secs(60);
-/// The part of the heartbeat interval after which a small zone is silent: the longest pause of
-/// one host, and some ...
-const SMALL_ZONE_SILENCE_PER_INTERVAL: f64 = 1.25;
-/// ... and a large zone: many hosts never pause together.
-const LARGE_ZONE_SILENCE_PER_INTERVAL: f64 = 0.75;
-/// Added to either, for late timers.
-const SILENCE_MARGIN: Micros = Micros::from_secs(1);
+/// The fraction of the probe interval without an observation after which a suspect or down link is
+/// probed again.
+const REPROBE_INTERVAL_FACTOR: f64 = 0.5;
+/// The time within which a worker notices that a controller does not respond and tries the next
+/// controller.
+const WORKER_FAILOVER_TIME: Micros = Micros::from_secs(5);
+/// The silence after which the heartbeat link of a zone without expected heartbeats becomes unknown
+/// again. Only hosts that are assigned to this controller could show that the link works, so the
+/// link gets another chance.
+const SILENCE_RESET_TIME: Micros = Micros::from_secs(60);
+/// The permitted silence of a small zone as a multiple of the heartbeat interval: the longest pause
+/// of one host and a reserve.
+const SMALL_ZONE_SILENCE_FACTOR: f64 = 1.25;
+/// The permitted silence of a large zone as a multiple of the heartbeat interval. Below 1, because
+/// many hosts never pause at the same time.
+const LARGE_ZONE_SILENCE_FACTOR: f64 = 0.75;
+/// The allowance for late timers that is added to the permitted silence of a zone.
+const SILENCE_TIMER_ALLOWANCE: Micros = Micros::from_secs(1);
 
 /// One link of this controller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkId {
-    /// To the state service.
+    /// The link to the state service.
     Store,
-    /// To the cloud.
+    /// The link to the cloud provider.
     Cloud,
-    /// To another controller.
+    /// The link to another controller.
     Peer(Member),
-    /// Heartbeats of a zone's workers that come in here.
+    /// The inbound link for heartbeats from the workers of a zone.
     Heartbeats(Name),
-    /// Commands that go out to a zone's workers.
+    /// The outbound link for commands to the workers of a zone.
     Commands(Name),
 }
 
-/// What changes the view.
+/// An event that changes the known reachability.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// Something got through a link, or did not.
+    /// An observation of one of this controller's links.
     Evidence(LinkId, Observation),
-    /// Hosts of a zone should send heartbeats here. Comes at regular intervals.
+    /// States how many hosts of a zone should send heartbeats to this controller. Applied at
+    /// regular intervals for each zone.
     ExpectHeartbeats {
         /// The zone.
         zone: &'a Name,
-        /// How many of its hosts should.
+        /// The number of hosts that should send heartbeats to this controller; may be zero.
         hosts: u32,
-        /// The time between two heartbeats of a host.
+        /// The interval between two heartbeats of a host.
         report: Micros,
     },
-    /// Another controller has reported its own links.
+    /// A report of another controller on its own links.
     PeerReport(&'a ReachabilityReport),
 }
 
-/// What to do about it.
+/// A result of applying an [`Input`] that the caller acts on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// A link was in one state and is in another.
+    /// The link changed from the first state to the second.
     Changed(LinkId, LinkState, LinkState),
-    /// Probe some workers of this zone.
+    /// The caller is to probe some workers of this zone.
     Probe(Name),
 }
 
-/// What is known of a zone's workers.
+/// Contact times of the workers of one zone.
 #[derive(Clone, Debug)]
 struct Zone {
+    /// The time of the last heartbeat. After heartbeats become due, a time in the future until the
+    /// workers have had time to find this controller.
     last_heartbeat: Micros,
     last_probe: Micros,
-    /// When something last got through, in either direction.
+    /// The time of the last success in either direction.
     last_success: Micros,
-    /// Heartbeats were due here when it was last evaluated.
-    expected: bool,
+    /// Whether heartbeats to this controller were due when the zone was last evaluated.
+    heartbeats_expected: bool,
 }
 
-/// What another controller has reported, and when that came.
+/// The latest report of another controller.
 #[derive(Clone, Debug)]
 struct PeerReport {
     report: ReachabilityReport,
+    /// The time at which the report was received.
     received: Micros,
 }
 
-/// A zone from which heartbeats are due, as it is evaluated.
+/// The inputs for evaluating the silence of a zone and the need to probe it.
 struct ZoneEvaluation<'a> {
     zone: &'a Name,
-    /// Hosts that should send heartbeats here.
+    /// The number of hosts that should send heartbeats to this controller.
     hosts: u32,
-    /// The state of the link by which commands go out.
+    /// The state of the outbound command link to the zone.
     commands: LinkState,
-    /// How long no heartbeat has come.
+    /// The time since the last heartbeat from the zone.
     silence: Micros,
-    /// How long that may be.
+    /// The silence from which on the heartbeat link counts as failing.
     silence_max: Micros,
     now: Micros,
 }
 
-/// What this controller knows of the links. Owned by the controller's membership state.
+/// The known health of the links of this controller and its peers.
 #[derive(Clone, Debug)]
 pub struct Reachability {
     me: Member,
     links: BTreeMap<LinkId, LinkHealth>,
     zones: BTreeMap<Name, Zone>,
     peer_reports: BTreeMap<Member, PeerReport>,
-    /// When this process began, by the time of day: orders its reports.
+    /// The wall-clock start time of this process, which orders the reports of successive processes.
     process_started: Micros,
-    /// Counts the reports of this process.
+    /// The number of reports that this process has created.
     number: u64,
     peers: Vec<Member>,
 }
 
-/// How soon a link is believed to be down and up: whoever waits for the state service or a peer
-/// notices each answer.
+/// Returns the thresholds of a link. Callers that wait for the state service or a peer observe each
+/// response, so these links need no minimum time without failures to come up.
 fn thresholds(link: &LinkId) -> Thresholds {
     let (down_ms, up_ms) = match link {
         LinkId::Store => (1_200, 0),
@@ -145,20 +157,22 @@
     }
 }
 
-/// How long no heartbeat may come from a zone's hosts, which send one every `interval`.
+/// Returns the time without heartbeats after which a zone counts as silent, if each of its `hosts`
+/// sends a heartbeat every `interval`.
 fn silence_max(hosts: u32, interval: Micros, commands: LinkState) -> Micros {
     if hosts < LARGE_ZONE_HOSTS {
-        interval.scale(SMALL_ZONE_SILENCE_PER_INTERVAL) + SILENCE_MARGIN
+        interval.scale(SMALL_ZONE_SILENCE_FACTOR) + SILENCE_TIMER_ALLOWANCE
     } else if matches!(commands, LinkState::Suspect | LinkState::Down) {
-        // Both directions agree: it need not be waited for.
+        // Commands fail as well, so the longer silence of one direction alone is not needed.
         LARGE_ZONE_SILENCE
     } else {
-        interval.scale(LARGE_ZONE_SILENCE_PER_INTERVAL) + SILENCE_MARGIN
+        interval.scale(LARGE_ZONE_SILENCE_FACTOR) + SILENCE_TIMER_ALLOWANCE
     }
 }
 
 impl Reachability {
-    /// That of a process that has just started. `process_started`: by the time of day.
+    /// Creates the state of a process that has just started. `process_started` is its wall-clock
+    /// start time.
     pub fn new(me: Member, peers: Vec<Member>, process_started: Micros) -> Self {
         Self {
             me,
@@ -171,12 +185,12 @@
         }
     }
 
-    /// The one function that changes it.
+    /// Applies one input and returns the resulting state changes and probes.
     pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Output> {
         match input {
             Input::Evidence(link, observation) => {
                 if observation == Observation::Success {
-                    self.note_success(&link, now);
+                    self.record_contact(&link, now);
                 }
                 self.observe(link, observation, now)
             }
@@ -186,14 +200,14 @@
                 report,
             } => self.expect_heartbeats(zone, hosts, report, now),
             Input::PeerReport(report) => {
-                self.receive(report, now);
+                self.store_peer_report(report, now);
                 Vec::new()
             }
         }
     }
 
-    /// Something got through a link: that shows that a zone is reached.
-    fn note_success(&mut self, link: &LinkId, now: Micros) {
+    /// Updates the contact times of a zone after a success on one of its links.
+    fn record_contact(&mut self, link: &LinkId, now: Micros) {
         match link {
             LinkId::Heartbeats(zone) => {
                 let zone = self.zone(zone, now);
@@ -205,8 +219,8 @@
         }
     }
 
-    /// Keeps the report of another controller, if it is the newest.
-    fn receive(&mut self, report: &ReachabilityReport, now: Micros) {
+    /// Stores the report of another controller unless a report at least as new is stored.
+    fn store_peer_report(&mut self, report: &ReachabilityReport, now: Micros) {
         let from = &report.from;
         let is_peer = *from != self.me && self.peers.contains(from);
         let is_old = self.peer_reports.get(from).is_some_and(|kept| {
@@ -222,15 +236,17 @@
         }
     }
 
+    /// Returns the contact times of a zone, created on first use.
     fn zone(&mut self, zone: &Name, now: Micros) -> &mut Zone {
         self.zones.entry(zone.clone()).or_insert(Zone {
             last_heartbeat: now,
             last_probe: Micros::ZERO,
             last_success: Micros::ZERO,
-            expected: false,
+            heartbeats_expected: false,
         })
     }
 
+    /// Applies an observation to one of this controller's links and returns the state changes.
     fn observe(&mut self, id: LinkId, observation: Observation, now: Micros) -> Vec<Output> {
         let link = self
             .links
@@ -242,7 +258,8 @@
         }
         let after = link.state();
         let mut outputs = vec![Output::Changed(id.clone(), before, after)];
-        // Both were cut, and one direction is whole again: heartbeats may be as well.
+        // Commands get through again after an outage, so heartbeats may as well: the heartbeat link
+        // is unknown until the next observation.
         if let LinkId::Commands(zone) = id
             && (before, after) == (LinkState::Down, LinkState::Up)
         {
@@ -252,7 +269,7 @@
         outputs
     }
 
-    /// Silence where heartbeats are due, and probes where nothing else speaks.
+    /// Evaluates the silence of a zone, and requests a probe where other observations are missing.
     fn expect_heartbeats(
         &mut self,
         zone: &Name,
@@ -269,29 +286,31 @@
             silence_max: silence_max(hosts, interval, commands),
             now,
         };
-        let probe = self.is_probe_due(&evaluation);
-        if probe {
+        let probe_due = self.is_probe_due(&evaluation);
+        if probe_due {
             self.zone(zone, now).last_probe = now;
         }
         let mut outputs = self.observe_silence(&evaluation);
-        if probe {
+        if probe_due {
             outputs.push(Output::Probe(zone.clone()));
         }
         outputs
     }
 
-    /// How long no heartbeat of a zone has come.
-    fn silence(&mut self, zone: &Name, expected: bool, now: Micros) -> Micros {
-        // Guards against a takeover or a restart that looks like a cut: the workers may still
-        // be at all the others.
-        let all_others = WORKER_RETRY.scale(self.peers.len() as f64);
+    /// Returns the time since the last heartbeat of a zone. When heartbeats become due, workers
+    /// first get the time to try all other controllers.
+    fn silence(&mut self, zone: &Name, heartbeats_expected: bool, now: Micros) -> Micros {
+        // After a takeover or a restart, workers may try all other controllers first. Without this
+        // allowance the silence would count as a network partition.
+        let failover_time = WORKER_FAILOVER_TIME.scale(self.peers.len() as f64);
         let zone = self.zone(zone, now);
-        if !std::mem::replace(&mut zone.expected, expected) {
-            zone.last_heartbeat = zone.last_heartbeat.max(now + all_others);
+        if !std::mem::replace(&mut zone.heartbeats_expected, heartbeats_expected) {
+            zone.last_heartbeat = zone.last_heartbeat.max(now + failover_time);
         }
         now - zone.last_heartbeat
     }
 
+    /// Returns whether workers of the zone are to be probed now.
     fn is_probe_due(&mut self, evaluation: &ZoneEvaluation<'_>) -> bool {
         let ZoneEvaluation {
             zone,
@@ -302,33 +321,36 @@
             now,
         } = *evaluation;
         let commands_link = self.links.get(&LinkId::Commands(zone.clone()));
-        let observed = commands_link.map_or(Micros::ZERO, LinkHealth::last_observation);
-        // Whoever does not reach a zone needs to know who does, now and not some time ago.
-        let missed = self.is_missed(zone, now);
+        let last_observation = commands_link.map_or(Micros::ZERO, LinkHealth::last_observation);
+        // A peer that does not reach the zone needs recent information on which members reach it.
+        let unreachable_for_peer = self.is_unreachable_for_peer(zone, now);
         let state = self.zone(zone, now);
-        let for_others = missed && now - state.last_success >= PROBE_INTERVAL;
-        let large = hosts >= LARGE_ZONE_HOSTS;
-        let for_this = match commands {
+        let probe_for_peers = unreachable_for_peer && now - state.last_success >= PROBE_INTERVAL;
+        let is_large_zone = hosts >= LARGE_ZONE_HOSTS;
+        let probe_for_self = match commands {
             LinkState::Down | LinkState::Suspect => {
-                now - observed >= PROBE_INTERVAL.scale(REPROBE_PER_INTERVAL)
+                now - last_observation >= PROBE_INTERVAL.scale(REPROBE_INTERVAL_FACTOR)
             }
             LinkState::Up | LinkState::Unknown => {
-                (large && silence >= LARGE_ZONE_SILENCE)
+                (is_large_zone && silence >= LARGE_ZONE_SILENCE)
                     || silence >= silence_max
-                    || now - observed >= OBSERVATION_MAX_AGE
+                    || now - last_observation >= OBSERVATION_MAX_AGE
             }
         };
         let interval = match commands {
-            _ if for_others => PROBE_INTERVAL,
-            LinkState::Up | LinkState::Unknown if silence < LARGE_ZONE_SILENCE || !large => {
+            _ if probe_for_peers => PROBE_INTERVAL,
+            LinkState::Up | LinkState::Unknown
+                if silence < LARGE_ZONE_SILENCE || !is_large_zone =>
+            {
                 PROBE_INTERVAL_IDLE
             }
             _ => PROBE_INTERVAL,
         };
-        (for_this || for_others) && now - state.last_probe >= interval
+        (probe_for_self || probe_for_peers) && now - state.last_probe >= interval
     }
 
-    /// Silence is a failure where heartbeats are due, and is forgotten where none are.
+    /// Records a failure if the zone is silent while heartbeats are due, or resets the heartbeat
+    /// link to unknown after a long silence while none are due.
     fn observe_silence(&mut self, evaluation: &ZoneEvaluation<'_>) -> Vec<Output> {
         let ZoneEvaluation {
             hosts,
@@ -342,7 +364,7 @@
             let failure = Observation::Failure { by: now.0, of: 1 };
             self.observe(id, failure, now)
         } else if hosts == 0
-            && silence > SILENCE_FORGOTTEN
+            && silence > SILENCE_RESET_TIME
             && self.own_link(&id) != LinkState::Unknown
         {
             self.observe(id, Observation::NoCounterpart, now)
@@ -351,15 +373,15 @@
         }
     }
 
-    /// Some other member does not reach this zone.
-    fn is_missed(&self, zone: &Name, now: Micros) -> bool {
+    /// Returns whether a peer cannot reach this zone.
+    fn is_unreachable_for_peer(&self, zone: &Name, now: Micros) -> bool {
         self.peers
             .iter()
             .any(|m| self.reaches(m, zone, now) == LinkState::Down)
     }
 
-    /// What this controller reports to the others: its links, the ownerships that it knows of and
-    /// those that it has relinquished.
+    /// Creates the next report to the other controllers: this controller's links, the role
+    /// ownerships that it knows of (`owners`) and the ownerships that it has `relinquished`.
     pub fn report(
         &mut self,
         owners: Vec<(Role, Member, Revision)>,
--- a/crates/jasperhill-membership/src/reachability/queries.rs
+++ b/crates/jasperhill-membership/src/reachability/queries.rs
@@ -1,6 +1,7 @@
-//! What follows from the links that are known: who reaches whom, and by which way.
+//! Queries on the known links: which member reaches the state service, a zone or another member,
+//! and through which relay.
 
-use super::{CONTACT_VALID, LinkId, PEER_REPORT_VALID, PeerReport, Reachability};
+use super::{CONTACT_VALIDITY, LinkId, PEER_REPORT_VALIDITY, PeerReport, Reachability};
 use crate::link::LinkHealth;
 use jasperhill_wire::{
     Member, Micros, Name, Revision,
@@ -9,30 +10,30 @@
 };
 
 impl Reachability {
-    /// Whether a member has shown lately that it reaches a zone's workers. Guards against a role
-    /// that goes to somebody beyond the same cut who has not noticed it yet.
+    /// Returns whether a peer has recently had contact with a zone's workers. Without this check a
+    /// role could move to a member behind the same network partition that has not noticed it yet.
     pub fn has_recent_contact(&self, member: &Member, zone: &Name, now: Micros) -> bool {
         let Some(PeerReport { report, received }) = self.peer_reports.get(member) else {
             return false;
         };
-        let there = report.zones.iter().find(|z| &z.zone == zone);
-        there.is_some_and(|z| now - (*received - z.last_success) < CONTACT_VALID)
+        let zone_links = report.zones.iter().find(|z| &z.zone == zone);
+        zone_links.is_some_and(|z| now - (*received - z.last_success) < CONTACT_VALIDITY)
     }
 
-    /// The state of this controller's own link.
+    /// Returns the state of one of this controller's own links.
     pub fn own_link(&self, link: &LinkId) -> LinkState {
         self.links
             .get(link)
             .map_or(LinkState::Unknown, LinkHealth::state)
     }
 
-    /// What a peer has reported, if that is recent.
+    /// Returns the latest report of a peer; `None` if there is no valid report.
     pub fn peer_report(&self, member: &Member, now: Micros) -> Option<&ReachabilityReport> {
         let PeerReport { report, received } = self.peer_reports.get(member)?;
-        (now - *received < PEER_REPORT_VALID).then_some(report)
+        (now - *received < PEER_REPORT_VALIDITY).then_some(report)
     }
 
-    /// Whether the state service answers that member, as far as is known.
+    /// Returns the state of the link between a member and the state service.
     pub fn store_link(&self, member: &Member, now: Micros) -> LinkState {
         if *member == self.me {
             return self.own_link(&LinkId::Store);
@@ -41,29 +42,30 @@
             .map_or(LinkState::Unknown, |r| r.store)
     }
 
-    /// Some other member is answered by the state service.
+    /// Returns whether the state service responds to at least one peer.
     pub fn is_store_reachable_elsewhere(&self, now: Micros) -> bool {
         self.peers
             .iter()
             .any(|m| self.store_link(m, now) == LinkState::Up)
     }
 
-    /// The state service does not answer here, and does elsewhere, as far as can be told: somebody
-    /// says so, or nobody is heard any more. Guards against users who hold on to a controller that
-    /// has lost the state service and all others, and get no answer for as long as that lasts. In an
-    /// outage that everybody sees, others are heard and say so.
+    /// Returns whether this controller is cut off from the state service while the service probably
+    /// responds to other members: a peer reports so, or no peer has a valid report. Without the
+    /// second case, users would stay connected to a controller that has lost the state service and
+    /// all peers, and get no response for as long as that lasts. During an outage of the state
+    /// service itself, the peers are heard and report the outage.
     pub fn is_isolated(&self, now: Micros) -> bool {
-        let nobody = !self.peers.is_empty()
+        let no_peer_heard = !self.peers.is_empty()
             && self
                 .peers
                 .iter()
                 .all(|m| self.peer_report(m, now).is_none());
         self.own_link(&LinkId::Store) == LinkState::Down
-            && (nobody || self.is_store_reachable_elsewhere(now))
+            && (no_peer_heard || self.is_store_reachable_elsewhere(now))
     }
 
-    /// The states of the links between a member and a zone's workers: by which heartbeats come
-    /// in, and by which commands go out.
+    /// Returns the states of the links between a member and a zone's workers: the inbound heartbeat
+    /// link, then the outbound command link.
     pub fn zone_links(&self, member: &Member, zone: &Name, now: Micros) -> (LinkState, LinkState) {
         if *member == self.me {
             return (
@@ -79,8 +81,8 @@
             })
     }
 
-    /// Whether a member and a zone's workers reach each other. What is not known is no reason
-    /// against a direction while the other works.
+    /// Returns the combined state of both directions between a member and a zone's workers. An
+    /// unknown direction is ignored if the state of the other direction is known.
     pub fn reaches(&self, member: &Member, zone: &Name, now: Micros) -> LinkState {
         match self.zone_links(member, zone, now) {
             (LinkState::Down, _) | (_, LinkState::Down) => LinkState::Down,
@@ -90,13 +92,13 @@
         }
     }
 
-    /// Whether that member is reached from here, and has been heard.
+    /// Returns whether the link to a peer is not down and the peer has a valid report.
     pub fn hears_peer(&self, member: &Member, now: Micros) -> bool {
         self.own_link(&LinkId::Peer(member.clone())) != LinkState::Down
             && self.peer_report(member, now).is_some()
     }
 
-    /// A peer through which commands get to a zone's workers.
+    /// Returns a peer that can relay commands to a zone's workers.
     pub fn relay_to_zone(&self, zone: &Name, now: Micros) -> Option<&Member> {
         self.peers.iter().find(|m| {
             self.hears_peer(m, now)
@@ -107,19 +109,21 @@
         })
     }
 
-    /// A third member that hears both a peer and a zone's workers.
+    /// Returns a member other than `peer` that can communicate with `peer` and with a zone's
+    /// workers.
     pub fn relay_to_owner(&self, peer: &Member, zone: &Name, now: Micros) -> Option<&Member> {
         self.peers.iter().find(|m| {
             *m != peer
                 && self.hears_peer(m, now)
                 && self.peer_report(m, now).is_some_and(|r| r.reachable_peers.contains(peer))
-                // Guards against one that only commands get out of: it has to hear the worker.
+                // A member whose commands get out but that receives no heartbeats cannot be a
+                // relay, because the relay has to receive the worker's heartbeats.
                 && self.zone_links(m, zone, now).0 == LinkState::Up
                 && self.reaches(m, zone, now) == LinkState::Up
         })
     }
 
-    /// The latest ownership of a role that any peer has reported.
+    /// Returns the latest ownership of a role that any peer has reported.
     pub fn owner(&self, role: Role, now: Micros) -> Option<(&Member, Revision)> {
         self.peers
             .iter()
@@ -130,7 +134,8 @@
             .max_by_key(|(_, version)| *version)
     }
 
-    /// The owner of a role at this revision says that it has stopped acting on it for good.
+    /// Returns whether the owner of a role at this revision has reported that it has permanently
+    /// stopped acting on the role.
     pub fn has_relinquished(
         &self,
         owner: &Member,
@@ -142,7 +147,7 @@
             .is_some_and(|r| r.relinquished.contains(&(role, version)))
     }
 
-    /// All of this controller's links are up, as far as they are known.
+    /// Returns whether all of this controller's links are up or unknown.
     pub fn all_links_up(&self) -> bool {
         let is_up = |l: &LinkHealth| matches!(l.state(), LinkState::Up | LinkState::Unknown);
         self.links.values().all(is_up)
--- a/crates/jasperhill-membership/src/restart_history.rs
+++ b/crates/jasperhill-membership/src/restart_history.rs
@@ -1,148 +1,159 @@
-//! Runs of a process that follow one another quickly: crash loops. A controller that ends again and
-//! again would take its roles back each time and serve them never, while others could; so after a
-//! few quick restarts it leaves its roles to them, for a back-off that grows with each one. Pure; every change goes
-//! through [`RestartHistory::apply`].
+//! Detection of crash loops: processes that restart quickly several times in a row.
 //!
-//! Nothing here is a matter of safety: a role that is left names a session that is gone, and
-//! whoever takes it does so by a guarded write at a new revision, as any orphan is taken.
+//! A crash-looping controller would take its roles back after every restart without ever serving
+//! them, although other controllers could. After a few quick restarts, [`RestartHistory`] makes the
+//! controller leave its roles to other controllers for a back-off that grows with each further
+//! quick restart. The module reads no clock and does no I/O; every change goes through
+//! [`RestartHistory::apply`].
+//!
+//! Safety does not depend on this module. The record of a role that was left names a session that
+//! no longer exists, and another controller takes the role as it takes any orphaned role: by a
+//! guarded write at a new revision.
 
 use jasperhill_wire::Micros;
 
-/// A run that ends within this time, by the time of day, was followed by a quick restart.
+/// A run shorter than this, by wall-clock time, counts as followed by a quick restart.
 const QUICK_RUN: Micros = Micros::from_secs(10);
-/// How long a process must run to be stable once it has restarted quickly often enough ...
+/// The back-off when the number of quick restarts reaches the threshold.
 const BACKOFF_BASE: Micros = Micros::from_secs(4);
-/// ... for each quick restart more ...
+/// The increase of the back-off for each quick restart above the threshold.
 const BACKOFF_STEP: Micros = Micros::from_secs(2);
-/// ... and at most.
+/// The longest back-off.
 const BACKOFF_MAX: Micros = Micros::from_secs(30);
-/// Quick restarts are counted no further.
+/// The highest value of the quick-restart counter (count).
 const QUICK_RESTARTS_MAX: u32 = 100;
 
-/// What a session's record tells of its process.
+/// The start time and restart count of a process, as stored in its session record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessRun {
-    /// The time of day at which it began.
+    /// The wall-clock time at which the process started its session.
     pub started: Micros,
-    /// The quick restarts just before it.
+    /// The number of consecutive quick restarts that led to this run.
     pub quick_restarts: u32,
 }
 
 impl ProcessRun {
-    /// How long its process has to run to be stable. `threshold`: quick restarts that make a
-    /// crash loop; 0: any number is fine.
+    /// Returns how long the process has to run to count as stable. `threshold` is the number of
+    /// quick restarts from which on the process is in a crash loop; 0 disables the detection.
     pub fn backoff(&self, threshold: u32) -> Micros {
         if threshold == 0 || self.quick_restarts < threshold {
             return Micros::ZERO;
         }
-        let more = u64::from(self.quick_restarts - threshold);
-        (BACKOFF_BASE + Micros(BACKOFF_STEP.0.saturating_mul(more))).min(BACKOFF_MAX)
+        let restarts_above_threshold = u64::from(self.quick_restarts - threshold);
+        (BACKOFF_BASE + Micros(BACKOFF_STEP.0.saturating_mul(restarts_above_threshold)))
+            .min(BACKOFF_MAX)
     }
 
-    /// Whether it has restarted quickly that often and has not run for long since. `wall`: the
-    /// time of day, which may be off by a second or so; that is all that can go wrong here.
+    /// Returns whether the process has reached `threshold` quick restarts and has not yet run for
+    /// its back-off at wall-clock time `wall`. The wall clocks of machines may differ by about a
+    /// second, which only shifts the end of the back-off by as much.
     pub fn is_crash_looping(&self, threshold: u32, wall: Micros) -> bool {
         wall - self.started < self.backoff(threshold)
     }
 }
 
-/// Whether this process may have roles.
+/// Whether this process may hold roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no session yet.
+    /// The process has no session yet.
     NotStarted,
-    /// It has restarted quickly again and again, and leaves its roles to others.
+    /// The process has restarted quickly too often and leaves its roles to other controllers.
     CrashLooping {
-        /// When the back-off is over, by the steady clock.
+        /// The end of the back-off, by the monotonic clock.
         until: Micros,
     },
-    /// It may have any role.
+    /// The process may hold any role.
     Stable,
 }
 
-/// What changes the phase.
+/// An event that may change the phase.
 #[derive(Clone, Copy, Debug)]
 pub enum Input {
-    /// The process is about to begin a session.
+    /// The process is about to start a session.
     SessionStarting {
-        /// What the record of its previous session says, if that is there.
+        /// The run stored in the record of the previous session; `None` if there is no record.
         former: Option<ProcessRun>,
-        /// The time of day.
+        /// The current wall-clock time.
         wall: Micros,
     },
     /// Time has passed.
     Tick,
 }
 
-/// Whether this process is in a crash loop. Owned by the controller's membership state; fed where
-/// a session begins and whenever roles are evaluated.
+/// Tracks whether this process is in a crash loop. Updated when a session starts and whenever roles
+/// are evaluated.
 #[derive(Clone, Debug)]
 pub struct RestartHistory {
-    /// Quick restarts that make a crash loop; 0: never.
+    /// The number of quick restarts from which on the process is in a crash loop; 0 disables the
+    /// detection.
     threshold: u32,
     phase: Phase,
-    /// What the record of this process's session says.
+    /// The run to store in the session record of this process.
     current: ProcessRun,
-    /// When this process began, by the steady clock.
-    since: Micros,
+    /// The time at which this process started, by the monotonic clock.
+    process_started: Micros,
 }
 
 impl RestartHistory {
-    /// That of a process that begins at `now`, by the steady clock. `threshold`: quick restarts
-    /// that make a crash loop; 0: never.
+    /// Creates the history of a process that starts at `now`, by the monotonic clock. `threshold`
+    /// is the number of quick restarts from which on the process is in a crash loop; 0 disables the
+    /// detection.
     pub fn new(threshold: u32, now: Micros) -> Self {
         Self {
             threshold,
             phase: Phase::NotStarted,
             current: ProcessRun::default(),
-            since: now,
+            process_started: now,
         }
     }
 
-    /// Whether this process may have roles.
+    /// Returns whether this process may hold roles.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// What the record of this process's session is to say.
+    /// Returns the run to store in the session record of this process.
     pub fn current(&self) -> ProcessRun {
         self.current
     }
 
-    /// Quick restarts that make a crash loop; 0: never.
+    /// Returns the number of quick restarts from which on the process is in a crash loop; 0 if the
+    /// detection is disabled.
     pub fn threshold(&self) -> u32 {
         self.threshold
     }
 
-    /// Whether this process may be counted on to run on: it knows from its session's start that it
-    /// has not just restarted quickly, or has run for longer than a quick run. `now`: by the steady
-    /// clock.
+    /// Returns whether this process can be expected to keep running at `now`, by the monotonic
+    /// clock: its session started without a preceding quick restart, or it has run for longer than
+    /// a quick run.
     pub fn is_settled(&self, now: Micros) -> bool {
         let is_first_run = self.phase != Phase::NotStarted && self.current.quick_restarts == 0;
-        is_first_run || now - self.since >= QUICK_RUN
+        is_first_run || now - self.process_started >= QUICK_RUN
     }
 
-    /// The one function that changes it. `now`: by the steady clock. Returns the phase.
+    /// Applies one input at `now`, by the monotonic clock, and returns the resulting phase. No
+    /// other function changes the history.
     pub fn apply(&mut self, input: Input, now: Micros) -> Phase {
         match (self.phase, input) {
             (Phase::NotStarted, Input::SessionStarting { former, wall }) => {
-                let was_quick =
+                let was_quick_run =
                     |run: &ProcessRun| wall - run.started < QUICK_RUN + run.backoff(self.threshold);
-                let quick = former
-                    .filter(was_quick)
+                let quick_restarts = former
+                    .filter(was_quick_run)
                     .map_or(0, |run| run.quick_restarts + 1);
                 self.current = ProcessRun {
                     started: wall,
-                    quick_restarts: quick.min(QUICK_RESTARTS_MAX),
+                    quick_restarts: quick_restarts.min(QUICK_RESTARTS_MAX),
                 };
-                let until = self.since + self.current.backoff(self.threshold);
-                self.phase = if now < until {
-                    Phase::CrashLooping { until }
+                let backoff_end = self.process_started + self.current.backoff(self.threshold);
+                self.phase = if now < backoff_end {
+                    Phase::CrashLooping { until: backoff_end }
                 } else {
                     Phase::Stable
                 };
             }
-            // The same process begins a session anew: it has run on.
+            // A later session of the same process does not count as a restart; only the end of the
+            // back-off changes the phase.
             (Phase::CrashLooping { until }, _) if now >= until => self.phase = Phase::Stable,
             (Phase::NotStarted | Phase::CrashLooping { .. } | Phase::Stable, _) => {}
         }
--- a/crates/jasperhill-membership/src/roles.rs
+++ b/crates/jasperhill-membership/src/roles.rs
@@ -1,12 +1,15 @@
-//! Who should hold which role: orphans that are to be taken, and roles that are to be handed to
-//! another member. Owns what this controller has given up and what it is about to take. Every
-//! change goes through [`Roles::apply`].
+//! Assignment of roles to controllers: takeover of orphaned roles, and hand-over of roles to
+//! members that are better placed.
 //!
-//! Roles follow reach: first whether the state service answers, then how many of the role's hosts
-//! are reached directly, then home, then load. What is not known speaks neither for a member nor
-//! against the one who holds the role. None of this is a matter of safety: the store's guarded
-//! writes decide, and a role taken by its owner's word is safe because the owner has stopped
-//! acting at that revision for good before it says so.
+//! [`Roles`] tracks the roles that this controller has relinquished and the transitions that it has
+//! started. Every change goes through [`Roles::apply`].
+//!
+//! Roles follow reachability. Members are compared first by whether the state service responds to
+//! them, then by the number of the role's hosts that they reach directly, then by whether they are
+//! the role's preferred owner, then by load. Unknown links count neither in favour of a member nor
+//! against the current owner. Safety does not depend on this module: the guarded writes of the
+//! store decide on ownership. Taking over a role that its owner reports as relinquished is safe,
+//! because the owner has permanently stopped acting at that revision before it reports so.
 
 use jasperhill_wire::{Member, Micros, Revision, mesh::LinkState, record::Role};
 use std::{
@@ -14,95 +17,102 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-/// A partition goes home only after its home has been back for so long.
-const HOME_SETTLED: Micros = Micros::from_secs(4);
-/// Another member must be better off for so long before a role moves.
-const BETTER_FOR: Micros = Micros::from_millis(2_000);
-/// A member of which nothing is known may be about to be heard, until this has passed.
-const UNHEARD_FOR: Micros = Micros::from_secs(4);
-/// Without the state service for so long, a role is relinquished if another member is answered.
-const UNSERVED_FOR: Micros = Micros::from_millis(2_000);
-/// An orphan is left for so long to those who reach more of its hosts.
-const WORSE_OFF_DELAY: Micros = Micros::from_millis(600);
-/// An orphan that was owned is left for so long to each member that comes before, so that not all
-/// write at once.
-const ORPHAN_DELAY_MS: u64 = 150;
-/// A role that was never owned is left for so long to each member that comes before: their
-/// processes may just be starting.
-const UNOWNED_DELAY_S: u64 = 3;
-/// One in so many of a role's hosts, and one at least, makes no difference.
-const HOSTS_PER_MARGIN: u32 = 10;
-
-/// How many of a role's hosts make no difference between members.
-fn margin(hosts: u32) -> u32 {
-    (hosts / HOSTS_PER_MARGIN).max(1)
+/// The minimum age of the session of a partition's preferred owner before the partition returns to
+/// it.
+const PREFERRED_OWNER_SESSION_AGE_MIN: Micros = Micros::from_secs(4);
+/// The time for which the same member must be a better owner before a role moves to it.
+const CANDIDATE_STABLE_TIME: Micros = Micros::from_millis(2_000);
+/// The time for which a role does not move to a member whose links are unknown, because its reports
+/// may be about to arrive.
+const UNKNOWN_LINKS_GRACE_TIME: Micros = Micros::from_secs(4);
+/// The time without the state service after which roles are relinquished if the service responds to
+/// another member.
+const STORE_UNREACHABLE_TIME: Micros = Micros::from_millis(2_000);
+/// The additional delay before taking over an orphaned role if another member is a better owner.
+const BETTER_OWNER_EXISTS_DELAY: Micros = Micros::from_millis(600);
+/// The takeover delay of a formerly owned role, in milliseconds per rank and held partition.
+/// Prevents all members from writing at the same time.
+const ORPHANED_ROLE_DELAY_MS: u64 = 150;
+/// The takeover delay of a role that was never owned, in seconds per rank. Gives the processes of
+/// members of lower rank time to start.
+const NEVER_OWNED_ROLE_DELAY_S: u64 = 3;
+/// A difference of one in this many hosts of a role, and of at least one host, is ignored when
+/// members are compared.
+const HOSTS_PER_IGNORED_DIFFERENCE: u32 = 10;
+
+/// Returns the difference in reachable hosts that is ignored for a role with `hosts` hosts.
+fn ignored_host_difference(hosts: u32) -> u32 {
+    (hosts / HOSTS_PER_IGNORED_DIFFERENCE).max(1)
 }
 
-/// What the store says of a role.
+/// The ownership of a role according to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleOwnership {
-    /// The owner by the role's record.
+    /// The owner according to the role's record.
     pub owner: Member,
-    /// The owner's session when it was written.
+    /// The lease of the owner's session when the record was written.
     pub lease: u64,
     /// The revision of the role's record.
     pub version: Revision,
-    /// That session is there.
+    /// Whether the owner's session with this lease still exists.
     pub live: bool,
-    /// Its owner says that it has stopped acting at this version.
+    /// Whether the owner has reported that it has stopped acting at this version.
     pub relinquished: bool,
 }
 
-/// How well a member could act on a role, as far as is known here.
+/// The ability of a member to act on a role, as far as known to this controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Eligibility {
-    /// The state service answers it.
+    /// The state of the link between the member and the state service.
     pub state: LinkState,
-    /// What the role needs beyond hosts: the cloud, for the leader.
+    /// The state of the link that the role needs in addition to its hosts: the cloud, for the
+    /// leader.
     pub other_link: LinkState,
-    /// How many of the role's hosts it reaches.
+    /// The number of the role's hosts that the member reaches.
     pub reachable_hosts: u32,
-    /// How many of the role's hosts it surely does not reach.
+    /// The number of the role's hosts that the member is known not to reach.
     pub unreachable_hosts: u32,
-    /// The roles that it holds.
+    /// The number of roles that the member holds.
     pub load: u32,
 }
 
 impl Eligibility {
-    /// Whether a role with so many hosts that is held by `self` is better off with `other`.
+    /// Returns whether `other` is a better owner than `self` for a role with this many hosts.
     fn is_worse_than(&self, other: &Eligibility, hosts: u32) -> bool {
-        let reached_at_most = hosts - self.unreachable_hosts.min(hosts);
-        let reaches_more = other.reachable_hosts > reached_at_most + margin(hosts)
+        let reachable_max = hosts - self.unreachable_hosts.min(hosts);
+        let reaches_more = other.reachable_hosts > reachable_max + ignored_host_difference(hosts)
             && other.other_link != LinkState::Down;
-        let has_link = self.other_link == LinkState::Down && other.other_link == LinkState::Up;
-        other.state == LinkState::Up && (reaches_more || has_link)
+        let gains_other_link =
+            self.other_link == LinkState::Down && other.other_link == LinkState::Up;
+        other.state == LinkState::Up && (reaches_more || gains_other_link)
     }
 }
 
-/// What a decision rests on, as this controller sees it.
+/// The cluster state on which role decisions are based, as seen by this controller.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// This controller's session.
+    /// The lease of this controller's session.
     pub lease: u64,
-    /// What the store says of roles; none of a role that was never owned.
+    /// Ownerships according to the store; roles that were never owned have no entry.
     pub ownerships: BTreeMap<Role, RoleOwnership>,
-    /// The roles that it acts on.
+    /// Roles that this controller acts on.
     pub held: BTreeSet<Role>,
-    /// It has authority, so it may take what is free.
+    /// Whether this controller has authority and so may take over orphaned roles.
     pub may_acquire: bool,
-    /// Every member understands roles that follow reach.
+    /// Whether all members support the assignment of roles by reachability.
     pub reachability_enabled: bool,
-    /// Members that have ended again and again and have not lived for long since.
+    /// Members in a crash loop: repeated quick restarts, without a long run since.
     pub crash_looping: BTreeSet<Member>,
-    /// How well the members could act on the roles.
+    /// The ability of each member to act on each role.
     pub eligibility: BTreeMap<(Role, Member), Eligibility>,
-    /// How many hosts each role has.
+    /// The number of hosts of each role.
     pub hosts: BTreeMap<Role, u32>,
-    /// No role moves twice within this time for the sake of reach.
+    /// The minimum time between two moves of a role because of reachability.
     pub damping: Micros,
 }
 
 impl Snapshot {
+    /// Returns the eligibility of a member for a role; everything unknown if there is no entry.
     fn eligibility_of(&self, role: Role, member: &Member) -> Eligibility {
         let key = (role, member.clone());
         self.eligibility.get(&key).copied().unwrap_or_default()
@@ -113,39 +123,41 @@
     }
 }
 
-/// What changes the roles.
+/// An event that changes the assignment of roles.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// A member has a session with this lease, or has none.
+    /// The session of a member has this lease, or the member has no session (`None`).
     Session(&'a Member, Option<u64>),
-    /// Acting on a role at this revision has ended for good.
+    /// This controller has permanently stopped acting on a role at this revision.
     Relinquished(Role, Revision),
-    /// A takeover or a hand-over is over, whatever became of it.
+    /// A takeover or hand-over of a role has ended, successfully or not.
     TransitionOver(Role),
-    /// Time to decide. Comes at regular intervals and after each change.
+    /// Requests a decision on all roles. Applied at regular intervals and after each change.
     Evaluate(&'a Snapshot),
 }
 
-/// What is to be done.
+/// A change of a role that the controller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// It is this controller's: act on it.
+    /// This controller owns the role at this revision and acts on it.
     Hold(Role, Revision),
-    /// It is not: stop acting on it.
+    /// This controller does not own the role and stops acting on it.
     Release(Role),
-    /// Nobody's: take it.
+    /// The role has no active owner: this controller takes it over.
     Acquire(Role),
-    /// Stop acting, then write this owner.
+    /// This controller stops acting on the role, then writes the new owner to the store.
     HandOver {
         /// The role.
         role: Role,
-        /// Its new owner.
+        /// The new owner.
         to: Member,
-        /// Its hosts are not reached from here, so what is outstanding there can't be waited for;
-        /// the next owner takes nothing for settled anyway.
+        /// Whether to hand over without waiting for outstanding commands: this controller cannot
+        /// reach the role's hosts, and the new owner does not assume that any command has
+        /// completed.
         urgent: bool,
     },
-    /// Stop acting, then say so: this controller can't write, and another member can.
+    /// This controller stops acting on the role, then reports so to its peers. Used when this
+    /// controller cannot write to the store and another member can.
     Relinquish(Role),
 }
 
@@ -153,74 +165,76 @@
 #[derive(Clone, Copy, Debug)]
 struct LiveSession {
     lease: u64,
-    /// Since when the member has had it.
+    /// The time at which this session was first seen.
     since: Micros,
 }
 
-/// The member that a role would go to.
+/// A better owner for a role of this controller.
 #[derive(Clone, Debug)]
 struct Candidate {
     member: Member,
-    /// Since when it has been better off.
+    /// The time since which the member has been the better owner.
     since: Micros,
 }
 
-/// Who should hold which role. Owned by the controller's membership state, fed by its watch cache
-/// and its loop over roles.
+/// Decides which roles this controller holds, takes over and hands over. Updated from the
+/// controller's watch cache and its periodic role evaluation.
 #[derive(Clone, Debug)]
 pub struct Roles {
     me: Member,
     members: Vec<Member>,
     /// The number of partitions.
-    size: u32,
-    /// Ownerships given up on purpose, by the revision that is no longer acted on.
-    given_up: BTreeMap<Role, Revision>,
-    /// Roles with a takeover or a hand-over under way.
+    partition_count: u32,
+    /// Roles that this controller has relinquished, with the revision at which it stopped acting.
+    relinquished_revisions: BTreeMap<Role, Revision>,
+    /// Roles with a takeover or hand-over in progress.
     in_transition: BTreeSet<Role>,
-    /// Since when a role has been without an owner.
-    orphaned: BTreeMap<Role, Micros>,
-    /// The members' sessions.
+    /// The time since which each orphaned role has had no active owner.
+    orphaned_since: BTreeMap<Role, Micros>,
+    /// The live sessions of members.
     sessions: BTreeMap<Member, LiveSession>,
-    /// Who owned a role when it was last evaluated.
+    /// The owner of each role at the last evaluation.
     last_owner: BTreeMap<Role, Member>,
-    /// When a role last went from one live owner to another.
-    last_move: BTreeMap<Role, Micros>,
-    /// Who is better off with a role of this controller.
-    candidates: BTreeMap<Role, Candidate>,
-    /// Since when nothing is known of a member.
-    unknown: BTreeMap<Member, Micros>,
-    /// Since when the state service has not answered this controller but another member.
-    unserved: Option<Micros>,
+    /// The time at which each role last moved away from an owner with a live session.
+    last_moved_at: BTreeMap<Role, Micros>,
+    /// The better owner, if any, of each role that this controller holds.
+    better_owners: BTreeMap<Role, Candidate>,
+    /// The time since which the links of each member have been unknown; only members with unknown
+    /// links have an entry.
+    links_unknown_since: BTreeMap<Member, Micros>,
+    /// The time since which the state service has responded to another member but not to this
+    /// controller; `None` if that is not the case.
+    store_unreachable_since: Option<Micros>,
 }
 
 impl Roles {
-    /// `members` in the order that all agree on; this controller is one of them. `size`: the
-    /// number of partitions.
-    pub fn new(me: Member, members: Vec<Member>, size: u32) -> Self {
+    /// Creates the state of controller `me`. `members` includes `me` and has the same order on all
+    /// controllers; `partition_count` is the number of partitions.
+    pub fn new(me: Member, members: Vec<Member>, partition_count: u32) -> Self {
         Self {
             me,
             members,
-            size,
-            given_up: BTreeMap::new(),
+            partition_count,
+            relinquished_revisions: BTreeMap::new(),
             in_transition: BTreeSet::new(),
-            orphaned: BTreeMap::new(),
+            orphaned_since: BTreeMap::new(),
             sessions: BTreeMap::new(),
             last_owner: BTreeMap::new(),
-            last_move: BTreeMap::new(),
-            candidates: BTreeMap::new(),
-            unknown: BTreeMap::new(),
-            unserved: None,
+            last_moved_at: BTreeMap::new(),
+            better_owners: BTreeMap::new(),
+            links_unknown_since: BTreeMap::new(),
+            store_unreachable_since: None,
         }
     }
 
-    /// The roles that this controller has stopped acting on, at which revisions.
+    /// Returns the roles that this controller has relinquished, with their revisions.
     pub fn relinquished(&self) -> impl Iterator<Item = (Role, Revision)> + '_ {
-        self.given_up
+        self.relinquished_revisions
             .iter()
             .map(|(role, version)| (*role, *version))
     }
 
-    /// The controller that a role falls to by default.
+    /// Returns the preferred owner of a role, a fixed assignment by the order of members.
     pub fn home(&self, role: Role) -> &Member {
         let n = match role {
             Role::Partition(p) => p as usize % self.members.len(),
@@ -229,11 +243,12 @@
         &self.members[n]
     }
 
-    /// The one function that changes it.
+    /// Applies one input and returns the role changes to carry out. No other function changes this
+    /// state.
     pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Transition> {
         match input {
-            // Guards against roles that go home to a process which has just begun anew, again and
-            // again: it has been there for as long as its newest session.
+            // The age of a member counts from its newest session. Otherwise roles would return to a
+            // preferred owner that restarts again and again.
             Input::Session(member, Some(lease)) => {
                 let known = self.sessions.get(member);
                 if known.is_none_or(|session| session.lease != lease) {
@@ -245,7 +260,7 @@
                 self.sessions.remove(member);
             }
             Input::Relinquished(role, version) => {
-                self.given_up.insert(role, version);
+                self.relinquished_revisions.insert(role, version);
             }
             Input::TransitionOver(role) => {
                 self.in_transition.remove(&role);
@@ -255,32 +270,33 @@
         Vec::new()
     }
 
+    /// Decides on every role from the snapshot.
     fn evaluate(&mut self, snapshot: &Snapshot, now: Micros) -> Vec<Transition> {
-        self.note_moves(snapshot, now);
-        self.note_unknown(snapshot, now);
+        self.record_moves(snapshot, now);
+        self.record_unknown_links(snapshot, now);
         let relinquish = self.should_relinquish(snapshot, now);
         let mut transitions = Vec::new();
-        let partitions = (0..self.size).map(Role::Partition);
+        let partitions = (0..self.partition_count).map(Role::Partition);
         for role in partitions.chain([Role::Leader]) {
             let ownership = snapshot.ownerships.get(&role);
-            let mine = ownership.filter(|o| o.owner == self.me && o.lease == snapshot.lease);
-            match mine {
-                Some(mine) if self.given_up.get(&role) != Some(&mine.version) => {
-                    self.orphaned.remove(&role);
-                    transitions.push(Transition::Hold(role, mine.version));
+            let own = ownership.filter(|o| o.owner == self.me && o.lease == snapshot.lease);
+            match own {
+                Some(own) if self.relinquished_revisions.get(&role) != Some(&own.version) => {
+                    self.orphaned_since.remove(&role);
+                    transitions.push(Transition::Hold(role, own.version));
                     if snapshot.held.contains(&role) {
-                        transitions.extend(self.leave(role, relinquish, snapshot, now));
+                        transitions.extend(self.move_away(role, relinquish, snapshot, now));
                     }
                 }
                 _ => {
-                    self.candidates.remove(&role);
+                    self.better_owners.remove(&role);
                     transitions.push(Transition::Release(role));
                     let owned_elsewhere =
-                        mine.is_none() && ownership.is_some_and(|o| o.live && !o.relinquished);
+                        own.is_none() && ownership.is_some_and(|o| o.live && !o.relinquished);
                     if owned_elsewhere {
-                        self.orphaned.remove(&role);
+                        self.orphaned_since.remove(&role);
                     } else {
-                        transitions.extend(self.acquire(role, snapshot, now));
+                        transitions.extend(self.take_over(role, snapshot, now));
                     }
                 }
             }
@@ -288,8 +304,9 @@
         transitions
     }
 
-    /// How a role that this controller acts on goes elsewhere, if it should.
-    fn leave(
+    /// Returns the transition by which a role that this controller acts on moves to another member,
+    /// if it should move.
+    fn move_away(
         &mut self,
         role: Role,
         relinquish: bool,
@@ -300,187 +317,209 @@
             return Some(Transition::Relinquish(role));
         }
         let hand_over = self.hand_over(role, snapshot, now)?;
-        let begins = self.in_transition.insert(role);
-        begins.then_some(hand_over)
+        let is_new_transition = self.in_transition.insert(role);
+        is_new_transition.then_some(hand_over)
     }
 
-    /// The takeover of an orphan, once those who come before have had their time.
-    fn acquire(&mut self, role: Role, snapshot: &Snapshot, now: Micros) -> Option<Transition> {
+    /// Returns the takeover of an orphaned role once the takeover delay of this controller is over.
+    fn take_over(&mut self, role: Role, snapshot: &Snapshot, now: Micros) -> Option<Transition> {
         let own_store_link = snapshot.eligibility_of(role, &self.me).state;
-        // Guards against a write that is executed without an answer: the word that was given
-        // names a version, and would be worth nothing once the store shows another.
+        // A write could be executed without a response reaching this controller. Its report of a
+        // relinquished role names a version and would no longer apply once the store has a newer
+        // one.
         if snapshot.reachability_enabled && own_store_link == LinkState::Down {
             return None;
         }
-        // Guards against a role that one takes who ends again before it can serve it.
+        // A crash-looping controller would end again before it could serve the role.
         if self.defers_to_others(snapshot) {
             return None;
         }
-        let since = *self.orphaned.entry(role).or_insert(now);
-        let due = now - since >= self.takeover_delay(role, snapshot) && snapshot.may_acquire;
-        (due && self.in_transition.insert(role)).then_some(Transition::Acquire(role))
+        let since = *self.orphaned_since.entry(role).or_insert(now);
+        let is_due = now - since >= self.takeover_delay(role, snapshot) && snapshot.may_acquire;
+        (is_due && self.in_transition.insert(role)).then_some(Transition::Acquire(role))
     }
 
-    /// This controller leaves roles to the others, since some of them live on and it does not.
+    /// Returns whether this controller leaves orphaned roles to other members: it is in a crash
+    /// loop and a member with a session is not.
     fn defers_to_others(&self, snapshot: &Snapshot) -> bool {
-        let lives_on =
+        let is_running =
             |m: &Member| !snapshot.crash_looping.contains(m) && self.sessions.contains_key(m);
-        snapshot.crash_looping.contains(&self.me) && self.members.iter().any(lives_on)
+        snapshot.crash_looping.contains(&self.me) && self.members.iter().any(is_running)
     }
 
-    /// Notes when a role goes from one owner to another whose session goes on.
-    fn note_moves(&mut self, snapshot: &Snapshot, now: Micros) {
+    /// Records the time at which a role moved away from an owner whose session is still alive.
+    fn record_moves(&mut self, snapshot: &Snapshot, now: Micros) {
         for (role, ownership) in &snapshot.ownerships {
             let owner = &ownership.owner;
             let last = self.last_owner.insert(*role, owner.clone());
             let from = last.filter(|from| from != owner);
             if from.is_some_and(|from| self.sessions.contains_key(&from)) {
-                self.last_move.insert(*role, now);
+                self.last_moved_at.insert(*role, now);
             }
         }
     }
 
-    /// Notes since when nothing is known of a member's links.
-    fn note_unknown(&mut self, snapshot: &Snapshot, now: Micros) {
+    /// Records since when the links of each member have been unknown.
+    fn record_unknown_links(&mut self, snapshot: &Snapshot, now: Micros) {
         for member in &self.members {
             let store_link = snapshot.eligibility_of(Role::Leader, member).state;
             if store_link == LinkState::Unknown {
-                self.unknown.entry(member.clone()).or_insert(now);
+                self.links_unknown_since
+                    .entry(member.clone())
+                    .or_insert(now);
             } else {
-                self.unknown.remove(member);
+                self.links_unknown_since.remove(member);
             }
         }
     }
 
-    /// This controller can't write and another member with a session can, for a while already.
+    /// Returns whether, for at least [`STORE_UNREACHABLE_TIME`], the state service has not
+    /// responded to this controller but has responded to another member with a session.
     fn should_relinquish(&mut self, snapshot: &Snapshot, now: Micros) -> bool {
         let store_link = |m: &Member| snapshot.eligibility_of(Role::Leader, m).state;
-        let is_served = |m: &Member| {
+        let is_served_by_store = |m: &Member| {
             *m != self.me && self.sessions.contains_key(m) && store_link(m) == LinkState::Up
         };
-        let unserved = snapshot.reachability_enabled
+        let only_others_served = snapshot.reachability_enabled
             && store_link(&self.me) == LinkState::Down
-            && self.members.iter().any(is_served);
-        if !unserved {
-            self.unserved = None;
+            && self.members.iter().any(is_served_by_store);
+        if !only_others_served {
+            self.store_unreachable_since = None;
             return false;
         }
-        now - *self.unserved.get_or_insert(now) >= UNSERVED_FOR
+        now - *self.store_unreachable_since.get_or_insert(now) >= STORE_UNREACHABLE_TIME
     }
 
-    /// How long an orphan is left to those who come before.
+    /// Returns how long this controller waits before taking over an orphaned role. The delay grows
+    /// with the rank of this controller, which counts from the role's preferred owner in member
+    /// order.
     fn takeover_delay(&self, role: Role, snapshot: &Snapshot) -> Micros {
         let n = self.members.len();
         let index = |m: &Member| self.members.iter().position(|x| x == m).unwrap_or(0);
         let rank = ((index(&self.me) + n - index(self.home(role))) % n) as u64;
         if !snapshot.ownerships.contains_key(&role) {
-            return Micros::from_secs(UNOWNED_DELAY_S * rank);
+            return Micros::from_secs(NEVER_OWNED_ROLE_DELAY_S * rank);
         }
-        // The least loaded survivor first, after those who reach more.
+        // Less loaded members take over earlier; better owners take over before this controller.
         let is_partition = |r: &&Role| matches!(r, Role::Partition(_));
         let load = snapshot.held.iter().filter(is_partition).count() as u64;
-        let delay = Micros::from_millis(ORPHAN_DELAY_MS * (rank + load));
-        if self.better_member(role, snapshot).is_some() {
-            delay + WORSE_OFF_DELAY
+        let delay = Micros::from_millis(ORPHANED_ROLE_DELAY_MS * (rank + load));
+        if self.better_owner(role, snapshot).is_some() {
+            delay + BETTER_OWNER_EXISTS_DELAY
         } else {
             delay
         }
     }
 
-    /// The member with a session that is best off with a role, if this controller is worse off.
-    fn better_member(&self, role: Role, snapshot: &Snapshot) -> Option<Member> {
-        let mine = snapshot.eligibility_of(role, &self.me);
+    /// Returns the best owner of a role among members with a session, if it is a better owner than
+    /// this controller.
+    fn better_owner(&self, role: Role, snapshot: &Snapshot) -> Option<Member> {
+        let own = snapshot.eligibility_of(role, &self.me);
         let hosts = snapshot.hosts_of(role);
         let is_better = |m: &&Member| {
             snapshot.reachability_enabled
                 && !snapshot.crash_looping.contains(*m)
                 && **m != self.me
                 && self.sessions.contains_key(*m)
-                && mine.is_worse_than(&snapshot.eligibility_of(role, m), hosts)
+                && own.is_worse_than(&snapshot.eligibility_of(role, m), hosts)
         };
-        let home = self.home(role);
-        let best = self.members.iter().filter(is_better).max_by_key(|m| {
+        let preferred_owner = self.home(role);
+        let best_owner = self.members.iter().filter(is_better).max_by_key(|m| {
             let eligibility = snapshot.eligibility_of(role, m);
             (
                 eligibility.reachable_hosts,
-                *m == home,
+                *m == preferred_owner,
                 Reverse(eligibility.load),
             )
         });
-        best.or_else(|| self.unheard_member(role, snapshot))
+        best_owner
+            .or_else(|| self.member_with_unknown_links(role, snapshot))
             .cloned()
     }
 
-    /// Where this controller reaches none of a role's hosts, a member with a session of which
-    /// nothing is known can't be worse off. Guards against partitions that stay with an owner
-    /// without workers while controllers don't hear one another.
-    fn unheard_member(&self, role: Role, snapshot: &Snapshot) -> Option<&Member> {
-        let mine = snapshot.eligibility_of(role, &self.me);
+    /// Returns the least loaded member with a session and unknown links if this controller reaches
+    /// none of a role's hosts: such a member cannot be a worse owner. Otherwise partitions would
+    /// stay with an owner that reaches no workers while controllers cannot communicate with one
+    /// another.
+    fn member_with_unknown_links(&self, role: Role, snapshot: &Snapshot) -> Option<&Member> {
+        let own = snapshot.eligibility_of(role, &self.me);
         let hosts = snapshot.hosts_of(role);
-        let cut_off = snapshot.reachability_enabled && hosts > 0 && mine.unreachable_hosts >= hosts;
+        let cut_off = snapshot.reachability_enabled && hosts > 0 && own.unreachable_hosts >= hosts;
         if !cut_off {
             return None;
         }
-        let is_unheard = |m: &&Member| {
+        let has_unknown_links = |m: &&Member| {
             **m != self.me
                 && self.sessions.contains_key(*m)
                 && snapshot.eligibility_of(role, m).state == LinkState::Unknown
         };
         let load = |m: &&Member| snapshot.eligibility_of(role, m).load;
-        self.members.iter().filter(is_unheard).min_by_key(load)
+        self.members
+            .iter()
+            .filter(has_unknown_links)
+            .min_by_key(load)
     }
 
-    /// The hand-over of a role to who should hold it instead of this controller: whoever reaches
-    /// clearly more, or for a partition its home once that is back and no worse off.
+    /// Returns the hand-over of a role to a better owner: a member that reaches clearly more hosts,
+    /// or for a partition its preferred owner once that is back and no worse an owner.
     fn hand_over(&mut self, role: Role, snapshot: &Snapshot, now: Micros) -> Option<Transition> {
-        let moved = self.last_move.get(&role);
-        let damped =
-            snapshot.reachability_enabled && moved.is_some_and(|at| now - *at < snapshot.damping);
-        if let Some(to) = self.better_member(role, snapshot) {
-            let due = self.is_candidate_due(role, &to, now) && !damped;
+        let last_moved = self.last_moved_at.get(&role);
+        let is_damped = snapshot.reachability_enabled
+            && last_moved.is_some_and(|at| now - *at < snapshot.damping);
+        if let Some(to) = self.better_owner(role, snapshot) {
+            let is_due = self.is_candidate_due(role, &to, now) && !is_damped;
             let urgent = true;
-            return due.then_some(Transition::HandOver { role, to, urgent });
+            return is_due.then_some(Transition::HandOver { role, to, urgent });
         }
-        self.candidates.remove(&role);
-        let goes_home = !damped && self.may_go_home(role, snapshot, now);
-        goes_home.then(|| Transition::HandOver {
+        self.better_owners.remove(&role);
+        let returns = !is_damped && self.may_return_to_preferred_owner(role, snapshot, now);
+        returns.then(|| Transition::HandOver {
             role,
             to: self.home(role).clone(),
             urgent: false,
         })
     }
 
-    /// Whether a member has been better off with a role for long enough.
+    /// Returns whether a member has been the better owner of a role for long enough to move the
+    /// role.
     fn is_candidate_due(&mut self, role: Role, member: &Member, now: Micros) -> bool {
         let new = || Candidate {
             member: member.clone(),
             since: now,
         };
-        let candidate = self.candidates.entry(role).or_insert_with(new);
+        let candidate = self.better_owners.entry(role).or_insert_with(new);
         if candidate.member != *member {
             *candidate = new();
         }
-        let unknown_since = self.unknown.get(member);
-        // Guards against roles that go back and forth with a link that flaps. A member that has
-        // not been heard for long already is not about to be.
-        now - candidate.since >= BETTER_FOR
-            && unknown_since.is_none_or(|at| now - *at >= UNHEARD_FOR)
+        let member_unknown_since = self.links_unknown_since.get(member);
+        // The waiting time prevents roles from moving back and forth with a flapping link. For a
+        // member with unknown links it is longer, because reports of the member may be about to
+        // arrive.
+        now - candidate.since >= CANDIDATE_STABLE_TIME
+            && member_unknown_since.is_none_or(|at| now - *at >= UNKNOWN_LINKS_GRACE_TIME)
     }
 
-    /// Whether a role of this controller may go home. Guards against a role that goes home to
-    /// one who is worse off, or has ended and whose session has not.
-    fn may_go_home(&self, role: Role, snapshot: &Snapshot, now: Micros) -> bool {
-        let home = self.home(role);
-        let session = self.sessions.get(home);
-        let settled = session.is_some_and(|session| now - session.since > HOME_SETTLED);
+    /// Returns whether a role of this controller may move to its preferred owner. Prevents a role
+    /// from moving to a worse owner, or to a process that has ended while its session has not
+    /// expired.
+    fn may_return_to_preferred_owner(&self, role: Role, snapshot: &Snapshot, now: Micros) -> bool {
+        let preferred_owner = self.home(role);
+        let session = self.sessions.get(preferred_owner);
+        let session_old_enough =
+            session.is_some_and(|session| now - session.since > PREFERRED_OWNER_SESSION_AGE_MIN);
         let is_partition = matches!(role, Role::Partition(_));
-        if !is_partition || *home == self.me || !settled || snapshot.crash_looping.contains(home) {
+        if !is_partition
+            || *preferred_owner == self.me
+            || !session_old_enough
+            || snapshot.crash_looping.contains(preferred_owner)
+        {
             return false;
         }
-        let there = snapshot.eligibility_of(role, home);
-        let worse = there.state != LinkState::Up
-            || there.unreachable_hosts > margin(snapshot.hosts_of(role));
-        !snapshot.reachability_enabled || !worse
+        let preferred_eligibility = snapshot.eligibility_of(role, preferred_owner);
+        let is_worse = preferred_eligibility.state != LinkState::Up
+            || preferred_eligibility.unreachable_hosts
+                > ignored_host_difference(snapshot.hosts_of(role));
+        !snapshot.reachability_enabled || !is_worse
     }
 }
 
--- a/crates/jasperhill-membership/src/roles/tests.rs
+++ b/crates/jasperhill-membership/src/roles/tests.rs
@@ -1,38 +1,39 @@
-//! Who gets which role, and when.
+//! Tests of takeovers, hand-overs and relinquishing of roles.
 
 use super::*;
 
-const AT: Micros = Micros::from_secs(1_000);
-const P: Role = Role::Partition(0);
+const START: Micros = Micros::from_secs(1_000);
+const PARTITION: Role = Role::Partition(0);
 
 fn member(n: usize) -> Member {
     Member::new(&format!("m{n}"))
 }
 
-/// Three members with sessions; `m0` is looking and owns partition 0 of a hundred hosts.
-fn begin() -> (Roles, Snapshot) {
+/// Returns the state of `m0`, one of three members with sessions, and a snapshot in which `m0` owns
+/// partition 0 with a hundred hosts.
+fn roles_and_snapshot() -> (Roles, Snapshot) {
     let members: Vec<Member> = (0..3).map(member).collect();
     let mut roles = Roles::new(member(0), members.clone(), 1);
     let mut snapshot = Snapshot {
         lease: 7,
-        held: [P].into(),
+        held: [PARTITION].into(),
         may_acquire: true,
         reachability_enabled: true,
-        hosts: [(P, 100)].into(),
+        hosts: [(PARTITION, 100)].into(),
         damping: Micros::from_secs(30),
         ..Snapshot::default()
     };
-    for role in [P, Role::Leader] {
-        let owner = if role == P { 0 } else { 1 };
+    for role in [PARTITION, Role::Leader] {
+        let owner = if role == PARTITION { 0 } else { 1 };
         snapshot.ownerships.insert(role, ownership(owner, 5));
         for m in &members {
             roles.apply(Input::Session(m, Some(1)), Micros::ZERO);
-            let fit = Eligibility {
+            let eligibility = Eligibility {
                 state: LinkState::Up,
                 reachable_hosts: 100,
                 ..Eligibility::default()
             };
-            snapshot.eligibility.insert((role, m.clone()), fit);
+            snapshot.eligibility.insert((role, m.clone()), eligibility);
         }
     }
     (roles, snapshot)
@@ -48,229 +49,256 @@
     }
 }
 
-fn set(snapshot: &mut Snapshot, m: usize, change: impl Fn(&mut Eligibility)) {
-    for role in [P, Role::Leader] {
+/// Changes the eligibility of a member for all roles.
+fn set_eligibility(snapshot: &mut Snapshot, m: usize, change: impl Fn(&mut Eligibility)) {
+    for role in [PARTITION, Role::Leader] {
         change(snapshot.eligibility.get_mut(&(role, member(m))).unwrap());
     }
 }
 
-fn moves(roles: &mut Roles, snapshot: &Snapshot, now: Micros) -> Vec<Transition> {
+/// Evaluates the roles and returns all transitions except `Hold` and `Release`.
+fn role_changes(roles: &mut Roles, snapshot: &Snapshot, now: Micros) -> Vec<Transition> {
     let mut transitions = roles.apply(Input::Evaluate(snapshot), now);
     transitions.retain(|s| !matches!(s, Transition::Hold(..) | Transition::Release(_)));
     transitions
 }
 
-/// Without the wait a link that fails once would move a partition.
+/// A role moves to the member that reaches most hosts, but only after a waiting time. Without the
+/// wait a single link failure would move a partition.
 #[test]
-fn a_role_goes_to_whoever_reaches_more_but_not_at_once() {
-    let (mut roles, mut snapshot) = begin();
-    assert!(moves(&mut roles, &snapshot, AT).is_empty());
-    set(&mut snapshot, 0, |f| {
-        (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+fn role_moves_to_member_reaching_more_hosts_after_delay() {
+    let (mut roles, mut snapshot) = roles_and_snapshot();
+    assert!(role_changes(&mut roles, &snapshot, START).is_empty());
+    set_eligibility(&mut snapshot, 0, |eligibility| {
+        (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (0, 100)
     });
-    set(&mut snapshot, 1, |f| {
-        (f.reachable_hosts, f.unreachable_hosts) = (60, 40)
+    set_eligibility(&mut snapshot, 1, |eligibility| {
+        (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (60, 40)
     });
-    assert!(moves(&mut roles, &snapshot, AT).is_empty());
-    let later = AT + BETTER_FOR;
-    let step = Transition::HandOver {
-        role: P,
+    assert!(role_changes(&mut roles, &snapshot, START).is_empty());
+    let later = START + CANDIDATE_STABLE_TIME;
+    let hand_over = Transition::HandOver {
+        role: PARTITION,
         to: member(2),
         urgent: true,
     };
-    assert_eq!(moves(&mut roles, &snapshot, later), [step]);
-    // Under way: not begun twice.
-    assert!(moves(&mut roles, &snapshot, later).is_empty());
+    assert_eq!(role_changes(&mut roles, &snapshot, later), [hand_over]);
+    // The hand-over is in progress and is not started a second time.
+    assert!(role_changes(&mut roles, &snapshot, later).is_empty());
 }
 
-/// What is not known of others is no reason to move; nor one that can't write, nor as good as.
+/// A role does not move to members without a healthy link to the store, without reachable hosts, or
+/// with hardly more reachable hosts than the owner.
 #[test]
-fn a_role_never_goes_to_one_who_is_worse_off() {
+fn role_stays_if_no_member_is_a_better_owner() {
     for change in [
-        (|f| f.state = LinkState::Suspect) as fn(&mut Eligibility),
-        |f| f.reachable_hosts = 0,
-        |f| f.reachable_hosts = 8,
+        (|eligibility| eligibility.state = LinkState::Suspect) as fn(&mut Eligibility),
+        |eligibility| eligibility.reachable_hosts = 0,
+        |eligibility| eligibility.reachable_hosts = 8,
     ] {
-        let (mut roles, mut snapshot) = begin();
-        set(&mut snapshot, 0, |f| {
-            (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+        let (mut roles, mut snapshot) = roles_and_snapshot();
+        set_eligibility(&mut snapshot, 0, |eligibility| {
+            (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (0, 100)
         });
-        set(&mut snapshot, 1, change);
-        set(&mut snapshot, 2, change);
+        set_eligibility(&mut snapshot, 1, change);
+        set_eligibility(&mut snapshot, 2, change);
         for s in 0..20 {
-            let now = AT + Micros::from_secs(s);
-            assert!(moves(&mut roles, &snapshot, now).is_empty());
+            let now = START + Micros::from_secs(s);
+            assert!(role_changes(&mut roles, &snapshot, now).is_empty());
         }
     }
 }
 
-/// An owner without any workers that hears nobody gives its role to somebody all the same; with
-/// some workers it keeps it.
+/// An owner that reaches no workers and has no reports of other members still hands its role over;
+/// an owner that reaches some workers keeps the role.
 #[test]
-fn one_who_reaches_nothing_hands_over_unheard() {
-    for (reached, goes) in [(0, true), (30, false)] {
-        let (mut roles, mut snapshot) = begin();
-        set(&mut snapshot, 0, |f| {
-            (f.reachable_hosts, f.unreachable_hosts) = (reached, 100 - reached);
+fn owner_without_reachable_hosts_hands_over_to_member_with_unknown_links() {
+    for (reached, hands_over) in [(0, true), (30, false)] {
+        let (mut roles, mut snapshot) = roles_and_snapshot();
+        set_eligibility(&mut snapshot, 0, |eligibility| {
+            (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (reached, 100 - reached);
         });
         for m in [1, 2] {
-            set(&mut snapshot, m, |f| *f = Eligibility::default());
+            set_eligibility(&mut snapshot, m, |eligibility| {
+                *eligibility = Eligibility::default()
+            });
         }
-        assert!(moves(&mut roles, &snapshot, AT).is_empty());
-        assert!(moves(&mut roles, &snapshot, AT + BETTER_FOR).is_empty());
-        let later = moves(&mut roles, &snapshot, AT + UNHEARD_FOR);
-        assert_eq!(!later.is_empty(), goes);
+        assert!(role_changes(&mut roles, &snapshot, START).is_empty());
+        assert!(role_changes(&mut roles, &snapshot, START + CANDIDATE_STABLE_TIME).is_empty());
+        let later = role_changes(&mut roles, &snapshot, START + UNKNOWN_LINKS_GRACE_TIME);
+        assert_eq!(!later.is_empty(), hands_over);
     }
 }
 
-/// Without damping a role would follow a flapping link back and forth.
+/// A role does not move again within the damping time. Without damping a role would move back and
+/// forth with a flapping link.
 #[test]
-fn no_role_moves_twice_within_the_damping() {
-    let (mut roles, mut snapshot) = begin();
-    // It comes from m1, whose session goes on.
-    snapshot.ownerships.insert(P, ownership(1, 4));
+fn role_does_not_move_again_within_damping_time() {
+    let (mut roles, mut snapshot) = roles_and_snapshot();
+    // The role moved from m1, whose session is still alive.
+    snapshot.ownerships.insert(PARTITION, ownership(1, 4));
     snapshot.held.clear();
-    moves(&mut roles, &snapshot, AT);
-    snapshot.ownerships.insert(P, ownership(0, 5));
-    snapshot.held.insert(P);
-    set(&mut snapshot, 0, |f| {
-        (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+    role_changes(&mut roles, &snapshot, START);
+    snapshot.ownerships.insert(PARTITION, ownership(0, 5));
+    snapshot.held.insert(PARTITION);
+    set_eligibility(&mut snapshot, 0, |eligibility| {
+        (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (0, 100)
     });
     for s in 1..30 {
-        let now = AT + Micros::from_secs(s);
-        assert!(moves(&mut roles, &snapshot, now).is_empty(), "{s}");
+        let now = START + Micros::from_secs(s);
+        assert!(role_changes(&mut roles, &snapshot, now).is_empty(), "{s}");
     }
-    let later = AT + Micros::from_secs(32);
-    assert_eq!(moves(&mut roles, &snapshot, later).len(), 1);
+    let later = START + Micros::from_secs(32);
+    assert_eq!(role_changes(&mut roles, &snapshot, later).len(), 1);
 }
 
-/// Home is only better where it is no worse off.
+/// A partition returns to its preferred owner only if that member is no worse an owner, unless
+/// assignment by reachability is disabled.
 #[test]
-fn a_partition_goes_home_unless_home_is_cut_off_or_has_ended() {
+fn partition_returns_unless_preferred_owner_is_unreachable_or_ended() {
     type Change = fn(&mut Eligibility);
-    let cut: Change = |f| (f.reachable_hosts, f.unreachable_hosts) = (0, 100);
-    // Its session outlives it.
-    let ended: Change = |f| *f = Eligibility::default();
+    let unreachable: Change =
+        |eligibility| (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (0, 100);
+    // The process has ended but its session has not expired.
+    let ended: Change = |eligibility| *eligibility = Eligibility::default();
     let cases: [(Option<Change>, bool); 4] = [
         (None, true),
-        (Some(cut), true),
+        (Some(unreachable), true),
         (Some(ended), true),
-        (Some(cut), false),
+        (Some(unreachable), false),
     ];
-    for (worse, by_reach) in cases {
-        let (mut roles, mut snapshot) = begin();
+    for (preferred_owner_change, reachability_enabled) in cases {
+        let (mut roles, mut snapshot) = roles_and_snapshot();
         roles.me = member(1);
         snapshot.lease = 8;
-        snapshot.reachability_enabled = by_reach;
-        snapshot.ownerships.insert(P, ownership(1, 5));
-        if let Some(worse) = worse {
-            set(&mut snapshot, 0, worse);
+        snapshot.reachability_enabled = reachability_enabled;
+        snapshot.ownerships.insert(PARTITION, ownership(1, 5));
+        if let Some(preferred_owner_change) = preferred_owner_change {
+            set_eligibility(&mut snapshot, 0, preferred_owner_change);
         }
-        let goes = !moves(&mut roles, &snapshot, AT).is_empty();
-        assert_eq!(goes, worse.is_none() || !by_reach);
+        let hands_over = !role_changes(&mut roles, &snapshot, START).is_empty();
+        assert_eq!(
+            hands_over,
+            preferred_owner_change.is_none() || !reachability_enabled
+        );
     }
 }
 
-/// A controller that can't write lets go if somebody else can, and keeps what it has in an
-/// outage that everybody sees.
+/// A controller that cannot write to the store relinquishes its roles if another member can write,
+/// and keeps them during an outage of the store that affects all members.
 #[test]
-fn a_role_is_let_go_only_if_somebody_else_can_write() {
-    let (mut roles, mut snapshot) = begin();
-    set(&mut snapshot, 0, |f| f.state = LinkState::Down);
-    assert!(moves(&mut roles, &snapshot, AT).is_empty());
-    let later = AT + UNSERVED_FOR;
+fn role_is_relinquished_only_if_another_member_can_write() {
+    let (mut roles, mut snapshot) = roles_and_snapshot();
+    set_eligibility(&mut snapshot, 0, |eligibility| {
+        eligibility.state = LinkState::Down
+    });
+    assert!(role_changes(&mut roles, &snapshot, START).is_empty());
+    let later = START + STORE_UNREACHABLE_TIME;
     assert_eq!(
-        moves(&mut roles, &snapshot, later),
-        [Transition::Relinquish(P)]
+        role_changes(&mut roles, &snapshot, later),
+        [Transition::Relinquish(PARTITION)]
     );
     for m in [1, 2] {
-        set(&mut snapshot, m, |f| f.state = LinkState::Down);
+        set_eligibility(&mut snapshot, m, |eligibility| {
+            eligibility.state = LinkState::Down
+        });
     }
-    assert!(moves(&mut roles, &snapshot, later).is_empty());
-    // What is given up stays so at this revision, and only at this one.
-    roles.apply(Input::Relinquished(P, Revision(5)), later);
+    assert!(role_changes(&mut roles, &snapshot, later).is_empty());
+    // A relinquished role stays relinquished at this revision, and only at this revision.
+    roles.apply(Input::Relinquished(PARTITION, Revision(5)), later);
     for s in 0..20 {
         let now = later + Micros::from_secs(s);
         let transitions = roles.apply(Input::Evaluate(&snapshot), now);
         assert!(
-            transitions.contains(&Transition::Release(P))
-                && !transitions.contains(&Transition::Acquire(P))
+            transitions.contains(&Transition::Release(PARTITION))
+                && !transitions.contains(&Transition::Acquire(PARTITION))
         );
     }
-    snapshot.ownerships.insert(P, ownership(0, 6));
+    snapshot.ownerships.insert(PARTITION, ownership(0, 6));
     let transitions = roles.apply(Input::Evaluate(&snapshot), later);
-    assert!(transitions.contains(&Transition::Hold(P, Revision(6))));
+    assert!(transitions.contains(&Transition::Hold(PARTITION, Revision(6))));
 }
 
-/// An orphan, or one that was let go, is taken by whoever is better off first.
+/// A relinquished role is taken over at once by a well-placed member, and with a delay by a member
+/// that reaches fewer hosts, so that better owners take it first.
 #[test]
-fn whoever_reaches_less_leaves_an_orphan_to_others_first() {
-    let (mut roles, mut snapshot) = begin();
+fn member_reaching_fewer_hosts_delays_takeover() {
+    let (mut roles, mut snapshot) = roles_and_snapshot();
     snapshot.held.clear();
     snapshot.ownerships.insert(
-        P,
+        PARTITION,
         RoleOwnership {
             relinquished: true,
             ..ownership(1, 5)
         },
     );
-    set(&mut snapshot, 0, |f| {
-        (f.reachable_hosts, f.unreachable_hosts) = (0, 100)
+    set_eligibility(&mut snapshot, 0, |eligibility| {
+        (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (0, 100)
     });
-    assert!(moves(&mut roles, &snapshot, AT).is_empty());
-    let later = AT + WORSE_OFF_DELAY;
+    assert!(role_changes(&mut roles, &snapshot, START).is_empty());
+    let later = START + BETTER_OWNER_EXISTS_DELAY;
     assert_eq!(
-        moves(&mut roles, &snapshot, later),
-        [Transition::Acquire(P)]
+        role_changes(&mut roles, &snapshot, later),
+        [Transition::Acquire(PARTITION)]
     );
-    let (mut roles, mut snapshot) = begin();
+    let (mut roles, mut snapshot) = roles_and_snapshot();
     snapshot.held.clear();
     snapshot.ownerships.insert(
-        P,
+        PARTITION,
         RoleOwnership {
             relinquished: true,
             ..ownership(1, 5)
         },
     );
-    assert_eq!(moves(&mut roles, &snapshot, AT), [Transition::Acquire(P)]);
+    assert_eq!(
+        role_changes(&mut roles, &snapshot, START),
+        [Transition::Acquire(PARTITION)]
+    );
 }
 
-/// A process that ends again and again leaves orphans to those who live on, and takes them when
-/// nobody does; nothing goes home to it before it has lived for a while.
+/// A crash-looping controller leaves orphaned roles to running members and takes them over only if
+/// all members are crash-looping. A role returns to its preferred owner only after the session of
+/// that member has lasted for a while.
 #[test]
-fn roles_are_left_to_those_who_live_on() {
-    let (mut roles, mut snapshot) = begin();
+fn crash_looping_member_leaves_roles_to_running_members() {
+    let (mut roles, mut snapshot) = roles_and_snapshot();
     snapshot.held.clear();
-    snapshot.ownerships.get_mut(&P).unwrap().lease = 99;
-    snapshot.ownerships.get_mut(&P).unwrap().live = false;
+    snapshot.ownerships.get_mut(&PARTITION).unwrap().lease = 99;
+    snapshot.ownerships.get_mut(&PARTITION).unwrap().live = false;
     snapshot.crash_looping = [member(0)].into();
-    let late = AT + Micros::from_secs(60);
-    assert_eq!(moves(&mut roles, &snapshot, AT), []);
-    assert_eq!(moves(&mut roles, &snapshot, late), []);
+    let late = START + Micros::from_secs(60);
+    assert_eq!(role_changes(&mut roles, &snapshot, START), []);
+    assert_eq!(role_changes(&mut roles, &snapshot, late), []);
     snapshot.crash_looping = (0..3).map(member).collect();
-    assert_eq!(moves(&mut roles, &snapshot, late), [Transition::Acquire(P)]);
+    assert_eq!(
+        role_changes(&mut roles, &snapshot, late),
+        [Transition::Acquire(PARTITION)]
+    );
 
-    // Home is another's, which begins a new session every two seconds.
+    // The preferred owner is m1, which begins a new session every two seconds.
     let members: Vec<Member> = [1, 0, 2].map(member).to_vec();
     let mut roles = Roles::new(member(0), members.clone(), 1);
-    let (_, mut snapshot) = begin();
+    let (_, mut snapshot) = roles_and_snapshot();
     snapshot.damping = Micros::ZERO;
     for m in &members {
-        roles.apply(Input::Session(m, Some(1)), AT);
+        roles.apply(Input::Session(m, Some(1)), START);
     }
     for n in 0..10 {
-        let now = AT + Micros::from_secs(2 * n);
+        let now = START + Micros::from_secs(2 * n);
         roles.apply(Input::Session(&member(1), Some(100 + n)), now);
-        assert_eq!(moves(&mut roles, &snapshot, now), []);
+        assert_eq!(role_changes(&mut roles, &snapshot, now), []);
     }
-    let home = Transition::HandOver {
-        role: P,
+    let return_to_preferred_owner = Transition::HandOver {
+        role: PARTITION,
         to: member(1),
         urgent: false,
     };
-    let now = AT + Micros::from_secs(30);
+    let now = START + Micros::from_secs(30);
     snapshot.crash_looping = [member(1)].into();
-    assert_eq!(moves(&mut roles, &snapshot, now), []);
+    assert_eq!(role_changes(&mut roles, &snapshot, now), []);
     snapshot.crash_looping.clear();
-    assert_eq!(moves(&mut roles, &snapshot, now), [home]);
+    assert_eq!(
+        role_changes(&mut roles, &snapshot, now),
+        [return_to_preferred_owner]
+    );
 }
--- a/crates/jasperhill-membership/tests/authority.rs
+++ b/crates/jasperhill-membership/tests/authority.rs
@@ -1,4 +1,4 @@
-//! Authority ends in time, whatever happens.
+//! Property test: authority ends before the session and before the watch cache is too old.
 
 use jasperhill_membership::authority::{Authority, Input};
 use jasperhill_wire::{Micros, Revision};
@@ -24,12 +24,12 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Whatever happens, authority never outlasts the lease counted from the last renewal
-    /// that was sent, nor the bound on the watch cache's age.
+    /// In any order of events, authority ends before the lease does, counted from the sending of
+    /// the last renewal, and no later than the maximum age of the watch cache.
     #[test]
     fn authority_ends_in_time(inputs in proptest::collection::vec(input(), 1..40)) {
-        let (ttl, age) = (Micros::from_secs(10), Micros::from_secs(15));
-        let mut authority = Authority::new(ttl, age);
+        let (ttl, cache_age_max) = (Micros::from_secs(10), Micros::from_secs(15));
+        let mut authority = Authority::new(ttl, cache_age_max);
         let (mut sent, mut fresh, mut held) = (Micros::ZERO, Micros::ZERO, None);
         for input in inputs {
             authority.apply(input);
@@ -41,7 +41,7 @@
                 _ => {}
             }
             prop_assert!(authority.until() < sent + ttl);
-            prop_assert!(authority.until() <= fresh + age);
+            prop_assert!(authority.until() <= fresh + cache_age_max);
             prop_assert!(held.is_some() || !authority.holds(Micros::ZERO));
         }
     }
--- a/crates/jasperhill-membership/tests/link.rs
+++ b/crates/jasperhill-membership/tests/link.rs
@@ -1,4 +1,4 @@
-//! When a link counts as up, suspect and down.
+//! Tests of the classification of links as up, suspect and down.
 
 use jasperhill_membership::link::{LinkHealth, Observation, Thresholds};
 use jasperhill_wire::{Micros, mesh::LinkState};
@@ -9,73 +9,82 @@
     up: Micros::from_secs(2),
 };
 
-fn fail(by: u64) -> Observation {
+fn failure_of(by: u64) -> Observation {
     Observation::Failure { by, of: 100 }
 }
 
-/// Guards against a link that is taken for down for seconds after a long cut.
+/// After a long outage, the first success brings a link up if its `up` threshold is zero; a link
+/// that fails again soon needs more successes. Guards against a link that counts as down for
+/// seconds after an outage is over.
 #[test]
-fn after_a_cut_it_is_up_with_the_first_thing_that_gets_through() {
+fn link_is_up_on_first_success_after_outage() {
     let at = Micros::from_millis;
     let mut link = LinkHealth::new(Thresholds {
         up: Micros::ZERO,
         ..THRESHOLDS
     });
     let mut now = 1_000;
-    let cut = |link: &mut LinkHealth, now: &mut u64| {
+    let simulate_outage = |link: &mut LinkHealth, now: &mut u64| {
         for _ in 0..20 {
             *now += 900;
-            link.apply(fail(*now), at(*now));
+            link.apply(failure_of(*now), at(*now));
         }
         assert_eq!(link.state(), LinkState::Down);
     };
-    cut(&mut link, &mut now);
+    simulate_outage(&mut link, &mut now);
     link.apply(Observation::Success, at(now + 100));
     assert_eq!(link.state(), LinkState::Up);
-    // One that flaps has to show more.
+    // A flapping link needs more successes.
     for by in 0..4 {
         now += 900;
-        link.apply(fail(by), at(now));
+        link.apply(failure_of(by), at(now));
     }
     assert_eq!(link.state(), LinkState::Down);
     link.apply(Observation::Success, at(now + 100));
     assert_eq!(link.state(), LinkState::Down);
 }
 
+/// Repeated failures of one counterpart make a link suspect; failures of several counterparts take
+/// the link down. It comes up again only after successes over some time.
 #[test]
-fn one_machine_that_hangs_is_no_cut_and_several_are() {
+fn link_is_suspect_with_one_failed_counterpart_and_down_with_several() {
     let at = Micros::from_millis;
     let mut link = LinkHealth::new(THRESHOLDS);
     link.apply(Observation::Success, at(1_000));
     assert_eq!(link.state(), LinkState::Up);
-    for n in 0..3 {
-        link.apply(fail(7), at(2_000 + 500 * n));
+    for step in 0..3 {
+        link.apply(failure_of(7), at(2_000 + 500 * step));
     }
     assert_eq!(link.state(), LinkState::Suspect);
-    link.apply(fail(8), at(3_400));
-    link.apply(fail(9), at(3_500));
+    link.apply(failure_of(8), at(3_400));
+    link.apply(failure_of(9), at(3_500));
     assert_eq!(link.state(), LinkState::Down);
-    // It is not up with the first thing that gets through, but soon.
+    // The first success does not bring the link up; successes over some time do.
     link.apply(Observation::Success, at(9_000));
     assert_eq!(link.state(), LinkState::Down);
-    link.apply(fail(7), at(10_000));
+    link.apply(failure_of(7), at(10_000));
     link.apply(Observation::Success, at(11_000));
     link.apply(Observation::Success, at(12_500));
     assert_eq!(link.state(), LinkState::Down);
-    for n in 0..4 {
-        link.apply(Observation::Success, at(13_000 + 200 * n));
+    for step in 0..4 {
+        link.apply(Observation::Success, at(13_000 + 200 * step));
     }
     assert_eq!(link.state(), LinkState::Up);
 }
 
-/// Guards against a lossy link that counts as up because something gets through at times.
+/// A link on which two of three messages fail is down. Guards against a lossy link that counts as
+/// up because some messages get through.
 #[test]
-fn a_lossy_link_is_down_for_what_it_cannot_do() {
+fn lossy_link_is_down() {
     let mut link = LinkHealth::new(THRESHOLDS);
-    for n in 0..40 {
-        let fine = n % 3 == 0;
-        let observation = if fine { Observation::Success } else { fail(n) };
-        link.apply(observation, Micros::from_millis(300 * n));
+    for step in 0..40 {
+        let succeeds = step % 3 == 0;
+        let observation = if succeeds {
+            Observation::Success
+        } else {
+            failure_of(step)
+        };
+        link.apply(observation, Micros::from_millis(300 * step));
     }
     assert_eq!(link.state(), LinkState::Down);
 }
@@ -86,30 +95,30 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// However it came about: what only fails is down in the end, what only carries is up,
-    /// and between down and up lies at least the time that it must have been steady.
+    /// After any history, a link with only failures ends down and a link with only successes ends
+    /// up. A link that was down comes up no sooner than the `up` threshold after the last failure.
     #[test]
-    fn it_settles_where_the_evidence_points(
+    fn link_settles_according_to_observations(
         steps in proptest::collection::vec((any::<bool>(), 0u64..6, 10u64..900), 1..80),
-        fine in any::<bool>(),
+        succeeds in any::<bool>(),
     ) {
         let mut link = LinkHealth::new(THRESHOLDS);
-        let (mut now, mut broke) = (Micros::from_secs(10), Micros::ZERO);
-        for (good, by, gap) in steps {
-            now += Micros::from_millis(gap);
+        let (mut now, mut last_failure) = (Micros::from_secs(10), Micros::ZERO);
+        for (success, by, gap_ms) in steps {
+            now += Micros::from_millis(gap_ms);
             let before = link.state();
-            link.apply(if good { Observation::Success } else { fail(by) }, now);
-            if !good {
-                broke = now;
+            link.apply(if success { Observation::Success } else { failure_of(by) }, now);
+            if !success {
+                last_failure = now;
             }
             if before == LinkState::Down && link.state() == LinkState::Up {
-                prop_assert!(now - broke >= THRESHOLDS.up);
+                prop_assert!(now - last_failure >= THRESHOLDS.up);
             }
         }
         for by in 0..30 {
             now += Micros::from_millis(400);
-            link.apply(if fine { Observation::Success } else { fail(by) }, now);
+            link.apply(if succeeds { Observation::Success } else { failure_of(by) }, now);
         }
-        prop_assert_eq!(link.state(), if fine { LinkState::Up } else { LinkState::Down });
+        prop_assert_eq!(link.state(), if succeeds { LinkState::Up } else { LinkState::Down });
     }
 }
--- a/crates/jasperhill-membership/tests/model.rs
+++ b/crates/jasperhill-membership/tests/model.rs
@@ -1,204 +1,232 @@
-//! One role among members whose links to the store come and go: every order of looking, writing,
-//! late and lost writes, words by mouth, sessions that end and processes that restart, up to a few
-//! changes of the role. Checked exhaustively (breadth first, by `pathfinding`): never do two
-//! members act with authority at once, and from wherever the failures have led somebody can act
-//! once they are over. Each guard is shown to be needed by leaving it out.
+//! Exhaustive model check of the ownership of one role among members whose links to the store fail
+//! and recover.
 //!
-//! The model follows `control::roles` and `control::store`; time appears only as this: a session
-//! ends in the store no sooner than its member's authority (`authority_ends_in_time`).
+//! The model covers every order of reads, writes, delayed and lost writes, reports of relinquished
+//! ownership, expired sessions and process restarts, up to a few changes of the role. A
+//! breadth-first search (`pathfinding`) checks that two members never act with authority at the
+//! same time, and that from every state that failures lead to, a member can act once the failures
+//! are over. Each guard is shown to be necessary by a search without it.
+//!
+//! The model follows `control::roles` and `control::store`. Time is modelled only by one rule: a
+//! session ends in the store no sooner than the authority of its member (`authority_ends_in_time`).
 
 use pathfinding::prelude::{bfs, bfs_reach};
 use std::collections::HashSet;
 
-const N: usize = 2;
-/// Changes of the role, and sessions begun, that a run may see.
-const VERSIONS: u8 = 3;
-const SESSIONS: u8 = 3;
-const WRITES: usize = 1;
-const STRIDE: usize = 97;
-/// Once nothing fails any more, so many more of both.
-const MORE: u8 = 3;
+/// The number of members.
+const MEMBERS: usize = 2;
+/// The highest version of the role before failures end.
+const VERSIONS_MAX: u8 = 3;
+/// The most sessions that may begin before failures end (count).
+const SESSIONS_MAX: u8 = 3;
+/// The most writes in flight (count).
+const WRITES_IN_FLIGHT_MAX: usize = 1;
+/// One in this many reached states is checked for recovery.
+const CHECKED_STATE_STRIDE: usize = 97;
+/// The additional versions, and sessions, that are allowed once failures have ended (count).
+const EXTRA_AFTER_HEALING: u8 = 3;
 
-/// What is allowed of these.
-fn most(of: u8, healed: bool) -> u8 {
-    if healed { of + MORE } else { of }
+/// Returns the limit on versions or sessions, extended once failures have ended.
+fn limit(base: u8, healed: bool) -> u8 {
+    if healed {
+        base + EXTRA_AFTER_HEALING
+    } else {
+        base
+    }
 }
 
-/// What is left out.
+/// The guard that a search leaves out.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Without {
+enum OmittedGuard {
+    /// No guard is left out.
     Nothing,
-    /// The owner says that it has let go before it stops.
-    StopBeforeWord,
-    /// The owner stops before it writes the next one.
+    /// Left out: the owner stops acting before it reports that it has relinquished the role.
+    StopBeforeReport,
+    /// Left out: the owner stops acting before it writes the next owner.
     StopBeforeHandOver,
-    /// What was given up stays so at that version.
-    Memory,
-    /// A write names the version of the role that it was decided on.
+    /// Left out: a member remembers the version at which it has relinquished the role.
+    RelinquishedMemory,
+    /// Left out: a write is guarded by the version of the role on which it was decided.
     VersionGuard,
-    /// A new session of the owner rewrites its roles, so that they get another version.
-    FreshVersion,
-    /// Authority has ended before the session does.
-    Margin,
-    /// Only a role that names its own session is a member's.
-    OwnLease,
+    /// Left out: a new session of the owner rewrites its roles, which gives them a new version.
+    NewSessionVersion,
+    /// Left out: the authority of a member ends before its session does.
+    AuthorityMargin,
+    /// Left out: a member owns only roles that name its current session.
+    OwnSession,
 }
 
+/// The record of the role in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Seat {
+struct RoleRecord {
     owner: usize,
     lease: u8,
     version: u8,
 }
 
+/// A guarded write of the role's record that is in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Write {
+    /// The version of the role on which the write was decided.
     version: u8,
-    /// A session that must be as it was seen.
+    /// A member and its session, which must be unchanged for the write to succeed.
     session: (usize, u8),
-    /// The new owner and its session, which must be there.
+    /// The new owner and its session, which must exist for the write to succeed.
     to: (usize, u8),
 }
 
+/// The state of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
-    up: bool,
-    /// The session that it believes in; 0: none.
-    holds: u8,
+    /// Whether the link to the store is up.
+    link_up: bool,
+    /// The session that the member assumes to have; 0 for none.
+    session: u8,
+    /// Whether the member has authority.
     authority: bool,
-    /// What its mirror shows; `None` before it has looked.
-    sees: Option<(Seat, [u8; N])>,
-    /// The version that it acts on.
-    acts: u8,
-    given_up: u8,
+    /// The role's record and the sessions in the member's watch cache; `None` before the first
+    /// read.
+    cached: Option<(RoleRecord, [u8; MEMBERS])>,
+    /// The version of the role that the member acts on; 0 for none.
+    acting_version: u8,
+    /// The version at which the member has relinquished the role; 0 for none.
+    relinquished_version: u8,
 }
 
-const NEW: Member = Member {
-    up: true,
-    holds: 0,
+const RESTARTED_MEMBER: Member = Member {
+    link_up: true,
+    session: 0,
     authority: false,
-    sees: None,
-    acts: 0,
-    given_up: 0,
+    cached: None,
+    acting_version: 0,
+    relinquished_version: 0,
 };
 
+/// The state of the store, the members and the messages in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    seat: Seat,
-    sessions: [u8; N],
-    begun: u8,
-    members: [Member; N],
+struct ModelState {
+    role_record: RoleRecord,
+    /// The session of each member in the store; 0 for none.
+    sessions: [u8; MEMBERS],
+    /// The number of sessions begun so far.
+    sessions_begun: u8,
+    members: [Member; MEMBERS],
     writes: Vec<Write>,
-    /// Let go, by whom, at which version. Heard by anybody at any time from then on.
-    words: Vec<(usize, u8)>,
+    /// Reports of relinquished ownership, by member and version. Every member may receive a report
+    /// at any later time.
+    relinquish_reports: Vec<(usize, u8)>,
 }
 
-impl World {
+impl ModelState {
     fn new() -> Self {
-        let seat = Seat {
+        let role_record = RoleRecord {
             owner: 0,
             lease: 1,
             version: 1,
         };
-        let mut members = [NEW, NEW];
+        let mut members = [RESTARTED_MEMBER, RESTARTED_MEMBER];
         for (i, m) in members.iter_mut().enumerate() {
-            m.holds = 1 + i as u8;
+            m.session = 1 + i as u8;
             m.authority = true;
         }
         Self {
-            seat,
+            role_record,
             sessions: [1, 2],
-            begun: 2,
+            sessions_begun: 2,
             members,
             writes: Vec::new(),
-            words: Vec::new(),
+            relinquish_reports: Vec::new(),
         }
     }
 
-    fn acting(&self) -> usize {
-        let acts = |m: &&Member| m.acts != 0 && m.authority;
-        self.members.iter().filter(acts).count()
+    /// Returns the number of members that act on the role with authority.
+    fn acting_members(&self) -> usize {
+        let is_acting = |m: &&Member| m.acting_version != 0 && m.authority;
+        self.members.iter().filter(is_acting).count()
     }
 
+    /// Returns a changed copy in canonical form: messages are sorted, so that equal states compare
+    /// equal.
     fn with(&self, change: impl FnOnce(&mut Self)) -> Self {
         let mut next = self.clone();
         change(&mut next);
         next.writes.sort();
-        next.words.sort();
-        next.words.dedup();
+        next.relinquish_reports.sort();
+        next.relinquish_reports.dedup();
         next
     }
 
-    /// A write reaches the store, maybe late.
-    fn apply(&mut self, write: &Write, healed: bool, without: Without) {
-        let guarded = without == Without::VersionGuard || write.version == self.seat.version;
+    /// Applies a write that reaches the store, possibly late; without effect if a guard fails.
+    fn apply(&mut self, write: &Write, healed: bool, omitted: OmittedGuard) {
+        let version_matches =
+            omitted == OmittedGuard::VersionGuard || write.version == self.role_record.version;
         let (of, session) = write.session;
-        let there = self.sessions[write.to.0] == write.to.1;
-        if guarded
-            && there
+        let new_owner_session_exists = self.sessions[write.to.0] == write.to.1;
+        if version_matches
+            && new_owner_session_exists
             && self.sessions[of] == session
-            && self.seat.version < most(VERSIONS, healed)
+            && self.role_record.version < limit(VERSIONS_MAX, healed)
         {
-            self.seat = Seat {
+            self.role_record = RoleRecord {
                 owner: write.to.0,
                 lease: write.to.1,
-                version: self.seat.version + 1,
+                version: self.role_record.version + 1,
             };
         }
     }
 
-    /// What can happen to a member next. `healed`: nothing fails any more.
-    fn steps_of(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
+    /// Adds all successor states by an event at one member. `healed`: whether failures have ended.
+    fn steps_of(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
         self.fault_steps(i, healed, out);
-        if self.members[i].up {
-            self.session_steps(i, healed, without, out);
+        if self.members[i].link_up {
+            self.session_steps(i, healed, omitted, out);
         }
-        self.role_steps(i, healed, without, out);
-        if self.writes.len() < WRITES {
-            self.write_steps(i, healed, without, out);
+        self.role_steps(i, healed, omitted, out);
+        if self.writes.len() < WRITES_IN_FLIGHT_MAX {
+            self.write_steps(i, healed, omitted, out);
         }
     }
 
-    /// Links and processes fail, or recover.
+    /// Adds failures and recoveries of a member's link, process and authority.
     fn fault_steps(&self, i: usize, healed: bool, out: &mut Vec<Self>) {
         let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
         if !healed {
-            step(&|w| w.members[i].up = !w.members[i].up);
-            // It ends and begins anew: all that it remembered is gone.
-            step(&|w| w.members[i] = NEW);
+            step(&|w| w.members[i].link_up = !w.members[i].link_up);
+            // The process restarts and loses all its state.
+            step(&|w| w.members[i] = RESTARTED_MEMBER);
             step(&|w| w.members[i].authority = false);
-        } else if !self.members[i].up {
-            step(&|w| w.members[i].up = true);
+        } else if !self.members[i].link_up {
+            step(&|w| w.members[i].link_up = true);
         }
     }
 
-    /// What a member does that reaches the store: it looks, and its session begins, goes on or is
-    /// found to be over.
-    fn session_steps(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
+    /// Adds the actions of a member that use its link to the store: it reads the state, and its
+    /// session begins, is renewed or is found to have ended.
+    fn session_steps(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
         let m = &self.members[i];
         let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
-        step(&|w| w.members[i].sees = Some((w.seat, w.sessions)));
-        if m.holds != 0 && self.sessions[i] == m.holds {
+        step(&|w| w.members[i].cached = Some((w.role_record, w.sessions)));
+        if m.session != 0 && self.sessions[i] == m.session {
             step(&|w| w.members[i].authority = true);
-        } else if m.holds != 0 {
+        } else if m.session != 0 {
             step(&|w| {
                 let m = &mut w.members[i];
-                (m.holds, m.authority, m.acts) = (0, false, 0);
+                (m.session, m.authority, m.acting_version) = (0, false, 0);
             });
-        } else if self.begun < most(SESSIONS, healed) {
-            // Its own roles come with the new session, in one transaction; or are left to the
-            // others, by one that has ended again and again.
-            let begin = |w: &mut Self, answered: bool, leaves: bool| {
-                w.begun += 1;
-                w.sessions[i] = w.begun;
-                if w.seat.owner == i && !leaves {
-                    w.seat.lease = w.begun;
-                    if without != Without::FreshVersion {
-                        w.seat.version += 1;
+        } else if self.sessions_begun < limit(SESSIONS_MAX, healed) {
+            // One transaction begins the session and rewrites the member's own roles. A
+            // crash-looping member leaves its roles to other members instead.
+            let begin = |w: &mut Self, answered: bool, leaves_roles: bool| {
+                w.sessions_begun += 1;
+                w.sessions[i] = w.sessions_begun;
+                if w.role_record.owner == i && !leaves_roles {
+                    w.role_record.lease = w.sessions_begun;
+                    if omitted != OmittedGuard::NewSessionVersion {
+                        w.role_record.version += 1;
                     }
                 }
                 if answered {
-                    (w.members[i].holds, w.members[i].authority) = (w.begun, true);
+                    (w.members[i].session, w.members[i].authority) = (w.sessions_begun, true);
                 }
             };
             step(&|w| begin(w, true, false));
@@ -209,86 +237,94 @@
         }
     }
 
-    /// What a member gave up, as it remembers it after giving up what it acts on.
-    fn remembered(&self, i: usize, without: Without) -> u8 {
-        if without == Without::Memory {
+    /// Returns the version that a member remembers as relinquished when it relinquishes the role.
+    fn remembered_version(&self, i: usize, omitted: OmittedGuard) -> u8 {
+        if omitted == OmittedGuard::RelinquishedMemory {
             0
         } else {
-            self.members[i].acts
+            self.members[i].acting_version
         }
     }
 
-    /// A member begins to act on what it sees, stops, or lets go and says so.
-    fn role_steps(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
+    /// Adds the actions of a member on the role: it starts or stops acting, or relinquishes the
+    /// role and reports so.
+    fn role_steps(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
         let m = &self.members[i];
-        let Some((seat, _)) = m.sees else {
+        let Some((role_record, _)) = m.cached else {
             return;
         };
         let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
-        let lease = seat.lease == m.holds || without == Without::OwnLease;
-        let mine = seat.owner == i && lease && m.holds != 0;
-        if mine && m.given_up != seat.version {
-            step(&|w| w.members[i].acts = seat.version);
+        let names_own_session =
+            role_record.lease == m.session || omitted == OmittedGuard::OwnSession;
+        let is_own_role = role_record.owner == i && names_own_session && m.session != 0;
+        if is_own_role && m.relinquished_version != role_record.version {
+            step(&|w| w.members[i].acting_version = role_record.version);
         }
-        if m.acts != 0 && !(mine && m.acts == seat.version) {
-            step(&|w| w.members[i].acts = 0);
+        if m.acting_version != 0 && !(is_own_role && m.acting_version == role_record.version) {
+            step(&|w| w.members[i].acting_version = 0);
         }
-        let remembered = self.remembered(i, without);
-        if m.acts != 0 && !m.up && !healed {
+        let remembered_version = self.remembered_version(i, omitted);
+        if m.acting_version != 0 && !m.link_up && !healed {
             step(&|w| {
-                w.words.push((i, w.members[i].acts));
-                w.members[i].given_up = remembered;
-                if without != Without::StopBeforeWord {
-                    w.members[i].acts = 0;
+                w.relinquish_reports.push((i, w.members[i].acting_version));
+                w.members[i].relinquished_version = remembered_version;
+                if omitted != OmittedGuard::StopBeforeReport {
+                    w.members[i].acting_version = 0;
                 }
             });
         }
     }
 
-    /// A member hands over what it acts on, or takes what is free.
-    fn write_steps(&self, i: usize, healed: bool, without: Without, out: &mut Vec<Self>) {
+    /// Adds the writes of a member: it hands over the role it acts on, or takes over an orphaned
+    /// role.
+    fn write_steps(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
         let m = &self.members[i];
-        let Some((seat, sessions)) = m.sees else {
+        let Some((role_record, sessions)) = m.cached else {
             return;
         };
         let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
-        let remembered = self.remembered(i, without);
+        let remembered_version = self.remembered_version(i, omitted);
         let write = |session, to| Write {
-            version: seat.version,
+            version: role_record.version,
             session,
             to,
         };
         let j = 1 - i;
-        if m.acts != 0 && m.acts == seat.version && sessions[j] != 0 && !healed {
+        if m.acting_version != 0
+            && m.acting_version == role_record.version
+            && sessions[j] != 0
+            && !healed
+        {
             step(&|w| {
                 w.writes.push(write((j, sessions[j]), (j, sessions[j])));
-                w.members[i].given_up = remembered;
-                if without != Without::StopBeforeHandOver {
-                    w.members[i].acts = 0;
+                w.members[i].relinquished_version = remembered_version;
+                if omitted != OmittedGuard::StopBeforeHandOver {
+                    w.members[i].acting_version = 0;
                 }
             });
         }
-        if !m.authority || m.holds == 0 || !m.up {
+        if !m.authority || m.session == 0 || !m.link_up {
             return;
         }
-        let me = (i, m.holds);
-        if seat.owner == i {
-            if m.given_up == seat.version || seat.lease != m.holds {
+        let me = (i, m.session);
+        if role_record.owner == i {
+            if m.relinquished_version == role_record.version || role_record.lease != m.session {
                 step(&|w| w.writes.push(write(me, me)));
             }
-        } else if sessions[j] != seat.lease {
+        } else if sessions[j] != role_record.lease {
             step(&|w| w.writes.push(write((j, sessions[j]), me)));
-        } else if self.words.contains(&(j, seat.version)) {
+        } else if self.relinquish_reports.contains(&(j, role_record.version)) {
             step(&|w| w.writes.push(write(me, me)));
         }
     }
 
-    fn steps(&self, healed: bool, without: Without) -> Vec<Self> {
+    /// Returns all successor states.
+    fn steps(&self, healed: bool, omitted: OmittedGuard) -> Vec<Self> {
         let mut out = Vec::new();
         for (n, write) in self.writes.iter().enumerate() {
             out.push(self.with(|w| {
                 w.writes.remove(n);
-                w.apply(write, healed, without);
+                w.apply(write, healed, omitted);
             }));
             if !healed {
                 out.push(self.with(|w| {
@@ -296,74 +332,89 @@
                 }));
             }
         }
-        for i in 0..N {
+        for i in 0..MEMBERS {
             let m = &self.members[i];
-            let over = !(m.holds == self.sessions[i] && m.authority);
-            if self.sessions[i] != 0 && (over || without == Without::Margin) {
-                let alive = m.holds == self.sessions[i] && m.up;
-                // Healed, a session that is renewed does not end.
-                if !(healed && alive) {
+            let authority_over = !(m.session == self.sessions[i] && m.authority);
+            if self.sessions[i] != 0 && (authority_over || omitted == OmittedGuard::AuthorityMargin)
+            {
+                let is_renewed = m.session == self.sessions[i] && m.link_up;
+                // Once failures have ended, a session that is renewed does not end.
+                if !(healed && is_renewed) {
                     out.push(self.with(|w| w.sessions[i] = 0));
                 }
             }
-            self.steps_of(i, healed, without, &mut out);
+            self.steps_of(i, healed, omitted, &mut out);
         }
         out.retain(|w| w != self);
         out
     }
 }
 
-fn two_act(without: Without) -> Option<Vec<World>> {
+fn path_to_two_acting_members(omitted: OmittedGuard) -> Option<Vec<ModelState>> {
     bfs(
-        &World::new(),
-        |w| w.steps(false, without),
-        |w| w.acting() > 1,
+        &ModelState::new(),
+        |w| w.steps(false, omitted),
+        |w| w.acting_members() > 1,
     )
 }
 
+/// Two members never act on the role with authority at the same time.
 #[test]
-fn never_do_two_members_act_at_once() {
-    assert!(two_act(Without::Nothing).is_none());
+fn two_members_never_act_at_same_time() {
+    assert!(path_to_two_acting_members(OmittedGuard::Nothing).is_none());
 }
 
+/// Without any one of the guards, two members can act on the role at the same time.
 #[test]
-fn each_guard_is_needed() {
-    for (name, without) in [
-        ("stop before the word", Without::StopBeforeWord),
-        ("stop before the hand-over", Without::StopBeforeHandOver),
-        ("memory of what was given up", Without::Memory),
-        ("the version in the write", Without::VersionGuard),
-        ("a fresh version with a new session", Without::FreshVersion),
-        ("the margin of the authority", Without::Margin),
-        ("the own session in the role", Without::OwnLease),
+fn two_members_act_if_any_guard_is_omitted() {
+    for (name, omitted) in [
+        ("stop before the report", OmittedGuard::StopBeforeReport),
+        (
+            "stop before the hand-over",
+            OmittedGuard::StopBeforeHandOver,
+        ),
+        (
+            "memory of relinquished versions",
+            OmittedGuard::RelinquishedMemory,
+        ),
+        ("version guard of writes", OmittedGuard::VersionGuard),
+        (
+            "new version with a new session",
+            OmittedGuard::NewSessionVersion,
+        ),
+        (
+            "safety margin of the authority",
+            OmittedGuard::AuthorityMargin,
+        ),
+        ("own session in the role record", OmittedGuard::OwnSession),
     ] {
-        let path = two_act(without);
+        let path = path_to_two_acting_members(omitted);
         assert!(path.is_some(), "not needed: {name}");
     }
 }
 
-/// Without failures somebody can act again, wherever they have led: no state is a trap. Of the
-/// states reached, every so manieth.
+/// Once failures have ended, a member can act again from every state that failures lead to: there
+/// is no deadlock. Checks one in [`CHECKED_STATE_STRIDE`] of the reached states.
 #[test]
-fn somebody_can_act_once_the_failures_are_over() {
-    let mut fine: HashSet<World> = HashSet::new();
-    let mut looked = 0usize;
-    for world in bfs_reach(World::new(), |w| w.steps(false, Without::Nothing)) {
-        looked += 1;
-        if !looked.is_multiple_of(STRIDE) {
+fn a_member_can_act_once_failures_have_ended() {
+    let mut recoverable: HashSet<ModelState> = HashSet::new();
+    let mut states_reached = 0usize;
+    for state in bfs_reach(ModelState::new(), |w| w.steps(false, OmittedGuard::Nothing)) {
+        states_reached += 1;
+        if !states_reached.is_multiple_of(CHECKED_STATE_STRIDE) {
             continue;
         }
-        if fine.contains(&world) {
+        if recoverable.contains(&state) {
             continue;
         }
         let path = bfs(
-            &world,
-            |w| w.steps(true, Without::Nothing),
-            |w| w.acting() == 1 || fine.contains(w),
+            &state,
+            |w| w.steps(true, OmittedGuard::Nothing),
+            |w| w.acting_members() == 1 || recoverable.contains(w),
         );
-        assert!(path.is_some(), "a trap: {world:?}");
-        fine.extend(path.into_iter().flatten());
+        assert!(path.is_some(), "no member can act again: {state:?}");
+        recoverable.extend(path.into_iter().flatten());
     }
-    assert!(looked > 100_000, "{looked}");
-    println!("{looked} states");
+    assert!(states_reached > 100_000, "{states_reached}");
+    println!("{states_reached} states");
 }
--- a/crates/jasperhill-membership/tests/restart_history.rs
+++ b/crates/jasperhill-membership/tests/restart_history.rs
@@ -1,28 +1,31 @@
-//! Crash loops are told from single quick ends.
+//! Tests that distinguish crash loops from single quick restarts.
 
 use jasperhill_membership::restart_history::{Input, Phase, ProcessRun, RestartHistory};
 use jasperhill_wire::Micros;
 
-const DAY: Micros = Micros::from_secs(1_700_000_000);
+const WALL_START: Micros = Micros::from_secs(1_700_000_000);
 
-/// Runs of these lengths in milliseconds, one after the other: the phase of each when it began.
+/// Simulates consecutive runs with the given lengths in milliseconds and returns the phase of each
+/// run at its start.
 fn phases_of_runs(lengths: &[u64]) -> Vec<Phase> {
-    let (mut wall, mut former) = (DAY, None);
+    let (mut wall, mut former) = (WALL_START, None);
     let mut phases = Vec::new();
-    for ms in lengths {
+    for run_ms in lengths {
         let mut history = RestartHistory::new(3, Micros::from_secs(3_600));
         phases.push(history.apply(
             Input::SessionStarting { former, wall },
             Micros::from_secs(3_600),
         ));
         former = Some(history.current());
-        wall += Micros::from_millis(*ms);
+        wall += Micros::from_millis(*run_ms);
     }
     phases
 }
 
+/// The first two quick restarts have no effect; from the third on, the back-off grows with each
+/// one.
 #[test]
-fn one_or_two_quick_ends_are_no_habit_and_more_are() {
+fn crash_loop_starts_at_third_quick_restart() {
     let phases = phases_of_runs(&[1_000, 1_000, 1_000, 1_000, 300, 300]);
     assert_eq!(phases[..3], [Phase::Stable; 3]);
     let until = |s: u64| Phase::CrashLooping {
@@ -31,22 +34,25 @@
     assert_eq!(phases[3..], [until(4), until(6), until(8)]);
 }
 
+/// A long run resets the count of quick restarts.
 #[test]
-fn one_that_has_lived_for_long_starts_from_nothing() {
+fn long_run_resets_quick_restarts() {
     let phases = phases_of_runs(&[1_000, 1_000, 1_000, 120_000, 1_000, 1_000]);
     assert!(matches!(phases[3], Phase::CrashLooping { .. }));
     assert_eq!(phases[4..], [Phase::Stable; 2]);
 }
 
+/// A crash-looping process becomes stable at the end of its back-off, both by its own monotonic
+/// clock and by the wall-clock time that other members use.
 #[test]
-fn it_is_steady_once_it_has_lived_for_a_while() {
+fn process_is_stable_after_backoff() {
     let now = Micros::from_secs(3_600);
     let former = Some(ProcessRun {
-        started: DAY,
+        started: WALL_START,
         quick_restarts: 5,
     });
     let mut history = RestartHistory::new(3, now);
-    let wall = DAY + Micros::from_secs(1);
+    let wall = WALL_START + Micros::from_secs(1);
     history.apply(Input::SessionStarting { former, wall }, now);
     assert!(
         history
@@ -58,38 +64,41 @@
             .current()
             .is_crash_looping(3, wall + Micros::from_secs(10))
     );
-    let later = |s: u64| now + Micros::from_secs(s);
+    let after_s = |s: u64| now + Micros::from_secs(s);
     assert!(matches!(
-        history.apply(Input::Tick, later(9)),
+        history.apply(Input::Tick, after_s(9)),
         Phase::CrashLooping { .. }
     ));
-    assert_eq!(history.apply(Input::Tick, later(10)), Phase::Stable);
-    // A session that is begun anew by the same process changes nothing.
-    let again = Input::SessionStarting { former, wall };
-    assert_eq!(history.apply(again, later(11)), Phase::Stable);
-    assert_eq!(RestartHistory::new(0, now).apply(again, now), Phase::Stable);
+    assert_eq!(history.apply(Input::Tick, after_s(10)), Phase::Stable);
+    // A later session of the same process does not change the phase.
+    let session_restart = Input::SessionStarting { former, wall };
+    assert_eq!(history.apply(session_restart, after_s(11)), Phase::Stable);
+    assert_eq!(
+        RestartHistory::new(0, now).apply(session_restart, now),
+        Phase::Stable
+    );
 }
 
-/// What happens: while all controllers end again and again, workers lose tasks although some
-/// controller answers most of the time. Why: a controller holds a heartbeat back for up to 3.4 s
-/// until a role has moved, and ends before that, so that the worker waits for nothing, several
-/// times within its lease. Seen at seed 5 of `play-scenario crash-loops`: of 282 heartbeats without
-/// an answer for over a second 243 were held back by a process that then ended.
+/// Guards against workers that lose tasks while all controllers are crash-looping, although some
+/// controller responds most of the time. A controller holds a heartbeat back for up to 3.4 s until
+/// a role has moved. If the process ends before that, the worker waits in vain, several times
+/// within its lease. Seen at seed 5 of `play-scenario crash-loops`: of 282 heartbeats without a
+/// response for over a second, 243 were held back by a process that then ended.
 #[test]
-fn a_run_after_a_quick_restart_is_settled_only_after_a_while() {
-    let (start, wall) = (Micros::from_secs(3_600), DAY + Micros::from_secs(1));
-    let begin = |former: Option<ProcessRun>| {
+fn run_after_quick_restart_is_settled_after_quick_run_time() {
+    let (start, wall) = (Micros::from_secs(3_600), WALL_START + Micros::from_secs(1));
+    let start_session = |former: Option<ProcessRun>| {
         let mut history = RestartHistory::new(3, start);
         assert!(!history.is_settled(start), "it knows nothing yet");
         history.apply(Input::SessionStarting { former, wall }, start);
         history
     };
-    assert!(begin(None).is_settled(start));
+    assert!(start_session(None).is_settled(start));
     let former = Some(ProcessRun {
-        started: DAY,
+        started: WALL_START,
         quick_restarts: 0,
     });
-    let restarted = begin(former);
+    let restarted = start_session(former);
     assert!(!restarted.is_settled(start + Micros::from_secs(9)));
     assert!(restarted.is_settled(start + Micros::from_secs(10)));
 }
