--- a/crates/jasperhill-connections/src/budget.rs
+++ b/crates/jasperhill-connections/src/budget.rs
@@ -176,7 +176,7 @@
             Input::RequestFinished(id) => self.finish_request(id, now),
             Input::Closed(id) => {
                 if let Some(entry) = self.entries.remove(id) {
-                    self.unindex(id, entry);
+                    self.remove_from_index(id, entry);
                     self.usage[entry.class].open -= 1;
                 }
                 Output::Recorded
@@ -185,7 +185,7 @@
     }
 
     /// Removes a connection from the index of its phase.
-    fn unindex(&mut self, id: ConnectionId, entry: Entry) {
+    fn remove_from_index(&mut self, id: ConnectionId, entry: Entry) {
         match entry.phase {
             Phase::Idle(since) => {
                 self.idle[entry.class].remove(&(since, id));
@@ -201,7 +201,7 @@
             return;
         };
         let previous = std::mem::replace(entry, Entry { class, phase });
-        self.unindex(id, previous);
+        self.remove_from_index(id, previous);
         self.usage[previous.class].open -= 1;
         let usage = &mut self.usage[class];
         usage.open += 1;
@@ -271,7 +271,7 @@
 
     /// Returns the number of open connections that are not evicted; evicted ones are about to
     /// close.
-    fn active(&self) -> usize {
+    fn active_count(&self) -> usize {
         self.entries.len() - self.evicted
     }
 
@@ -287,7 +287,7 @@
             return self.refuse(class, now);
         }
         let mut evicted = None;
-        if self.active() >= self.plan.limit {
+        if self.active_count() >= self.plan.limit {
             evicted = self.evict_one(now);
             if evicted.is_none() && !always_admitted {
                 return self.refuse(class, now);
@@ -378,7 +378,7 @@
         let class = entry.class;
         let guaranteed = !Self::is_reconnectable(class)
             && (self.usage[class].open <= self.plan.guaranteed[class] || class == Class::State);
-        if self.active() > self.plan.keep_alive_limit && !guaranteed {
+        if self.active_count() > self.plan.keep_alive_limit && !guaranteed {
             return Output::Close;
         }
         self.set_phase(id, class, Phase::Idle(now));
--- a/crates/jasperhill-connections/src/limiter.rs
+++ b/crates/jasperhill-connections/src/limiter.rs
@@ -1,6 +1,6 @@
-//! The concurrency limiter for commands to workers. It bounds the number of hosts with a request in
-//! flight to one request per host, prefers responsive hosts, and applies exponential back-off to
-//! hosts that do not respond.
+//! The concurrency limiter for commands to workers. The limiter bounds the number of hosts with a
+//! request in flight, allows one request per host, prefers responsive hosts, and applies
+//! exponential back-off to hosts that do not respond.
 //!
 //! [`ConcurrencyLimiter`] owns the queue and the back-off of each host. Every change goes through
 //! [`ConcurrencyLimiter::apply`], which returns the hosts that the caller sends to next.
@@ -26,7 +26,8 @@
 const QUEUE_TIME_MAX_MICROS: u64 = 3_600_000_000;
 /// The number of significant digits that the histogram keeps of a queueing time.
 const QUEUE_TIME_SIGNIFICANT_DIGITS: u8 = 2;
-/// The least number of slots: one for responsive hosts and one for unresponsive hosts.
+/// The lowest limit on requests in flight: one slot for responsive hosts and one for unresponsive
+/// hosts.
 const MAX_CONCURRENCY_FLOOR: usize = 2;
 
 /// Whether a host is queued, being sent a request, backing off or idle.
@@ -74,9 +75,13 @@
 pub struct ConcurrencyLimiter<K: Ord + Clone> {
     /// The most requests in flight.
     max_concurrency: usize,
+    /// The tracked hosts.
     hosts: BTreeMap<K, Host>,
+    /// Queued hosts that were responsive when queued or were heard from since.
     responsive_queue: VecDeque<K>,
+    /// Queued hosts that were not known to be responsive when queued.
     unresponsive_queue: VecDeque<K>,
+    /// The number of requests in flight.
     in_flight: usize,
     /// Requests in flight to hosts that were not known to be responsive when dispatched.
     in_flight_unresponsive: usize,
@@ -135,14 +140,14 @@
     /// and reports as completed later. Only this function changes the queues, slots and back-offs.
     pub fn apply(&mut self, input: Input<K>, now: Micros) -> Vec<K> {
         match input {
-            Input::Enqueue(key) => self.enqueue(key, now),
-            Input::Heard(key) => {
-                if let Some(host) = self.hosts.get_mut(&key) {
+            Input::Enqueue(id) => self.enqueue(id, now),
+            Input::Heard(id) => {
+                if let Some(host) = self.hosts.get_mut(&id) {
                     let was_responsive = std::mem::replace(&mut host.responsive, true);
                     // A host that was heard from does not wait behind hosts that may be
                     // unreachable.
                     if !was_responsive && matches!(host.phase, Phase::Queued(_)) {
-                        self.responsive_queue.push_back(key.clone());
+                        self.responsive_queue.push_back(id.clone());
                     }
                     host.backoff = BACKOFF_MIN;
                     if let Phase::BackingOff { .. } = host.phase {
@@ -150,15 +155,15 @@
                     }
                 }
             }
-            Input::Completed(key, responded) => self.complete(&key, responded, now),
+            Input::Completed(id, responded) => self.complete(&id, responded, now),
             Input::Tick => {
                 let is_due = |host: &Host| matches!(host.phase, Phase::BackingOff { until, pending: true } if now >= until);
-                let due: Vec<K> = (self.hosts.iter())
+                let due_hosts: Vec<K> = (self.hosts.iter())
                     .filter(|(_, host)| is_due(host))
-                    .map(|(key, _)| key.clone())
+                    .map(|(id, _)| id.clone())
                     .collect();
-                for key in due {
-                    self.enqueue(key, now);
+                for id in due_hosts {
+                    self.enqueue(id, now);
                 }
             }
             Input::Resize(max_concurrency) => {
@@ -171,7 +176,7 @@
     /// Queues a host, or marks the request as pending if the host is backing off. A host that is
     /// already queued or in flight is unchanged, because the caller sends all pending commands of a
     /// host in one request.
-    fn enqueue(&mut self, key: K, now: Micros) {
+    fn enqueue(&mut self, id: K, now: Micros) {
         if self.hosts.len() > TRACKED_HOSTS_MAX {
             self.hosts.retain(|_, host| match host.phase {
                 Phase::BackingOff { until, pending } => pending || now < until,
@@ -179,7 +184,7 @@
                 Phase::Queued(_) | Phase::InFlight { .. } => true,
             });
         }
-        let host = self.hosts.entry(key.clone()).or_insert(Host {
+        let host = self.hosts.entry(id.clone()).or_insert(Host {
             phase: Phase::Idle,
             responsive: false,
             backoff: BACKOFF_MIN,
@@ -197,15 +202,15 @@
         }
         host.phase = Phase::Queued(now);
         if host.responsive {
-            self.responsive_queue.push_back(key);
+            self.responsive_queue.push_back(id);
         } else {
-            self.unresponsive_queue.push_back(key);
+            self.unresponsive_queue.push_back(id);
         }
     }
 
     /// Frees the slot of a host and updates its back-off.
-    fn complete(&mut self, key: &K, responded: Option<bool>, now: Micros) {
-        let Some(host) = self.hosts.get_mut(key) else {
+    fn complete(&mut self, id: &K, responded: Option<bool>, now: Micros) {
+        let Some(host) = self.hosts.get_mut(id) else {
             return;
         };
         let Phase::InFlight { unresponsive } = host.phase else {
@@ -238,25 +243,26 @@
         while self.in_flight < self.max_concurrency {
             let unresponsive_allowed =
                 self.in_flight_unresponsive < self.max_concurrency.div_ceil(2);
-            let key = match self.responsive_queue.pop_front() {
-                Some(key) => Some(key),
+            let id = match self.responsive_queue.pop_front() {
+                Some(id) => Some(id),
                 None if unresponsive_allowed => self.unresponsive_queue.pop_front(),
                 None => None,
             };
-            let Some(key) = key else { break };
-            let Some(host) = self.hosts.get_mut(&key) else {
+            let Some(id) = id else { break };
+            let Some(host) = self.hosts.get_mut(&id) else {
                 continue;
             };
             // A host that was heard from while queued is in both queues.
-            let Phase::Queued(since) = host.phase else {
+            let Phase::Queued(queued_since) = host.phase else {
                 continue;
             };
-            self.queue_times.saturating_record((now - since).0.max(1));
+            self.queue_times
+                .saturating_record((now - queued_since).0.max(1));
             let unresponsive = !host.responsive;
             host.phase = Phase::InFlight { unresponsive };
             self.in_flight += 1;
             self.in_flight_unresponsive += usize::from(unresponsive);
-            dispatched.push(key);
+            dispatched.push(id);
         }
         dispatched
     }
--- a/crates/jasperhill-connections/src/plan.rs
+++ b/crates/jasperhill-connections/src/plan.rs
@@ -19,23 +19,23 @@
 /// The purpose of a connection. The budget guarantees a number of connections to each class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Enum)]
 pub enum Class {
-    /// Outbound, to the key-value store.
+    /// Outbound connections to the key-value store.
     State,
-    /// Outbound, to the cloud provider.
+    /// Outbound connections to the cloud provider.
     Cloud,
-    /// Outbound, to other controllers.
+    /// Outbound connections to other controllers.
     Peers,
-    /// Outbound, to workers (commands).
+    /// Outbound connections to workers (commands).
     Commands,
-    /// Inbound, before the first request shows its purpose.
+    /// Inbound connections whose purpose is unknown because no request has arrived yet.
     Accepted,
-    /// Inbound, from readiness and health probes.
+    /// Inbound connections from readiness and health probes.
     Health,
-    /// Inbound, from other controllers.
+    /// Inbound connections from other controllers.
     Mesh,
-    /// Inbound, from workers (heartbeats).
+    /// Inbound connections from workers (heartbeats).
     Heartbeats,
-    /// Inbound, from users of the API.
+    /// Inbound connections from users of the API.
     Users,
 }
 
@@ -73,8 +73,8 @@
 /// The inputs of [`BudgetPlan::new`], all counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanInputs {
-    /// The connections that the settings of the platform allow the process. Values below
-    /// [`MAX_CONNECTIONS_FLOOR`] are raised to it.
+    /// The connections that the platform allows the process, according to the settings. Values
+    /// below [`MAX_CONNECTIONS_FLOOR`] are raised to it.
     pub max_connections: usize,
     /// The number of other controllers of the cluster.
     pub peers: usize,
--- a/crates/jasperhill-connections/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -38,6 +38,7 @@
     Machines(usize),
 }
 
+/// Generates a history of up to 600 steps.
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..9usize).prop_map(Step::Open),
@@ -191,7 +192,8 @@
         self.apply(Input::Closed(closed.id));
     }
 
-    fn check(&self) -> Result<(), TestCaseError> {
+    /// Checks that the counts of the budget match the open connections and respect the limits.
+    fn check_invariants(&self) -> Result<(), TestCaseError> {
         let budget = &self.budget;
         let open_total: usize = Class::ALL.iter().map(|c| budget.usage(*c).open).sum();
         prop_assert_eq!(open_total, self.open.len());
@@ -208,7 +210,7 @@
     let mut history = History::new(max_connections);
     for step in steps {
         history.step(*step)?;
-        history.check()?;
+        history.check_invariants()?;
     }
     Ok(())
 }
@@ -244,12 +246,12 @@
         let mut now = START;
         let mut in_flight: Vec<u32> = Vec::new();
         let mut failed_at: BTreeMap<u32, Micros> = BTreeMap::new();
-        let mut sent: BTreeSet<u32> = BTreeSet::new();
-        let mut requested: BTreeSet<u32> = BTreeSet::new();
+        let mut sent_hosts: BTreeSet<u32> = BTreeSet::new();
+        let mut requested_hosts: BTreeSet<u32> = BTreeSet::new();
         for (host, event, ms) in steps {
             let dispatched = match event {
                 0 | 1 => {
-                    requested.insert(host);
+                    requested_hosts.insert(host);
                     limiter.apply(limiter::Input::Enqueue(host), now)
                 }
                 2 if !in_flight.is_empty() => {
@@ -271,7 +273,7 @@
                 if let Some(at) = failed_at.get(&host) {
                     prop_assert!(now - *at >= Micros::from_millis(900), "{host} was not given its back-off");
                 }
-                sent.insert(host);
+                sent_hosts.insert(host);
                 in_flight.push(host);
             }
             prop_assert!(in_flight.len() <= size);
@@ -286,9 +288,9 @@
                 in_flight.extend(limiter.apply(limiter::Input::Completed(host, Some(responded)), now));
             }
             in_flight.extend(limiter.apply(limiter::Input::Tick, now));
-            sent.extend(&in_flight);
+            sent_hosts.extend(&in_flight);
         }
-        prop_assert!(requested.is_subset(&sent), "{requested:?} {sent:?}");
+        prop_assert!(requested_hosts.is_subset(&sent_hosts), "{requested_hosts:?} {sent_hosts:?}");
         prop_assert_eq!(limiter.queued(), 0);
     }
 }
@@ -301,14 +303,14 @@
     const HEARTBEAT_INTERVAL_MS: u64 = 5_000;
     let is_dead = |host: u32| host.is_multiple_of(3);
     let mut limiter = ConcurrencyLimiter::new(64);
-    let mut busy: Vec<(u64, u32)> = Vec::new();
+    let mut completions: Vec<(u64, u32)> = Vec::new();
     let mut responsive_hosts = BTreeSet::new();
     let (mut all_responded_ms, mut commands_sent, mut queued_commands) = (None, 0, 0);
     for ms in 0..20_000u64 {
         let now = START + Micros::from_millis(ms);
         let (completed, remaining): (Vec<_>, Vec<_>) =
-            busy.into_iter().partition(|(at, _)| *at <= ms);
-        busy = remaining;
+            completions.into_iter().partition(|(at, _)| *at <= ms);
+        completions = remaining;
         let mut dispatched = Vec::new();
         for host in 0..900 {
             if ms == 0 {
@@ -337,7 +339,7 @@
             dispatched.extend(dispatched_now);
         }
         for host in dispatched {
-            busy.push((ms + if is_dead(host) { 1_500 } else { 4 }, host));
+            completions.push((ms + if is_dead(host) { 1_500 } else { 4 }, host));
         }
     }
     assert!(
--- a/crates/jasperhill-membership/src/freshness.rs
+++ b/crates/jasperhill-membership/src/freshness.rs
@@ -17,8 +17,8 @@
 /// The allowance for late timers of both the controller that answers a heartbeat and the worker
 /// that ends its tasks.
 const TIMER_DELAY_ALLOWANCE: Micros = Micros::from_millis(1_500);
-/// The multiple of [`CLOCK_DRIFT`] that is subtracted: covers the drift of both clocks, over the
-/// lease as well as the age of the knowledge, and a reserve.
+/// The multiple of [`CLOCK_DRIFT`] by which the lease counts longer: covers the drift of both
+/// clocks, over the lease as well as the age of the knowledge, and a reserve.
 const DRIFT_FACTOR: f64 = 10.0;
 /// The maximum age of a delegate's knowledge. A delegate answers heartbeats under a grant of an
 /// owner that it cannot communicate with.
@@ -41,8 +41,10 @@
 /// delegates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessBounds {
-    owner: Micros,
-    delegate: Micros,
+    /// The maximum age of an owner's knowledge.
+    owner_age_max: Micros,
+    /// The maximum age of a delegate's knowledge.
+    delegate_age_max: Micros,
 }
 
 /// Error: [`LeaseTerms::cancel`] is too short for the lease time.
@@ -55,7 +57,7 @@
 impl LeaseTerms {
     /// Returns the part of `cancel` that is needed regardless of the age of the knowledge: the
     /// lease, clock drift and late timers.
-    fn fixed_time(&self) -> Micros {
+    fn age_independent_time(&self) -> Micros {
         self.lease + self.lease.scale(CLOCK_DRIFT * DRIFT_FACTOR) + TIMER_DELAY_ALLOWANCE
     }
 
@@ -66,17 +68,17 @@
     ///
     /// Returns [`CancelTooShort`] if no lease renewal could be guaranteed to expire in time.
     pub fn bounds(&self) -> Result<FreshnessBounds, CancelTooShort> {
-        let remaining = self.cancel - self.fixed_time();
-        if remaining < OWNER_KNOWLEDGE_AGE_MIN {
-            let least = self.fixed_time() + OWNER_KNOWLEDGE_AGE_MIN;
+        let time_for_knowledge_age = self.cancel - self.age_independent_time();
+        if time_for_knowledge_age < OWNER_KNOWLEDGE_AGE_MIN {
+            let least = self.age_independent_time() + OWNER_KNOWLEDGE_AGE_MIN;
             return Err(CancelTooShort { least });
         }
         // A bound longer than a lease has no benefit: the leases of workers that an owner does not
         // answer for that long have expired anyway.
-        let owner = remaining.min(self.lease);
+        let owner_age_max = time_for_knowledge_age.min(self.lease);
         Ok(FreshnessBounds {
-            owner,
-            delegate: DELEGATE_KNOWLEDGE_AGE_MAX.min(owner),
+            owner_age_max,
+            delegate_age_max: DELEGATE_KNOWLEDGE_AGE_MAX.min(owner_age_max),
         })
     }
 }
@@ -84,7 +86,7 @@
 impl FreshnessBounds {
     /// Returns the maximum age of an owner's knowledge when the owner renews a lease.
     pub fn owner(&self) -> Micros {
-        self.owner
+        self.owner_age_max
     }
 
     /// Returns the time until which an owner may renew a lease if it knows all cancellations
@@ -92,13 +94,13 @@
     /// command based on that knowledge, because the worker may still execute the command under the
     /// same token.
     pub fn until(&self, known_as_of: Micros) -> Micros {
-        known_as_of + self.owner
+        known_as_of + self.owner_age_max
     }
 
     /// Returns the time until which a delegate may answer heartbeats if it knows all cancellations
     /// confirmed before `known_as_of`.
     pub fn delegate_until(&self, known_as_of: Micros) -> Micros {
-        known_as_of + self.delegate
+        known_as_of + self.delegate_age_max
     }
 }
 
--- a/crates/jasperhill-membership/src/freshness/tests.rs
+++ b/crates/jasperhill-membership/src/freshness/tests.rs
@@ -59,18 +59,18 @@
                 + bound.as_secs_f64() * (1.0 + CLOCK_DRIFT) * fraction_of_allowed
                 + timer_delay
         };
-        let owner = last_answer(bounds.until(Micros::ZERO));
-        let delegate = last_answer(bounds.delegate_until(Micros::ZERO));
+        let owner_last_answer = last_answer(bounds.until(Micros::ZERO));
+        let delegate_last_answer = last_answer(bounds.delegate_until(Micros::ZERO));
         // An answer of an owner: sent directly, relayed, or held back until a takeover.
-        prop_assert!(tasks_ended_by(owner, lease, worker_timer_delay) < cancel);
+        prop_assert!(tasks_ended_by(owner_last_answer, lease, worker_timer_delay) < cancel);
         // An answer of a delegate, limited by the delegate's own knowledge.
-        prop_assert!(tasks_ended_by(delegate, lease, worker_timer_delay) < cancel);
+        prop_assert!(tasks_ended_by(delegate_last_answer, lease, worker_timer_delay) < cancel);
         // A start command sent directly to the worker, based on that knowledge. The worker may
         // execute the command while its lease is alive and the token is unchanged. Renewals end at
         // `until` of the knowledge behind the start command, as for an owner, including renewals by
         // a delegate under a grant.
-        let grant = last_answer(bounds.until(Micros::ZERO));
-        prop_assert!(tasks_ended_by(grant, lease, worker_timer_delay) < cancel);
+        let grant_last_answer = last_answer(bounds.until(Micros::ZERO));
+        prop_assert!(tasks_ended_by(grant_last_answer, lease, worker_timer_delay) < cancel);
     }
 
     /// A longer cancellation time never lowers the bound for an owner, a delegate's bound never
@@ -79,15 +79,15 @@
     #[test]
     fn bounds_are_monotone(terms in lease_terms(), extra_ms in 0u64..60_000) {
         if let Ok(bounds) = terms.bounds() {
-            let longer = LeaseTerms { cancel: terms.cancel + Micros::from_millis(extra_ms), ..terms };
-            let longer_bounds = longer.bounds().unwrap();
+            let longer_terms = LeaseTerms { cancel: terms.cancel + Micros::from_millis(extra_ms), ..terms };
+            let longer_bounds = longer_terms.bounds().unwrap();
             prop_assert!(longer_bounds.owner() >= bounds.owner());
             prop_assert!(bounds.delegate_until(Micros::ZERO) <= bounds.until(Micros::ZERO));
             prop_assert!(bounds.owner() <= terms.lease);
         } else {
             let CancelTooShort { least } = terms.bounds().unwrap_err();
-            let sufficient = LeaseTerms { cancel: least, ..terms };
-            prop_assert!(sufficient.bounds().is_ok());
+            let sufficient_terms = LeaseTerms { cancel: least, ..terms };
+            prop_assert!(sufficient_terms.bounds().is_ok());
         }
     }
 }
--- a/crates/jasperhill-membership/src/link.rs
+++ b/crates/jasperhill-membership/src/link.rs
@@ -126,7 +126,8 @@
     fn after_success(&mut self, now: Micros) -> LinkState {
         self.success_weight += 1.0;
         // The failures of an outage that is over do not count against the link. The reset is
-        // limited by FAILURE_RESET_INTERVAL, because otherwise a lossy link would count as healthy.
+        // limited by [`FAILURE_RESET_INTERVAL`], because otherwise a lossy link would count as
+        // healthy.
         if self.state == LinkState::Down
             && self.failures >= FAILURES_MIN
             && self
@@ -139,10 +140,12 @@
         self.failing_since = None;
         self.failures = 0;
         self.failed_counterparts.clear();
-        let since = *self.succeeding_since.get_or_insert(now);
+        let succeeding_since = *self.succeeding_since.get_or_insert(now);
         let is_stable = self.failure_weight * RECOVERY_WEIGHT_RATIO <= self.success_weight;
         match self.state {
-            LinkState::Down if is_stable && now - since >= self.thresholds.up => LinkState::Up,
+            LinkState::Down if is_stable && now - succeeding_since >= self.thresholds.up => {
+                LinkState::Up
+            }
             LinkState::Down => LinkState::Down,
             // Without this check a lossy link would be up after each success.
             _ if self.is_lossy() => LinkState::Down,
@@ -159,10 +162,10 @@
         if self.failed_counterparts.len() < FAILED_COUNTERPARTS_MAX {
             self.failed_counterparts.insert(by);
         }
-        let since = *self.failing_since.get_or_insert(now);
+        let failing_since = *self.failing_since.get_or_insert(now);
         let is_cut_off = self.failed_counterparts.len() >= of.clamp(1, FAILED_COUNTERPARTS_MIN)
             && self.failures >= FAILURES_MIN
-            && now - since >= self.thresholds.down;
+            && now - failing_since >= self.thresholds.down;
         match self.state {
             LinkState::Down => LinkState::Down,
             _ if is_cut_off || self.is_lossy() => LinkState::Down,
--- a/crates/jasperhill-membership/src/reachability.rs
+++ b/crates/jasperhill-membership/src/reachability.rs
@@ -83,7 +83,7 @@
     PeerReport(&'a ReachabilityReport),
 }
 
-/// A result of applying an [`Input`] that the caller acts on.
+/// An effect of an [`Input`] that the caller acts on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// The link changed from the first state to the second.
@@ -136,8 +136,8 @@
     peer_reports: BTreeMap<Member, PeerReport>,
     /// The wall-clock start time of this process, which orders the reports of successive processes.
     process_started: Micros,
-    /// The number of reports that this process has created.
-    number: u64,
+    /// The number of reports that this process has created; numbers its next report.
+    reports_created: u64,
     peers: Vec<Member>,
 }
 
@@ -180,7 +180,7 @@
             zones: BTreeMap::new(),
             peer_reports: BTreeMap::new(),
             process_started,
-            number: 0,
+            reports_created: 0,
             peers,
         }
     }
@@ -221,18 +221,18 @@
 
     /// Stores the report of another controller unless a report at least as new is stored.
     fn store_peer_report(&mut self, report: &ReachabilityReport, now: Micros) {
-        let from = &report.from;
-        let is_peer = *from != self.me && self.peers.contains(from);
-        let is_old = self.peer_reports.get(from).is_some_and(|kept| {
-            let kept = &kept.report;
-            (kept.process_started, kept.number) >= (report.process_started, report.number)
+        let sender = &report.from;
+        let is_peer = *sender != self.me && self.peers.contains(sender);
+        let is_old = self.peer_reports.get(sender).is_some_and(|stored| {
+            let stored = &stored.report;
+            (stored.process_started, stored.number) >= (report.process_started, report.number)
         });
         if is_peer && !is_old {
-            let kept = PeerReport {
+            let peer_report = PeerReport {
                 report: report.clone(),
                 received: now,
             };
-            self.peer_reports.insert(from.clone(), kept);
+            self.peer_reports.insert(sender.clone(), peer_report);
         }
     }
 
@@ -252,16 +252,16 @@
             .links
             .entry(id.clone())
             .or_insert_with(|| LinkHealth::new(thresholds(&id)));
-        let before = link.state();
+        let previous_state = link.state();
         if !link.apply(observation, now) {
             return Vec::new();
         }
-        let after = link.state();
-        let mut outputs = vec![Output::Changed(id.clone(), before, after)];
+        let new_state = link.state();
+        let mut outputs = vec![Output::Changed(id.clone(), previous_state, new_state)];
         // Commands get through again after an outage, so heartbeats may as well: the heartbeat link
         // is unknown until the next observation.
         if let LinkId::Commands(zone) = id
-            && (before, after) == (LinkState::Down, LinkState::Up)
+            && (previous_state, new_state) == (LinkState::Down, LinkState::Up)
         {
             let heartbeats = LinkId::Heartbeats(zone);
             outputs.extend(self.observe(heartbeats, Observation::NoCounterpart, now));
@@ -388,7 +388,7 @@
         relinquished: Vec<(Role, Revision)>,
         now: Micros,
     ) -> ReachabilityReport {
-        self.number += 1;
+        self.reports_created += 1;
         let zones = self.zones.iter().map(|(zone, state)| {
             let (heartbeats, commands) = self.zone_links(&self.me, zone, now);
             ZoneLinks {
@@ -401,7 +401,7 @@
         ReachabilityReport {
             from: self.me.clone(),
             process_started: self.process_started,
-            number: self.number,
+            number: self.reports_created,
             store: self.own_link(&LinkId::Store),
             cloud: self.own_link(&LinkId::Cloud),
             zones: zones.collect(),
--- a/crates/jasperhill-membership/src/restart_history.rs
+++ b/crates/jasperhill-membership/src/restart_history.rs
@@ -127,8 +127,9 @@
     /// clock: its session started without a preceding quick restart, or it has run for longer than
     /// a quick run.
     pub fn is_settled(&self, now: Micros) -> bool {
-        let is_first_run = self.phase != Phase::NotStarted && self.current.quick_restarts == 0;
-        is_first_run || now - self.process_started >= QUICK_RUN
+        let no_quick_restart_before =
+            self.phase != Phase::NotStarted && self.current.quick_restarts == 0;
+        no_quick_restart_before || now - self.process_started >= QUICK_RUN
     }
 
     /// Applies one input at `now`, by the monotonic clock, and returns the resulting phase. No
--- a/crates/jasperhill-membership/src/roles.rs
+++ b/crates/jasperhill-membership/src/roles.rs
@@ -149,7 +149,7 @@
     HandOver {
         /// The role.
         role: Role,
-        /// The new owner.
+        /// The member that becomes the owner of the role.
         to: Member,
         /// Whether to hand over without waiting for outstanding commands: this controller cannot
         /// reach the role's hosts, and the new owner does not assume that any command has
@@ -161,7 +161,7 @@
     Relinquish(Role),
 }
 
-/// A member's session.
+/// The live session of a member.
 #[derive(Clone, Copy, Debug)]
 struct LiveSession {
     lease: u64,
@@ -235,12 +235,12 @@
     }
 
     /// Returns the preferred owner of a role, a fixed assignment by the order of members.
-    pub fn home(&self, role: Role) -> &Member {
-        let n = match role {
-            Role::Partition(p) => p as usize % self.members.len(),
+    pub fn preferred_owner(&self, role: Role) -> &Member {
+        let index = match role {
+            Role::Partition(partition) => partition as usize % self.members.len(),
             Role::Leader => 0,
         };
-        &self.members[n]
+        &self.members[index]
     }
 
     /// Applies one input and returns the role changes to carry out. No other function changes this
@@ -248,7 +248,7 @@
     pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Transition> {
         match input {
             // The age of a member counts from its newest session. Otherwise roles would return to a
-            // preferred owner that restarts again and again.
+            // preferred owner that keeps restarting.
             Input::Session(member, Some(lease)) => {
                 let known = self.sessions.get(member);
                 if known.is_none_or(|session| session.lease != lease) {
@@ -274,7 +274,7 @@
     fn evaluate(&mut self, snapshot: &Snapshot, now: Micros) -> Vec<Transition> {
         self.record_moves(snapshot, now);
         self.record_unknown_links(snapshot, now);
-        let relinquish = self.should_relinquish(snapshot, now);
+        let must_relinquish = self.should_relinquish(snapshot, now);
         let mut transitions = Vec::new();
         let partitions = (0..self.partition_count).map(Role::Partition);
         for role in partitions.chain([Role::Leader]) {
@@ -285,7 +285,7 @@
                     self.orphaned_since.remove(&role);
                     transitions.push(Transition::Hold(role, own.version));
                     if snapshot.held.contains(&role) {
-                        transitions.extend(self.move_away(role, relinquish, snapshot, now));
+                        transitions.extend(self.move_away(role, must_relinquish, snapshot, now));
                     }
                 }
                 _ => {
@@ -309,11 +309,11 @@
     fn move_away(
         &mut self,
         role: Role,
-        relinquish: bool,
+        must_relinquish: bool,
         snapshot: &Snapshot,
         now: Micros,
     ) -> Option<Transition> {
-        if relinquish {
+        if must_relinquish {
             return Some(Transition::Relinquish(role));
         }
         let hand_over = self.hand_over(role, snapshot, now)?;
@@ -324,9 +324,9 @@
     /// Returns the takeover of an orphaned role once the takeover delay of this controller is over.
     fn take_over(&mut self, role: Role, snapshot: &Snapshot, now: Micros) -> Option<Transition> {
         let own_store_link = snapshot.eligibility_of(role, &self.me).state;
-        // A write could be executed without a response reaching this controller. Its report of a
-        // relinquished role names a version and would no longer apply once the store has a newer
-        // one.
+        // While the store does not respond to this controller, a takeover write could be executed
+        // without its response arriving. This controller's report of a relinquished role names a
+        // version, and is void once the store has a newer version of the role.
         if snapshot.reachability_enabled && own_store_link == LinkState::Down {
             return None;
         }
@@ -334,8 +334,9 @@
         if self.defers_to_others(snapshot) {
             return None;
         }
-        let since = *self.orphaned_since.entry(role).or_insert(now);
-        let is_due = now - since >= self.takeover_delay(role, snapshot) && snapshot.may_acquire;
+        let orphaned_since = *self.orphaned_since.entry(role).or_insert(now);
+        let is_due =
+            now - orphaned_since >= self.takeover_delay(role, snapshot) && snapshot.may_acquire;
         (is_due && self.in_transition.insert(role)).then_some(Transition::Acquire(role))
     }
 
@@ -351,9 +352,9 @@
     fn record_moves(&mut self, snapshot: &Snapshot, now: Micros) {
         for (role, ownership) in &snapshot.ownerships {
             let owner = &ownership.owner;
-            let last = self.last_owner.insert(*role, owner.clone());
-            let from = last.filter(|from| from != owner);
-            if from.is_some_and(|from| self.sessions.contains_key(&from)) {
+            let previous_owner = self.last_owner.insert(*role, owner.clone());
+            let moved_from = previous_owner.filter(|previous| previous != owner);
+            if moved_from.is_some_and(|previous| self.sessions.contains_key(&previous)) {
                 self.last_moved_at.insert(*role, now);
             }
         }
@@ -394,9 +395,10 @@
     /// with the rank of this controller, which counts from the role's preferred owner in member
     /// order.
     fn takeover_delay(&self, role: Role, snapshot: &Snapshot) -> Micros {
-        let n = self.members.len();
+        let member_count = self.members.len();
         let index = |m: &Member| self.members.iter().position(|x| x == m).unwrap_or(0);
-        let rank = ((index(&self.me) + n - index(self.home(role))) % n) as u64;
+        let rank = ((index(&self.me) + member_count - index(self.preferred_owner(role)))
+            % member_count) as u64;
         if !snapshot.ownerships.contains_key(&role) {
             return Micros::from_secs(NEVER_OWNED_ROLE_DELAY_S * rank);
         }
@@ -423,7 +425,7 @@
                 && self.sessions.contains_key(*m)
                 && own.is_worse_than(&snapshot.eligibility_of(role, m), hosts)
         };
-        let preferred_owner = self.home(role);
+        let preferred_owner = self.preferred_owner(role);
         let best_owner = self.members.iter().filter(is_better).max_by_key(|m| {
             let eligibility = snapshot.eligibility_of(role, m);
             (
@@ -444,8 +446,9 @@
     fn member_with_unknown_links(&self, role: Role, snapshot: &Snapshot) -> Option<&Member> {
         let own = snapshot.eligibility_of(role, &self.me);
         let hosts = snapshot.hosts_of(role);
-        let cut_off = snapshot.reachability_enabled && hosts > 0 && own.unreachable_hosts >= hosts;
-        if !cut_off {
+        let is_cut_off =
+            snapshot.reachability_enabled && hosts > 0 && own.unreachable_hosts >= hosts;
+        if !is_cut_off {
             return None;
         }
         let has_unknown_links = |m: &&Member| {
@@ -472,10 +475,10 @@
             return is_due.then_some(Transition::HandOver { role, to, urgent });
         }
         self.better_owners.remove(&role);
-        let returns = !is_damped && self.may_return_to_preferred_owner(role, snapshot, now);
-        returns.then(|| Transition::HandOver {
+        let is_return_due = !is_damped && self.may_return_to_preferred_owner(role, snapshot, now);
+        is_return_due.then(|| Transition::HandOver {
             role,
-            to: self.home(role).clone(),
+            to: self.preferred_owner(role).clone(),
             urgent: false,
         })
     }
@@ -483,13 +486,13 @@
     /// Returns whether a member has been the better owner of a role for long enough to move the
     /// role.
     fn is_candidate_due(&mut self, role: Role, member: &Member, now: Micros) -> bool {
-        let new = || Candidate {
+        let new_candidate = || Candidate {
             member: member.clone(),
             since: now,
         };
-        let candidate = self.better_owners.entry(role).or_insert_with(new);
+        let candidate = self.better_owners.entry(role).or_insert_with(new_candidate);
         if candidate.member != *member {
-            *candidate = new();
+            *candidate = new_candidate();
         }
         let member_unknown_since = self.links_unknown_since.get(member);
         // The waiting time prevents roles from moving back and forth with a flapping link. For a
@@ -503,7 +506,7 @@
     /// from moving to a worse owner, or to a process that has ended while its session has not
     /// expired.
     fn may_return_to_preferred_owner(&self, role: Role, snapshot: &Snapshot, now: Micros) -> bool {
-        let preferred_owner = self.home(role);
+        let preferred_owner = self.preferred_owner(role);
         let session = self.sessions.get(preferred_owner);
         let session_old_enough =
             session.is_some_and(|session| now - session.since > PREFERRED_OWNER_SESSION_AGE_MIN);
@@ -515,9 +518,9 @@
         {
             return false;
         }
-        let preferred_eligibility = snapshot.eligibility_of(role, preferred_owner);
-        let is_worse = preferred_eligibility.state != LinkState::Up
-            || preferred_eligibility.unreachable_hosts
+        let preferred_owner_eligibility = snapshot.eligibility_of(role, preferred_owner);
+        let is_worse = preferred_owner_eligibility.state != LinkState::Up
+            || preferred_owner_eligibility.unreachable_hosts
                 > ignored_host_difference(snapshot.hosts_of(role));
         !snapshot.reachability_enabled || !is_worse
     }
--- a/crates/jasperhill-membership/src/roles/tests.rs
+++ b/crates/jasperhill-membership/src/roles/tests.rs
@@ -50,9 +50,18 @@
 }
 
 /// Changes the eligibility of a member for all roles.
-fn set_eligibility(snapshot: &mut Snapshot, m: usize, change: impl Fn(&mut Eligibility)) {
+fn set_eligibility(
+    snapshot: &mut Snapshot,
+    member_index: usize,
+    change: impl Fn(&mut Eligibility),
+) {
     for role in [PARTITION, Role::Leader] {
-        change(snapshot.eligibility.get_mut(&(role, member(m))).unwrap());
+        change(
+            snapshot
+                .eligibility
+                .get_mut(&(role, member(member_index)))
+                .unwrap(),
+        );
     }
 }
 
@@ -113,20 +122,21 @@
 /// an owner that reaches some workers keeps the role.
 #[test]
 fn owner_without_reachable_hosts_hands_over_to_member_with_unknown_links() {
-    for (reached, hands_over) in [(0, true), (30, false)] {
+    for (reachable_hosts, is_handed_over) in [(0, true), (30, false)] {
         let (mut roles, mut snapshot) = roles_and_snapshot();
         set_eligibility(&mut snapshot, 0, |eligibility| {
-            (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (reached, 100 - reached);
+            (eligibility.reachable_hosts, eligibility.unreachable_hosts) =
+                (reachable_hosts, 100 - reachable_hosts);
         });
-        for m in [1, 2] {
-            set_eligibility(&mut snapshot, m, |eligibility| {
+        for member_index in [1, 2] {
+            set_eligibility(&mut snapshot, member_index, |eligibility| {
                 *eligibility = Eligibility::default()
             });
         }
         assert!(role_changes(&mut roles, &snapshot, START).is_empty());
         assert!(role_changes(&mut roles, &snapshot, START + CANDIDATE_STABLE_TIME).is_empty());
         let later = role_changes(&mut roles, &snapshot, START + UNKNOWN_LINKS_GRACE_TIME);
-        assert_eq!(!later.is_empty(), hands_over);
+        assert_eq!(!later.is_empty(), is_handed_over);
     }
 }
 
@@ -156,12 +166,12 @@
 /// assignment by reachability is disabled.
 #[test]
 fn partition_returns_unless_preferred_owner_is_unreachable_or_ended() {
-    type Change = fn(&mut Eligibility);
-    let unreachable: Change =
+    type EligibilityChange = fn(&mut Eligibility);
+    let unreachable: EligibilityChange =
         |eligibility| (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (0, 100);
     // The process has ended but its session has not expired.
-    let ended: Change = |eligibility| *eligibility = Eligibility::default();
-    let cases: [(Option<Change>, bool); 4] = [
+    let ended: EligibilityChange = |eligibility| *eligibility = Eligibility::default();
+    let cases: [(Option<EligibilityChange>, bool); 4] = [
         (None, true),
         (Some(unreachable), true),
         (Some(ended), true),
@@ -176,9 +186,9 @@
         if let Some(preferred_owner_change) = preferred_owner_change {
             set_eligibility(&mut snapshot, 0, preferred_owner_change);
         }
-        let hands_over = !role_changes(&mut roles, &snapshot, START).is_empty();
+        let is_handed_over = !role_changes(&mut roles, &snapshot, START).is_empty();
         assert_eq!(
-            hands_over,
+            is_handed_over,
             preferred_owner_change.is_none() || !reachability_enabled
         );
     }
@@ -198,8 +208,8 @@
         role_changes(&mut roles, &snapshot, later),
         [Transition::Relinquish(PARTITION)]
     );
-    for m in [1, 2] {
-        set_eligibility(&mut snapshot, m, |eligibility| {
+    for member_index in [1, 2] {
+        set_eligibility(&mut snapshot, member_index, |eligibility| {
             eligibility.state = LinkState::Down
         });
     }
@@ -266,12 +276,15 @@
     snapshot.ownerships.get_mut(&PARTITION).unwrap().lease = 99;
     snapshot.ownerships.get_mut(&PARTITION).unwrap().live = false;
     snapshot.crash_looping = [member(0)].into();
-    let late = START + Micros::from_secs(60);
+    let after_takeover_delay = START + Micros::from_secs(60);
     assert_eq!(role_changes(&mut roles, &snapshot, START), []);
-    assert_eq!(role_changes(&mut roles, &snapshot, late), []);
+    assert_eq!(
+        role_changes(&mut roles, &snapshot, after_takeover_delay),
+        []
+    );
     snapshot.crash_looping = (0..3).map(member).collect();
     assert_eq!(
-        role_changes(&mut roles, &snapshot, late),
+        role_changes(&mut roles, &snapshot, after_takeover_delay),
         [Transition::Acquire(PARTITION)]
     );
 
--- a/crates/jasperhill-membership/tests/authority.rs
+++ b/crates/jasperhill-membership/tests/authority.rs
@@ -5,16 +5,16 @@
 use proptest::prelude::*;
 
 fn input() -> impl Strategy<Value = Input> {
-    let t = (0u64..100_000_000).prop_map(Micros);
+    let time = (0u64..100_000_000).prop_map(Micros);
     prop_oneof![
-        (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Begun {
+        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::Begun {
             lease,
             version: Revision(1),
             sent
         }),
-        (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Renewed { lease, sent }),
+        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::Renewed { lease, sent }),
         (0u64..3).prop_map(|lease| Input::Lost { lease }),
-        t.prop_map(|sent| Input::Fresh { sent }),
+        time.prop_map(|sent| Input::Fresh { sent }),
     ]
 }
 
@@ -30,19 +30,19 @@
     fn authority_ends_in_time(inputs in proptest::collection::vec(input(), 1..40)) {
         let (ttl, cache_age_max) = (Micros::from_secs(10), Micros::from_secs(15));
         let mut authority = Authority::new(ttl, cache_age_max);
-        let (mut sent, mut fresh, mut held) = (Micros::ZERO, Micros::ZERO, None);
+        let (mut last_renewal_sent, mut cache_fresh_until, mut held_lease) = (Micros::ZERO, Micros::ZERO, None);
         for input in inputs {
             authority.apply(input);
             match input {
-                Input::Begun { lease, sent: s, .. } => { held = Some(lease); sent = s; }
-                Input::Renewed { lease, sent: s } if held == Some(lease) => sent = sent.max(s),
-                Input::Lost { lease } if held == Some(lease) => held = None,
-                Input::Fresh { sent: s } => fresh = fresh.max(s),
+                Input::Begun { lease, sent: s, .. } => { held_lease = Some(lease); last_renewal_sent = s; }
+                Input::Renewed { lease, sent: s } if held_lease == Some(lease) => last_renewal_sent = last_renewal_sent.max(s),
+                Input::Lost { lease } if held_lease == Some(lease) => held_lease = None,
+                Input::Fresh { sent: s } => cache_fresh_until = cache_fresh_until.max(s),
                 _ => {}
             }
-            prop_assert!(authority.until() < sent + ttl);
-            prop_assert!(authority.until() <= fresh + cache_age_max);
-            prop_assert!(held.is_some() || !authority.holds(Micros::ZERO));
+            prop_assert!(authority.until() < last_renewal_sent + ttl);
+            prop_assert!(authority.until() <= cache_fresh_until + cache_age_max);
+            prop_assert!(held_lease.is_some() || !authority.holds(Micros::ZERO));
         }
     }
 }
--- a/crates/jasperhill-membership/tests/link.rs
+++ b/crates/jasperhill-membership/tests/link.rs
@@ -18,7 +18,7 @@
 /// seconds after an outage is over.
 #[test]
 fn link_is_up_on_first_success_after_outage() {
-    let at = Micros::from_millis;
+    let at_ms = Micros::from_millis;
     let mut link = LinkHealth::new(Thresholds {
         up: Micros::ZERO,
         ..THRESHOLDS
@@ -27,47 +27,47 @@
     let simulate_outage = |link: &mut LinkHealth, now: &mut u64| {
         for _ in 0..20 {
             *now += 900;
-            link.apply(failure_of(*now), at(*now));
+            link.apply(failure_of(*now), at_ms(*now));
         }
         assert_eq!(link.state(), LinkState::Down);
     };
     simulate_outage(&mut link, &mut now);
-    link.apply(Observation::Success, at(now + 100));
+    link.apply(Observation::Success, at_ms(now + 100));
     assert_eq!(link.state(), LinkState::Up);
     // A flapping link needs more successes.
     for by in 0..4 {
         now += 900;
-        link.apply(failure_of(by), at(now));
+        link.apply(failure_of(by), at_ms(now));
     }
     assert_eq!(link.state(), LinkState::Down);
-    link.apply(Observation::Success, at(now + 100));
+    link.apply(Observation::Success, at_ms(now + 100));
     assert_eq!(link.state(), LinkState::Down);
 }
 
 /// Repeated failures of one counterpart make a link suspect; failures of several counterparts take
-/// the link down. It comes up again only after successes over some time.
+/// the link down. The link comes up again only after successes over some time.
 #[test]
 fn link_is_suspect_with_one_failed_counterpart_and_down_with_several() {
-    let at = Micros::from_millis;
+    let at_ms = Micros::from_millis;
     let mut link = LinkHealth::new(THRESHOLDS);
-    link.apply(Observation::Success, at(1_000));
+    link.apply(Observation::Success, at_ms(1_000));
     assert_eq!(link.state(), LinkState::Up);
     for step in 0..3 {
-        link.apply(failure_of(7), at(2_000 + 500 * step));
+        link.apply(failure_of(7), at_ms(2_000 + 500 * step));
     }
     assert_eq!(link.state(), LinkState::Suspect);
-    link.apply(failure_of(8), at(3_400));
-    link.apply(failure_of(9), at(3_500));
+    link.apply(failure_of(8), at_ms(3_400));
+    link.apply(failure_of(9), at_ms(3_500));
     assert_eq!(link.state(), LinkState::Down);
     // The first success does not bring the link up; successes over some time do.
-    link.apply(Observation::Success, at(9_000));
+    link.apply(Observation::Success, at_ms(9_000));
     assert_eq!(link.state(), LinkState::Down);
-    link.apply(failure_of(7), at(10_000));
-    link.apply(Observation::Success, at(11_000));
-    link.apply(Observation::Success, at(12_500));
+    link.apply(failure_of(7), at_ms(10_000));
+    link.apply(Observation::Success, at_ms(11_000));
+    link.apply(Observation::Success, at_ms(12_500));
     assert_eq!(link.state(), LinkState::Down);
     for step in 0..4 {
-        link.apply(Observation::Success, at(13_000 + 200 * step));
+        link.apply(Observation::Success, at_ms(13_000 + 200 * step));
     }
     assert_eq!(link.state(), LinkState::Up);
 }
--- a/crates/jasperhill-membership/tests/model.rs
+++ b/crates/jasperhill-membership/tests/model.rs
@@ -27,7 +27,7 @@
 const EXTRA_AFTER_HEALING: u8 = 3;
 
 /// Returns the limit on versions or sessions, extended once failures have ended.
-fn limit(base: u8, healed: bool) -> u8 {
+fn extended_limit(base: u8, healed: bool) -> u8 {
     if healed {
         base + EXTRA_AFTER_HEALING
     } else {
@@ -35,32 +35,36 @@
     }
 }
 
-/// The guard that a search leaves out.
+/// The guard that a search omits.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum OmittedGuard {
-    /// No guard is left out.
+    /// Omits no guard.
     Nothing,
-    /// Left out: the owner stops acting before it reports that it has relinquished the role.
+    /// Omits the guard that the owner stops acting before it reports the role as relinquished.
     StopBeforeReport,
-    /// Left out: the owner stops acting before it writes the next owner.
+    /// Omits the guard that the owner stops acting before it writes the next owner.
     StopBeforeHandOver,
-    /// Left out: a member remembers the version at which it has relinquished the role.
+    /// Omits the guard that a member remembers the version at which it has relinquished the role.
     RelinquishedMemory,
-    /// Left out: a write is guarded by the version of the role on which it was decided.
+    /// Omits the guard that a write succeeds only at the role's version on which it was decided.
     VersionGuard,
-    /// Left out: a new session of the owner rewrites its roles, which gives them a new version.
+    /// Omits the guard that a new session of the owner rewrites its roles, which gives the roles a
+    /// new version.
     NewSessionVersion,
-    /// Left out: the authority of a member ends before its session does.
+    /// Omits the guard that the authority of a member ends before its session does.
     AuthorityMargin,
-    /// Left out: a member owns only roles that name its current session.
+    /// Omits the guard that a member owns only roles that name its current session.
     OwnSession,
 }
 
 /// The record of the role in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct RoleRecord {
+    /// The index of the owner.
     owner: usize,
+    /// The owner's session when the record was written.
     lease: u8,
+    /// The version, which grows with each write.
     version: u8,
 }
 
@@ -70,9 +74,9 @@
     /// The version of the role on which the write was decided.
     version: u8,
     /// A member and its session, which must be unchanged for the write to succeed.
-    session: (usize, u8),
+    guarded_session: (usize, u8),
     /// The new owner and its session, which must exist for the write to succeed.
-    to: (usize, u8),
+    new_owner: (usize, u8),
 }
 
 /// The state of one member.
@@ -93,6 +97,7 @@
     relinquished_version: u8,
 }
 
+/// A member whose process has just started.
 const RESTARTED_MEMBER: Member = Member {
     link_up: true,
     session: 0,
@@ -105,12 +110,14 @@
 /// The state of the store, the members and the messages in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ModelState {
+    /// The role's record in the store.
     role_record: RoleRecord,
     /// The session of each member in the store; 0 for none.
     sessions: [u8; MEMBERS],
     /// The number of sessions begun so far.
     sessions_begun: u8,
     members: [Member; MEMBERS],
+    /// Writes in flight.
     writes: Vec<Write>,
     /// Reports of relinquished ownership, by member and version. Every member may receive a report
     /// at any later time.
@@ -118,6 +125,7 @@
 }
 
 impl ModelState {
+    /// Returns the initial state: both members have sessions and authority, member 0 owns the role.
     fn new() -> Self {
         let role_record = RoleRecord {
             owner: 0,
@@ -125,9 +133,9 @@
             version: 1,
         };
         let mut members = [RESTARTED_MEMBER, RESTARTED_MEMBER];
-        for (i, m) in members.iter_mut().enumerate() {
-            m.session = 1 + i as u8;
-            m.authority = true;
+        for (i, member) in members.iter_mut().enumerate() {
+            member.session = 1 + i as u8;
+            member.authority = true;
         }
         Self {
             role_record,
@@ -141,13 +149,13 @@
 
     /// Returns the number of members that act on the role with authority.
     fn acting_members(&self) -> usize {
-        let is_acting = |m: &&Member| m.acting_version != 0 && m.authority;
+        let is_acting = |member: &&Member| member.acting_version != 0 && member.authority;
         self.members.iter().filter(is_acting).count()
     }
 
     /// Returns a changed copy in canonical form: messages are sorted, so that equal states compare
     /// equal.
-    fn with(&self, change: impl FnOnce(&mut Self)) -> Self {
+    fn with_change(&self, change: impl FnOnce(&mut Self)) -> Self {
         let mut next = self.clone();
         change(&mut next);
         next.writes.sort();
@@ -160,79 +168,94 @@
     fn apply(&mut self, write: &Write, healed: bool, omitted: OmittedGuard) {
         let version_matches =
             omitted == OmittedGuard::VersionGuard || write.version == self.role_record.version;
-        let (of, session) = write.session;
-        let new_owner_session_exists = self.sessions[write.to.0] == write.to.1;
+        let (guarded_member, session) = write.guarded_session;
+        let new_owner_session_exists = self.sessions[write.new_owner.0] == write.new_owner.1;
         if version_matches
             && new_owner_session_exists
-            && self.sessions[of] == session
-            && self.role_record.version < limit(VERSIONS_MAX, healed)
+            && self.sessions[guarded_member] == session
+            && self.role_record.version < extended_limit(VERSIONS_MAX, healed)
         {
             self.role_record = RoleRecord {
-                owner: write.to.0,
-                lease: write.to.1,
+                owner: write.new_owner.0,
+                lease: write.new_owner.1,
                 version: self.role_record.version + 1,
             };
         }
     }
 
     /// Adds all successor states by an event at one member. `healed`: whether failures have ended.
-    fn steps_of(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
-        self.fault_steps(i, healed, out);
+    fn member_steps(
+        &self,
+        i: usize,
+        healed: bool,
+        omitted: OmittedGuard,
+        successors: &mut Vec<Self>,
+    ) {
+        self.fault_steps(i, healed, successors);
         if self.members[i].link_up {
-            self.session_steps(i, healed, omitted, out);
+            self.session_steps(i, healed, omitted, successors);
         }
-        self.role_steps(i, healed, omitted, out);
+        self.role_steps(i, healed, omitted, successors);
         if self.writes.len() < WRITES_IN_FLIGHT_MAX {
-            self.write_steps(i, healed, omitted, out);
+            self.write_steps(i, healed, omitted, successors);
         }
     }
 
     /// Adds failures and recoveries of a member's link, process and authority.
-    fn fault_steps(&self, i: usize, healed: bool, out: &mut Vec<Self>) {
-        let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
+    fn fault_steps(&self, i: usize, healed: bool, successors: &mut Vec<Self>) {
+        let mut add_successor =
+            |change: &dyn Fn(&mut Self)| successors.push(self.with_change(change));
         if !healed {
-            step(&|w| w.members[i].link_up = !w.members[i].link_up);
+            add_successor(&|state| state.members[i].link_up = !state.members[i].link_up);
             // The process restarts and loses all its state.
-            step(&|w| w.members[i] = RESTARTED_MEMBER);
-            step(&|w| w.members[i].authority = false);
+            add_successor(&|state| state.members[i] = RESTARTED_MEMBER);
+            add_successor(&|state| state.members[i].authority = false);
         } else if !self.members[i].link_up {
-            step(&|w| w.members[i].link_up = true);
+            add_successor(&|state| state.members[i].link_up = true);
         }
     }
 
     /// Adds the actions of a member that use its link to the store: it reads the state, and its
     /// session begins, is renewed or is found to have ended.
-    fn session_steps(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
-        let m = &self.members[i];
-        let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
-        step(&|w| w.members[i].cached = Some((w.role_record, w.sessions)));
-        if m.session != 0 && self.sessions[i] == m.session {
-            step(&|w| w.members[i].authority = true);
-        } else if m.session != 0 {
-            step(&|w| {
-                let m = &mut w.members[i];
-                (m.session, m.authority, m.acting_version) = (0, false, 0);
+    fn session_steps(
+        &self,
+        i: usize,
+        healed: bool,
+        omitted: OmittedGuard,
+        successors: &mut Vec<Self>,
+    ) {
+        let member = &self.members[i];
+        let mut add_successor =
+            |change: &dyn Fn(&mut Self)| successors.push(self.with_change(change));
+        add_successor(&|state| state.members[i].cached = Some((state.role_record, state.sessions)));
+        if member.session != 0 && self.sessions[i] == member.session {
+            add_successor(&|state| state.members[i].authority = true);
+        } else if member.session != 0 {
+            add_successor(&|state| {
+                let member = &mut state.members[i];
+                (member.session, member.authority, member.acting_version) = (0, false, 0);
             });
-        } else if self.sessions_begun < limit(SESSIONS_MAX, healed) {
+        } else if self.sessions_begun < extended_limit(SESSIONS_MAX, healed) {
             // One transaction begins the session and rewrites the member's own roles. A
             // crash-looping member leaves its roles to other members instead.
-            let begin = |w: &mut Self, answered: bool, leaves_roles: bool| {
-                w.sessions_begun += 1;
-                w.sessions[i] = w.sessions_begun;
-                if w.role_record.owner == i && !leaves_roles {
-                    w.role_record.lease = w.sessions_begun;
+            let begin_session = |state: &mut Self, response_received: bool, leaves_roles: bool| {
+                state.sessions_begun += 1;
+                state.sessions[i] = state.sessions_begun;
+                if state.role_record.owner == i && !leaves_roles {
+                    state.role_record.lease = state.sessions_begun;
                     if omitted != OmittedGuard::NewSessionVersion {
-                        w.role_record.version += 1;
+                        state.role_record.version += 1;
                     }
                 }
-                if answered {
-                    (w.members[i].session, w.members[i].authority) = (w.sessions_begun, true);
+                if response_received {
+                    (state.members[i].session, state.members[i].authority) =
+                        (state.sessions_begun, true);
                 }
             };
-            step(&|w| begin(w, true, false));
-            step(&|w| begin(w, true, true));
+            add_successor(&|state| begin_session(state, true, false));
+            add_successor(&|state| begin_session(state, true, true));
             if !healed {
-                step(&|w| begin(w, false, false));
+                add_successor(&|state| begin_session(state, false, false));
             }
         }
     }
@@ -248,28 +271,39 @@
 
     /// Adds the actions of a member on the role: it starts or stops acting, or relinquishes the
     /// role and reports so.
-    fn role_steps(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
-        let m = &self.members[i];
-        let Some((role_record, _)) = m.cached else {
+    fn role_steps(
+        &self,
+        i: usize,
+        healed: bool,
+        omitted: OmittedGuard,
+        successors: &mut Vec<Self>,
+    ) {
+        let member = &self.members[i];
+        let Some((role_record, _)) = member.cached else {
             return;
         };
-        let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
+        let mut add_successor =
+            |change: &dyn Fn(&mut Self)| successors.push(self.with_change(change));
         let names_own_session =
-            role_record.lease == m.session || omitted == OmittedGuard::OwnSession;
-        let is_own_role = role_record.owner == i && names_own_session && m.session != 0;
-        if is_own_role && m.relinquished_version != role_record.version {
-            step(&|w| w.members[i].acting_version = role_record.version);
+            role_record.lease == member.session || omitted == OmittedGuard::OwnSession;
+        let is_own_role = role_record.owner == i && names_own_session && member.session != 0;
+        if is_own_role && member.relinquished_version != role_record.version {
+            add_successor(&|state| state.members[i].acting_version = role_record.version);
         }
-        if m.acting_version != 0 && !(is_own_role && m.acting_version == role_record.version) {
-            step(&|w| w.members[i].acting_version = 0);
+        if member.acting_version != 0
+            && !(is_own_role && member.acting_version == role_record.version)
+        {
+            add_successor(&|state| state.members[i].acting_version = 0);
         }
         let remembered_version = self.remembered_version(i, omitted);
-        if m.acting_version != 0 && !m.link_up && !healed {
-            step(&|w| {
-                w.relinquish_reports.push((i, w.members[i].acting_version));
-                w.members[i].relinquished_version = remembered_version;
+        if member.acting_version != 0 && !member.link_up && !healed {
+            add_successor(&|state| {
+                state
+                    .relinquish_reports
+                    .push((i, state.members[i].acting_version));
+                state.members[i].relinquished_version = remembered_version;
                 if omitted != OmittedGuard::StopBeforeReport {
-                    w.members[i].acting_version = 0;
+                    state.members[i].acting_version = 0;
                 }
             });
         }
@@ -277,84 +311,100 @@
 
     /// Adds the writes of a member: it hands over the role it acts on, or takes over an orphaned
     /// role.
-    fn write_steps(&self, i: usize, healed: bool, omitted: OmittedGuard, out: &mut Vec<Self>) {
-        let m = &self.members[i];
-        let Some((role_record, sessions)) = m.cached else {
+    fn write_steps(
+        &self,
+        i: usize,
+        healed: bool,
+        omitted: OmittedGuard,
+        successors: &mut Vec<Self>,
+    ) {
+        let member = &self.members[i];
+        let Some((role_record, sessions)) = member.cached else {
             return;
         };
-        let mut step = |change: &dyn Fn(&mut Self)| out.push(self.with(change));
+        let mut add_successor =
+            |change: &dyn Fn(&mut Self)| successors.push(self.with_change(change));
         let remembered_version = self.remembered_version(i, omitted);
-        let write = |session, to| Write {
+        let write = |guarded_session, new_owner| Write {
             version: role_record.version,
-            session,
-            to,
+            guarded_session,
+            new_owner,
         };
-        let j = 1 - i;
-        if m.acting_version != 0
-            && m.acting_version == role_record.version
-            && sessions[j] != 0
+        let other = 1 - i;
+        if member.acting_version != 0
+            && member.acting_version == role_record.version
+            && sessions[other] != 0
             && !healed
         {
-            step(&|w| {
-                w.writes.push(write((j, sessions[j]), (j, sessions[j])));
-                w.members[i].relinquished_version = remembered_version;
+            add_successor(&|state| {
+                state
+                    .writes
+                    .push(write((other, sessions[other]), (other, sessions[other])));
+                state.members[i].relinquished_version = remembered_version;
                 if omitted != OmittedGuard::StopBeforeHandOver {
-                    w.members[i].acting_version = 0;
+                    state.members[i].acting_version = 0;
                 }
             });
         }
-        if !m.authority || m.session == 0 || !m.link_up {
+        if !member.authority || member.session == 0 || !member.link_up {
             return;
         }
-        let me = (i, m.session);
+        let me = (i, member.session);
         if role_record.owner == i {
-            if m.relinquished_version == role_record.version || role_record.lease != m.session {
-                step(&|w| w.writes.push(write(me, me)));
+            if member.relinquished_version == role_record.version
+                || role_record.lease != member.session
+            {
+                add_successor(&|state| state.writes.push(write(me, me)));
             }
-        } else if sessions[j] != role_record.lease {
-            step(&|w| w.writes.push(write((j, sessions[j]), me)));
-        } else if self.relinquish_reports.contains(&(j, role_record.version)) {
-            step(&|w| w.writes.push(write(me, me)));
+        } else if sessions[other] != role_record.lease {
+            add_successor(&|state| state.writes.push(write((other, sessions[other]), me)));
+        } else if self
+            .relinquish_reports
+            .contains(&(other, role_record.version))
+        {
+            add_successor(&|state| state.writes.push(write(me, me)));
         }
     }
 
     /// Returns all successor states.
     fn steps(&self, healed: bool, omitted: OmittedGuard) -> Vec<Self> {
-        let mut out = Vec::new();
-        for (n, write) in self.writes.iter().enumerate() {
-            out.push(self.with(|w| {
-                w.writes.remove(n);
-                w.apply(write, healed, omitted);
+        let mut successors = Vec::new();
+        for (write_index, write) in self.writes.iter().enumerate() {
+            successors.push(self.with_change(|state| {
+                state.writes.remove(write_index);
+                state.apply(write, healed, omitted);
             }));
             if !healed {
-                out.push(self.with(|w| {
-                    w.writes.remove(n);
+                successors.push(self.with_change(|state| {
+                    state.writes.remove(write_index);
                 }));
             }
         }
         for i in 0..MEMBERS {
-            let m = &self.members[i];
-            let authority_over = !(m.session == self.sessions[i] && m.authority);
-            if self.sessions[i] != 0 && (authority_over || omitted == OmittedGuard::AuthorityMargin)
+            let member = &self.members[i];
+            let authority_ended = !(member.session == self.sessions[i] && member.authority);
+            if self.sessions[i] != 0
+                && (authority_ended || omitted == OmittedGuard::AuthorityMargin)
             {
-                let is_renewed = m.session == self.sessions[i] && m.link_up;
+                let is_renewed = member.session == self.sessions[i] && member.link_up;
                 // Once failures have ended, a session that is renewed does not end.
                 if !(healed && is_renewed) {
-                    out.push(self.with(|w| w.sessions[i] = 0));
+                    successors.push(self.with_change(|state| state.sessions[i] = 0));
                 }
             }
-            self.steps_of(i, healed, omitted, &mut out);
+            self.member_steps(i, healed, omitted, &mut successors);
         }
-        out.retain(|w| w != self);
-        out
+        successors.retain(|state| state != self);
+        successors
     }
 }
 
+/// Returns the shortest path to a state in which two members act; `None` if there is none.
 fn path_to_two_acting_members(omitted: OmittedGuard) -> Option<Vec<ModelState>> {
     bfs(
         &ModelState::new(),
-        |w| w.steps(false, omitted),
-        |w| w.acting_members() > 1,
+        |state| state.steps(false, omitted),
+        |state| state.acting_members() > 1,
     )
 }
 
@@ -367,7 +417,7 @@
 /// Without any one of the guards, two members can act on the role at the same time.
 #[test]
 fn two_members_act_if_any_guard_is_omitted() {
-    for (name, omitted) in [
+    for (guard_name, omitted) in [
         ("stop before the report", OmittedGuard::StopBeforeReport),
         (
             "stop before the hand-over",
@@ -389,7 +439,7 @@
         ("own session in the role record", OmittedGuard::OwnSession),
     ] {
         let path = path_to_two_acting_members(omitted);
-        assert!(path.is_some(), "not needed: {name}");
+        assert!(path.is_some(), "not needed: {guard_name}");
     }
 }
 
@@ -399,7 +449,9 @@
 fn a_member_can_act_once_failures_have_ended() {
     let mut recoverable: HashSet<ModelState> = HashSet::new();
     let mut states_reached = 0usize;
-    for state in bfs_reach(ModelState::new(), |w| w.steps(false, OmittedGuard::Nothing)) {
+    for state in bfs_reach(ModelState::new(), |state| {
+        state.steps(false, OmittedGuard::Nothing)
+    }) {
         states_reached += 1;
         if !states_reached.is_multiple_of(CHECKED_STATE_STRIDE) {
             continue;
@@ -409,8 +461,8 @@
         }
         let path = bfs(
             &state,
-            |w| w.steps(true, OmittedGuard::Nothing),
-            |w| w.acting_members() == 1 || recoverable.contains(w),
+            |state| state.steps(true, OmittedGuard::Nothing),
+            |state| state.acting_members() == 1 || recoverable.contains(state),
         );
         assert!(path.is_some(), "no member can act again: {state:?}");
         recoverable.extend(path.into_iter().flatten());
