--- a/crates/jasperhill-membership/src/link.rs
+++ b/crates/jasperhill-membership/src/link.rs
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Records a failure to reach the counterpart `by`, one of `of`, and returns the new state.
+    /// Records a failure to reach counterpart `by` out of `of` counterparts; returns the new state.
     fn after_failure(&mut self, by: u64, of: usize, now: Micros) -> LinkState {
         self.failure_weight += 1.0;
         self.succeeding_since = None;
--- a/crates/jasperhill-membership/src/reachability.rs
+++ b/crates/jasperhill-membership/src/reachability.rs
@@ -72,7 +72,7 @@
     /// States how many hosts of a zone should send heartbeats to this controller. Applied at
     /// regular intervals for each zone.
     ExpectHeartbeats {
-        /// The zone.
+        /// The zone whose hosts should send heartbeats.
         zone: &'a Name,
         /// The number of hosts that should send heartbeats to this controller; may be zero.
         hosts: u32,
--- a/crates/jasperhill-membership/src/restart_history.rs
+++ b/crates/jasperhill-membership/src/restart_history.rs
@@ -13,7 +13,7 @@
 use jasperhill_wire::Micros;
 
 /// A run shorter than this, by wall-clock time, counts as followed by a quick restart.
-const QUICK_RUN: Micros = Micros::from_secs(10);
+const QUICK_RUN_MAX: Micros = Micros::from_secs(10);
 /// The back-off when the number of quick restarts reaches the threshold.
 const BACKOFF_BASE: Micros = Micros::from_secs(4);
 /// The increase of the back-off for each quick restart above the threshold.
@@ -129,7 +129,7 @@
     pub fn is_settled(&self, now: Micros) -> bool {
         let no_quick_restart_before =
             self.phase != Phase::NotStarted && self.current.quick_restarts == 0;
-        no_quick_restart_before || now - self.process_started >= QUICK_RUN
+        no_quick_restart_before || now - self.process_started >= QUICK_RUN_MAX
     }
 
     /// Applies one input at `now`, by the monotonic clock, and returns the resulting phase. No
@@ -137,8 +137,9 @@
     pub fn apply(&mut self, input: Input, now: Micros) -> Phase {
         match (self.phase, input) {
             (Phase::NotStarted, Input::SessionStarting { former, wall }) => {
-                let was_quick_run =
-                    |run: &ProcessRun| wall - run.started < QUICK_RUN + run.backoff(self.threshold);
+                let was_quick_run = |run: &ProcessRun| {
+                    wall - run.started < QUICK_RUN_MAX + run.backoff(self.threshold)
+                };
                 let quick_restarts = former
                     .filter(was_quick_run)
                     .map_or(0, |run| run.quick_restarts + 1);
--- a/crates/jasperhill-membership/src/roles.rs
+++ b/crates/jasperhill-membership/src/roles.rs
@@ -279,8 +279,9 @@
         let partitions = (0..self.partition_count).map(Role::Partition);
         for role in partitions.chain([Role::Leader]) {
             let ownership = snapshot.ownerships.get(&role);
-            let own = ownership.filter(|o| o.owner == self.me && o.lease == snapshot.lease);
-            match own {
+            let own_ownership =
+                ownership.filter(|o| o.owner == self.me && o.lease == snapshot.lease);
+            match own_ownership {
                 Some(own) if self.relinquished_revisions.get(&role) != Some(&own.version) => {
                     self.orphaned_since.remove(&role);
                     transitions.push(Transition::Hold(role, own.version));
@@ -291,8 +292,8 @@
                 _ => {
                     self.better_owners.remove(&role);
                     transitions.push(Transition::Release(role));
-                    let owned_elsewhere =
-                        own.is_none() && ownership.is_some_and(|o| o.live && !o.relinquished);
+                    let owned_elsewhere = own_ownership.is_none()
+                        && ownership.is_some_and(|o| o.live && !o.relinquished);
                     if owned_elsewhere {
                         self.orphaned_since.remove(&role);
                     } else {
@@ -416,14 +417,14 @@
     /// Returns the best owner of a role among members with a session, if it is a better owner than
     /// this controller.
     fn better_owner(&self, role: Role, snapshot: &Snapshot) -> Option<Member> {
-        let own = snapshot.eligibility_of(role, &self.me);
+        let own_eligibility = snapshot.eligibility_of(role, &self.me);
         let hosts = snapshot.hosts_of(role);
         let is_better = |m: &&Member| {
             snapshot.reachability_enabled
                 && !snapshot.crash_looping.contains(*m)
                 && **m != self.me
                 && self.sessions.contains_key(*m)
-                && own.is_worse_than(&snapshot.eligibility_of(role, m), hosts)
+                && own_eligibility.is_worse_than(&snapshot.eligibility_of(role, m), hosts)
         };
         let preferred_owner = self.preferred_owner(role);
         let best_owner = self.members.iter().filter(is_better).max_by_key(|m| {
@@ -444,10 +445,11 @@
     /// stay with an owner that reaches no workers while controllers cannot communicate with one
     /// another.
     fn member_with_unknown_links(&self, role: Role, snapshot: &Snapshot) -> Option<&Member> {
-        let own = snapshot.eligibility_of(role, &self.me);
+        let own_eligibility = snapshot.eligibility_of(role, &self.me);
         let hosts = snapshot.hosts_of(role);
-        let is_cut_off =
-            snapshot.reachability_enabled && hosts > 0 && own.unreachable_hosts >= hosts;
+        let is_cut_off = snapshot.reachability_enabled
+            && hosts > 0
+            && own_eligibility.unreachable_hosts >= hosts;
         if !is_cut_off {
             return None;
         }
