--- a/crates/jasperhill-connections/src/budget.rs
+++ b/crates/jasperhill-connections/src/budget.rs
@@ -262,11 +262,11 @@
         {
             return true;
         }
-        let committed: usize = Class::ALL
+        let committed_capacity: usize = Class::ALL
             .into_iter()
             .map(|class| self.occupied(class).max(self.reserved(class)))
             .sum();
-        committed < self.plan.limit
+        committed_capacity < self.plan.limit
     }
 
     /// Returns the number of open connections that are not evicted; evicted ones are about to
