--- a/crates/jasperhill-membership/tests/authority.rs
+++ b/crates/jasperhill-membership/tests/authority.rs
@@ -1,20 +1,20 @@
-//! Authority ends in time, whatever happens.
+//! Property test: authority ends before the session and before the watch cache is too old.
 
 use jasperhill_membership::authority::{Authority, Input};
 use jasperhill_wire::{Micros, Revision};
 use proptest::prelude::*;
 
 fn input() -> impl Strategy<Value = Input> {
-    let t = (0u64..100_000_000).prop_map(Micros);
+    let time = (0u64..100_000_000).prop_map(Micros);
     prop_oneof![
-        (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Begun {
+        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::Begun {
             lease,
             version: Revision(1),
             sent
         }),
-        (0u64..3, t.clone()).prop_map(|(lease, sent)| Input::Renewed { lease, sent }),
+        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::Renewed { lease, sent }),
         (0u64..3).prop_map(|lease| Input::Lost { lease }),
-        t.prop_map(|sent| Input::Fresh { sent }),
+        time.prop_map(|sent| Input::Fresh { sent }),
     ]
 }
 
@@ -24,25 +24,25 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Whatever happens, authority never outlasts the lease counted from the last renewal
-    /// that was sent, nor the bound on the watch cache's age.
+    /// In any order of events, authority ends before the lease does, counted from the sending of
+    /// the last renewal, and no later than the maximum age of the watch cache.
     #[test]
     fn authority_ends_in_time(inputs in proptest::collection::vec(input(), 1..40)) {
-        let (ttl, age) = (Micros::from_secs(10), Micros::from_secs(15));
-        let mut authority = Authority::new(ttl, age);
-        let (mut sent, mut fresh, mut held) = (Micros::ZERO, Micros::ZERO, None);
+        let (ttl, cache_age_max) = (Micros::from_secs(10), Micros::from_secs(15));
+        let mut authority = Authority::new(ttl, cache_age_max);
+        let (mut last_renewal_sent, mut cache_fresh_until, mut held_lease) = (Micros::ZERO, Micros::ZERO, None);
         for input in inputs {
             authority.apply(input);
             match input {
-                Input::Begun { lease, sent: s, .. } => { held = Some(lease); sent = s; }
-                Input::Renewed { lease, sent: s } if held == Some(lease) => sent = sent.max(s),
-                Input::Lost { lease } if held == Some(lease) => held = None,
-                Input::Fresh { sent: s } => fresh = fresh.max(s),
+                Input::Begun { lease, sent: s, .. } => { held_lease = Some(lease); last_renewal_sent = s; }
+                Input::Renewed { lease, sent: s } if held_lease == Some(lease) => last_renewal_sent = last_renewal_sent.max(s),
+                Input::Lost { lease } if held_lease == Some(lease) => held_lease = None,
+                Input::Fresh { sent: s } => cache_fresh_until = cache_fresh_until.max(s),
                 _ => {}
             }
-            prop_assert!(authority.until() < sent + ttl);
-            prop_assert!(authority.until() <= fresh + age);
-            prop_assert!(held.is_some() || !authority.holds(Micros::ZERO));
+            prop_assert!(authority.until() < last_renewal_sent + ttl);
+            prop_assert!(authority.until() <= cache_fresh_until + cache_age_max);
+            prop_assert!(held_lease.is_some() || !authority.holds(Micros::ZERO));
         }
     }
 }
