--- a/crates/jasperhill-controller/src/results/cancellation.rs
+++ b/crates/jasperhill-controller/src/results/cancellation.rs
@@ -1,4 +1,4 @@
-//! Writing the cancellation of jobs that depend on cancelled ones.
+//! Writes the cancellation of jobs that depend on cancelled jobs to the store.
 
 use crate::{
     shared::Shared,
@@ -11,43 +11,46 @@
 };
 use std::rc::Rc;
 
-/// Records of dependents that are written at a time.
-const CANCELLING_MAX: usize = 40;
-/// How long the write of a record is tried.
-const WRITE_LIMIT: Micros = Micros::from_secs(10);
+/// Maximum number of dependent jobs whose records are being written at a time.
+const CONCURRENT_CANCELLATIONS_MAX: usize = 40;
+/// Maximum time that the write of a cancellation may wait in the queue.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(10);
 
-/// A job to be cancelled because a job that it depends on is.
+/// Job to be cancelled because a job that it depends on was cancelled.
 struct CancelledDependent {
-    /// The job's id.
+    /// Id of the job.
     id: JobId,
-    /// The number of the job's partition.
+    /// Number of the partition that contains the job.
     partition_id: u32,
-    /// The revision at which this controller became the partition's owner.
+    /// Revision at which this controller became the owner of the partition.
     owned_since: Revision,
-    /// The version of the job's record.
+    /// Version of the job record.
     version: Revision,
-    /// How many of its tasks are done.
+    /// Number of tasks of the job that are done.
     done_count: u32,
 }
 
 impl Shared {
-    /// Writes the cancellation of jobs into the records of the unfinished jobs that depend on them, a few
-    /// at a time. Every controller derives it from the records of the upstream jobs: this only keeps it so
-    /// for those who will not see how it came about, and whoever owns the jobs next continues. Called by
-    /// each scheduling pass.
+    /// Writes cancellations into the records of unfinished jobs that depend on cancelled jobs, a
+    /// limited number at a time. Called in each scheduling pass.
+    ///
+    /// Every controller derives these cancellations from the records of the upstream jobs. The
+    /// written records preserve the outcome for controllers that cannot derive it because they did
+    /// not observe the upstream cancellation. If a partition changes its owner, the new owner
+    /// continues with the remaining jobs.
     pub fn write_cancelled(self: Rc<Self>) {
         for dependent in self.take_cancelled_dependents() {
             self.clone().spawn(self.clone().cancel_dependent(dependent));
         }
     }
 
-    /// The jobs to be cancelled now; they count as being cancelled from here on.
+    /// Returns the jobs whose cancellation is to be written now, and marks them as being cancelled.
     fn take_cancelled_dependents(&self) -> Vec<CancelledDependent> {
         let mut due = Vec::new();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
         for id in state.cache.dependencies.cancelled_upstream() {
-            if state.results.cancelling.len() >= CANCELLING_MAX {
+            if state.results.cancelling.len() >= CONCURRENT_CANCELLATIONS_MAX {
                 break;
             }
             if let Some(JobEntry::Active(job)) = state.cache.job(id)
@@ -78,7 +81,7 @@
         ];
         let changes = vec![put(job_key(&id), &record)];
         let outcome = self
-            .write(WritePriority::Background, guards, changes, WRITE_LIMIT)
+            .write(WritePriority::Background, guards, changes, WRITE_TIMEOUT)
             .await;
         self.state.borrow_mut().results.cancelling.remove(&id);
         match outcome {
@@ -86,7 +89,7 @@
                 tracing::info!(job = %id, "job cancelled with a job that it depends on");
                 self.wake.scheduler.notify_one();
             }
-            // Tried again with the next pass, starting from what the watch cache then shows.
+            // The next scheduling pass retries with the record that the watch cache then contains.
             _ => {
                 self.read_index().await;
             }
--- a/crates/jasperhill-controller/src/results/mod.rs
+++ b/crates/jasperhill-controller/src/results/mod.rs
@@ -1,9 +1,9 @@
-//! Results that are written to the store: completed tasks and failed attempts of this controller's jobs,
-//! and the cancellation of jobs that depend on cancelled ones.
+//! Persistence of results: writes completed tasks and failed attempts of this controller's jobs to
+//! the store, and cancels jobs that depend on cancelled jobs.
 //!
-//! The state is [`state::ResultState`], which only the files here change. A result that is not written yet
-//! is not lost: workers keep the status of a task until its owner tells them to clear it, and it does so
-//! only for tasks whose results are durable.
+//! The state is [`state::ResultState`], which only this module and its submodules change. A result
+//! that has not been written yet is not lost: a worker keeps the status of a task until the task's
+//! owner tells the worker to clear it, and the owner does so only when the result is durable.
 
 mod cancellation;
 mod record;
--- a/crates/jasperhill-controller/src/results/record.rs
+++ b/crates/jasperhill-controller/src/results/record.rs
@@ -1,4 +1,4 @@
-//! The record of a job with the results that are known of it.
+//! Builds the record of a job from the results known so far.
 
 use jasperhill_scheduler::{Partition, TaskSet};
 use jasperhill_wire::{
@@ -10,23 +10,24 @@
 
 use crate::watch_cache::ActiveJob;
 
-/// Bytes by which a record's encoding may grow beyond that of the record without its finished tasks.
-const RECORD_MARGIN: usize = 32;
+/// Bytes by which the encoding of a record may grow when finished tasks are added, besides the
+/// tasks themselves.
+const RECORD_MARGIN_BYTES: usize = 32;
 
-/// A job's record with new results.
+/// Job record with new results.
 pub(super) struct ResultRecord {
-    /// The record to be written.
+    /// Record to be written.
     pub record: JobRecord,
-    /// The tasks whose results are durable once it is.
+    /// Tasks whose results become durable when the record is written.
     pub tasks: BTreeSet<u32>,
 }
 
-/// The record of a job with the results that are known of it; `None` if there is nothing to write, or
-/// what there is does not fit. `value_bytes`: how long a value may be.
+/// Builds the record of a job with the results known so far. Returns `None` if there is nothing to
+/// write, or if the results do not fit into a value of `value_bytes` bytes.
 pub(super) fn result_record(
     partition: &Partition,
     id: &JobId,
-    active: &ActiveJob,
+    cached_job: &ActiveJob,
     value_bytes: usize,
 ) -> Option<ResultRecord> {
     let job = partition.jobs.get(id)?;
@@ -40,40 +41,42 @@
     if job.is_gang() && failed_attempts == job.failed_attempts_saved {
         return None;
     }
-    // Its tasks have run, so all jobs that it depends on are done.
+    // Tasks of this job have run, so all jobs that it depends on are done.
     let request = JobRequest {
         dependencies: Vec::new(),
-        ..(*active.request).clone()
+        ..(*cached_job.request).clone()
     };
     let mut record = JobRecord {
         phase: RecordPhase::Active,
         done_count: job.request.tasks,
         request: Some(request),
-        submitted: Some(active.submitted),
+        submitted: Some(cached_job.submitted),
         finished: Vec::new(),
         failed_attempts,
         residual_usage: None,
     };
     let finished = job
         .done
-        .to_runs(runs_max(&record, job.request.tasks, value_bytes));
-    let durable = TaskSet::from_runs(job.request.tasks, &finished);
-    if durable.count() < active.done_count {
-        // The record, written when values could be longer, says more than now fits: what it says of
-        // tasks that workers have cleared must not get lost. The rest stays with the workers.
+        .to_runs(max_runs(&record, job.request.tasks, value_bytes));
+    let durable_tasks = TaskSet::from_runs(job.request.tasks, &finished);
+    if durable_tasks.count() < cached_job.done_count {
+        // The existing record was written under a larger limit on value size and contains more
+        // finished tasks than fit now. Workers may already have cleared these tasks, so the record
+        // must not shrink. Workers keep the results that do not fit.
         return None;
     }
-    let is_durable = |task: &u32| !job.is_gang() && durable.contains(*task);
+    let is_durable = |task: &u32| !job.is_gang() && durable_tasks.contains(*task);
     let tasks = job.unsaved.iter().copied().filter(is_durable).collect();
-    record.done_count = durable.count();
+    record.done_count = durable_tasks.count();
     record.finished = finished;
     Some(ResultRecord { record, tasks })
 }
 
-/// How many runs of finished tasks fit a record, each as long as the number of tasks and a comma.
-fn runs_max(record: &JobRecord, tasks: u32, value_bytes: usize) -> usize {
-    let encoded = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len());
-    let used = encoded + RECORD_MARGIN;
+/// Returns how many runs of finished tasks fit into a record of `value_bytes` bytes. Each run is
+/// assumed to take as many bytes as the decimal number of tasks and a comma.
+fn max_runs(record: &JobRecord, tasks: u32, value_bytes: usize) -> usize {
+    let encoded_bytes = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len());
+    let used_bytes = encoded_bytes + RECORD_MARGIN_BYTES;
     let run_bytes = tasks.to_string().len() + 1;
-    value_bytes.saturating_sub(used) / run_bytes
+    value_bytes.saturating_sub(used_bytes) / run_bytes
 }
--- a/crates/jasperhill-controller/src/results/saving.rs
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -1,4 +1,4 @@
-//! Writing results to the store.
+//! Writes the results of jobs to the store.
 
 use super::record::result_record;
 use crate::{
@@ -14,28 +14,28 @@
 };
 use std::{collections::BTreeSet, rc::Rc};
 
-/// How long the write of a result is tried.
-const WRITE_LIMIT: Micros = Micros::from_secs(20);
+/// Maximum time that the write of a result may wait in the queue.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(20);
 
-/// A write of a job's results.
+/// Prepared write of the results of a job.
 struct ResultWrite {
-    /// The compares of the transaction: the role and the job's record.
+    /// Guards of the transaction, on the role record and the job record.
     guards: Vec<Guard>,
-    /// The put of the job's record.
+    /// Change that writes the job record.
     change: Change,
-    /// The phase that the record says.
+    /// Phase in the new job record.
     phase: RecordPhase,
-    /// The tasks whose results are durable once it is written.
+    /// Tasks whose results become durable with this write.
     tasks: BTreeSet<u32>,
-    /// The number of failed attempts that the record says.
+    /// Number of failed attempts in the new job record.
     failed_attempts: u32,
-    /// The revision at which this controller became the partition's owner.
+    /// Revision at which this controller became the owner of the partition.
     owned_since: Revision,
 }
 
 impl Shared {
-    /// Begins to write the results that are due. What is only partly done can wait a little, and then
-    /// goes together. Called by each scheduling pass.
+    /// Starts writing the results that are due. Partial results of unfinished jobs are delayed, so
+    /// that the results of several tasks share a write. Called in each scheduling pass.
     pub fn save_results(self: Rc<Self>) {
         for (partition_id, job) in self.take_due_results() {
             self.clone()
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The jobs, each with its partition, whose results are to be written now; they count as being
-    /// written from here on.
+    /// Returns the jobs whose results are to be written now, each with its partition, and marks
+    /// them as being written.
     fn take_due_results(&self) -> Vec<(u32, JobId)> {
         let now = self.now();
         let mut due = Vec::new();
@@ -61,8 +61,8 @@
                     .jobs
                     .get(&id)
                     .is_some_and(|job| job.done.is_full());
-                let needed = is_done && state.cache.dependencies.has_dependents(&id);
-                let is_due = state.results.may_start_saving(&id, needed)
+                let has_dependents = is_done && state.cache.dependencies.has_dependents(&id);
+                let is_due = state.results.may_start_saving(&id, has_dependents)
                     && (is_done || state.results.is_partial_due(&id, write_rate, now));
                 if is_due {
                     state.results.start_saving(id.clone());
@@ -75,21 +75,22 @@
         due
     }
 
-    /// Writes the results of a job.
+    /// Writes the results of a job, and marks the job as unsaved again if further results are not
+    /// durable.
     async fn save_result(self: Rc<Self>, partition_id: u32, id: JobId) {
-        let needed = self.state.borrow().cache.dependencies.has_dependents(&id);
-        let mut saved = true;
+        let has_dependents = self.state.borrow().cache.dependencies.has_dependents(&id);
+        let mut is_saved = true;
         if let Some(write) = self.prepare_result_write(partition_id, &id) {
             let priority = match write.phase {
-                RecordPhase::Done if needed => WritePriority::Release,
+                RecordPhase::Done if has_dependents => WritePriority::FinishWithDependents,
                 RecordPhase::Done => WritePriority::Finish,
                 _ => WritePriority::Background,
             };
             let outcome = self
-                .write(priority, write.guards, vec![write.change], WRITE_LIMIT)
+                .write(priority, write.guards, vec![write.change], WRITE_TIMEOUT)
                 .await;
-            saved = matches!(outcome, WriteOutcome::Committed(_));
-            if saved {
+            is_saved = matches!(outcome, WriteOutcome::Committed(_));
+            if is_saved {
                 let mut state = self.state.borrow_mut();
                 if let Some(partition) = state.scheduling.partitions.get_mut(&partition_id)
                     && partition.since == write.owned_since
@@ -97,7 +98,7 @@
                     partition.saved(&id, &write.tasks, write.failed_attempts);
                 }
             } else {
-                // The next attempt starts from what the watch cache then shows.
+                // The next attempt starts from the record that the watch cache then contains.
                 self.read_index().await;
             }
         }
@@ -107,13 +108,13 @@
             && has_unsaved_result(partition, &id)
         {
             partition.unsaved.insert(id);
-            if saved {
+            if is_saved {
                 self.wake.scheduler.notify_one();
             }
         }
     }
 
-    /// The write of a job's results; `None` if there is nothing to write.
+    /// Prepares the write of a job's results. Returns `None` if there is nothing to write.
     fn prepare_result_write(&self, partition_id: u32, id: &JobId) -> Option<ResultWrite> {
         let state = self.state.borrow();
         let partition = state.scheduling.partitions.get(&partition_id)?;
@@ -135,8 +136,8 @@
     }
 }
 
-/// Whether there is something of a job to be written: tasks of it, or failed attempts. Of a gang, tasks
-/// are written only when all are done.
+/// Returns whether a job has finished tasks or failed attempts that should be written. The tasks of
+/// a gang are written only when all of them are done.
 fn has_result_to_save(partition: &Partition, id: &JobId) -> bool {
     partition.jobs.get(id).is_some_and(|job| {
         let has_tasks = !job.unsaved.is_empty() && (!job.is_gang() || job.done.is_full());
@@ -145,7 +146,7 @@
     })
 }
 
-/// Whether something of a job is not durable yet.
+/// Returns whether a job has finished tasks or failed attempts that are not durable yet.
 fn has_unsaved_result(partition: &Partition, id: &JobId) -> bool {
     partition.jobs.get(id).is_some_and(|job| {
         job.termination.is_none()
--- a/crates/jasperhill-controller/src/results/state.rs
+++ b/crates/jasperhill-controller/src/results/state.rs
@@ -1,60 +1,66 @@
-//! What is remembered of results that are being written to the store.
+//! State of the results that are being written to the store.
 
 use jasperhill_wire::{JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part of the rate limit on writes that partial results of unfinished jobs may use.
-const PARTIAL_SHARE: f64 = 0.3;
-/// A partial result waits at least so long, so that several tasks' results go together.
+/// Fraction of the write rate limit that partial results of unfinished jobs may use.
+const PARTIAL_RATE_FRACTION: f64 = 0.3;
+/// Minimum delay of a partial result, so that the results of several tasks share a write.
 const PARTIAL_DELAY_MIN: Micros = Micros::from_millis(700);
-/// A partial result waits at most so long, which bounds what workers have to keep.
+/// Maximum delay of a partial result. Bounds the number of results that workers have to keep.
 const PARTIAL_DELAY_MAX: Micros = Micros::from_secs(10);
-/// The lowest rate of writes that is reckoned with, per second: guards against division by zero.
-const RATE_MIN: f64 = 0.1;
-/// Jobs with partial results that are remembered before those that are overdue are removed.
-const PARTIAL_MAX: usize = 4_000;
-/// Results being written at a time.
-const SAVING_MAX: usize = 100;
-
-/// What is remembered of results that are being written to the store.
+/// Lower bound, in writes per second, for the rate used in calculations. Prevents division by zero.
+const WRITES_PER_SECOND_MIN: f64 = 0.1;
+/// Number of tracked jobs with partial results above which overdue entries are removed.
+const PARTIAL_DUE_TIMES_MAX: usize = 4_000;
+/// Limit for the number of results being written at a time.
+const CONCURRENT_SAVES_MAX: usize = 100;
+
+/// State of the results that are being written to the store.
 #[derive(Default)]
 pub(crate) struct ResultState {
     /// Jobs whose results are being written.
     pub saving: BTreeSet<JobId>,
-    /// Jobs whose records are being cancelled because a job that they depend on is.
+    /// Jobs whose cancellation is being written because a job they depend on was cancelled.
     pub cancelling: BTreeSet<JobId>,
-    /// When the partial results of unfinished jobs are to be written.
-    partial_due: BTreeMap<JobId, Micros>,
+    /// Steady-clock time from which the partial result of each unfinished job is due.
+    partial_due_times: BTreeMap<JobId, Micros>,
 }
 
 impl ResultState {
-    /// Removes overdue entries of jobs whose partitions have moved to other controllers.
+    /// Removes overdue entries if there are too many. Such entries may belong to jobs whose
+    /// partitions have moved to other controllers.
     pub fn prune(&mut self, now: Micros) {
-        if self.partial_due.len() > PARTIAL_MAX {
-            self.partial_due.retain(|_, due_at| now < *due_at);
+        if self.partial_due_times.len() > PARTIAL_DUE_TIMES_MAX {
+            self.partial_due_times.retain(|_, due_at| now < *due_at);
         }
     }
 
-    /// Whether the write of a job's result may begin now, as far as the number of writes goes. `needed`:
-    /// other jobs wait for this one, so that its result goes ahead.
-    pub fn may_start_saving(&self, job: &JobId, needed: bool) -> bool {
-        !self.saving.contains(job) && (self.saving.len() <= SAVING_MAX || needed)
+    /// Returns whether the write of a job's result may start now, given the number of writes in
+    /// progress. A job on which other jobs depend (`has_dependents`) is not subject to the limit,
+    /// so that its result is written ahead of others.
+    pub fn may_start_saving(&self, job: &JobId, has_dependents: bool) -> bool {
+        !self.saving.contains(job) && (self.saving.len() <= CONCURRENT_SAVES_MAX || has_dependents)
     }
 
-    /// Whether the partial result of an unfinished job is due. The more jobs have partial results, the
-    /// more seldom each is written: together they use no more than a part of the limit. `write_rate`:
-    /// writes per second that this controller may make.
+    /// Returns whether the partial result of an unfinished job is due. The delay grows with the
+    /// number of jobs that have partial results, so that all of them together stay within
+    /// [`PARTIAL_RATE_FRACTION`] of the write rate. `write_rate` is the rate available to this
+    /// controller, in writes per second.
     pub fn is_partial_due(&mut self, job: &JobId, write_rate: f64, now: Micros) -> bool {
-        let rate = (write_rate * PARTIAL_SHARE).max(RATE_MIN);
-        let delay = Micros::from_secs_f64(self.partial_due.len() as f64 / rate)
+        let rate = (write_rate * PARTIAL_RATE_FRACTION).max(WRITES_PER_SECOND_MIN);
+        let delay = Micros::from_secs_f64(self.partial_due_times.len() as f64 / rate)
             .clamp(PARTIAL_DELAY_MIN, PARTIAL_DELAY_MAX);
-        let due_at = *self.partial_due.entry(job.clone()).or_insert(now + delay);
+        let due_at = *self
+            .partial_due_times
+            .entry(job.clone())
+            .or_insert(now + delay);
         now >= due_at
     }
 
-    /// Notes that a job's result is being written; a partial one no longer waits.
+    /// Marks the result of a job as being written, and clears the due time of its partial result.
     pub fn start_saving(&mut self, job: JobId) {
-        self.partial_due.remove(&job);
+        self.partial_due_times.remove(&job);
         self.saving.insert(job);
     }
 }
--- a/crates/jasperhill-controller/src/results/state/tests.rs
+++ b/crates/jasperhill-controller/src/results/state/tests.rs
@@ -1,4 +1,5 @@
-//! Results are written at the rate that they are given, and those that others wait for go ahead.
+//! Tests that partial results keep within their write rate and that results of jobs with dependents
+//! are written first.
 
 use super::*;
 
@@ -6,30 +7,33 @@
     JobId::new(&format!("job-{n}"))
 }
 
-/// Guards against partial results that use up the limit on writes, or that wait without bound.
+/// Guards against partial results that use up the write rate limit or are delayed without bound.
 #[test]
-fn partial_results_wait_the_longer_the_more_there_are() {
+fn partial_result_delay_grows_with_number_of_jobs() {
     let mut results = ResultState::default();
-    let (now, rate) = (Micros::from_secs(100), 10.0);
-    assert!(!results.is_partial_due(&job(0), rate, now));
-    assert!(results.is_partial_due(&job(0), rate, now + PARTIAL_DELAY_MIN));
+    let (now, write_rate) = (Micros::from_secs(100), 10.0);
+    assert!(!results.is_partial_due(&job(0), write_rate, now));
+    assert!(results.is_partial_due(&job(0), write_rate, now + PARTIAL_DELAY_MIN));
     for n in 1..=1_000 {
-        assert!(!results.is_partial_due(&job(n), rate, now));
+        assert!(!results.is_partial_due(&job(n), write_rate, now));
     }
-    let soon = now + PARTIAL_DELAY_MIN;
-    assert!(!results.is_partial_due(&job(1_000), rate, soon));
-    assert!(results.is_partial_due(&job(1_000), rate, now + PARTIAL_DELAY_MAX));
+    let after_minimum_delay = now + PARTIAL_DELAY_MIN;
+    assert!(!results.is_partial_due(&job(1_000), write_rate, after_minimum_delay));
+    assert!(results.is_partial_due(&job(1_000), write_rate, now + PARTIAL_DELAY_MAX));
 }
 
-/// Guards against a job that others wait for and that waits behind the rest.
+/// Guards against a job with dependents whose result has to wait behind the results of other jobs.
 #[test]
-fn a_needed_result_goes_ahead() {
+fn result_with_dependents_is_not_subject_to_concurrency_limit() {
     let mut results = ResultState::default();
-    for n in 0..=SAVING_MAX {
+    for n in 0..=CONCURRENT_SAVES_MAX {
         assert!(results.may_start_saving(&job(n), false));
         results.start_saving(job(n));
     }
-    assert!(!results.may_start_saving(&job(SAVING_MAX + 1), false));
-    assert!(results.may_start_saving(&job(SAVING_MAX + 1), true));
-    assert!(!results.may_start_saving(&job(0), true), "is being written");
+    assert!(!results.may_start_saving(&job(CONCURRENT_SAVES_MAX + 1), false));
+    assert!(results.may_start_saving(&job(CONCURRENT_SAVES_MAX + 1), true));
+    assert!(
+        !results.may_start_saving(&job(0), true),
+        "already being written"
+    );
 }
--- a/crates/jasperhill-controller/src/store/budget.rs
+++ b/crates/jasperhill-controller/src/store/budget.rs
@@ -1,23 +1,25 @@
-//! Requests to the state service within this controller's share of its rate limit. The budget itself
-//! is `StoreState::requests`.
+//! Rate limiting of requests to the state service. Keeps this controller within its share of the
+//! service's request limit; the token bucket itself is `StoreState::requests`.
 
 use crate::{clock::to_duration, shared::Shared};
 use jasperhill_http::{ClientError, Request, Response};
 use jasperhill_wire::Micros;
 use tokio::time::sleep;
 
-/// The least rate that a kind of request is paced for, in requests a second, however small its share.
-const PACED_RATE_MIN: f64 = 0.1;
+/// Lower bound, in requests per second, of the rate used to compute the interval between requests
+/// of one kind, however small the share of that kind.
+const PACED_REQUESTS_PER_SECOND_MIN: f64 = 0.1;
 
 impl Shared {
-    /// Sends a request to the state service once the budget allows it; `limit` counts from then on.
+    /// Waits until the request budget has a token, then sends a request to the state service. The
+    /// `timeout` starts when the request is sent, not when the wait for the budget begins.
     ///
     /// # Errors
-    /// Those of the transport; they say whether the request may have been executed.
+    /// Returns the error of the transport, which tells whether the request may have been executed.
     pub(super) async fn call_store_within_budget(
         &self,
         request: Request,
-        limit: Micros,
+        timeout: Micros,
     ) -> Result<Response, ClientError> {
         loop {
             let now = self.now();
@@ -27,20 +29,23 @@
                 Err(wait) => sleep(to_duration(wait)).await,
             }
         }
-        self.call(self.settings.state, request, limit).await
+        self.call(self.settings.state, request, timeout).await
     }
 
-    /// Counts a request that must not wait for the budget; later requests wait for it instead.
+    /// Charges a request that must not wait for the request budget. The budget may go into debt,
+    /// which delays later requests instead.
     pub(super) fn charge_request(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         state.store.requests.take_into_debt(1.0, now);
     }
 
-    /// The least time between requests of a kind that may use `share` (0 to 1) of this controller's
-    /// request rate.
+    /// Returns the minimum interval between requests of a kind that may use the fraction `share` (0
+    /// to 1) of this controller's request rate.
     pub(super) fn request_interval(&self, share: f64) -> Micros {
-        let own_rate = self.settings.state_rps / f64::from(self.settings.size);
-        Micros::from_secs_f64(1.0 / (own_rate * share).max(PACED_RATE_MIN))
+        let requests_per_second = self.settings.state_rps / f64::from(self.settings.size);
+        Micros::from_secs_f64(
+            1.0 / (requests_per_second * share).max(PACED_REQUESTS_PER_SECOND_MIN),
+        )
     }
 }
--- a/crates/jasperhill-controller/src/store/commit_queue.rs
+++ b/crates/jasperhill-controller/src/store/commit_queue.rs
@@ -1,9 +1,10 @@
-//! The queue of group commit: which writes go into the next transaction, which have waited too long,
-//! and which are tried again. Pure: no clock, no I/O; `super::committer` sends what it decides.
+//! Queue for group commit. Selects the writes that go into the next transaction, drops writes whose
+//! deadline has passed, and puts back writes that must be retried. Contains no clock and no I/O;
+//! [`super::committer`] sends the transactions.
 //!
-//! Writes are ordered by priority, and by arrival within a priority. A transaction never holds two
-//! writes of which one touches a key that the other compares or changes, so that each write succeeds
-//! or fails as if it were alone.
+//! Writes are ordered by priority, and by arrival within a priority. Two writes conflict if one
+//! changes a key that the other compares or changes. A transaction never contains conflicting
+//! writes, so each write succeeds or fails independently of the others in the batch.
 
 use crate::token_bucket::TokenBucket;
 use jasperhill_wire::{
@@ -16,135 +17,145 @@
 #[cfg(test)]
 mod tests;
 
-/// Writes that may wait at a time; more are refused at once. Bounds memory while the service is
-/// unreachable.
-const QUEUE_MAX: usize = 2_000;
-/// Bytes of one transaction, at most: below the service's limit on a request.
+/// Maximum number of queued writes. Further writes are rejected at once, which bounds memory use
+/// while the state service is unreachable.
+const QUEUED_WRITES_MAX: usize = 2_000;
+/// Maximum size of a transaction in bytes; lower than the request size limit of the state service.
 const TRANSACTION_BYTES_MAX: usize = 60 * 1024;
-/// What a guard takes in a transaction besides its key, in bytes: the version and the JSON around it.
+/// Encoded size of a guard in a transaction without its key, in bytes: the version and the
+/// surrounding JSON.
 const GUARD_OVERHEAD_BYTES: usize = 40;
-/// Guards of one transaction for each change that it may hold.
+/// Maximum number of guards in a transaction per change that the transaction may contain.
 const GUARDS_PER_CHANGE: usize = 4;
-/// The part of a burst that writes of the last priorities leave untouched: an acceptance that
-/// comes behind a batch of partial results, or of host records, would wait for the limit to
-/// recover.
-const BACKGROUND_RESERVE: f64 = 0.5;
-/// As [`BACKGROUND_RESERVE`], for results of finished jobs, which somebody may poll for.
-const FINISH_RESERVE: f64 = 0.25;
-/// A write that has waited for longer leaves nothing in reserve.
+/// Fraction of the burst that background writes must leave unused. Without this reserve, a job
+/// acceptance that follows a batch of partial results or host records would have to wait for the
+/// write budget to refill.
+const BACKGROUND_RESERVE_FRACTION: f64 = 0.5;
+/// Fraction of the burst that results of finished jobs must leave unused, for the same reason as
+/// [`BACKGROUND_RESERVE_FRACTION`]. This fraction is smaller because a user may be polling for the
+/// result.
+const FINISH_RESERVE_FRACTION: f64 = 0.25;
+/// Queueing time after which a write no longer has to leave a reserve in the write budget.
 const RESERVE_EXPIRY: Micros = Micros::from_secs(8);
-/// Changes that go together however little of the limit is left.
-const ALWAYS_AFFORDABLE: usize = 4;
-/// How near to a full burst counts as recovered, in changes.
-const RECOVERED_MARGIN: f64 = 0.5;
-/// How soon a queue that waits for the limit looks for more urgent writes.
-const URGENT_RECHECK: Micros = Micros::from_millis(40);
-/// Changes of one transaction after a refusal, at least: guards against transactions that shrink to
-/// nothing.
-const CHANGES_MIN: usize = 4;
-/// The pause after a refusal for the rate; doubles while refusals go on.
-pub(super) const RETRY_PAUSE: Micros = Micros::from_millis(150);
-/// The longest pause after a refusal for the rate.
-const RETRY_PAUSE_MAX: Micros = Micros::from_millis(1_200);
-
-/// How urgent a write is; the smaller goes first.
+/// Number of changes that a transaction may contain even if the write budget has fewer tokens left.
+const UNBUDGETED_CHANGES_MAX: usize = 4;
+/// Tolerance, in changes, within which the write budget counts as full.
+const FULL_BUDGET_TOLERANCE: f64 = 0.5;
+/// Maximum time that the queue waits for the write budget before it checks again for more urgent
+/// writes.
+const URGENT_RECHECK_INTERVAL: Micros = Micros::from_millis(40);
+/// Minimum for the number of changes per transaction after a rejection. Prevents repeated
+/// rejections from reducing the transaction size to zero.
+const TRANSACTION_CHANGES_MIN: usize = 4;
+/// Delay before a transaction that was not executed is retried. After a refusal because of the rate
+/// limit (429), the delay for the next refusal is doubled, up to [`RETRY_DELAY_MAX`].
+pub(super) const RETRY_DELAY_INITIAL: Micros = Micros::from_millis(150);
+/// Maximum delay before a transaction that was not executed is retried.
+const RETRY_DELAY_MAX: Micros = Micros::from_millis(1_200);
+
+/// Priority of a write. Variants are ordered from the most urgent, which is sent first, to the
+/// least urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WritePriority {
-    /// Ownership of roles, and sessions.
+    /// Role ownership records and session records.
     Role,
-    /// Cancelled jobs.
+    /// Cancellation of a job.
     Cancel,
-    /// Accepted jobs: a user waits.
+    /// Acceptance of a job, for which a user is waiting.
     Accept,
-    /// A finished job that others wait for.
-    Release,
-    /// A finished job.
+    /// Result of a finished job that other jobs depend on.
+    FinishWithDependents,
+    /// Result of a finished job that no other job depends on, or an update of similar urgency, such
+    /// as the registration of a host.
     Finish,
-    /// What may wait: partial results, host records.
+    /// Deferrable writes, such as partial results and host records.
     Background,
 }
 
 impl WritePriority {
-    /// How many changes of the limit writes of this priority leave to those that can't wait.
+    /// Returns how many tokens of the write budget a write of this priority must leave for more
+    /// urgent writes.
     fn reserve(self, burst: f64) -> f64 {
         match self {
-            Self::Background => burst * BACKGROUND_RESERVE,
-            Self::Finish => burst * FINISH_RESERVE,
-            Self::Role | Self::Cancel | Self::Accept | Self::Release => 0.0,
+            Self::Background => burst * BACKGROUND_RESERVE_FRACTION,
+            Self::Finish => burst * FINISH_RESERVE_FRACTION,
+            Self::Role | Self::Cancel | Self::Accept | Self::FinishWithDependents => 0.0,
         }
     }
 }
 
-/// What became of a write.
+/// Final outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
-    /// Executed, at this revision.
+    /// The write was executed at this revision.
     Committed(Revision),
-    /// Not executed: a guard did not hold, or its lease has expired.
+    /// The write was not executed because a guard did not hold or its lease has expired.
     Conflict,
-    /// Not executed, and never will be.
+    /// The write was not executed and will not be executed later.
     NotExecuted,
-    /// May have been executed, or may be later.
+    /// The write may have been executed, or may still be executed later.
     Unknown,
 }
 
-/// A write that waits to be sent.
+/// Write that is waiting to be sent.
 pub(super) struct PendingWrite {
-    /// Before which others it goes.
+    /// Priority relative to other queued writes.
     pub(super) priority: WritePriority,
-    /// What it compares: all must hold.
+    /// Guards that must all hold for the write to be executed.
     pub(super) guards: Vec<Guard>,
-    /// What it changes, all or nothing.
+    /// Changes that are applied atomically.
     pub(super) changes: Vec<Change>,
-    /// What it takes in a transaction, in bytes, nearly.
+    /// Approximate encoded size of the guards and changes in a transaction, in bytes.
     pub(super) bytes: usize,
-    /// When it was queued, by the steady clock.
+    /// Steady-clock time at which the write was first queued.
     enqueued: Micros,
-    /// When it is no longer to be sent, by the steady clock.
+    /// Steady-clock time after which the write must not be sent.
     deadline: Micros,
-    /// Whoever waits for the outcome.
+    /// Channel that delivers the outcome to the writer.
     reply: oneshot::Sender<WriteOutcome>,
-    /// Goes in a transaction of its own: in one with others it was refused.
+    /// Whether the write must be sent in a transaction of its own because a transaction that
+    /// combined it with other writes was rejected.
     unbatched: bool,
 }
 
 impl PendingWrite {
-    /// A write queued at `now` that is no longer to be sent after `limit`.
+    /// Creates a write queued at `now` that must not be sent later than `send_timeout` after that.
     pub(super) fn new(
         priority: WritePriority,
         guards: Vec<Guard>,
         changes: Vec<Change>,
-        limit: Micros,
+        send_timeout: Micros,
         now: Micros,
         reply: oneshot::Sender<WriteOutcome>,
     ) -> Self {
         let change_bytes =
             serde_json::to_vec(&changes).map_or(TRANSACTION_BYTES_MAX, |encoded| encoded.len());
-        let guard_bytes = |guard: &Guard| guard.key.len() + GUARD_OVERHEAD_BYTES;
+        let encoded_guard_bytes = |guard: &Guard| guard.key.len() + GUARD_OVERHEAD_BYTES;
         Self {
-            bytes: change_bytes + guards.iter().map(guard_bytes).sum::<usize>(),
+            bytes: change_bytes + guards.iter().map(encoded_guard_bytes).sum::<usize>(),
             priority,
             guards,
             changes,
             enqueued: now,
-            deadline: now + limit,
+            deadline: now + send_timeout,
             reply,
             unbatched: false,
         }
     }
 
-    /// Tells whoever waits what became of the write. No error if nobody waits any more.
+    /// Sends the outcome of the write to its writer. Does nothing if the writer no longer waits.
     pub(super) fn finish(self, outcome: WriteOutcome) {
         let _ = self.reply.send(outcome);
     }
 
-    /// The key of the first change, for log lines.
+    /// Returns the key of the first change, for use in log lines.
     pub(super) fn first_key(&self) -> &str {
         self.changes.first().map_or("", Change::key)
     }
 
-    /// How many changes of the limit it leaves untouched. Guards against writes that never get their
-    /// turn under a steady flow of more urgent ones.
+    /// Returns how many tokens of the write budget this write must leave unused. The reserve drops
+    /// to zero after [`RESERVE_EXPIRY`], so that a steady flow of more urgent writes cannot starve
+    /// this write.
     fn reserve(&self, burst: f64, now: Micros) -> f64 {
         if now - self.enqueued > RESERVE_EXPIRY {
             0.0
@@ -153,7 +164,7 @@
         }
     }
 
-    /// The level of the limit at which it may be sent.
+    /// Returns the number of tokens that the write budget must hold before this write may be sent.
     fn required_level(&self, burst: f64, now: Micros) -> f64 {
         let reserve = self.reserve(burst, now);
         if reserve > 0.0 {
@@ -164,53 +175,57 @@
     }
 }
 
-/// Writes that wait to be sent, and what the service's limit on changes leaves for them.
+/// Queue of writes that wait to be sent, with the budget for the write rate limit of the state
+/// service.
 pub(crate) struct CommitQueue {
-    /// By priority, and by arrival within one.
+    /// Queued writes, ordered by priority and by arrival within a priority.
     writes: Vec<PendingWrite>,
-    /// Changes that may be sent.
+    /// Write budget, counted in changes.
     bucket: TokenBucket,
-    /// Changes of one transaction, at most: falls when the service refuses larger ones.
+    /// Maximum number of changes per transaction. Reduced when the service rejects a larger
+    /// transaction.
     changes_max: usize,
-    /// How long to pause after the next refusal for the rate; grows while they go on.
-    retry_pause: Micros,
+    /// Delay before the next retry. Grows while the service keeps refusing transactions because of
+    /// its rate limit.
+    retry_delay: Micros,
 }
 
-/// What is to be done next.
+/// Result of [`CommitQueue::next_batch`].
 pub(super) struct NextBatch {
-    /// Writes whose deadline has passed: they are not sent.
+    /// Writes whose deadline has passed and that must not be sent.
     pub(super) expired: Vec<PendingWrite>,
-    /// Writes that go into one transaction.
+    /// Writes to send in one transaction.
     pub(super) writes: Vec<PendingWrite>,
 }
 
 impl CommitQueue {
-    /// An empty queue. The bucket counts changes; one transaction holds `changes_max` at most.
+    /// Creates an empty queue. `bucket` counts changes, and a transaction contains at most
+    /// `changes_max` changes.
     pub(super) fn new(bucket: TokenBucket, changes_max: usize) -> Self {
         Self {
             writes: Vec::new(),
             bucket,
             changes_max,
-            retry_pause: RETRY_PAUSE,
+            retry_delay: RETRY_DELAY_INITIAL,
         }
     }
 
-    /// Changes a second that may be written in the long run.
+    /// Returns the sustained write rate, in changes per second.
     pub(crate) fn rate(&self) -> f64 {
         self.bucket.rate()
     }
 
-    /// Whether no write waits.
+    /// Returns whether no write is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
 
-    /// Whether further writes are refused.
+    /// Returns whether the queue is full, so that further writes must be rejected.
     pub(super) fn is_full(&self) -> bool {
-        self.writes.len() >= QUEUE_MAX
+        self.writes.len() >= QUEUED_WRITES_MAX
     }
 
-    /// Queues a write behind those of its priority.
+    /// Inserts a write behind all queued writes of the same or higher priority.
     pub(super) fn push(&mut self, write: PendingWrite) {
         let priority = write.priority;
         let index = self
@@ -219,18 +234,19 @@
         self.writes.insert(index, write);
     }
 
-    /// How long to wait until the first write may be sent; `None` if it may be now. What can wait
-    /// leaves some of the limit to what comes next and can't.
+    /// Returns how long to wait until the write budget allows the first queued write, at most
+    /// [`URGENT_RECHECK_INTERVAL`]. Returns `None` if the write may be sent now. Deferrable writes
+    /// wait longer, because they must leave a reserve for urgent writes that may follow.
     pub(super) fn wait_for_budget(&mut self, now: Micros) -> Option<Micros> {
         let burst = self.bucket.burst();
         let first = self.writes.first();
-        let required = first.map_or(1.0, |write| write.required_level(burst, now));
-        let wait = self.bucket.wait_for(required, now)?;
-        Some(wait.min(URGENT_RECHECK))
+        let required_tokens = first.map_or(1.0, |write| write.required_level(burst, now));
+        let wait = self.bucket.wait_for(required_tokens, now)?;
+        Some(wait.min(URGENT_RECHECK_INTERVAL))
     }
 
-    /// Takes out what has expired, and as many writes as fit one transaction and do not touch one
-    /// another's keys.
+    /// Removes the expired writes from the queue, together with as many writes as fit into one
+    /// transaction without conflicting keys.
     pub(super) fn next_batch(&mut self, now: Micros) -> NextBatch {
         let (expired, waiting): (Vec<PendingWrite>, Vec<PendingWrite>) =
             std::mem::take(&mut self.writes)
@@ -255,18 +271,21 @@
         }
     }
 
-    /// Counts changes that are sent, even if more than the limit leaves.
+    /// Charges the write budget for changes that are being sent, even if this leaves the budget in
+    /// debt.
     pub(super) fn charge(&mut self, changes: usize, now: Micros) {
         self.bucket.take_into_debt(changes as f64, now);
     }
 
-    /// Puts writes back that were not executed, before the others of their priorities.
+    /// Puts writes that were not executed back into the queue, ahead of other writes of the same
+    /// priority.
     pub(super) fn requeue(&mut self, writes: Vec<PendingWrite>) {
         self.writes.splice(0..0, writes);
         self.writes.sort_by_key(|write| write.priority);
     }
 
-    /// As `requeue`, each in a transaction of its own.
+    /// Puts writes back as [`Self::requeue`] does, and marks each of them to be sent in a
+    /// transaction of its own.
     pub(super) fn requeue_unbatched(&mut self, mut writes: Vec<PendingWrite>) {
         for write in &mut writes {
             write.unbatched = true;
@@ -274,82 +293,90 @@
         self.requeue(writes);
     }
 
-    /// A transaction of so many changes was refused: later ones are smaller. Returns the new limit.
-    pub(super) fn shrink_transactions(&mut self, refused_changes: usize) -> usize {
-        let largest = self.changes_max.max(CHANGES_MIN);
-        self.changes_max = (refused_changes / 2).clamp(CHANGES_MIN, largest);
+    /// Halves the maximum transaction size after a transaction with `rejected_changes` changes was
+    /// rejected, and returns the new maximum.
+    pub(super) fn shrink_transactions(&mut self, rejected_changes: usize) -> usize {
+        let current_max = self.changes_max.max(TRANSACTION_CHANGES_MIN);
+        self.changes_max = (rejected_changes / 2).clamp(TRANSACTION_CHANGES_MIN, current_max);
         self.changes_max
     }
 
-    /// The service has executed a transaction: refusals for the rate are over.
-    pub(super) fn reset_retry_pause(&mut self) {
-        self.retry_pause = RETRY_PAUSE;
+    /// Resets the retry delay to its initial value after the service has executed a transaction.
+    pub(super) fn reset_retry_delay(&mut self) {
+        self.retry_delay = RETRY_DELAY_INITIAL;
     }
 
-    /// How long to pause now. Longer the next time if this one is for the rate.
-    pub(super) fn next_retry_pause(&mut self, rate_limited: bool) -> Micros {
-        let pause = self.retry_pause;
+    /// Returns the delay before the next retry. Doubles the following delay if `rate_limited`.
+    pub(super) fn next_retry_delay(&mut self, rate_limited: bool) -> Micros {
+        let delay = self.retry_delay;
         if rate_limited {
-            self.retry_pause = pause.scale(2.0).min(RETRY_PAUSE_MAX);
+            self.retry_delay = delay.scale(2.0).min(RETRY_DELAY_MAX);
         }
-        pause
+        delay
     }
 }
 
-/// A transaction that is being put together.
+/// Transaction that is being assembled from queued writes.
 #[derive(Default)]
 struct BatchBuilder {
-    /// Changes that the limit leaves now.
+    /// Tokens that the write budget holds now, in changes.
     level: f64,
-    /// Changes that the limit leaves when it has recovered.
+    /// Tokens that the write budget holds when it is full, in changes.
     burst: f64,
-    /// Changes of one transaction, at most.
+    /// Maximum number of changes in the transaction.
     changes_max: usize,
-    /// The writes that go along.
+    /// Writes selected for the transaction so far.
     writes: Vec<PendingWrite>,
-    /// Their changes.
+    /// Number of changes in the selected writes.
     change_count: usize,
-    /// Their guards.
+    /// Number of guards in the selected writes.
     guard_count: usize,
-    /// Their size, in bytes.
+    /// Approximate encoded size of the selected writes, in bytes.
     bytes: usize,
-    /// The keys that they change.
+    /// Keys that the selected writes change.
     changed_keys: BTreeSet<String>,
-    /// The keys that they compare.
+    /// Keys that the selected writes compare.
     guarded_keys: BTreeSet<String>,
-    /// The first write has to wait for the limit.
-    blocked: bool,
+    /// Whether the first deferrable write has to wait for the write budget, so that later
+    /// deferrable writes must wait too.
+    is_blocked: bool,
 }
 
 impl BatchBuilder {
-    /// Whether a write may go along. To be asked in the order of the queue.
+    /// Returns whether a write may be added to the transaction. Must be called for the writes in
+    /// queue order.
     fn admits(&mut self, write: &PendingWrite, now: Micros) -> bool {
         let reserve = write.reserve(self.burst, now);
-        let affordable = self.affords(write.changes.len(), reserve);
-        if reserve > 0.0 && (self.blocked || !affordable) {
-            // The first one that has to wait is not overtaken by smaller ones.
-            self.blocked |= self.writes.is_empty();
+        let fits_budget = self.fits_budget(write.changes.len(), reserve);
+        if reserve > 0.0 && (self.is_blocked || !fits_budget) {
+            // Deferrable writes that need fewer tokens must not overtake the first deferrable write
+            // that has to wait.
+            self.is_blocked |= self.writes.is_empty();
             return false;
         }
-        self.writes.is_empty() || (affordable && self.fits(write) && self.is_independent(write))
+        self.writes.is_empty()
+            || (fits_budget && self.fits_size_limits(write) && self.is_independent(write))
     }
 
-    /// Whether the limit leaves enough for so many more changes and the reserve.
-    fn affords(&self, changes: usize, reserve: f64) -> bool {
+    /// Returns whether the write budget covers this many additional changes and still leaves the
+    /// reserve.
+    fn fits_budget(&self, changes: usize, reserve: f64) -> bool {
         if reserve > 0.0 {
-            // Guards against a write of several changes that waits for ever behind single
-            // ones: it goes alone once the limit has recovered.
-            let recovered = self.writes.is_empty() && self.level + RECOVERED_MARGIN >= self.burst;
-            let required = self.change_count as f64 + changes as f64 + reserve;
-            return required <= self.level || recovered;
+            // A write with several changes is sent alone once the budget is full. Otherwise such a
+            // write could wait forever behind writes with a single change.
+            let is_alone_at_full_budget =
+                self.writes.is_empty() && self.level + FULL_BUDGET_TOLERANCE >= self.burst;
+            let required_tokens = self.change_count as f64 + changes as f64 + reserve;
+            return required_tokens <= self.level || is_alone_at_full_budget;
         }
-        let affordable = self.level.max(1.0) as usize;
-        self.change_count + changes <= affordable.max(ALWAYS_AFFORDABLE)
-            || (changes > ALWAYS_AFFORDABLE && self.change_count <= ALWAYS_AFFORDABLE)
+        let available_tokens = self.level.max(1.0) as usize;
+        self.change_count + changes <= available_tokens.max(UNBUDGETED_CHANGES_MAX)
+            || (changes > UNBUDGETED_CHANGES_MAX && self.change_count <= UNBUDGETED_CHANGES_MAX)
     }
 
-    /// Whether the transaction has room for another write.
-    fn fits(&self, write: &PendingWrite) -> bool {
+    /// Returns whether another write fits the size limits of the transaction. Returns false if
+    /// either of them must be sent unbatched.
+    fn fits_size_limits(&self, write: &PendingWrite) -> bool {
         !self.writes[0].unbatched
             && !write.unbatched
             && self.change_count + write.changes.len() <= self.changes_max
@@ -357,18 +384,19 @@
             && self.bytes + write.bytes <= TRANSACTION_BYTES_MAX
     }
 
-    /// Whether neither the write nor the batch changes a key that the other compares or changes.
+    /// Returns whether the write and the transaction are free of conflicts, that is, neither
+    /// changes a key that the other compares or changes.
     fn is_independent(&self, write: &PendingWrite) -> bool {
-        let untouched =
+        let is_unused =
             |key: &str| !self.changed_keys.contains(key) && !self.guarded_keys.contains(key);
-        write.changes.iter().all(|change| untouched(change.key()))
+        write.changes.iter().all(|change| is_unused(change.key()))
             && write
                 .guards
                 .iter()
                 .all(|guard| !self.changed_keys.contains(&guard.key))
     }
 
-    /// Adds a write that was admitted.
+    /// Adds a write for which [`Self::admits`] returned true.
     fn add(&mut self, write: PendingWrite) {
         self.change_count += write.changes.len();
         self.guard_count += write.guards.len();
--- a/crates/jasperhill-controller/src/store/commit_queue/tests.rs
+++ b/crates/jasperhill-controller/src/store/commit_queue/tests.rs
@@ -2,21 +2,24 @@
 use jasperhill_wire::store::Change;
 
 const NOW: Micros = Micros::from_secs(100);
-const LIMIT: Micros = Micros::from_secs(1);
+const SEND_TIMEOUT: Micros = Micros::from_secs(1);
 
 fn queue(rate: f64, changes_max: usize) -> CommitQueue {
     CommitQueue::new(TokenBucket::new(rate, rate, NOW), changes_max)
 }
 
-fn write_of(priority: WritePriority, key: &str) -> (PendingWrite, oneshot::Receiver<WriteOutcome>) {
+fn new_write(
+    priority: WritePriority,
+    key: &str,
+) -> (PendingWrite, oneshot::Receiver<WriteOutcome>) {
     let (reply, outcome) = oneshot::channel();
     let changes = vec![Change::Delete { key: key.into() }];
-    let write = PendingWrite::new(priority, Vec::new(), changes, LIMIT, NOW, reply);
+    let write = PendingWrite::new(priority, Vec::new(), changes, SEND_TIMEOUT, NOW, reply);
     (write, outcome)
 }
 
 fn push(queue: &mut CommitQueue, priority: WritePriority, key: &str) {
-    queue.push(write_of(priority, key).0);
+    queue.push(new_write(priority, key).0);
 }
 
 fn keys(writes: &[PendingWrite]) -> Vec<&str> {
@@ -24,7 +27,7 @@
 }
 
 #[test]
-fn writes_go_by_priority_and_by_arrival_within_one() {
+fn batches_writes_by_priority_then_arrival() {
     let mut queue = queue(100.0, 10);
     push(&mut queue, WritePriority::Accept, "a");
     push(&mut queue, WritePriority::Role, "b");
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn writes_that_touch_the_same_key_go_in_different_transactions() {
+fn splits_writes_to_same_key_into_separate_transactions() {
     let mut queue = queue(100.0, 10);
     push(&mut queue, WritePriority::Accept, "a");
     push(&mut queue, WritePriority::Accept, "a");
@@ -44,9 +47,9 @@
 }
 
 #[test]
-fn a_change_of_a_key_that_another_write_compares_waits() {
+fn defers_change_of_key_guarded_by_another_write() {
     let mut queue = queue(100.0, 10);
-    let (mut guarded, _outcome) = write_of(WritePriority::Accept, "a");
+    let (mut guarded, _outcome) = new_write(WritePriority::Accept, "a");
     guarded.guards.push(Guard {
         key: "b".into(),
         version: Revision(1),
@@ -58,18 +61,18 @@
 }
 
 #[test]
-fn an_expired_write_is_not_sent() {
+fn drops_write_after_its_deadline() {
     let mut queue = queue(100.0, 10);
     push(&mut queue, WritePriority::Accept, "a");
-    let next = queue.next_batch(NOW + LIMIT);
+    let next = queue.next_batch(NOW + SEND_TIMEOUT);
     assert_eq!((next.expired.len(), next.writes.len()), (1, 0));
 }
 
 #[test]
-fn background_writes_leave_a_reserve_until_they_have_waited_too_long() {
+fn background_write_leaves_reserve_until_reserve_expires() {
     let mut queue = queue(10.0, 10);
     queue.charge(6, NOW);
-    let (mut write, _outcome) = write_of(WritePriority::Background, "a");
+    let (mut write, _outcome) = new_write(WritePriority::Background, "a");
     write.deadline = NOW + Micros::from_secs(60);
     queue.push(write);
     assert!(queue.wait_for_budget(NOW).is_some());
@@ -83,29 +86,29 @@
 }
 
 #[test]
-fn refused_writes_go_one_by_one_and_later_transactions_are_smaller() {
+fn sends_rejected_writes_unbatched_and_halves_transaction_size() {
     let mut queue = queue(100.0, 10);
     for key in ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"] {
         push(&mut queue, WritePriority::Accept, key);
     }
-    let refused = queue.next_batch(NOW).writes;
-    assert_eq!(refused.len(), 10);
-    assert_eq!(queue.shrink_transactions(refused.len()), 5);
-    queue.requeue_unbatched(refused);
+    let rejected = queue.next_batch(NOW).writes;
+    assert_eq!(rejected.len(), 10);
+    assert_eq!(queue.shrink_transactions(rejected.len()), 5);
+    queue.requeue_unbatched(rejected);
     assert_eq!(keys(&queue.next_batch(NOW).writes), ["a"]);
     assert_eq!(keys(&queue.next_batch(NOW).writes), ["b"]);
 }
 
 #[test]
-fn pauses_grow_while_the_service_refuses_for_the_rate() {
+fn retry_delay_doubles_up_to_maximum_while_rate_limited() {
     let mut queue = queue(100.0, 10);
-    assert_eq!(queue.next_retry_pause(false), RETRY_PAUSE);
-    assert_eq!(queue.next_retry_pause(true), RETRY_PAUSE);
-    assert_eq!(queue.next_retry_pause(true), RETRY_PAUSE.scale(2.0));
+    assert_eq!(queue.next_retry_delay(false), RETRY_DELAY_INITIAL);
+    assert_eq!(queue.next_retry_delay(true), RETRY_DELAY_INITIAL);
+    assert_eq!(queue.next_retry_delay(true), RETRY_DELAY_INITIAL.scale(2.0));
     for _ in 0..5 {
-        queue.next_retry_pause(true);
+        queue.next_retry_delay(true);
     }
-    assert_eq!(queue.next_retry_pause(true), RETRY_PAUSE_MAX);
-    queue.reset_retry_pause();
-    assert_eq!(queue.next_retry_pause(true), RETRY_PAUSE);
+    assert_eq!(queue.next_retry_delay(true), RETRY_DELAY_MAX);
+    queue.reset_retry_delay();
+    assert_eq!(queue.next_retry_delay(true), RETRY_DELAY_INITIAL);
 }
--- a/crates/jasperhill-controller/src/store/committer.rs
+++ b/crates/jasperhill-controller/src/store/committer.rs
@@ -1,9 +1,9 @@
-//! Group commit: sends what the commit queue has batched, one transaction at a time, and tells each
-//! writer what became of its write. The decisions are those of [`super::commit_queue`]; here is only
-//! the I/O around them.
+//! Group commit of writes to the state service. Sends the batches selected by
+//! [`super::commit_queue`] one transaction at a time and reports the outcome of each write to its
+//! writer. This module contains only the I/O; the queue makes the decisions.
 
 use super::{
-    commit_queue::{NextBatch, PendingWrite, RETRY_PAUSE, WriteOutcome, WritePriority},
+    commit_queue::{NextBatch, PendingWrite, RETRY_DELAY_INITIAL, WriteOutcome, WritePriority},
     state::StoreState,
 };
 use crate::{
@@ -22,50 +22,52 @@
 #[cfg(test)]
 mod tests;
 
-/// How long the answer to a transaction may take.
-const TRANSACTION_LIMIT: Micros = Micros::from_millis(2_500);
-/// What the service says when a change names a lease that has expired.
-const LEASE_GONE: &str = "no such lease";
+/// Maximum time to wait for the response to a transaction.
+const TRANSACTION_TIMEOUT: Micros = Micros::from_millis(2_500);
+/// Part of the response text with which the service rejects a change that names an expired lease.
+const LEASE_NOT_FOUND_TEXT: &str = "no such lease";
 
-/// What the service made of a transaction.
+/// Outcome of a transaction, derived from the response of the service.
 enum TransactionOutcome {
-    /// Executed, at this revision.
+    /// The transaction was executed at this revision.
     Committed(Revision),
-    /// Executed, but the answer does not tell the revision.
-    CommittedUnreadable,
-    /// Not executed: the guards on these keys did not hold.
+    /// The transaction was executed, but the revision could not be read from the response.
+    CommittedAtUnknownRevision,
+    /// The transaction was not executed because some of its guards did not hold.
     Conflict {
-        /// The keys.
+        /// Keys whose guards did not hold; empty if the response could not be parsed.
         failed: Vec<String>,
     },
-    /// Not executed: the service takes no such transaction, and says why.
+    /// The transaction was not executed because the service considers it invalid (400).
     Rejected {
-        /// The text of the answer.
+        /// Text of the response.
         reason: String,
     },
-    /// Not executed: the service is over its rate (429).
+    /// The transaction was not executed because the rate limit of the service is exceeded (429).
     RateLimited,
-    /// Not executed: the service is not ready (503).
+    /// The transaction was not executed because the service is not ready (503).
     Unavailable,
-    /// Not executed: no connection came about.
+    /// The transaction was not executed because no connection could be established.
     NotSent,
-    /// May have been executed.
+    /// The transaction may have been executed.
     Unknown,
 }
 
 impl TransactionOutcome {
-    /// What an answer, or its absence, means.
-    fn of(answer: Result<Response, ClientError>) -> Self {
-        let response = match answer {
+    /// Classifies the response to a transaction, or the error if there was no response.
+    fn from_response(result: Result<Response, ClientError>) -> Self {
+        let response = match result {
             Ok(response) => response,
             Err(error) if error.is_unsent() => return Self::NotSent,
             Err(_) => return Self::Unknown,
         };
-        let body = || serde_json::from_slice::<TransactionResponse>(&response.body);
+        let parse_body = || serde_json::from_slice::<TransactionResponse>(&response.body);
         match response.status {
-            200 => body().map_or(Self::CommittedUnreadable, |b| Self::Committed(b.revision)),
+            200 => parse_body().map_or(Self::CommittedAtUnknownRevision, |b| {
+                Self::Committed(b.revision)
+            }),
             409 => Self::Conflict {
-                failed: body().map(|b| b.failed).unwrap_or_default(),
+                failed: parse_body().map(|b| b.failed).unwrap_or_default(),
             },
             400 => Self::Rejected {
                 reason: String::from_utf8_lossy(&response.body).into_owned(),
@@ -78,14 +80,15 @@
 }
 
 impl Shared {
-    /// Queues one atomic write and waits for its outcome. It is no longer sent once `limit` has
-    /// passed; after it was sent, the outcome is waited for however long that takes.
+    /// Queues an atomic write and waits for its outcome. The write is not sent any more once
+    /// `send_timeout` has passed. After the write was sent, this function waits for the outcome
+    /// without a time limit of its own.
     pub async fn write(
         &self,
         priority: WritePriority,
         guards: Vec<Guard>,
         changes: Vec<Change>,
-        limit: Micros,
+        send_timeout: Micros,
     ) -> WriteOutcome {
         let (reply, outcome) = oneshot::channel();
         {
@@ -96,14 +99,19 @@
             }
             let now = self.now();
             queue.push(PendingWrite::new(
-                priority, guards, changes, limit, now, reply,
+                priority,
+                guards,
+                changes,
+                send_timeout,
+                now,
+                reply,
             ));
         }
         self.wake.commit_queue.notify_one();
         outcome.await.unwrap_or(WriteOutcome::Unknown)
     }
 
-    /// Commits what is queued. Runs for as long as the controller lives.
+    /// Commits queued writes. Runs for the lifetime of the controller.
     pub async fn commit_loop(self: Rc<Self>) {
         loop {
             if self.state.borrow().store.commit_queue.is_empty() {
@@ -121,8 +129,9 @@
         }
     }
 
-    /// How long the limits on changes and on requests make the next transaction wait; `None` if it may
-    /// go now, with its request taken from the budget.
+    /// Returns how long the write budget and the request budget delay the next transaction. Returns
+    /// `None` if the transaction may be sent now; a token has then been taken from the request
+    /// budget.
     fn wait_before_commit(&self, now: Micros) -> Option<Micros> {
         let mut state = self.state.borrow_mut();
         let StoreState {
@@ -135,7 +144,8 @@
             .or_else(|| requests.take(1.0, now).err())
     }
 
-    /// The writes of the next transaction. Those that have waited too long are told so.
+    /// Returns the writes for the next transaction. Expired writes end with
+    /// [`WriteOutcome::NotExecuted`].
     fn next_batch(&self, now: Micros) -> Vec<PendingWrite> {
         let NextBatch { expired, writes } =
             self.state.borrow_mut().store.commit_queue.next_batch(now);
@@ -143,17 +153,17 @@
         writes
     }
 
-    /// Sends one transaction and acts on its outcome.
+    /// Sends one transaction and handles its outcome.
     async fn commit(&self, batch: Vec<PendingWrite>) {
         match self.send_transaction(&batch).await {
             TransactionOutcome::Committed(revision) => {
-                self.reset_retry_pause();
+                self.reset_retry_delay();
                 for write in batch {
                     self.finish_committed(write, revision);
                 }
             }
-            TransactionOutcome::CommittedUnreadable => {
-                self.reset_retry_pause();
+            TransactionOutcome::CommittedAtUnknownRevision => {
+                self.reset_retry_delay();
                 finish_all(batch, WriteOutcome::Unknown);
             }
             TransactionOutcome::Conflict { failed } => self.finish_conflicting(batch, &failed),
@@ -162,15 +172,15 @@
             TransactionOutcome::Unavailable => self.retry_later(batch, false).await,
             TransactionOutcome::NotSent => {
                 self.state.borrow_mut().store.commit_queue.requeue(batch);
-                sleep(to_duration(RETRY_PAUSE)).await;
+                sleep(to_duration(RETRY_DELAY_INITIAL)).await;
             }
             TransactionOutcome::Unknown => finish_all(batch, WriteOutcome::Unknown),
         }
     }
 
-    /// Sends the writes as one transaction.
+    /// Sends the writes as one transaction and returns its outcome.
     async fn send_transaction(&self, batch: &[PendingWrite]) -> TransactionOutcome {
-        let transaction = merge(batch);
+        let transaction = merge_writes(batch);
         let now = self.now();
         self.state
             .borrow_mut()
@@ -179,20 +189,21 @@
             .charge(transaction.changes.len(), now);
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let request = Request::new(Method::Post, "/txn", body);
-        let answer = self
-            .call(self.settings.state, request, TRANSACTION_LIMIT)
+        let result = self
+            .call(self.settings.state, request, TRANSACTION_TIMEOUT)
             .await;
-        TransactionOutcome::of(answer)
+        TransactionOutcome::from_response(result)
     }
 
-    /// The service executes transactions: the next refusal starts with the shortest pause.
-    fn reset_retry_pause(&self) {
+    /// Resets the retry delay after the service has executed a transaction, so that the next
+    /// refusal starts with the shortest delay.
+    fn reset_retry_delay(&self) {
         let mut state = self.state.borrow_mut();
-        state.store.commit_queue.reset_retry_pause();
+        state.store.commit_queue.reset_retry_delay();
     }
 
-    /// Shows an executed write in the watch cache before its writer goes on: the writer finds there
-    /// what it wrote.
+    /// Ends an executed write. The watch cache is updated before the writer is notified, so that
+    /// the writer can read its own write there.
     fn finish_committed(&self, mut write: PendingWrite, revision: Revision) {
         let changes = std::mem::take(&mut write.changes);
         let changes = changes.into_iter().map(|change| match change {
@@ -209,40 +220,43 @@
         write.finish(WriteOutcome::Committed(revision));
     }
 
-    /// Ends the writes whose guards failed; the others are sent again, since one failed guard does not
-    /// fail them.
+    /// Ends the writes whose guards failed and requeues the other writes of the batch, which a
+    /// failed guard of another write must not fail.
     fn finish_conflicting(&self, batch: Vec<PendingWrite>, failed: &[String]) {
-        let has_failed = |write: &PendingWrite| {
+        let has_failed_guard = |write: &PendingWrite| {
             let mut guards = write.guards.iter();
             guards.any(|guard| failed.contains(&guard.key))
         };
         let (conflicting, others): (Vec<PendingWrite>, Vec<PendingWrite>) =
-            batch.into_iter().partition(has_failed);
-        let nobody_failed = conflicting.is_empty();
+            batch.into_iter().partition(has_failed_guard);
+        let names_no_guard = conflicting.is_empty();
         finish_all(conflicting, WriteOutcome::Conflict);
         let queue = &mut self.state.borrow_mut().store.commit_queue;
-        if nobody_failed {
-            // The answer names none of their guards: each alone shows which one it is.
+        if names_no_guard {
+            // The response names no guard of these writes. Sending each write alone shows which one
+            // conflicts.
             queue.requeue_unbatched(others);
         } else {
             queue.requeue(others);
         }
     }
 
-    /// The service takes no such transaction: a lease that has expired, or more than it
-    /// takes now. Nothing was executed. Guards against taking a write that is merely too large
-    /// for a conflict, and against sending it again and again.
+    /// Handles a transaction that the service rejected without executing it, either because a lease
+    /// has expired or because the transaction exceeds the current limits of the service. Prevents a
+    /// write that is only too large from being reported as a conflict, and from being sent again
+    /// indefinitely.
     fn handle_rejection(&self, batch: Vec<PendingWrite>, reason: &str) {
         let changes: usize = batch.iter().map(|write| write.changes.len()).sum();
         if batch.len() > 1 {
-            // It may be one of them, or all together: each alone, and smaller ones from now on.
+            // Either one write is invalid or the combined transaction is too large. Each write is
+            // retried alone, and later transactions are smaller.
             let queue = &mut self.state.borrow_mut().store.commit_queue;
             let changes_max = queue.shrink_transactions(changes);
             tracing::info!(changes, changes_max, reason, "transaction rejected");
             queue.requeue_unbatched(batch);
             return;
         }
-        let outcome = if reason.contains(LEASE_GONE) {
+        let outcome = if reason.contains(LEASE_NOT_FOUND_TEXT) {
             WriteOutcome::Conflict
         } else {
             WriteOutcome::NotExecuted
@@ -254,22 +268,23 @@
         }
     }
 
-    /// Queues writes again that the service has not executed for want of capacity, and pauses.
+    /// Requeues writes that the service did not execute for lack of capacity, and waits for the
+    /// retry delay.
     async fn retry_later(&self, batch: Vec<PendingWrite>, rate_limited: bool) {
-        let pause = {
+        let delay = {
             let queue = &mut self.state.borrow_mut().store.commit_queue;
-            let pause = queue.next_retry_pause(rate_limited);
+            let delay = queue.next_retry_delay(rate_limited);
             let key = batch.first().map_or("", PendingWrite::first_key);
-            tracing::debug!(rate_limited, key, "transaction throttled, to be retried");
+            tracing::debug!(rate_limited, key, "transaction refused, will be retried");
             queue.requeue(batch);
-            pause
+            delay
         };
-        sleep(to_duration(pause)).await;
+        sleep(to_duration(delay)).await;
     }
 }
 
-/// One transaction of all these writes. Guards that several writes share are sent once.
-fn merge(batch: &[PendingWrite]) -> Transaction {
+/// Merges the writes into one transaction. A guard that several writes share is included once.
+fn merge_writes(batch: &[PendingWrite]) -> Transaction {
     let mut guards: Vec<Guard> = Vec::new();
     for guard in batch.iter().flat_map(|write| &write.guards) {
         if !guards.contains(guard) {
@@ -283,7 +298,7 @@
     }
 }
 
-/// Tells the writers of all these writes the same outcome.
+/// Reports the same outcome to the writers of all these writes.
 fn finish_all(writes: Vec<PendingWrite>, outcome: WriteOutcome) {
     for write in writes {
         write.finish(outcome);
--- a/crates/jasperhill-controller/src/store/committer/tests.rs
+++ b/crates/jasperhill-controller/src/store/committer/tests.rs
@@ -9,11 +9,11 @@
 }
 
 fn outcome(status: u16, body: &str) -> TransactionOutcome {
-    TransactionOutcome::of(Ok(Response::new(status, body.as_bytes().to_vec())))
+    TransactionOutcome::from_response(Ok(Response::new(status, body.as_bytes().to_vec())))
 }
 
 #[test]
-fn an_executed_transaction_tells_its_revision_or_that_it_does_not() {
+fn committed_transaction_reports_revision_only_if_response_is_readable() {
     let committed = outcome(200, &response(7, &[]));
     assert!(matches!(
         committed,
@@ -22,45 +22,45 @@
     let unreadable = outcome(200, "{");
     assert!(matches!(
         unreadable,
-        TransactionOutcome::CommittedUnreadable
+        TransactionOutcome::CommittedAtUnknownRevision
     ));
 }
 
 #[test]
-fn a_conflict_names_the_keys_whose_guards_failed() {
+fn conflict_reports_keys_of_failed_guards() {
     let conflict = outcome(409, &response(7, &["a"]));
     assert!(matches!(conflict, TransactionOutcome::Conflict { failed } if failed == ["a"]));
     let unreadable = outcome(409, "{");
     assert!(matches!(unreadable, TransactionOutcome::Conflict { failed } if failed.is_empty()));
 }
 
-/// Guards against a write that is sent again although it may have been executed.
+/// Guards against resending a write that may already have been executed.
 #[test]
-fn only_what_was_surely_not_executed_is_retried() {
+fn only_transactions_certainly_not_executed_are_retryable() {
     assert!(matches!(outcome(429, ""), TransactionOutcome::RateLimited));
     assert!(matches!(outcome(503, ""), TransactionOutcome::Unavailable));
     assert!(matches!(outcome(500, ""), TransactionOutcome::Unknown));
-    let failed = |error| TransactionOutcome::of(Err(error));
+    let outcome_of_error = |error| TransactionOutcome::from_response(Err(error));
     assert!(matches!(
-        failed(ClientError::NotSent),
+        outcome_of_error(ClientError::NotSent),
         TransactionOutcome::NotSent
     ));
     assert!(matches!(
-        failed(ClientError::NoSocket),
+        outcome_of_error(ClientError::NoSocket),
         TransactionOutcome::NotSent
     ));
     assert!(matches!(
-        failed(ClientError::NoAnswer),
+        outcome_of_error(ClientError::NoAnswer),
         TransactionOutcome::Unknown
     ));
     assert!(matches!(
-        failed(ClientError::TooLong),
+        outcome_of_error(ClientError::TooLong),
         TransactionOutcome::Unknown
     ));
 }
 
 #[test]
-fn guards_that_writes_share_are_sent_once() {
+fn merges_shared_guard_of_two_writes_into_one() {
     let write = |key: &str| {
         let guards = vec![Guard {
             key: "session".into(),
@@ -68,10 +68,17 @@
         }];
         let changes = vec![Change::Delete { key: key.into() }];
         let (reply, _) = oneshot::channel();
-        let (limit, now) = (Micros::from_secs(1), Micros::from_secs(100));
-        PendingWrite::new(WritePriority::Accept, guards, changes, limit, now, reply)
+        let (send_timeout, now) = (Micros::from_secs(1), Micros::from_secs(100));
+        PendingWrite::new(
+            WritePriority::Accept,
+            guards,
+            changes,
+            send_timeout,
+            now,
+            reply,
+        )
     };
-    let transaction = merge(&[write("a"), write("b")]);
+    let transaction = merge_writes(&[write("a"), write("b")]);
     assert_eq!(transaction.guards.len(), 1);
     assert_eq!(transaction.changes.len(), 2);
 }
--- a/crates/jasperhill-controller/src/store/mod.rs
+++ b/crates/jasperhill-controller/src/store/mod.rs
@@ -1,15 +1,15 @@
-//! The client of the state service, the consensus-backed key-value store that holds everything that
-//! must outlive a controller.
+//! Client of the state service, the consensus-backed key-value store for all data that must survive
+//! a controller restart.
 //!
-//! Owns [`state::StoreState`]: the writes that wait, the reads that wait and the request budget. Only
-//! the modules below change it. What it promises to the rest of the controller:
+//! The state is [`state::StoreState`]: queued writes, waiting reads and the request budget. Only
+//! the submodules change this state. The submodules and their guarantees are:
 //!
-//! - [`commit_queue`] and [`committer`]: group commit. A write ends with a typed [`WriteOutcome`], and
-//!   is never repeated once it may have been executed.
-//! - [`watch`]: the listing and the watch, which keep the watch cache up to date.
-//! - [`read_index`]: the linearizable read, one request for all who wait for it.
-//! - [`session`] and [`lease`]: the lease that this controller's roles are tied to.
-//! - [`budget`]: no more requests than this controller's share of the service's limit.
+//! - [`commit_queue`] and [`committer`]: group commit. Each write ends with a typed
+//!   [`WriteOutcome`], and a write that may have been executed is never sent again.
+//! - [`watch`]: the listing and the watch that keep the watch cache up to date.
+//! - [`read_index`]: linearizable reads, with one request for all waiting callers.
+//! - [`session`] and [`lease`]: the lease that the roles of this controller are bound to.
+//! - [`budget`]: rate limiting to this controller's share of the request limit of the service.
 
 mod budget;
 mod commit_queue;
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -1,6 +1,7 @@
-//! This controller's session: a lease of the state service that its roles are tied to. Starts it,
-//! renews it, and drops ownership when it has ended. What the session entitles to is decided by
-//! `jasperhill_membership::authority`, whose state changes only through its `apply`.
+//! Session of this controller: the lease in the state service that its roles are bound to. Starts
+//! and renews the session, and drops role ownership when the session has ended. The module
+//! `jasperhill_membership::authority` decides what the session entitles this controller to, and its
+//! state changes only through its `apply` function.
 
 use super::{
     commit_queue::{WriteOutcome, WritePriority},
@@ -31,103 +32,111 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// The pause after the first failed try to start a session, doubled with each further one.
-const START_PAUSE: Micros = Micros::from_millis(200);
-/// The longest pause between tries to start a session: nothing is owned meanwhile.
-const START_PAUSE_MAX: Micros = Micros::from_millis(800);
-/// How long the write that starts a session may wait before it is sent.
-const START_WRITE_LIMIT: Micros = Micros::from_secs(1);
-/// Changes of that write besides those of roles: the session and the feature level.
-const START_CHANGES: usize = 2;
-/// The pause after a renewal without an answer, or that was not tried.
-const RENEWAL_RETRY_PAUSE: Micros = Micros::from_millis(250);
-/// A lease is renewed after this part of its time to live, so that several tries fit into it.
-const RENEWAL_SHARE: f64 = 0.15;
-/// The longest pause between renewals, however long a lease lasts.
-const RENEWAL_PAUSE_MAX: Micros = Micros::from_secs(2);
+/// Delay after the first failed attempt to start a session. The delay doubles after each further
+/// failure.
+const START_RETRY_DELAY_INITIAL: Micros = Micros::from_millis(200);
+/// Maximum delay between attempts to start a session. Kept short because this controller owns no
+/// role until a session starts.
+const START_RETRY_DELAY_MAX: Micros = Micros::from_millis(800);
+/// Maximum time that the write which starts a session may wait in the queue before it is sent.
+const START_WRITE_TIMEOUT: Micros = Micros::from_secs(1);
+/// Number of changes in the write that starts a session, apart from the role records: the session
+/// record and the feature level record.
+const NON_ROLE_CHANGES: usize = 2;
+/// Delay after a renewal that got no conclusive response or was skipped.
+const RENEWAL_RETRY_DELAY: Micros = Micros::from_millis(250);
+/// Fraction of the time to live after which a lease is renewed. Small enough that several renewal
+/// attempts fit into the time to live.
+const RENEWAL_TTL_FRACTION: f64 = 0.15;
+/// Maximum interval between renewals, however long the time to live of the lease is.
+const RENEWAL_INTERVAL_MAX: Micros = Micros::from_secs(2);
 
-/// What the store says of this controller before its new session starts.
+/// Records that the previous process of this controller left in the store.
 struct PreviousSession {
-    /// The session of the earlier process, if its record is still there.
+    /// Session record of the previous process; `None` if the record no longer exists.
     record: Option<Versioned<SessionRecord>>,
-    /// The feature level that an earlier process announced.
+    /// Feature level announced by a previous process; `None` if there is no record.
     announced_level: Option<u32>,
-    /// The roles that it owned and that the new session takes over.
+    /// Roles owned by the previous process that the new session takes over.
     roles: Vec<OwnedRole>,
 }
 
-/// A role that is owned by this controller, by its record.
+/// Role whose record names this controller as the owner.
 struct OwnedRole {
-    /// The role.
+    /// The owned role.
     role: Role,
-    /// The revision at which its record was written.
+    /// Revision at which the role record was last written.
     version: Revision,
 }
 
 impl Shared {
-    /// Starts and renews the session. Runs for as long as the controller lives.
+    /// Starts the session and keeps it renewed. Runs for the lifetime of the controller.
     pub async fn session_loop(self: Rc<Self>) {
-        let mut start_pause = START_PAUSE;
+        let mut start_retry_delay = START_RETRY_DELAY_INITIAL;
         loop {
             let session = self.state.borrow().authority.session();
-            let pause = match session {
+            let delay = match session {
                 Session::None => {
                     if self.start_session().await {
-                        start_pause = START_PAUSE;
+                        start_retry_delay = START_RETRY_DELAY_INITIAL;
                         Micros::ZERO
                     } else {
-                        let pause = start_pause;
-                        start_pause = start_pause.scale(2.0).min(START_PAUSE_MAX);
-                        pause
+                        let delay = start_retry_delay;
+                        start_retry_delay = start_retry_delay.scale(2.0).min(START_RETRY_DELAY_MAX);
+                        delay
                     }
                 }
                 Session::Held { lease, .. } => self.renew_session(lease).await,
             };
-            sleep(to_duration(pause)).await;
+            sleep(to_duration(delay)).await;
         }
     }
 
-    /// Renews the session once. How long to pause until the next renewal.
+    /// Renews the session once and returns the delay until the next renewal.
     async fn renew_session(&self, lease: u64) -> Micros {
         let sent = self.now();
         {
-            // Guards against a session that is kept alive by renewals whose answers get lost, while
-            // nobody acts on its roles: others are answered, so it had better end. The watch
-            // notices when the link is back.
+            // While the state service responds to other controllers but not to this one, renewals
+            // could keep the session alive although their responses are lost. Nobody would act on
+            // its roles then, so the session is left to expire. The watch detects when the link
+            // recovers.
             let state = self.state.borrow();
             if state.isolation.isolated && !state.authority.holds(sent) {
-                return RENEWAL_RETRY_PAUSE;
+                return RENEWAL_RETRY_DELAY;
             }
         }
         let renewal = self.renew_lease(lease).await;
         let time_to_live = self.state.borrow().authority.ttl();
-        let answered = renewal != LeaseRenewal::Unknown;
-        let observed = if answered {
+        let has_response = renewal != LeaseRenewal::Unknown;
+        let observed = if has_response {
             stall_detector::Input::Answered
         } else {
             stall_detector::Input::Unanswered { sent }
         };
         self.state.borrow_mut().stalls.apply(observed, self.now());
-        self.observe_link(LinkId::Store, observation_of(answered));
+        self.observe_link(LinkId::Store, observation_of(has_response));
         match renewal {
             LeaseRenewal::Renewed => {
                 let renewed = authority::Input::Renewed { lease, sent };
                 self.state.borrow_mut().authority.apply(renewed);
-                time_to_live.scale(RENEWAL_SHARE).min(RENEWAL_PAUSE_MAX)
+                time_to_live
+                    .scale(RENEWAL_TTL_FRACTION)
+                    .min(RENEWAL_INTERVAL_MAX)
             }
-            LeaseRenewal::Gone => {
+            LeaseRenewal::NotFound => {
                 let mut state = self.state.borrow_mut();
                 state.authority.apply(authority::Input::Lost { lease });
                 self.drop_ownership(&mut state, "session ended");
                 Micros::ZERO
             }
-            LeaseRenewal::Unknown => RENEWAL_RETRY_PAUSE,
+            LeaseRenewal::Unknown => RENEWAL_RETRY_DELAY,
         }
     }
 
-    /// Asks for a lease and ties the session's key to it. A restarted controller takes over
-    /// its own earlier session and what that owned in the same transaction: the earlier
-    /// process is gone, and nobody needs to wait for its lease. False if no session started.
+    /// Requests a lease and writes a session record bound to that lease. A restarted controller
+    /// takes over its own previous session and the roles of that session in the same transaction:
+    /// the previous process has ended, so nobody needs to wait for its lease to expire. Returns
+    /// false if no session was started.
     async fn start_session(&self) -> bool {
         if !self.read_index().await {
             return false;
@@ -141,19 +150,20 @@
         let Transaction { guards, changes } =
             self.session_transaction(lease, &previous, process_run);
         let outcome = self
-            .write(WritePriority::Role, guards, changes, START_WRITE_LIMIT)
+            .write(WritePriority::Role, guards, changes, START_WRITE_TIMEOUT)
             .await;
         let WriteOutcome::Committed(version) = outcome else {
-            // Not used: revoked, so that the write fails if it arrives late.
+            // The lease is not used. Revoking it makes the session write fail if that write arrives
+            // late.
             self.revoke_lease(lease).await;
             return false;
         };
-        let begun = authority::Input::Begun {
+        let session_begun = authority::Input::Begun {
             lease,
             version,
             sent,
         };
-        self.state.borrow_mut().authority.apply(begun);
+        self.state.borrow_mut().authority.apply(session_begun);
         tracing::info!(lease, "session started");
         if let Some(previous) = previous.record {
             self.revoke_lease(previous.value.lease).await;
@@ -162,23 +172,24 @@
         true
     }
 
-    /// Notes in the restart history that a session starts, and reads what the earlier process of this
-    /// controller has left in the store.
+    /// Records the session start in the restart history, and reads the records that the previous
+    /// process of this controller left in the store.
     fn load_previous_session(&self) -> (PreviousSession, ProcessRun) {
-        let own = &self.settings.member;
-        let mut guarded = self.state.borrow_mut();
-        let state = &mut *guarded;
-        let record = state.cache.sessions.get(own).cloned();
+        let own_member = &self.settings.member;
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
+        let record = state.cache.sessions.get(own_member).cloned();
         let starting = restart_history::Input::SessionStarting {
             former: record.as_ref().map(|entry| process_run_of(&entry.value)),
             wall: self.clock.wall(),
         };
         let phase = state.membership.restarts.apply(starting, self.now());
         let process_run = state.membership.restarts.current();
-        // Guards against roles that a process takes back in each of its lives and serves in
-        // none: what it leaves names a session that is gone.
-        let relinquishes = self.defers_to_other_members(state);
-        if relinquishes {
+        // In a crash loop, each process would take the roles back and serve none of them. The roles
+        // are therefore not taken over: their records keep naming the lease of the ended session,
+        // which leaves the roles to other members.
+        let leaves_roles = self.defers_to_other_members(state);
+        if leaves_roles {
             tracing::warn!(
                 quick_restarts = process_run.quick_restarts,
                 ?phase,
@@ -189,13 +200,13 @@
             .cache
             .roles
             .iter()
-            .filter(|(_, entry)| &entry.value.owner == own && !relinquishes)
+            .filter(|(_, entry)| &entry.value.owner == own_member && !leaves_roles)
             .map(|(role, entry)| OwnedRole {
                 role: *role,
                 version: entry.version,
             })
             .collect();
-        let level = state.cache.feature_levels.get(own);
+        let level = state.cache.feature_levels.get(own_member);
         let previous = PreviousSession {
             record,
             announced_level: level.map(|entry| entry.value.format),
@@ -204,16 +215,20 @@
         (previous, process_run)
     }
 
-    /// The write that starts a session under a lease, guarded by what it replaces.
+    /// Builds the transaction that starts a session under a lease. Its guards require that the
+    /// replaced records are unchanged.
     fn session_transaction(
         &self,
         lease: u64,
         previous: &PreviousSession,
         process_run: ProcessRun,
     ) -> Transaction {
-        let own = &self.settings.member;
-        let key = session_key(own);
-        let version = previous.record.as_ref().map_or(Revision(0), |k| k.version);
+        let own_member = &self.settings.member;
+        let key = session_key(own_member);
+        let version = previous
+            .record
+            .as_ref()
+            .map_or(Revision(0), |entry| entry.version);
         let session = SessionRecord {
             lease,
             format: FEATURE_LEVEL,
@@ -222,18 +237,19 @@
         };
         let mut guards = vec![guard(&key, version)];
         let mut changes = vec![put_with_lease(&key, &session, lease)];
-        // Outlasts the session: an earlier version that comes back in its place writes a session
-        // without a format, and counts by that.
+        // The feature level record outlives the session. If an earlier version replaces this
+        // process, the session record of that version has no format field and takes precedence over
+        // the feature level record.
         if previous.announced_level != Some(FEATURE_LEVEL) {
             let level = FeatureLevelRecord {
                 format: FEATURE_LEVEL,
             };
-            changes.push(put(feature_level_key(own), &level));
+            changes.push(put(feature_level_key(own_member), &level));
         }
-        let roles_max = self.settings.txn_ops - START_CHANGES;
+        let roles_max = self.settings.txn_ops - NON_ROLE_CHANGES;
         for OwnedRole { role, version } in previous.roles.iter().take(roles_max) {
             let record = RoleRecord {
-                owner: own.clone(),
+                owner: own_member.clone(),
                 lease,
             };
             guards.push(guard(role_key(*role), *version));
@@ -242,8 +258,8 @@
         Transaction { guards, changes }
     }
 
-    /// The lease of this controller's session, and the guard that the session is still the one it
-    /// knows; `None` without a session.
+    /// Returns the lease of this controller's session and a guard which requires that the session
+    /// record is unchanged. Returns `None` if there is no session.
     pub fn session_guard(&self, state: &State) -> Option<(u64, Guard)> {
         match state.authority.session() {
             Session::Held { lease, version } => {
--- a/crates/jasperhill-controller/src/store/state.rs
+++ b/crates/jasperhill-controller/src/store/state.rs
@@ -1,38 +1,40 @@
-//! The state of the store client: writes and reads that wait, and the budgets of requests and changes.
-//! Changed only by the modules of `store`.
+//! State of the state service client: queued writes, waiting reads, and the budgets for requests
+//! and changes. Changed only by the modules of `store`.
 
 use crate::{settings::Settings, store::commit_queue::CommitQueue, token_bucket::TokenBucket};
 use jasperhill_wire::Micros;
 use tokio::sync::oneshot;
 
-/// The part of a second's requests that a process may make at once when it starts. Guards against a
-/// process that ends again and again, and each time begins with all that a second allows.
-const INITIAL_FILL: f64 = 0.4;
-/// The part of a controller's share of the limits that it uses: a margin below the service's own
-/// count.
-const USED_SHARE: f64 = 0.9;
+/// Fraction of one second's requests that a process may send in a burst right after it starts.
+/// Prevents a process that restarts repeatedly from using a full burst after each restart.
+const INITIAL_BURST_FRACTION: f64 = 0.4;
+/// Fraction of this controller's share of the service limits that is used. The margin keeps the
+/// controller below the limits as counted by the service.
+const USED_LIMIT_FRACTION: f64 = 0.9;
 
-/// The state of the store client.
+/// State of the state service client.
 pub(crate) struct StoreState {
     /// Writes that wait to be committed.
     pub commit_queue: CommitQueue,
-    /// Callers that wait for a linearizable read; they are sent `true` once it is done.
+    /// Reply channels of callers that wait for a linearizable read. The value `true` is sent when
+    /// the read has completed.
     pub read_waiters: Vec<oneshot::Sender<bool>>,
-    /// The budget of requests of any kind.
+    /// Budget for requests of all kinds.
     pub requests: TokenBucket,
 }
 
 impl StoreState {
-    /// That of a process that has just started, with an equal share of the limits for each partition's
-    /// controller. `now`: by the steady clock.
+    /// Creates the state of a process that started at `now` (steady clock). The service limits are
+    /// divided by the number of partitions (`settings.size`), so that the controller of each
+    /// partition gets an equal share.
     pub fn new(settings: &Settings, now: Micros) -> Self {
-        let share = 1.0 / f64::from(settings.size);
-        let requests = settings.state_rps * share * USED_SHARE;
-        let writes = settings.state_write_rps * share * USED_SHARE;
+        let limit_fraction = 1.0 / f64::from(settings.size);
+        let requests = settings.state_rps * limit_fraction * USED_LIMIT_FRACTION;
+        let writes = settings.state_write_rps * limit_fraction * USED_LIMIT_FRACTION;
         Self {
             commit_queue: CommitQueue::new(TokenBucket::new(writes, writes, now), settings.txn_ops),
             read_waiters: Vec::new(),
-            requests: TokenBucket::new(requests, requests, now).filled_to(INITIAL_FILL),
+            requests: TokenBucket::new(requests, requests, now).filled_to(INITIAL_BURST_FRACTION),
         }
     }
 }
--- a/crates/jasperhill-controller/src/store/transaction.rs
+++ b/crates/jasperhill-controller/src/store/transaction.rs
@@ -1,4 +1,4 @@
-//! What a transaction compares and changes, in short form for its callers. Pure; owns no state.
+//! Constructors for the guards and changes of a transaction. Holds no state and performs no I/O.
 
 use jasperhill_wire::{
     Revision,
@@ -6,8 +6,8 @@
 };
 use serde::Serialize;
 
-/// A comparison: the key's record must still have this version; revision 0 means that there must be
-/// no record.
+/// Creates a guard which requires that the record of the key still has the given version. Version 0
+/// requires that the record does not exist.
 pub(crate) fn guard(key: impl Into<String>, version: Revision) -> Guard {
     Guard {
         key: key.into(),
@@ -15,17 +15,18 @@
     }
 }
 
-/// Writes a record that stays until it is deleted.
+/// Creates a change that writes a record without a lease. The record persists until it is deleted.
 pub(crate) fn put(key: impl Into<String>, value: &impl Serialize) -> Change {
     put_record(key.into(), value, None)
 }
 
-/// Writes a record that the service deletes when the lease expires or is revoked.
+/// Creates a change that writes a record bound to a lease. The service deletes the record when the
+/// lease expires or is revoked.
 pub(crate) fn put_with_lease(key: impl Into<String>, value: &impl Serialize, lease: u64) -> Change {
     put_record(key.into(), value, Some(lease))
 }
 
-/// Writes a record, with its lease if it has one.
+/// Creates a change that writes a record, bound to `lease` if there is one.
 fn put_record(key: String, value: &impl Serialize, lease: Option<u64>) -> Change {
     Change::Put {
         key,
--- a/crates/jasperhill-controller/src/store/watch.rs
+++ b/crates/jasperhill-controller/src/store/watch.rs
@@ -1,5 +1,6 @@
-//! The listing and the watch that keep the watch cache up to date. Owns no state: the watch cache
-//! itself says what it lacks, and all that is read goes through `Shared::apply_to_cache`.
+//! Listing and watch of the state service, which keep the watch cache up to date. This module holds
+//! no state: the watch cache tells which changes are missing, and all data read is passed to
+//! `Shared::apply_to_cache`.
 
 use crate::{
     clock::to_duration,
@@ -17,48 +18,50 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// The part of this controller's request rate that watches may use; the rest is for linearizable
-/// reads, writes and leases.
-const WATCH_SHARE: f64 = 0.3;
-/// How long the service holds back the answer to a watch without changes, at most.
+/// Fraction of this controller's request rate that watches may use. The rest is left for
+/// linearizable reads, writes and leases.
+const WATCH_RATE_FRACTION: f64 = 0.3;
+/// Maximum time that the service may block a watch while nothing changes.
 const WATCH_BLOCK_MAX: Micros = Micros::from_secs(4);
-/// The part of the time that authority may rest on one answer for which a watch may block: well below
-/// one, or a quiet store alone would cost this controller its authority.
-const WATCH_BLOCK_SHARE: f64 = 0.25;
-/// How long an answer may take on top of the time for which the service blocks.
-const BLOCKING_WATCH_SLACK: Micros = Micros::from_secs(2);
-/// How long the answer to a watch that does not block may take: callers wait for it.
-const IMMEDIATE_WATCH_LIMIT: Micros = Micros::from_millis(900);
-/// The pause after a listing or a watch that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(200);
-/// The pauses after each failed try to read one page of a listing.
-const PAGE_RETRY_PAUSES: [Micros; 4] = [
+/// Maximum blocking time of a watch, as a fraction of the time for which authority remains valid
+/// after one response. Must be well below 1; otherwise a store without changes would cost this
+/// controller its authority.
+const WATCH_BLOCK_FRACTION: f64 = 0.25;
+/// Time allowed for the response to a blocking watch, in addition to the blocking time.
+const BLOCKING_WATCH_MARGIN: Micros = Micros::from_secs(2);
+/// Maximum time to wait for the response to a watch that does not block. Kept short because callers
+/// are waiting for the response.
+const NONBLOCKING_WATCH_TIMEOUT: Micros = Micros::from_millis(900);
+/// Delay after a failed listing or watch.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Delays after each failed attempt to read a page of a listing.
+const PAGE_RETRY_DELAYS: [Micros; 4] = [
     Micros::from_millis(100),
     Micros::from_millis(200),
     Micros::from_millis(400),
     Micros::from_millis(800),
 ];
-/// Records on one page of a listing: bounds what one answer takes in memory.
+/// Maximum number of records on a page of a listing. Bounds the memory used by one response.
 const PAGE_SIZE: u32 = 1_000;
-/// How long one page of a listing may take.
-const PAGE_LIMIT: Micros = Micros::from_secs(3);
+/// Maximum time to wait for a page of a listing.
+const PAGE_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// The answer to a watch.
-enum WatchAnswer {
-    /// What has changed.
+/// Outcome of a watch request.
+enum WatchOutcome {
+    /// The changes since the requested revision.
     Events(WatchResponse),
-    /// The service has compacted away revisions that this controller has not seen.
+    /// The service has compacted revisions that this controller has not seen yet.
     Compacted,
-    /// More has changed than one answer may hold.
-    TooLong,
-    /// No answer, or none that is understood.
+    /// The changes exceed the maximum size of a response.
+    ResponseTooLong,
+    /// There was no response, or the response could not be parsed.
     Failed,
 }
 
-impl WatchAnswer {
-    /// What an answer, or its absence, means.
-    fn of(answer: Result<Response, ClientError>) -> Self {
-        match answer {
+impl WatchOutcome {
+    /// Classifies the response to a watch, or the error if there was no response.
+    fn from_response(result: Result<Response, ClientError>) -> Self {
+        match result {
             Ok(response) if response.status == 200 => {
                 match serde_json::from_slice(&response.body) {
                     Ok(events) => Self::Events(events),
@@ -69,28 +72,29 @@
                 }
             }
             Ok(response) if response.status == 410 => Self::Compacted,
-            Err(ClientError::TooLong) => Self::TooLong,
+            Err(ClientError::TooLong) => Self::ResponseTooLong,
             Ok(_) | Err(_) => Self::Failed,
         }
     }
 }
 
-/// The pages of a listing that have been read so far.
+/// Pages of a listing that have been read so far.
 #[derive(Default)]
 struct PartialListing {
-    /// The records of all pages.
+    /// Records of all pages read so far.
     items: Vec<KeyValue>,
-    /// The revision of the first page.
-    first: Option<Revision>,
-    /// The highest revision of any page.
-    last: Revision,
+    /// Revision of the first page; `None` before the first page was read.
+    first_revision: Option<Revision>,
+    /// Highest revision of all pages read so far.
+    highest_revision: Revision,
 }
 
 impl PartialListing {
-    /// Adds a page. The key to go on after, if there are more.
+    /// Adds a page. Returns the last key of the page, after which the next page begins, or `None`
+    /// if this was the last page.
     fn add(&mut self, page: Listing) -> Option<String> {
-        self.first.get_or_insert(page.revision);
-        self.last = self.last.max(page.revision);
+        self.first_revision.get_or_insert(page.revision);
+        self.highest_revision = self.highest_revision.max(page.revision);
         let last_key = page.items.last().map(|item| item.key.clone());
         self.items.extend(page.items);
         last_key.filter(|_| page.more)
@@ -98,48 +102,49 @@
 }
 
 impl Shared {
-    /// Lists once, then watches; lists again when the watch has fallen too far behind. Runs for as
-    /// long as the controller lives.
+    /// Reads a full listing, then watches for changes. Reads another listing when the watch has
+    /// fallen too far behind. Runs for the lifetime of the controller.
     pub async fn watch_loop(self: Rc<Self>) {
         loop {
             let (phase, after) = {
                 let state = self.state.borrow();
                 (state.cache.phase, state.cache.revision)
             };
-            let started = self.now();
-            let succeeded = if phase == Phase::Empty {
+            let started_at = self.now();
+            let succeeded = if phase == Phase::NotListed {
                 self.list_all().await
             } else {
-                let block = self.watch_block();
-                self.watch(after, block).await
+                let block_time = self.watch_block_time();
+                self.watch(after, block_time).await
             };
             if succeeded {
-                // With many changes a watch answers at once, and each one counts: unpaced
-                // watches of three controllers alone would use up the service's limit.
-                let pause = self.request_interval(WATCH_SHARE) - (self.now() - started);
-                sleep(to_duration(pause)).await;
+                // A watch returns at once while there are many changes, and each watch counts
+                // against the rate limit. Without this delay, the watches of three controllers
+                // alone would use up the limit of the service.
+                let delay = self.request_interval(WATCH_RATE_FRACTION) - (self.now() - started_at);
+                sleep(to_duration(delay)).await;
             } else {
-                sleep(FAILURE_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    /// For how long the next watch may block. Not at all while the link to the store is down: a watch
-    /// that blocks would show only late that it is back.
-    fn watch_block(&self) -> Micros {
+    /// Returns how long the next watch may block. The result is zero while the link to the store is
+    /// down, because a blocking watch would detect the recovery of the link late.
+    fn watch_block_time(&self) -> Micros {
         let state = self.state.borrow();
         match state.membership.reachability.own_link(&LinkId::Store) {
             LinkState::Down => Micros::ZERO,
-            _ => WATCH_BLOCK_MAX.min(self.settings.bounds.owner().scale(WATCH_BLOCK_SHARE)),
+            _ => WATCH_BLOCK_MAX.min(self.settings.bounds.owner().scale(WATCH_BLOCK_FRACTION)),
         }
     }
 
-    /// Reads everything, page by page, and hands it to the watch cache. False if a page could not be
-    /// read; nothing is handed over then.
+    /// Reads all records page by page and passes the listing to the watch cache. Returns false,
+    /// without changing the watch cache, if a page could not be read.
     async fn list_all(&self) -> bool {
         let (mut listing, mut after) = (PartialListing::default(), String::new());
         loop {
-            let Some(page) = self.list_page(&after).await else {
+            let Some(page) = self.read_listing_page(&after).await else {
                 return false;
             };
             match listing.add(page) {
@@ -147,66 +152,80 @@
                 None => break,
             }
         }
-        let PartialListing { items, first, last } = listing;
-        let first = first.unwrap_or_default();
-        tracing::debug!(items = items.len(), revision = first.0, "listed the store");
+        let PartialListing {
+            items,
+            first_revision,
+            highest_revision: last,
+        } = listing;
+        let first = first_revision.unwrap_or_default();
+        tracing::debug!(
+            items = items.len(),
+            revision = first.0,
+            "listing of the state service completed"
+        );
         self.apply_to_cache(watch_cache::Input::Listed { items, first, last });
         self.wake.roles.notify_one();
         true
     }
 
-    /// The page of keys after this one; from the beginning if it is empty.
+    /// Reads the page of records whose keys follow `after`, or the first page if `after` is empty.
+    /// Returns `None` if the page could not be read.
     ///
-    /// Guards against listings that begin anew with each page that fails: what is listed stays, since
-    /// the watch goes on from the first page.
-    async fn list_page(&self, after: &str) -> Option<Listing> {
+    /// A failed page is retried here so that a single failure does not restart the whole listing.
+    /// The pages already read stay usable, because the watch continues from the revision of the
+    /// first page.
+    async fn read_listing_page(&self, after: &str) -> Option<Listing> {
         let mut target = format!("/store?prefix={ROOT}&page={PAGE_SIZE}");
         if !after.is_empty() {
             target.push_str("&after=");
             target.push_str(after);
         }
-        for pause in PAGE_RETRY_PAUSES {
+        for delay in PAGE_RETRY_DELAYS {
             let request = Request::new(Method::Get, target.clone(), Vec::new());
-            let answer = self.call_store_within_budget(request, PAGE_LIMIT).await;
-            if let Ok(answer) = answer
-                && answer.status == 200
+            let result = self.call_store_within_budget(request, PAGE_TIMEOUT).await;
+            if let Ok(response) = result
+                && response.status == 200
             {
-                return serde_json::from_slice(&answer.body).ok();
+                return serde_json::from_slice(&response.body).ok();
             }
-            sleep(to_duration(pause)).await;
+            sleep(to_duration(delay)).await;
         }
         None
     }
 
-    /// One watch for what has changed after a revision; the service blocks for `block` if nothing has.
-    /// With `block` zero it is the linearizable read: the answer shows a revision not older than the
-    /// request, and brings the watch cache up to it. False if it brought nothing.
-    pub(super) async fn watch(&self, after: Revision, block: Micros) -> bool {
-        self.pay_for_watch(block).await;
-        let sent = self.now();
-        match self.send_watch(after, block).await {
-            WatchAnswer::Events(response) => {
+    /// Sends one watch for changes after the revision `after` and applies the response to the watch
+    /// cache. The service blocks for up to `block_time` if there are no changes. Returns false if
+    /// the watch cache was not updated.
+    ///
+    /// A watch with a `block_time` of zero is a linearizable read: the revision of the response is
+    /// at least the revision committed when the request was sent, and the watch cache is updated to
+    /// that revision.
+    pub(super) async fn watch(&self, after: Revision, block_time: Micros) -> bool {
+        self.charge_watch_request(block_time).await;
+        let sent_at = self.now();
+        match self.send_watch(after, block_time).await {
+            WatchOutcome::Events(response) => {
                 self.apply_to_cache(watch_cache::Input::WatchEvents {
                     after,
                     revision: response.revision,
                     events: response.events,
                 });
-                let fresh = authority::Input::Fresh { sent };
+                let fresh = authority::Input::Fresh { sent: sent_at };
                 self.state.borrow_mut().authority.apply(fresh);
                 self.observe_link(LinkId::Store, Observation::Success);
                 true
             }
-            // Guards against a watch that has fallen so far behind that it never gets on, and
-            // against the memory that reading all of it would take: the listing comes in pages.
-            WatchAnswer::Compacted | WatchAnswer::TooLong => self.list_all().await,
-            WatchAnswer::Failed => false,
+            // A new listing avoids a watch that never catches up. It also bounds memory use,
+            // because a listing is read in pages.
+            WatchOutcome::Compacted | WatchOutcome::ResponseTooLong => self.list_all().await,
+            WatchOutcome::Failed => false,
         }
     }
 
-    /// Takes a watch's request from the budget. A watch that blocks does not wait for it: the watch
-    /// cache feeds everything else.
-    async fn pay_for_watch(&self, block: Micros) {
-        if block != Micros::ZERO {
+    /// Charges the request budget for a watch. A blocking watch does not wait for the budget,
+    /// because everything else depends on an up-to-date watch cache.
+    async fn charge_watch_request(&self, block_time: Micros) {
+        if block_time != Micros::ZERO {
             self.charge_request();
             return;
         }
@@ -217,17 +236,19 @@
         }
     }
 
-    /// Sends one watch; see [`Self::watch`] for the arguments.
-    async fn send_watch(&self, after: Revision, block: Micros) -> WatchAnswer {
-        let (after, block_ms) = (after.0, block.0 / 1_000);
+    /// Sends one watch request; see [`Self::watch`] for the parameters.
+    async fn send_watch(&self, after: Revision, block_time: Micros) -> WatchOutcome {
+        let (after, block_ms) = (after.0, block_time.0 / 1_000);
         let target = format!("/watch?prefix={ROOT}&after={after}&block_ms={block_ms}");
-        let slack = if block == Micros::ZERO {
-            IMMEDIATE_WATCH_LIMIT
+        let margin = if block_time == Micros::ZERO {
+            NONBLOCKING_WATCH_TIMEOUT
         } else {
-            BLOCKING_WATCH_SLACK
+            BLOCKING_WATCH_MARGIN
         };
         let request = Request::new(Method::Get, target, Vec::new());
-        let answer = self.call(self.settings.state, request, block + slack).await;
-        WatchAnswer::of(answer)
+        let result = self
+            .call(self.settings.state, request, block_time + margin)
+            .await;
+        WatchOutcome::from_response(result)
     }
 }
--- a/crates/jasperhill-controller/src/watch_cache/changes.rs
+++ b/crates/jasperhill-controller/src/watch_cache/changes.rs
@@ -1,5 +1,5 @@
-//! What goes into the watch cache and what comes out: readings of the store, and the changes that they
-//! make. Pure data.
+//! Inputs and outputs of the watch cache: data read from or written to the store, and the changes
+//! that result in the cache. Contains only data types.
 
 use jasperhill_wire::{
     HostId, JobId, Member, Revision,
@@ -8,69 +8,74 @@
 };
 use serde_json::Value;
 
-/// A reading of the store.
+/// Data that is applied to the watch cache.
 #[derive(Debug)]
 pub enum Input {
-    /// A whole listing, consistent from `first` on and complete once `last` is reached.
+    /// A full listing of the store. The listing is consistent as of revision `first`, and the cache
+    /// is complete once the watch has reached revision `last`.
     Listed {
-        /// All records.
+        /// All listed records.
         items: Vec<KeyValue>,
-        /// The revision of the first page.
+        /// Revision of the first page.
         first: Revision,
-        /// The highest revision of any page.
+        /// Highest revision of all pages.
         last: Revision,
     },
-    /// All changes after `after`, up to `revision`.
+    /// All changes after revision `after`, up to and including `revision`.
     WatchEvents {
-        /// The revision that was asked from.
+        /// Revision after which the watch was requested.
         after: Revision,
-        /// The revision that is reached with these events.
+        /// Revision of the cache once these events are applied.
         revision: Revision,
-        /// In the order of their revisions.
+        /// Watch events in the order of their revisions.
         events: Vec<WatchEvent>,
     },
-    /// What this controller wrote itself, one transaction: known before the watch shows it. All of
-    /// it at once, since a host may move from one block of it to another.
+    /// A transaction of this controller, applied before the watch reports it. All changes of a
+    /// transaction are applied together, because a transaction may move a host from one block to
+    /// another.
     OwnWrite {
-        /// In the order of the transaction.
+        /// Changes in the order of the transaction.
         changes: Vec<OwnChange>,
-        /// The revision of the transaction.
+        /// Revision at which the transaction was executed.
         version: Revision,
     },
 }
 
-/// One change of a transaction that this controller wrote.
+/// One change of a transaction that this controller has written.
 #[derive(Debug)]
 pub struct OwnChange {
-    /// The key.
+    /// Key of the record.
     pub key: String,
-    /// The new record; `None` if it was deleted.
+    /// New record, or `None` if the record was deleted.
     pub record: Option<Value>,
 }
 
-/// What has changed in the watch cache.
+/// Change of the watch cache that an input has caused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Change {
-    /// The record of a job.
+    /// The record of this job has changed.
     Job(JobId),
-    /// All dependencies of a job are done.
+    /// All dependencies of this job are done.
     Released(JobId),
-    /// A job's dependency state or inherited urgency, without its record.
+    /// The dependency state or inherited urgency of this job has changed because of another job's
+    /// record.
     Related(JobId),
-    /// The record of a host.
+    /// The record of this host has changed, or the host was removed.
     Host(HostId),
-    /// The session of a member.
+    /// The session of this member was written or has ended.
     Session(Member),
-    /// What a member's last process understood.
+    /// The feature level announced by this member has changed.
     FeatureLevel(Member),
-    /// The owner of a role.
+    /// The owner of this role has changed.
     Role(Role),
-    /// A member asks to answer for hosts of other owners.
+    /// This member requests delegation, that is, to be allowed to respond for hosts of other
+    /// owners.
     DelegationRequest(Member),
-    /// A job that is proposed to its owner through the store, or the owner's answer.
+    /// The proposal record of this job was written. It contains a job proposed to its owner through
+    /// the store, or the owner's response.
     Proposal(JobId),
-    /// A delegation that an owner has granted.
+    /// An owner has granted a delegation.
     DelegationGrant,
-    /// The cloud's machine types.
+    /// The machine types offered by the cloud have changed.
     Types,
 }
--- a/crates/jasperhill-controller/src/watch_cache/entries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/entries.rs
@@ -1,5 +1,5 @@
-//! The records of the watch cache as they are kept: each with the revision of its last change. Pure
-//! data; only `super::WatchCache` changes it.
+//! Entries of the watch cache: records together with the revision of their last change. Contains
+//! data types and helpers; only [`super::WatchCache`] changes the entries.
 
 use super::changes::Change;
 use jasperhill_wire::{
@@ -11,61 +11,63 @@
 use serde_json::Value;
 use std::{collections::BTreeMap, rc::Rc};
 
-/// A record and the revision of its last change.
+/// Record and the revision of its last change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Versioned<T> {
-    /// The record.
+    /// Decoded record.
     pub value: T,
-    /// The revision at which it was last written.
+    /// Revision at which the record was last written.
     pub version: Revision,
 }
 
-/// A host's record. Its version is the revision at which it was last seen to change, which
-/// is not that of its block: a token goes up only when something is said about its host.
+/// Host record with its version and its block. The version is the revision at which the host's own
+/// record was last seen to change, not the revision of its block. The fencing token of a host
+/// therefore increases only when the record of that host changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostEntry {
-    /// The record.
+    /// Decoded record of the host.
     pub value: HostRecord,
-    /// The revision at which it was last seen to change.
+    /// Revision at which the host record was last seen to change.
     pub version: Revision,
-    /// The block that holds it.
+    /// Number of the block that contains the host record.
     pub block: u32,
 }
 
-/// An unfinished job, or what is kept of a finished one.
+/// Cached state of a job: all data of an unfinished job, or a summary of a finished one.
 #[derive(Clone, Debug)]
 pub enum JobEntry {
-    /// Accepted and not ended.
+    /// The job was accepted and has not ended.
     Active(Box<ActiveJob>),
-    /// Ended; this never changes again.
+    /// The job has ended. This entry never changes again.
     Final {
-        /// How it ended.
+        /// Final phase of the job.
         phase: RecordPhase,
-        /// Tasks that succeeded.
+        /// Number of tasks that succeeded.
         done: u32,
     },
 }
 
-/// An unfinished job.
+/// Cached data of an unfinished job.
 #[derive(Clone, Debug)]
 pub struct ActiveJob {
-    /// As it was submitted.
+    /// Job request as submitted by the user.
     pub request: Rc<JobRequest>,
-    /// When it was submitted, by the time of day.
+    /// Time of day at which the job was submitted.
     pub submitted: Micros,
-    /// The finished tasks, as the record encodes them.
+    /// Finished tasks, run-length encoded as in the job record.
     pub finished: Vec<u32>,
-    /// Tasks that succeeded.
+    /// Number of tasks that succeeded.
     pub done_count: u32,
-    /// Tries that failed wherever it ran; 0 if nothing speaks against it.
+    /// Number of failed attempts on all hosts. Zero means that there is no evidence of a fault in
+    /// the job.
     pub failed_attempts: u32,
-    /// The revision at which its record was last written.
+    /// Revision at which the job record was last written.
     pub version: Revision,
 }
 
-/// Takes over a record if it is newer than the entry, and notes the change. `None` if the record is
-/// malformed.
-pub(super) fn put_newer<K: Clone + Ord, T: DeserializeOwned>(
+/// Inserts a record if it is newer than the existing entry, and appends the change to `changes`.
+/// Returns `None` if the record is malformed.
+pub(super) fn insert_if_newer<K: Clone + Ord, T: DeserializeOwned>(
     entries: &mut BTreeMap<K, Versioned<T>>,
     key: K,
     record: Versioned<Value>,
@@ -84,19 +86,19 @@
     Some(())
 }
 
-/// Removes an entry if the deletion is newer. Whether it was removed.
-pub(super) fn remove_older<K: Ord, T>(
+/// Removes an entry if the deletion is newer than the entry. Returns whether the entry was removed.
+pub(super) fn remove_if_older<K: Ord, T>(
     entries: &mut BTreeMap<K, Versioned<T>>,
     key: &K,
     deleted: Revision,
 ) -> bool {
-    let older = entries
+    let is_older = entries
         .get(key)
         .is_some_and(|entry| deleted > entry.version);
-    older && entries.remove(key).is_some()
+    is_older && entries.remove(key).is_some()
 }
 
-/// A record by its JSON; `None` if it is malformed.
+/// Decodes a record from JSON. Returns `None` if the record is malformed.
 pub(super) fn decode<T: DeserializeOwned>(value: Value) -> Option<T> {
     serde_json::from_value(value).ok()
 }
--- a/crates/jasperhill-controller/src/watch_cache/hosts.rs
+++ b/crates/jasperhill-controller/src/watch_cache/hosts.rs
@@ -1,15 +1,16 @@
-//! The hosts of the watch cache: their records stand in blocks, and change one by one.
+//! Host records of the watch cache. The store groups host records into blocks, and the cache tracks
+//! changes per host.
 
 use super::{Change, HostEntry, WatchCache};
 use jasperhill_wire::{HostId, Revision, record::HostBlock};
 
 impl WatchCache {
-    /// The content of a block.
+    /// Returns the hosts that a block currently contains.
     pub fn block(&self, block: u32) -> HostBlock {
-        let is_here = |(id, entry): &(&HostId, &HostEntry)| {
-            entry.block == block && !self.unplaced_hosts.contains(*id)
+        let is_in_block = |(id, entry): &(&HostId, &HostEntry)| {
+            entry.block == block && !self.hosts_without_block.contains(*id)
         };
-        let hosts = self.hosts.iter().filter(is_here);
+        let hosts = self.hosts.iter().filter(is_in_block);
         HostBlock {
             hosts: hosts
                 .map(|(id, entry)| (id.clone(), entry.value.clone()))
@@ -17,7 +18,7 @@
         }
     }
 
-    /// Takes over a block, if it is newer than what is known.
+    /// Applies the content of a block if its version is newer than the cached version.
     pub(super) fn put_block(
         &mut self,
         block: u32,
@@ -25,8 +26,8 @@
         version: Revision,
         changes: &mut Vec<Change>,
     ) {
-        let known = self.blocks.get(&block);
-        if known.is_some_and(|known| version <= *known) {
+        let cached_version = self.blocks.get(&block);
+        if cached_version.is_some_and(|cached| version <= *cached) {
             return;
         }
         self.blocks.insert(block, version);
@@ -35,22 +36,23 @@
         self.replace_block(block, content, version, changes);
     }
 
-    /// Deletes a block, if the deletion is newer than what is known.
+    /// Deletes a block if the deletion is newer than the cached version.
     pub(super) fn delete_block(
         &mut self,
         block: u32,
         version: Revision,
         changes: &mut Vec<Change>,
     ) {
-        let known = self.blocks.get(&block);
-        if known.is_some_and(|known| version > *known) {
+        let cached_version = self.blocks.get(&block);
+        if cached_version.is_some_and(|cached| version > *cached) {
             self.blocks.remove(&block);
             self.block_bytes.remove(&block);
             self.replace_block(block, HostBlock::default(), version, changes);
         }
     }
 
-    /// Carries over what a block says of its hosts, and only what has changed.
+    /// Replaces the hosts of a block with `content`, and appends a change for each host whose
+    /// record has changed.
     fn replace_block(
         &mut self,
         block: u32,
@@ -63,9 +65,9 @@
             .iter()
             .filter(|(id, entry)| entry.block == block && !content.hosts.contains_key(*id))
             .map(|(id, _)| id.clone());
-        self.unplaced_hosts.extend(removed);
+        self.hosts_without_block.extend(removed);
         for (id, value) in content.hosts {
-            self.unplaced_hosts.remove(&id);
+            self.hosts_without_block.remove(&id);
             let unchanged = |entry: &HostEntry| entry.block == block && entry.value == value;
             if !self.hosts.get(&id).is_some_and(unchanged) {
                 let entry = HostEntry {
@@ -79,9 +81,10 @@
         }
     }
 
-    /// Removes the hosts that no block names. Only for a complete watch cache.
-    pub(super) fn remove_unplaced_hosts(&mut self, changes: &mut Vec<Change>) {
-        for id in std::mem::take(&mut self.unplaced_hosts) {
+    /// Removes the hosts that no block contains. Must be called only while the watch cache is
+    /// complete.
+    pub(super) fn remove_hosts_without_block(&mut self, changes: &mut Vec<Change>) {
+        for id in std::mem::take(&mut self.hosts_without_block) {
             self.hosts.remove(&id);
             changes.push(Change::Host(id));
         }
--- a/crates/jasperhill-controller/src/watch_cache/jobs.rs
+++ b/crates/jasperhill-controller/src/watch_cache/jobs.rs
@@ -1,4 +1,5 @@
-//! The jobs of the watch cache, and what their records mean for the jobs that depend on them.
+//! Job records of the watch cache, and the effects of a job record on the jobs that depend on that
+//! job.
 
 use super::{ActiveJob, Change, JobEntry, WatchCache};
 use jasperhill_scheduler::dependencies::{
@@ -11,12 +12,12 @@
 };
 use std::rc::Rc;
 
-/// Cancelled jobs whose residual usage is kept: more than are cancelled while a task of theirs can
-/// last.
-const RESIDUALS_MAX: usize = 4_096;
+/// Maximum number of cancelled jobs whose residual usage is kept. Exceeds the number of jobs that
+/// are cancelled during the time for which tasks of a cancelled job can keep running.
+const RESIDUAL_USAGES_MAX: usize = 4_096;
 
 impl WatchCache {
-    /// Takes over a job's record, if it is newer than what is known and the job has not ended.
+    /// Applies a job record if it is newer than the cached one and the job has not ended.
     pub(super) fn put_job(
         &mut self,
         id: JobId,
@@ -25,15 +26,15 @@
         changes: &mut Vec<Change>,
     ) {
         match self.jobs.get(&id) {
-            // Final phases are final.
+            // A job that has ended never changes again.
             Some(JobEntry::Final { .. }) => return,
             Some(JobEntry::Active(job)) if version <= job.version => return,
             _ => {}
         }
         if let Some(usage) = record.residual_usage.take() {
-            self.keep_residual_usage(&id, usage);
+            self.store_residual_usage(&id, usage);
         }
-        let (entry, related) = match (record.phase, record.request.take()) {
+        let (entry, dependency_outputs) = match (record.phase, record.request.take()) {
             (RecordPhase::Active, Some(request)) => {
                 self.active_entry(&id, request, record, version)
             }
@@ -42,21 +43,24 @@
         };
         self.jobs.insert(id.clone(), entry);
         changes.push(Change::Job(id));
-        changes.extend(related.into_iter().map(|output| match output {
-            Output::Released(other) => Change::Released(other),
-            Output::Doomed(other) | Output::UrgencyChanged(other) => Change::Related(other),
+        changes.extend(dependency_outputs.into_iter().map(|output| match output {
+            Output::Released(job) => Change::Released(job),
+            Output::Doomed(job) | Output::UrgencyChanged(job) => Change::Related(job),
         }));
     }
 
-    /// Keeps what tasks of a cancelled job may still use.
-    fn keep_residual_usage(&mut self, id: &JobId, usage: ResidualUsage) {
-        self.residuals.insert((usage.cancelled, id.clone()), usage);
-        while self.residuals.len() > RESIDUALS_MAX {
-            self.residuals.pop_first();
+    /// Stores the resources that tasks of a cancelled job may still use, and drops the oldest
+    /// entries beyond [`RESIDUAL_USAGES_MAX`].
+    fn store_residual_usage(&mut self, id: &JobId, usage: ResidualUsage) {
+        self.residual_usages
+            .insert((usage.cancelled, id.clone()), usage);
+        while self.residual_usages.len() > RESIDUAL_USAGES_MAX {
+            self.residual_usages.pop_first();
         }
     }
 
-    /// The entry of an unfinished job, and what follows for others from its being accepted.
+    /// Creates the entry of an unfinished job, and returns it with the effects of its acceptance on
+    /// other jobs.
     fn active_entry(
         &mut self,
         id: &JobId,
@@ -65,13 +69,13 @@
         version: Revision,
     ) -> (JobEntry, Vec<Output>) {
         let submitted = record.submitted.unwrap_or_default();
-        let related = if self.active.insert(id.clone()) {
+        let dependency_outputs = if self.active.insert(id.clone()) {
             self.accept_dependencies(id, &request, submitted)
         } else {
             Vec::new()
         };
         let request = match self.jobs.get(id) {
-            Some(JobEntry::Active(known)) => known.request.clone(),
+            Some(JobEntry::Active(cached)) => cached.request.clone(),
             _ => Rc::new(request),
         };
         let job = ActiveJob {
@@ -82,10 +86,10 @@
             failed_attempts: record.failed_attempts,
             version,
         };
-        (JobEntry::Active(Box::new(job)), related)
+        (JobEntry::Active(Box::new(job)), dependency_outputs)
     }
 
-    /// Enters a job in the dependency graph.
+    /// Adds a job to the dependency graph and returns the effects on this and other jobs.
     fn accept_dependencies(
         &mut self,
         id: &JobId,
@@ -98,7 +102,7 @@
             priority: request.priority,
         };
         let jobs = &self.jobs;
-        let outcome = |id: &JobId| match jobs.get(id) {
+        let recorded_outcome = |id: &JobId| match jobs.get(id) {
             Some(JobEntry::Final {
                 phase: RecordPhase::Done,
                 ..
@@ -110,27 +114,28 @@
             id,
             needs: &request.dependencies,
             terms: urgency,
-            fate: &outcome,
+            fate: &recorded_outcome,
         })
     }
 
-    /// The entry of a job that has ended, and what follows from it for others.
+    /// Creates the entry of a job that has ended, and returns it with the effects on dependent
+    /// jobs.
     fn final_entry(&mut self, id: &JobId, record: &JobRecord) -> (JobEntry, Vec<Output>) {
         self.active.remove(id);
-        // What was called cancelled stays so, whatever a controller wrote that did not
-        // know of the job before it.
+        // A job that counted as cancelled stays cancelled, even if its record was written by a
+        // controller that did not know of the upstream job.
         let phase = match self.dependencies.state_of(id) {
             DependencyState::Doomed => RecordPhase::Cancelled,
             _ => record.phase,
         };
         let done = phase == RecordPhase::Done;
-        let related = self
+        let dependency_outputs = self
             .dependencies
             .apply(dependencies::Input::Ended { id, done });
         let entry = JobEntry::Final {
             phase,
             done: record.done_count,
         };
-        (entry, related)
+        (entry, dependency_outputs)
     }
 }
--- a/crates/jasperhill-controller/src/watch_cache/mod.rs
+++ b/crates/jasperhill-controller/src/watch_cache/mod.rs
@@ -1,9 +1,9 @@
-//! The watch cache: a replica of the store, fed by a listing and a watch. Every change goes through
-//! [`WatchCache::apply`]; the store client (`crate::store`) is the one caller, by way of
+//! Watch cache: a replica of the store, maintained by a listing and a watch. Every change goes
+//! through [`WatchCache::apply`], whose only caller is the store client (`crate::store`), by way of
 //! `Shared::apply_to_cache`.
 //!
-//! It promises that no record goes back to an older version, whatever order the listing, the watch and
-//! this controller's own writes come in, and that a host is reported as gone only once the replica is
+//! Invariants: no record is replaced by an older version, in whatever order listings, watch events
+//! and this controller's own writes arrive. A host is reported as removed only while the replica is
 //! complete.
 
 mod changes;
@@ -12,7 +12,7 @@
 mod jobs;
 mod queries;
 
-use self::entries::{decode, put_newer, remove_older};
+use self::entries::{decode, insert_if_newer, remove_if_older};
 pub use self::{
     changes::{Change, Input, OwnChange},
     entries::{ActiveJob, HostEntry, JobEntry, Versioned},
@@ -31,65 +31,69 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// How complete the watch cache is.
+/// Completeness of the watch cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing is known.
+    /// No listing has been read yet.
     #[default]
-    Empty,
-    /// A listing was read; what changed meanwhile is still missing up to this revision.
+    NotListed,
+    /// A listing was read, but changes up to this revision, made while the pages were read, are
+    /// still missing.
     CatchingUp(Revision),
-    /// All changes up to the cache's revision are known.
-    Following,
+    /// All changes up to the revision of the cache are known.
+    Synced,
 }
 
-/// A replica of the store. The fields are read by the whole controller and changed only here.
+/// Replica of the records in the store. All parts of the controller read its fields; only this
+/// module changes them.
 #[derive(Debug, Default)]
 pub struct WatchCache {
-    /// How complete it is.
+    /// Completeness of the cache.
     pub phase: Phase,
-    /// The revision up to which all changes are known; the watch goes on from it.
+    /// Revision up to which all changes are known. The watch continues after this revision.
     pub revision: Revision,
-    /// All jobs, also finished ones.
+    /// All jobs, including finished ones.
     jobs: HashMap<JobId, JobEntry>,
-    /// The unfinished ones among the jobs.
+    /// Ids of the unfinished jobs.
     active: BTreeSet<JobId>,
-    /// What tasks of the jobs that were cancelled last may still use, by when they were cancelled
-    /// (time of day).
-    residuals: BTreeMap<(Micros, JobId), ResidualUsage>,
-    /// What follows from the jobs that need others.
+    /// Resources that tasks of the most recently cancelled jobs may still use, ordered by the time
+    /// of day of the cancellation.
+    residual_usages: BTreeMap<(Micros, JobId), ResidualUsage>,
+    /// Dependency graph of the jobs.
     pub dependencies: DependencyGraph,
-    /// The hosts, from all blocks.
+    /// Hosts of all blocks.
     pub hosts: BTreeMap<HostId, HostEntry>,
-    /// Hosts that their block no longer names and that may turn up in another one: a move is
-    /// seen as two changes in either order, or by a listing on two pages. They are gone only
-    /// if no block names them once the watch cache is complete: a host that is gone runs nothing.
-    unplaced_hosts: BTreeSet<HostId>,
-    /// The blocks that hold the hosts' records, with their revisions.
+    /// Hosts that were removed from their block and may appear in another one. The move of a host
+    /// may be seen as two changes in either order, or on two pages of a listing. A host counts as
+    /// removed only if no block contains it once the watch cache is complete, because a removed
+    /// host is assumed to run nothing.
+    hosts_without_block: BTreeSet<HostId>,
+    /// Blocks that contain the host records, with the revisions of the blocks.
     pub blocks: BTreeMap<u32, Revision>,
-    /// The size of each block in the store, in bytes.
+    /// Encoded size of each block in the store, in bytes.
     pub block_bytes: BTreeMap<u32, usize>,
-    /// The sessions of the members.
+    /// Sessions of the members.
     pub sessions: BTreeMap<Member, Versioned<SessionRecord>>,
-    /// What the members' last processes understood.
+    /// Feature level last announced by each member.
     pub feature_levels: BTreeMap<Member, Versioned<FeatureLevelRecord>>,
-    /// The owners of the roles; see [`WatchCache::owner`] for whether an owner's session lives.
+    /// Owner recorded for each role. See [`WatchCache::owner`] for the owner whose session is live.
     pub roles: BTreeMap<Role, Versioned<RoleRecord>>,
-    /// The cloud's machine types, in parts.
+    /// Machine types of the cloud, by number of the part into which the list is split.
     machine_types: BTreeMap<u32, Versioned<MachineTypes>>,
-    /// Which hosts members ask to answer for.
+    /// Hosts for which each member requests delegation.
     pub delegation_requests: BTreeMap<Member, Versioned<DelegationRequestRecord>>,
     /// Jobs proposed to their owners through the store.
     pub proposals: BTreeMap<JobId, Versioned<ProposalRecord>>,
     /// Granted delegations, by partition and delegate.
     pub delegation_grants: BTreeMap<(u32, Member), Versioned<DelegationGrantRecord>>,
-    /// Keys that this controller deleted itself ahead of the watch, with the revisions of the
-    /// deletions. Guards against an older event of the watch that would bring a record back.
+    /// Keys deleted by this controller whose deletion the watch has not reported yet, with the
+    /// revisions of the deletions. Prevents an older watch event from restoring a deleted record.
     tombstones: BTreeMap<String, Revision>,
 }
 
 impl WatchCache {
-    /// The one function that changes the watch cache. What has changed, in the order of the input.
+    /// Applies an input and returns the resulting changes in the order of the input. This is the
+    /// only function that changes the watch cache.
     pub fn apply(&mut self, input: Input) -> Vec<Change> {
         let mut changes = Vec::new();
         match input {
@@ -102,17 +106,18 @@
                 events,
             } => self.apply_events(after, revision, events, &mut changes),
             Input::OwnWrite {
-                changes: own,
+                changes: own_changes,
                 version,
-            } => self.apply_own_write(own, version, &mut changes),
+            } => self.apply_own_write(own_changes, version, &mut changes),
         }
-        if self.phase == Phase::Following {
-            self.remove_unplaced_hosts(&mut changes);
+        if self.phase == Phase::Synced {
+            self.remove_hosts_without_block(&mut changes);
         }
         changes
     }
 
-    /// Takes over a listing: what it does not name is deleted, unless it was written since.
+    /// Applies a listing. Deletes cached records that the listing does not contain, unless they
+    /// were written after the revision `first`.
     fn apply_listing(
         &mut self,
         items: Vec<KeyValue>,
@@ -120,29 +125,29 @@
         last: Revision,
         changes: &mut Vec<Change>,
     ) {
-        let listed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        let deleted: Vec<Key> = self
+        let listed_keys: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
+        let deleted_keys: Vec<Key> = self
             .deletable_keys()
             .into_iter()
-            .filter(|(key, version)| !listed.contains(key.as_str()) && *version <= first)
+            .filter(|(key, version)| !listed_keys.contains(key.as_str()) && *version <= first)
             .filter_map(|(key, _)| Key::parse(&key))
             .collect();
-        for key in deleted {
+        for key in deleted_keys {
             self.delete(key, first, changes);
         }
         for item in items {
-            self.put(&item.key, item.value, item.version, changes);
+            self.put_record(&item.key, item.value, item.version, changes);
         }
         self.revision = first;
         self.phase = if last > first {
             Phase::CatchingUp(last)
         } else {
-            Phase::Following
+            Phase::Synced
         };
     }
 
-    /// Takes over the events of a watch, in the order of revisions and each once. Ignores events that
-    /// would leave a gap or are older than what is known.
+    /// Applies watch events in the order of their revisions, each event at most once. Ignores a
+    /// response that would leave a gap in the revisions or that is older than the cache.
     fn apply_events(
         &mut self,
         after: Revision,
@@ -150,12 +155,12 @@
         events: Vec<WatchEvent>,
         changes: &mut Vec<Change>,
     ) {
-        if after > self.revision || revision < self.revision || self.phase == Phase::Empty {
+        if after > self.revision || revision < self.revision || self.phase == Phase::NotListed {
             return;
         }
-        let known = self.revision;
+        let known_revision = self.revision;
         for event in events {
-            if event.version() > known {
+            if event.version() > known_revision {
                 self.apply_event(event, changes);
             }
         }
@@ -164,18 +169,18 @@
         if let Phase::CatchingUp(last) = self.phase
             && revision >= last
         {
-            self.phase = Phase::Following;
+            self.phase = Phase::Synced;
         }
     }
 
-    /// Takes over one event of a watch.
+    /// Applies a single watch event.
     fn apply_event(&mut self, event: WatchEvent, changes: &mut Vec<Change>) {
         match event {
             WatchEvent::Put {
                 key,
                 value,
                 version,
-            } => self.put(&key, value, version, changes),
+            } => self.put_record(&key, value, version, changes),
             WatchEvent::Delete { key, version } => {
                 if let Some(key) = Key::parse(&key) {
                     self.delete(key, version, changes);
@@ -184,16 +189,16 @@
         }
     }
 
-    /// Takes over a transaction of this controller before the watch shows it.
+    /// Applies a transaction of this controller before the watch reports it.
     fn apply_own_write(
         &mut self,
-        own: Vec<OwnChange>,
+        own_changes: Vec<OwnChange>,
         version: Revision,
         changes: &mut Vec<Change>,
     ) {
-        for OwnChange { key, record } in own {
+        for OwnChange { key, record } in own_changes {
             if let Some(value) = record {
-                self.put(&key, value, version, changes);
+                self.put_record(&key, value, version, changes);
             } else if let Some(parsed) = Key::parse(&key) {
                 self.delete(parsed, version, changes);
                 if version > self.revision {
@@ -203,7 +208,8 @@
         }
     }
 
-    /// Keys that can go away, with their versions. Jobs never do.
+    /// Returns the keys of all cached records that may be deleted, with their versions. Job records
+    /// are never deleted.
     fn deletable_keys(&self) -> Vec<(String, Revision)> {
         let blocks = self
             .blocks
@@ -228,7 +234,9 @@
         let grants = self
             .delegation_grants
             .iter()
-            .map(|((p, member), entry)| (delegation_grant_key(*p, member), entry.version));
+            .map(|((partition, member), entry)| {
+                (delegation_grant_key(*partition, member), entry.version)
+            });
         blocks
             .chain(sessions)
             .chain(roles)
@@ -238,25 +246,33 @@
             .collect()
     }
 
-    /// Takes over one record, if it is newer than what is known.
-    fn put(&mut self, key: &str, value: Value, version: Revision, changes: &mut Vec<Change>) {
-        let deleted = self.tombstones.get(key);
-        if deleted.is_some_and(|deleted| *deleted >= version) {
+    /// Applies a record if it is newer than the cached one. Logs an error if the record is
+    /// malformed.
+    fn put_record(
+        &mut self,
+        key: &str,
+        value: Value,
+        version: Revision,
+        changes: &mut Vec<Change>,
+    ) {
+        let deleted_at = self.tombstones.get(key);
+        if deleted_at.is_some_and(|deleted_at| *deleted_at >= version) {
             return;
         }
-        let Some(parsed) = Key::parse(key) else {
+        let Some(parsed_key) = Key::parse(key) else {
             return;
         };
         if self
-            .put_parsed(parsed, Versioned { value, version }, changes)
+            .put_decoded(parsed_key, Versioned { value, version }, changes)
             .is_none()
         {
             tracing::error!(key, "malformed record");
         }
     }
 
-    /// `None` if the record is malformed.
-    fn put_parsed(
+    /// Decodes a record and applies it if it is newer than the cached one. Returns `None` if the
+    /// record is malformed.
+    fn put_decoded(
         &mut self,
         key: Key,
         record: Versioned<Value>,
@@ -275,16 +291,18 @@
             }
             Key::Session(member) => {
                 let entries = &mut self.sessions;
-                put_newer(entries, member, record, Change::Session, changes)
+                insert_if_newer(entries, member, record, Change::Session, changes)
+            }
+            Key::Role(role) => {
+                insert_if_newer(&mut self.roles, role, record, Change::Role, changes)
             }
-            Key::Role(role) => put_newer(&mut self.roles, role, record, Change::Role, changes),
             Key::Proposal(id) => {
                 let entries = &mut self.proposals;
-                put_newer(entries, id, record, Change::Proposal, changes)
+                insert_if_newer(entries, id, record, Change::Proposal, changes)
             }
             Key::DelegationRequest(delegate) => {
                 let entries = &mut self.delegation_requests;
-                put_newer(
+                insert_if_newer(
                     entries,
                     delegate,
                     record,
@@ -294,43 +312,43 @@
             }
             Key::FeatureLevel(member) => {
                 let entries = &mut self.feature_levels;
-                put_newer(entries, member, record, Change::FeatureLevel, changes)
+                insert_if_newer(entries, member, record, Change::FeatureLevel, changes)
             }
             Key::DelegationGrant(partition, delegate) => {
                 let (entries, key) = (&mut self.delegation_grants, (partition, delegate));
-                put_newer(entries, key, record, |_| Change::DelegationGrant, changes)
+                insert_if_newer(entries, key, record, |_| Change::DelegationGrant, changes)
             }
             Key::Types(part) => {
                 let entries = &mut self.machine_types;
-                put_newer(entries, part, record, |_| Change::Types, changes)
+                insert_if_newer(entries, part, record, |_| Change::Types, changes)
             }
         }
     }
 
-    /// Deletes a record, if the deletion is newer than what is known.
+    /// Deletes a record if the deletion is newer than the cached version.
     fn delete(&mut self, key: Key, version: Revision, changes: &mut Vec<Change>) {
         match key {
             Key::Hosts(block) => self.delete_block(block, version, changes),
             Key::Session(member) => {
-                if remove_older(&mut self.sessions, &member, version) {
+                if remove_if_older(&mut self.sessions, &member, version) {
                     changes.push(Change::Session(member));
                 }
             }
             Key::Role(role) => {
-                if remove_older(&mut self.roles, &role, version) {
+                if remove_if_older(&mut self.roles, &role, version) {
                     changes.push(Change::Role(role));
                 }
             }
             Key::Proposal(id) => {
-                remove_older(&mut self.proposals, &id, version);
+                remove_if_older(&mut self.proposals, &id, version);
             }
             Key::DelegationRequest(delegate) => {
-                remove_older(&mut self.delegation_requests, &delegate, version);
+                remove_if_older(&mut self.delegation_requests, &delegate, version);
             }
             Key::DelegationGrant(partition, delegate) => {
-                remove_older(&mut self.delegation_grants, &(partition, delegate), version);
+                remove_if_older(&mut self.delegation_grants, &(partition, delegate), version);
             }
-            // Jobs are never deleted, machine types and feature levels neither.
+            // Records of jobs, machine types and feature levels are never deleted.
             Key::Job(_) | Key::FeatureLevel(_) | Key::Types(_) => {}
         }
     }
--- a/crates/jasperhill-controller/src/watch_cache/queries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/queries.rs
@@ -1,4 +1,4 @@
-//! What the rest of the controller asks of the watch cache. Nothing here changes it.
+//! Read-only queries of the watch cache by other parts of the controller.
 
 use super::{ActiveJob, JobEntry, Phase, Versioned, WatchCache};
 use jasperhill_membership::RoleOwnership;
@@ -11,17 +11,18 @@
 use std::collections::BTreeMap;
 
 impl WatchCache {
-    /// Whether it shows all of the store as of its revision.
+    /// Returns whether the cache contains all records of the store as of its revision.
     pub fn is_synced(&self) -> bool {
-        self.phase == Phase::Following
+        self.phase == Phase::Synced
     }
 
-    /// A job, finished or not.
+    /// Returns a job, whether it has finished or not.
     pub fn job(&self, id: &JobId) -> Option<&JobEntry> {
         self.jobs.get(id)
     }
 
-    /// Unfinished jobs, without those that are cancelled because a job before them is.
+    /// Returns the unfinished jobs, except those that count as cancelled because a job they depend
+    /// on was cancelled.
     pub fn active_jobs(&self) -> impl Iterator<Item = &ActiveJob> {
         self.active.iter().filter_map(|id| match self.jobs.get(id) {
             Some(JobEntry::Active(job)) if !self.is_cancelled_upstream(id) => Some(&**job),
@@ -29,8 +30,9 @@
         })
     }
 
-    /// How a job has ended, and how many of its tasks succeeded, as its user is told: an unfinished
-    /// one after a cancelled one is cancelled, whether or not its own record says so yet.
+    /// Returns the final phase of a job and the number of its tasks that succeeded, as reported to
+    /// the user. An unfinished job that depends on a cancelled job counts as cancelled, even if its
+    /// own record does not say so yet. Returns `None` if the job is unknown or has not ended.
     pub fn final_phase(&self, id: &JobId) -> Option<(RecordPhase, u32)> {
         match self.jobs.get(id)? {
             JobEntry::Final { phase, done } => Some((*phase, *done)),
@@ -40,12 +42,12 @@
         }
     }
 
-    /// Whether a job that it depends on, directly or not, was cancelled.
+    /// Returns whether a job that this job depends on, directly or indirectly, was cancelled.
     fn is_cancelled_upstream(&self, id: &JobId) -> bool {
         self.dependencies.state_of(id) == DependencyState::Doomed
     }
 
-    /// The cloud's machine types, if every part of them is known.
+    /// Returns the machine types of the cloud, or `None` if some part of the list is missing.
     pub fn types(&self) -> Option<MachineTypes> {
         let parts = self.machine_types.get(&0)?.value.parts.max(1);
         let mut types = Vec::new();
@@ -55,21 +57,22 @@
         Some(MachineTypes { types, parts: 0 })
     }
 
-    /// What tasks of jobs that were cancelled after this time of day may still use.
+    /// Returns the resources that tasks of jobs cancelled at or after this time of day may still
+    /// use.
     pub fn residual_usage(&self, after: Micros) -> impl Iterator<Item = (&JobId, &ResidualUsage)> {
         let first = (after, JobId::new(""));
-        let residuals = self.residuals.range(first..);
-        residuals.map(|((_, id), usage)| (id, usage))
+        let residual_usages = self.residual_usages.range(first..);
+        residual_usages.map(|((_, id), usage)| (id, usage))
     }
 
-    /// The owner of a role, if its session lives.
+    /// Returns the owner of a role if its session is live.
     pub fn owner(&self, role: Role) -> Option<&Member> {
         let record = &self.roles.get(&role)?.value;
         let session = self.sessions.get(&record.owner)?;
         (session.value.lease == record.lease).then_some(&record.owner)
     }
 
-    /// What the store says of every role.
+    /// Returns the recorded ownership of every role that has a record.
     pub fn ownerships(&self) -> BTreeMap<Role, RoleOwnership> {
         let ownership = |(role, entry): (&Role, &Versioned<RoleRecord>)| {
             let ownership = RoleOwnership {
