--- a/crates/jasperhill-controller/src/feature_gate.rs
+++ b/crates/jasperhill-controller/src/feature_gate.rs
@@ -1,6 +1,7 @@
-//! Whether every member is known to understand what this version writes. Until then nothing is
-//! written that an earlier version could not take. Pure; every change goes through
-//! [`FeatureGate::apply`], called when the sessions or feature levels in the watch cache change.
+//! Feature gate for rolling upgrades. Tracks the feature level that all members are known to
+//! support, so that no data is written that an earlier version could not read. Performs no I/O;
+//! every change goes through [`FeatureGate::apply`], which is called when the sessions or feature
+//! levels in the watch cache change.
 
 use crate::watch_cache::Versioned;
 use jasperhill_wire::{
@@ -12,31 +13,33 @@
 #[cfg(test)]
 mod tests;
 
-/// The cluster's feature level, while some members may run an earlier version.
+/// Feature level that all members of the cluster support, some of which may run an earlier version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeatureGate {
-    /// The watch cache is not complete: nothing can be said.
+    /// The level cannot be determined because the watch cache is not complete.
     #[default]
     Unknown,
-    /// Every member's session, or its last one, has this level or a higher one; some have no more.
+    /// Lowest feature level of all members. The level of a member is that of its live session or,
+    /// without one, the level it announced last.
     AtLeast(u32),
 }
 
-/// What the store says of the members.
+/// Member records from which the feature gate is computed.
 pub struct MemberVersions<'a> {
     /// Whether the watch cache is complete.
     pub synced: bool,
-    /// All members.
+    /// All members of the cluster.
     pub members: &'a [Member],
-    /// The live sessions.
+    /// Live sessions by member.
     pub sessions: &'a BTreeMap<Member, Versioned<SessionRecord>>,
-    /// What the members' last processes have announced.
+    /// Feature levels announced by the last process of each member.
     pub levels: &'a BTreeMap<Member, Versioned<FeatureLevelRecord>>,
 }
 
 impl MemberVersions<'_> {
-    /// A live session speaks for the process that runs; without one, the last that ran. An
-    /// earlier version that came back has a session that names no level, which counts as 0.
+    /// Returns the feature level of a member. A live session describes the running process; without
+    /// one, the level announced by the last process counts. A member that was downgraded to an
+    /// earlier version has a session without a level, which counts as level 0.
     fn level_of(&self, member: &Member) -> u32 {
         let session = self.sessions.get(member).map(|entry| entry.value.format);
         let announced = || self.levels.get(member).map(|entry| entry.value.format);
@@ -45,19 +48,23 @@
 }
 
 impl FeatureGate {
-    /// The one function that changes it. Whether it has changed.
+    /// Recomputes the feature level and returns whether it has changed. This is the only function
+    /// that changes the gate.
     pub fn apply(&mut self, versions: &MemberVersions<'_>) -> bool {
-        let updated = if versions.synced {
-            let levels = versions.members.iter().map(|m| versions.level_of(m));
+        let new_gate = if versions.synced {
+            let levels = versions
+                .members
+                .iter()
+                .map(|member| versions.level_of(member));
             Self::AtLeast(levels.min().unwrap_or(0))
         } else {
             Self::Unknown
         };
-        std::mem::replace(self, updated) != updated
+        std::mem::replace(self, new_gate) != new_gate
     }
 
-    /// Whether every member is known to understand what came with this level.
+    /// Returns whether every member is known to support this feature level.
     pub fn supports(self, level: u32) -> bool {
-        matches!(self, Self::AtLeast(least) if least >= level)
+        matches!(self, Self::AtLeast(lowest) if lowest >= level)
     }
 }
--- a/crates/jasperhill-controller/src/feature_gate/tests.rs
+++ b/crates/jasperhill-controller/src/feature_gate/tests.rs
@@ -8,9 +8,10 @@
     }
 }
 
-/// Absent means old; a session of an earlier version outweighs what its member once knew.
+/// A member without records has level 0. The session of an earlier version takes precedence over a
+/// higher level that the member announced before.
 #[test]
-fn a_level_is_supported_only_while_every_member_is_known_to_have_it() {
+fn gate_reports_lowest_level_of_all_members() {
     let members: Vec<Member> = ["a", "b"].map(Member::new).to_vec();
     let (mut sessions, mut levels) = (BTreeMap::new(), BTreeMap::new());
     let mut gate = FeatureGate::default();
@@ -38,7 +39,8 @@
     assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(0));
     sessions.insert("b".into(), session(1));
     assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(1));
-    // Its session ends: what it last was counts, if it said so.
+    // After its session has ended, the level that the member announced last counts, if there is
+    // one.
     sessions.remove(&Member::new("b"));
     assert_eq!(apply(&sessions, &levels, true), FeatureGate::AtLeast(0));
     levels.insert("b".into(), versioned(FeatureLevelRecord { format: 1 }));
--- a/crates/jasperhill-controller/src/task_counts/cache.rs
+++ b/crates/jasperhill-controller/src/task_counts/cache.rs
@@ -1,5 +1,5 @@
-//! The task counts that other controllers have given, and the requests for them. Pure; only
-//! `super` (the requests) changes it.
+//! Cache of task counts received from other controllers, and the queue of requests for them.
+//! Performs no I/O; only the parent module, which sends the requests, changes the cache.
 
 use jasperhill_wire::{JobId, Member, Micros, mesh::TaskCounts};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -7,77 +7,77 @@
 #[cfg(test)]
 mod tests;
 
-/// Counts may lag by three seconds; those given are used for less than that.
-const FRESH_PERIOD: Micros = Micros::from_millis(2_000);
-/// Jobs in one request, at most: bounds the size of a message.
+/// Time for which received counts may be served. Displayed counts may lag by at most three seconds.
+const COUNTS_TTL: Micros = Micros::from_millis(2_000);
+/// Maximum number of jobs in one request. Bounds the message size.
 pub(super) const JOBS_PER_REQUEST_MAX: usize = 500;
-/// Counts that are kept, at most: bounds memory.
+/// Maximum number of cached task counts. Bounds memory use.
 const COUNTS_MAX: usize = 8_000;
 
-/// Counts as they were given.
+/// Task counts of a job as received from its owner.
 struct ReceivedCounts {
-    /// The counts.
+    /// Received task counts.
     counts: TaskCounts,
-    /// When they came, by the steady clock.
-    received: Micros,
+    /// Steady-clock time at which the counts were received.
+    received_at: Micros,
 }
 
 impl ReceivedCounts {
-    /// Whether they may still be shown.
+    /// Returns whether the counts are recent enough to be served.
     fn is_fresh(&self, now: Micros) -> bool {
-        now - self.received < FRESH_PERIOD
+        now - self.received_at < COUNTS_TTL
     }
 }
 
-/// The task counts that other controllers have given, and the requests for them.
+/// Cache of task counts received from other controllers, with the pending requests for task counts.
 #[derive(Default)]
 pub(crate) struct TaskCountCache {
-    /// By job; at most [`COUNTS_MAX`].
-    known: HashMap<JobId, ReceivedCounts>,
-    /// The jobs of the next request to each owner.
-    pending: BTreeMap<Member, BTreeSet<JobId>>,
-    /// Owners that are being asked, so that nobody else has to begin.
-    outstanding: BTreeSet<Member>,
+    /// Received task counts by job; at most [`COUNTS_MAX`] entries.
+    counts_by_job: HashMap<JobId, ReceivedCounts>,
+    /// Jobs to include in the next request to each owner.
+    pending_jobs: BTreeMap<Member, BTreeSet<JobId>>,
+    /// Owners with a running fetch task, for which no second fetch may be started.
+    fetching_owners: BTreeSet<Member>,
 }
 
 impl TaskCountCache {
-    /// The counts of a job, if they are fresh.
+    /// Returns the counts of a job if they are recent enough.
     pub(super) fn get(&self, id: &JobId, now: Micros) -> Option<TaskCounts> {
-        let known = self.known.get(id)?;
-        known.is_fresh(now).then_some(known.counts)
+        let entry = self.counts_by_job.get(id)?;
+        entry.is_fresh(now).then_some(entry.counts)
     }
 
-    /// Keeps counts as they are given. If there are too many, drops those that are no longer fresh, or
-    /// else these.
+    /// Stores received counts. If the cache is full, drops entries that are too old; if it is still
+    /// full, drops the new counts.
     pub(super) fn insert(&mut self, id: JobId, counts: TaskCounts, now: Micros) {
-        if self.known.len() >= COUNTS_MAX {
-            self.known.retain(|_, known| known.is_fresh(now));
+        if self.counts_by_job.len() >= COUNTS_MAX {
+            self.counts_by_job.retain(|_, entry| entry.is_fresh(now));
         }
-        if self.known.len() < COUNTS_MAX {
-            let received = ReceivedCounts {
+        if self.counts_by_job.len() < COUNTS_MAX {
+            let entry = ReceivedCounts {
                 counts,
-                received: now,
+                received_at: now,
             };
-            self.known.insert(id, received);
+            self.counts_by_job.insert(id, entry);
         }
     }
 
-    /// Notes that the counts of a job are wanted of its owner. True if nobody asks that owner yet: the
-    /// caller has to begin.
+    /// Adds a job to the next request to its owner. Returns true if no fetch from that owner is
+    /// running, in which case the caller must start one.
     pub(super) fn request(&mut self, owner: &Member, id: &JobId) -> bool {
-        let jobs = self.pending.entry(owner.clone()).or_default();
+        let jobs = self.pending_jobs.entry(owner.clone()).or_default();
         if jobs.len() < JOBS_PER_REQUEST_MAX {
             jobs.insert(id.clone());
         }
-        self.outstanding.insert(owner.clone())
+        self.fetching_owners.insert(owner.clone())
     }
 
-    /// The jobs of the next request to an owner; `None`, and the owner is no longer being asked, if
-    /// there are none.
+    /// Returns the jobs of the next request to an owner. If there are none, returns `None` and
+    /// marks the fetch from that owner as ended.
     pub(super) fn next_request(&mut self, owner: &Member) -> Option<Vec<JobId>> {
-        let jobs = self.pending.remove(owner).unwrap_or_default();
+        let jobs = self.pending_jobs.remove(owner).unwrap_or_default();
         if jobs.is_empty() {
-            self.outstanding.remove(owner);
+            self.fetching_owners.remove(owner);
             return None;
         }
         Some(jobs.into_iter().collect())
--- a/crates/jasperhill-controller/src/task_counts/cache/tests.rs
+++ b/crates/jasperhill-controller/src/task_counts/cache/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards against counts that are shown for too long, and against growth without bound.
+/// Guards against counts that are served for too long, and against unbounded growth of the cache.
 #[test]
-fn counts_are_shown_for_a_while_and_bounded() {
+fn counts_expire_after_ttl_and_cache_size_is_bounded() {
     let mut cache = TaskCountCache::default();
     let counts = TaskCounts {
         running: 3,
@@ -12,10 +12,10 @@
     for n in 0..COUNTS_MAX + 50 {
         cache.insert(JobId::new(&format!("job-{n}")), counts, now);
     }
-    assert_eq!(cache.known.len(), COUNTS_MAX);
+    assert_eq!(cache.counts_by_job.len(), COUNTS_MAX);
     let id = JobId::new("job-7");
     assert_eq!(cache.get(&id, now + Micros::from_secs(1)), Some(counts));
-    assert_eq!(cache.get(&id, now + FRESH_PERIOD), None);
-    cache.insert(JobId::new("job-x"), counts, now + FRESH_PERIOD);
-    assert_eq!(cache.known.len(), 1);
+    assert_eq!(cache.get(&id, now + COUNTS_TTL), None);
+    cache.insert(JobId::new("job-x"), counts, now + COUNTS_TTL);
+    assert_eq!(cache.counts_by_job.len(), 1);
 }
--- a/crates/jasperhill-controller/src/task_counts/mod.rs
+++ b/crates/jasperhill-controller/src/task_counts/mod.rs
@@ -1,6 +1,7 @@
-//! Task counts of jobs that other controllers run, for display. One request serves all who
-//! poll a job within a while, and one message asks for many jobs: what polls cost hardly
-//! grows with their number. The state is [`cache::TaskCountCache`]; users' polls and the mesh call in.
+//! Task counts of jobs that other controllers run, for display to users. Concurrent polls of a job
+//! share one request, and one message requests the counts of many jobs, so the cost hardly grows
+//! with the number of polls. The state is [`cache::TaskCountCache`]. Callers are users' polls and
+//! the mesh.
 
 pub(crate) mod cache;
 
@@ -13,21 +14,23 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// Polls that come within this time after one another go into one request.
-const GATHER_PERIOD: Duration = Duration::from_millis(20);
-/// How long a poll waits for counts; without them it says what the record says.
-const POLL_LIMIT: Duration = Duration::from_millis(300);
-/// How long the owner's answer is waited for: no longer than a poll is.
-const REQUEST_LIMIT: Micros = Micros::from_millis(300);
+/// Time for which jobs are collected into one request to their owner.
+const BATCHING_DELAY: Duration = Duration::from_millis(20);
+/// Maximum time that a poll waits for counts. Without counts, the poll is answered from the job
+/// record.
+const POLL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum time to wait for the owner's response; no longer than [`POLL_TIMEOUT`].
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(300);
 
 impl Shared {
-    /// The counts of a job that `owner` runs, at most a little old; `None` if they don't come in time.
+    /// Returns recent task counts of a job that `owner` runs, or `None` if they do not arrive
+    /// within [`POLL_TIMEOUT`].
     pub async fn task_counts_from(
         self: &Rc<Self>,
         owner: Member,
         id: &JobId,
     ) -> Option<TaskCounts> {
-        let is_first = {
+        let must_start_fetch = {
             let now = self.now();
             let cache = &mut self.state.borrow_mut().task_counts;
             if let Some(counts) = cache.get(id, now) {
@@ -35,10 +38,10 @@
             }
             cache.request(&owner, id)
         };
-        if is_first {
+        if must_start_fetch {
             self.clone().spawn(self.clone().fetch_task_counts(owner));
         }
-        let counts = timeout(POLL_LIMIT, async {
+        let counts = timeout(POLL_TIMEOUT, async {
             loop {
                 let changed = self.wake.task_counts.notified();
                 if let Some(counts) = self.state.borrow().task_counts.get(id, self.now()) {
@@ -50,27 +53,28 @@
         counts.await.ok()
     }
 
-    /// Asks one owner for all that is wanted of it, until nothing is.
+    /// Requests all pending task counts from one owner, until no more are pending.
     async fn fetch_task_counts(self: Rc<Self>, owner: Member) {
         loop {
-            sleep(GATHER_PERIOD).await;
-            let next = self.state.borrow_mut().task_counts.next_request(&owner);
-            let Some(jobs) = next else {
+            sleep(BATCHING_DELAY).await;
+            let next_jobs = self.state.borrow_mut().task_counts.next_request(&owner);
+            let Some(jobs) = next_jobs else {
                 return;
             };
             let Some(address) = self.address_of(&owner) else {
                 continue;
             };
             let request = MeshRequest::TaskCounts(jobs.clone());
-            let response = self.mesh_call(address, request, REQUEST_LIMIT).await;
+            let response = self.mesh_call(address, request, REQUEST_TIMEOUT).await;
             if let Some(MeshResponse::TaskCounts(counts)) = response {
-                self.receive_task_counts(jobs, counts);
+                self.store_task_counts(jobs, counts);
             }
         }
     }
 
-    /// Keeps the counts that an owner has given for these jobs, in their order, and wakes the polls.
-    fn receive_task_counts(&self, jobs: Vec<JobId>, counts: Vec<Option<TaskCounts>>) {
+    /// Stores the counts received from an owner, which are in the order of `jobs`, and wakes the
+    /// waiting polls.
+    fn store_task_counts(&self, jobs: Vec<JobId>, counts: Vec<Option<TaskCounts>>) {
         let now = self.now();
         let cache = &mut self.state.borrow_mut().task_counts;
         for (id, counts) in jobs.into_iter().zip(counts) {
@@ -81,7 +85,8 @@
         self.wake.task_counts.notify_waiters();
     }
 
-    /// Counts of jobs that are run here, for another controller; `None` for those that are not.
+    /// Returns the counts of jobs for another controller, with `None` for each job that this
+    /// controller does not run.
     pub fn local_task_counts(&self, ids: &[JobId]) -> MeshResponse {
         let state = self.state.borrow();
         let counts_of = |id: &JobId| {
