--- a/crates/jasperhill-controller/src/feature_gate.rs
+++ b/crates/jasperhill-controller/src/feature_gate.rs
@@ -26,7 +26,7 @@
 
 /// Member records from which the feature gate is computed.
 pub struct MemberVersions<'a> {
-    /// Whether the watch cache is complete.
+    /// Whether the watch cache contains all records of the store.
     pub synced: bool,
     /// All members of the cluster.
     pub members: &'a [Member],
--- a/crates/jasperhill-controller/src/results/cancellation.rs
+++ b/crates/jasperhill-controller/src/results/cancellation.rs
@@ -46,7 +46,7 @@
 
     /// Returns the jobs whose cancellation is to be written now, and marks them as being cancelled.
     fn take_cancelled_dependents(&self) -> Vec<CancelledDependent> {
-        let mut due = Vec::new();
+        let mut due_dependents = Vec::new();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
         for id in state.cache.dependencies.cancelled_upstream() {
@@ -58,7 +58,7 @@
                 && let Some(partition) = state.scheduling.partitions.get(&partition_id)
                 && state.results.cancelling.insert(id.clone())
             {
-                due.push(CancelledDependent {
+                due_dependents.push(CancelledDependent {
                     id: id.clone(),
                     partition_id,
                     owned_since: partition.since,
@@ -67,7 +67,7 @@
                 });
             }
         }
-        due
+        due_dependents
     }
 
     /// Writes the cancellation of one job.
--- a/crates/jasperhill-controller/src/results/record.rs
+++ b/crates/jasperhill-controller/src/results/record.rs
@@ -55,10 +55,10 @@
         failed_attempts,
         residual_usage: None,
     };
-    let finished = job
+    let finished_runs = job
         .done
         .to_runs(max_runs(&record, job.request.tasks, value_bytes));
-    let durable_tasks = TaskSet::from_runs(job.request.tasks, &finished);
+    let durable_tasks = TaskSet::from_runs(job.request.tasks, &finished_runs);
     if durable_tasks.count() < cached_job.done_count {
         // The existing record was written under a larger limit on value size and contains more
         // finished tasks than fit now. Workers may already have cleared these tasks, so the record
@@ -68,7 +68,7 @@
     let is_durable = |task: &u32| !job.is_gang() && durable_tasks.contains(*task);
     let tasks = job.unsaved.iter().copied().filter(is_durable).collect();
     record.done_count = durable_tasks.count();
-    record.finished = finished;
+    record.finished = finished_runs;
     Some(ResultRecord { record, tasks })
 }
 
--- a/crates/jasperhill-controller/src/results/saving.rs
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -47,7 +47,7 @@
     /// them as being written.
     fn take_due_results(&self) -> Vec<(u32, JobId)> {
         let now = self.now();
-        let mut due = Vec::new();
+        let mut due_results = Vec::new();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
         state.results.prune(now);
@@ -66,13 +66,13 @@
                     && (is_done || state.results.is_partial_due(&id, write_rate, now));
                 if is_due {
                     state.results.start_saving(id.clone());
-                    due.push((partition.id, id));
+                    due_results.push((partition.id, id));
                 } else {
                     partition.unsaved.insert(id);
                 }
             }
         }
-        due
+        due_results
     }
 
     /// Writes the results of a job, and marks the job as unsaved again if further results are not
@@ -140,9 +140,9 @@
 /// a gang are written only when all of them are done.
 fn has_result_to_save(partition: &Partition, id: &JobId) -> bool {
     partition.jobs.get(id).is_some_and(|job| {
-        let has_tasks = !job.unsaved.is_empty() && (!job.is_gang() || job.done.is_full());
-        let has_failures = job.failures.failed_attempts() != job.failed_attempts_saved;
-        job.termination.is_none() && (has_tasks || has_failures)
+        let has_unsaved_tasks = !job.unsaved.is_empty() && (!job.is_gang() || job.done.is_full());
+        let has_unsaved_failures = job.failures.failed_attempts() != job.failed_attempts_saved;
+        job.termination.is_none() && (has_unsaved_tasks || has_unsaved_failures)
     })
 }
 
--- a/crates/jasperhill-controller/src/store/budget.rs
+++ b/crates/jasperhill-controller/src/store/budget.rs
@@ -23,8 +23,8 @@
     ) -> Result<Response, ClientError> {
         loop {
             let now = self.now();
-            let taken = self.state.borrow_mut().store.requests.take(1.0, now);
-            match taken {
+            let take_result = self.state.borrow_mut().store.requests.take(1.0, now);
+            match take_result {
                 Ok(()) => break,
                 Err(wait) => sleep(to_duration(wait)).await,
             }
--- a/crates/jasperhill-controller/src/store/commit_queue.rs
+++ b/crates/jasperhill-controller/src/store/commit_queue.rs
@@ -25,7 +25,7 @@
 /// Encoded size of a guard in a transaction without its key, in bytes: the version and the
 /// surrounding JSON.
 const GUARD_OVERHEAD_BYTES: usize = 40;
-/// Maximum number of guards in a transaction per change that the transaction may contain.
+/// Maximum number of guards in a transaction, as a multiple of the maximum number of changes.
 const GUARDS_PER_CHANGE: usize = 4;
 /// Fraction of the burst that background writes must leave unused. Without this reserve, a job
 /// acceptance that follows a batch of partial results or host records would have to wait for the
@@ -165,7 +165,7 @@
     }
 
     /// Returns the number of tokens that the write budget must hold before this write may be sent.
-    fn required_level(&self, burst: f64, now: Micros) -> f64 {
+    fn required_tokens(&self, burst: f64, now: Micros) -> f64 {
         let reserve = self.reserve(burst, now);
         if reserve > 0.0 {
             (self.changes.len() as f64 + reserve).min(burst)
@@ -240,7 +240,7 @@
     pub(super) fn wait_for_budget(&mut self, now: Micros) -> Option<Micros> {
         let burst = self.bucket.burst();
         let first = self.writes.first();
-        let required_tokens = first.map_or(1.0, |write| write.required_level(burst, now));
+        let required_tokens = first.map_or(1.0, |write| write.required_tokens(burst, now));
         let wait = self.bucket.wait_for(required_tokens, now)?;
         Some(wait.min(URGENT_RECHECK_INTERVAL))
     }
@@ -358,8 +358,10 @@
             || (fits_budget && self.fits_size_limits(write) && self.is_independent(write))
     }
 
-    /// Returns whether the write budget covers this many additional changes and still leaves the
-    /// reserve.
+    /// Returns whether the write budget covers this many additional changes and leaves `reserve`
+    /// tokens unused. If `reserve` is zero, a transaction may contain [`UNBUDGETED_CHANGES_MAX`]
+    /// changes whatever the budget holds, and a larger write may join a transaction of that size or
+    /// less.
     fn fits_budget(&self, changes: usize, reserve: f64) -> bool {
         if reserve > 0.0 {
             // A write with several changes is sent alone once the budget is full. Otherwise such a
@@ -374,8 +376,8 @@
             || (changes > UNBUDGETED_CHANGES_MAX && self.change_count <= UNBUDGETED_CHANGES_MAX)
     }
 
-    /// Returns whether another write fits the size limits of the transaction. Returns false if
-    /// either of them must be sent unbatched.
+    /// Returns whether a further write fits the size limits of the transaction. Returns false if
+    /// this write or the first write of the transaction must be sent in a transaction of its own.
     fn fits_size_limits(&self, write: &PendingWrite) -> bool {
         !self.writes[0].unbatched
             && !write.unbatched
@@ -401,10 +403,10 @@
         self.change_count += write.changes.len();
         self.guard_count += write.guards.len();
         self.bytes += write.bytes;
-        let changed = write.changes.iter().map(|change| change.key().to_owned());
-        self.changed_keys.extend(changed);
-        let guarded = write.guards.iter().map(|guard| guard.key.clone());
-        self.guarded_keys.extend(guarded);
+        let changed_keys = write.changes.iter().map(|change| change.key().to_owned());
+        self.changed_keys.extend(changed_keys);
+        let guarded_keys = write.guards.iter().map(|guard| guard.key.clone());
+        self.guarded_keys.extend(guarded_keys);
         self.writes.push(write);
     }
 }
--- a/crates/jasperhill-controller/src/store/commit_queue/tests.rs
+++ b/crates/jasperhill-controller/src/store/commit_queue/tests.rs
@@ -64,8 +64,8 @@
 fn drops_write_after_its_deadline() {
     let mut queue = queue(100.0, 10);
     push(&mut queue, WritePriority::Accept, "a");
-    let next = queue.next_batch(NOW + SEND_TIMEOUT);
-    assert_eq!((next.expired.len(), next.writes.len()), (1, 0));
+    let next_batch = queue.next_batch(NOW + SEND_TIMEOUT);
+    assert_eq!((next_batch.expired.len(), next_batch.writes.len()), (1, 0));
 }
 
 #[test]
@@ -80,9 +80,9 @@
     push(&mut queue, WritePriority::Accept, "b");
     assert_eq!(queue.wait_for_budget(NOW), None);
     assert_eq!(keys(&queue.next_batch(NOW).writes), ["b"]);
-    let later = NOW + RESERVE_EXPIRY + Micros::from_millis(1);
-    queue.charge(15, later);
-    assert_eq!(keys(&queue.next_batch(later).writes), ["a"]);
+    let after_reserve_expiry = NOW + RESERVE_EXPIRY + Micros::from_millis(1);
+    queue.charge(15, after_reserve_expiry);
+    assert_eq!(keys(&queue.next_batch(after_reserve_expiry).writes), ["a"]);
 }
 
 #[test]
--- a/crates/jasperhill-controller/src/store/committer.rs
+++ b/crates/jasperhill-controller/src/store/committer.rs
@@ -63,11 +63,11 @@
         };
         let parse_body = || serde_json::from_slice::<TransactionResponse>(&response.body);
         match response.status {
-            200 => parse_body().map_or(Self::CommittedAtUnknownRevision, |b| {
-                Self::Committed(b.revision)
+            200 => parse_body().map_or(Self::CommittedAtUnknownRevision, |parsed| {
+                Self::Committed(parsed.revision)
             }),
             409 => Self::Conflict {
-                failed: parse_body().map(|b| b.failed).unwrap_or_default(),
+                failed: parse_body().map(|parsed| parsed.failed).unwrap_or_default(),
             },
             400 => Self::Rejected {
                 reason: String::from_utf8_lossy(&response.body).into_owned(),
@@ -222,17 +222,17 @@
 
     /// Ends the writes whose guards failed and requeues the other writes of the batch, which a
     /// failed guard of another write must not fail.
-    fn finish_conflicting(&self, batch: Vec<PendingWrite>, failed: &[String]) {
+    fn finish_conflicting(&self, batch: Vec<PendingWrite>, failed_keys: &[String]) {
         let has_failed_guard = |write: &PendingWrite| {
             let mut guards = write.guards.iter();
-            guards.any(|guard| failed.contains(&guard.key))
+            guards.any(|guard| failed_keys.contains(&guard.key))
         };
         let (conflicting, others): (Vec<PendingWrite>, Vec<PendingWrite>) =
             batch.into_iter().partition(has_failed_guard);
-        let names_no_guard = conflicting.is_empty();
+        let response_names_no_guard = conflicting.is_empty();
         finish_all(conflicting, WriteOutcome::Conflict);
         let queue = &mut self.state.borrow_mut().store.commit_queue;
-        if names_no_guard {
+        if response_names_no_guard {
             // The response names no guard of these writes. Sending each write alone shows which one
             // conflicts.
             queue.requeue_unbatched(others);
--- a/crates/jasperhill-controller/src/store/committer/tests.rs
+++ b/crates/jasperhill-controller/src/store/committer/tests.rs
@@ -19,9 +19,9 @@
         committed,
         TransactionOutcome::Committed(Revision(7))
     ));
-    let unreadable = outcome(200, "{");
+    let malformed = outcome(200, "{");
     assert!(matches!(
-        unreadable,
+        malformed,
         TransactionOutcome::CommittedAtUnknownRevision
     ));
 }
@@ -30,11 +30,12 @@
 fn conflict_reports_keys_of_failed_guards() {
     let conflict = outcome(409, &response(7, &["a"]));
     assert!(matches!(conflict, TransactionOutcome::Conflict { failed } if failed == ["a"]));
-    let unreadable = outcome(409, "{");
-    assert!(matches!(unreadable, TransactionOutcome::Conflict { failed } if failed.is_empty()));
+    let malformed = outcome(409, "{");
+    assert!(matches!(malformed, TransactionOutcome::Conflict { failed } if failed.is_empty()));
 }
 
-/// Guards against resending a write that may already have been executed.
+/// Guards against resending a write that may already have been executed: only refusals and requests
+/// that were never sent are retryable, every other failure leaves the outcome unknown.
 #[test]
 fn only_transactions_certainly_not_executed_are_retryable() {
     assert!(matches!(outcome(429, ""), TransactionOutcome::RateLimited));
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -108,12 +108,15 @@
         let renewal = self.renew_lease(lease).await;
         let time_to_live = self.state.borrow().authority.ttl();
         let has_response = renewal != LeaseRenewal::Unknown;
-        let observed = if has_response {
+        let stall_input = if has_response {
             stall_detector::Input::Answered
         } else {
             stall_detector::Input::Unanswered { sent }
         };
-        self.state.borrow_mut().stalls.apply(observed, self.now());
+        self.state
+            .borrow_mut()
+            .stalls
+            .apply(stall_input, self.now());
         self.observe_link(LinkId::Store, observation_of(has_response));
         match renewal {
             LeaseRenewal::Renewed => {
@@ -179,11 +182,14 @@
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
         let record = state.cache.sessions.get(own_member).cloned();
-        let starting = restart_history::Input::SessionStarting {
+        let session_starting = restart_history::Input::SessionStarting {
             former: record.as_ref().map(|entry| process_run_of(&entry.value)),
             wall: self.clock.wall(),
         };
-        let phase = state.membership.restarts.apply(starting, self.now());
+        let phase = state
+            .membership
+            .restarts
+            .apply(session_starting, self.now());
         let process_run = state.membership.restarts.current();
         // In a crash loop, each process would take the roles back and serve none of them. The roles
         // are therefore not taken over: their records keep naming the lease of the ended session,
--- a/crates/jasperhill-controller/src/store/watch.rs
+++ b/crates/jasperhill-controller/src/store/watch.rs
@@ -92,7 +92,7 @@
 impl PartialListing {
     /// Adds a page. Returns the last key of the page, after which the next page begins, or `None`
     /// if this was the last page.
-    fn add(&mut self, page: Listing) -> Option<String> {
+    fn add_page(&mut self, page: Listing) -> Option<String> {
         self.first_revision.get_or_insert(page.revision);
         self.highest_revision = self.highest_revision.max(page.revision);
         let last_key = page.items.last().map(|item| item.key.clone());
@@ -112,7 +112,7 @@
             };
             let started_at = self.now();
             let succeeded = if phase == Phase::NotListed {
-                self.list_all().await
+                self.read_listing().await
             } else {
                 let block_time = self.watch_block_time();
                 self.watch(after, block_time).await
@@ -141,13 +141,13 @@
 
     /// Reads all records page by page and passes the listing to the watch cache. Returns false,
     /// without changing the watch cache, if a page could not be read.
-    async fn list_all(&self) -> bool {
+    async fn read_listing(&self) -> bool {
         let (mut listing, mut after) = (PartialListing::default(), String::new());
         loop {
             let Some(page) = self.read_listing_page(&after).await else {
                 return false;
             };
-            match listing.add(page) {
+            match listing.add_page(page) {
                 Some(last_key) => after = last_key,
                 None => break,
             }
@@ -217,7 +217,7 @@
             }
             // A new listing avoids a watch that never catches up. It also bounds memory use,
             // because a listing is read in pages.
-            WatchOutcome::Compacted | WatchOutcome::ResponseTooLong => self.list_all().await,
+            WatchOutcome::Compacted | WatchOutcome::ResponseTooLong => self.read_listing().await,
             WatchOutcome::Failed => false,
         }
     }
@@ -230,8 +230,8 @@
             return;
         }
         let now = self.now();
-        let taken = self.state.borrow_mut().store.requests.take(1.0, now);
-        if let Err(wait) = taken {
+        let charge_result = self.state.borrow_mut().store.requests.take(1.0, now);
+        if let Err(wait) = charge_result {
             sleep(to_duration(wait)).await;
         }
     }
--- a/crates/jasperhill-controller/src/task_counts/mod.rs
+++ b/crates/jasperhill-controller/src/task_counts/mod.rs
@@ -43,11 +43,11 @@
         }
         let counts = timeout(POLL_TIMEOUT, async {
             loop {
-                let changed = self.wake.task_counts.notified();
+                let counts_changed = self.wake.task_counts.notified();
                 if let Some(counts) = self.state.borrow().task_counts.get(id, self.now()) {
                     return counts;
                 }
-                changed.await;
+                counts_changed.await;
             }
         });
         counts.await.ok()
--- a/crates/jasperhill-controller/src/watch_cache/hosts.rs
+++ b/crates/jasperhill-controller/src/watch_cache/hosts.rs
@@ -60,16 +60,16 @@
         version: Revision,
         changes: &mut Vec<Change>,
     ) {
-        let removed = self
+        let removed_hosts = self
             .hosts
             .iter()
             .filter(|(id, entry)| entry.block == block && !content.hosts.contains_key(*id))
             .map(|(id, _)| id.clone());
-        self.hosts_without_block.extend(removed);
+        self.hosts_without_block.extend(removed_hosts);
         for (id, value) in content.hosts {
             self.hosts_without_block.remove(&id);
-            let unchanged = |entry: &HostEntry| entry.block == block && entry.value == value;
-            if !self.hosts.get(&id).is_some_and(unchanged) {
+            let is_unchanged = |entry: &HostEntry| entry.block == block && entry.value == value;
+            if !self.hosts.get(&id).is_some_and(is_unchanged) {
                 let entry = HostEntry {
                     value,
                     version,
--- a/crates/jasperhill-controller/src/watch_cache/queries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/queries.rs
@@ -50,11 +50,14 @@
     /// Returns the machine types of the cloud, or `None` if some part of the list is missing.
     pub fn types(&self) -> Option<MachineTypes> {
         let parts = self.machine_types.get(&0)?.value.parts.max(1);
-        let mut types = Vec::new();
+        let mut machine_types = Vec::new();
         for part in 0..parts {
-            types.extend(self.machine_types.get(&part)?.value.types.iter().cloned());
+            machine_types.extend(self.machine_types.get(&part)?.value.types.iter().cloned());
         }
-        Some(MachineTypes { types, parts: 0 })
+        Some(MachineTypes {
+            types: machine_types,
+            parts: 0,
+        })
     }
 
     /// Returns the resources that tasks of jobs cancelled at or after this time of day may still
