--- a/crates/jasperhill-controller/src/host_registry/batch.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch.rs
@@ -1,5 +1,5 @@
-//! What goes into the next write of a block: the updates of one role that can be written together, and
-//! the block split if it is too large. Nothing here waits or talks to the store.
+//! Prepares the next write of a block: selects the queued updates of one role that can be written
+//! together, and splits the block if it is too large. Does no I/O.
 
 use super::{
     split::{BLOCK_OVERHEAD, split_block},
@@ -16,85 +16,86 @@
 };
 use std::collections::BTreeSet;
 
-/// What bounds the write of a block.
+/// Limits on the write of a block.
 pub(super) struct BlockLimits {
-    /// How long a value may be.
+    /// The maximum size of a value in the store, in bytes.
     pub value_bytes: usize,
-    /// How many operations a transaction may have.
+    /// The maximum number of operations in a transaction of the store.
     pub txn_ops: usize,
-    /// The number of partitions: a new block's number differs from that of the split one by a multiple.
+    /// The number of partitions. The number of a new block is that of the split block plus a multiple of
+    /// this.
     pub partitions: u32,
-    /// Whether every member understands that blocks are split.
-    pub may_split: bool,
+    /// Whether every member supports split blocks.
+    pub is_split_supported: bool,
 }
 
-/// What one write of a block consists of.
+/// A write of a block that is ready to be sent to the store.
 pub(super) struct PreparedWrite {
-    /// The updates that it writes.
+    /// The updates that the write contains.
     pub updates: Vec<PendingUpdate>,
-    /// The most urgent of them.
+    /// The most urgent priority among the updates, or that of a split.
     pub priority: WritePriority,
-    /// The compares of the transaction.
+    /// The conditions of the transaction; all must hold.
     pub guards: Vec<Guard>,
-    /// The puts of the transaction.
+    /// The changes that the transaction makes.
     pub changes: Vec<Change>,
-    /// The new blocks among them.
+    /// Numbers of the new blocks that the transaction creates.
     pub new_blocks: Vec<u32>,
 }
 
-/// What is to be done next for a block.
+/// The next step in writing a block.
 pub(super) enum NextWrite {
-    /// Nothing is left.
+    /// There are no updates left.
     Idle,
-    /// Nothing can be written now, but updates of another role wait.
-    OthersWait,
-    /// This is to be written.
+    /// No update can be written in this step, but updates are still queued, for example of another role.
+    Deferred,
+    /// The write that is to be sent to the store.
     Write(PreparedWrite),
 }
 
-/// An update that can't be written.
+/// An update that can't be written, and the outcome to report for it.
 pub(super) struct RejectedUpdate {
-    /// The update.
+    /// The rejected update.
     update: PendingUpdate,
-    /// Why it can't be written.
+    /// The reason for the rejection, reported to the caller.
     outcome: WriteOutcome,
 }
 
 impl RejectedUpdate {
-    /// Tells whoever waits for the update why it was not written.
+    /// Reports the outcome to the caller that waits for the update.
     pub fn complete(self) {
         self.update.complete(self.outcome);
     }
 }
 
-/// What becomes of an update that waits.
+/// The decision on a queued update.
 enum Decision {
-    /// It goes into this write.
+    /// The update goes into this write.
     Include,
-    /// It goes into a later one.
-    WaitForNext,
-    /// It is never written.
+    /// The update stays queued for a later write.
+    Defer,
+    /// The update is dropped with this outcome.
     Reject(WriteOutcome),
 }
 
-/// What decides on updates of a block.
+/// Criteria that select the updates for the next write of a block.
 struct Selection<'a> {
-    /// The records as the store last showed them.
+    /// The replica of the store.
     cache: &'a WatchCache,
     /// The block to be written.
     block: u32,
-    /// The role whose updates are written, and the revision since which it is owned.
+    /// The role whose updates are written, and the revision since which this controller owns the role.
     role: (Role, Revision),
-    /// The role has changed hands since.
+    /// Whether the role's record has a newer version, so that its updates can't commit.
     is_role_lost: bool,
-    /// A write of the block was refused a moment ago.
+    /// Whether the block is in backoff after the store has refused its write.
     is_backing_off: bool,
-    /// The time of the decision.
+    /// The time of the decision, by the steady clock.
     now: Micros,
 }
 
 impl Selection<'_> {
-    /// What becomes of an update. `changed_hosts`: those that other updates of this write change.
+    /// Decides on an update. `changed_hosts` are the hosts that earlier updates of this write change.
     fn decide(&self, update: &HostUpdate, changed_hosts: &BTreeSet<HostId>) -> Decision {
         if self.now >= update.deadline || self.is_backing_off {
             return Decision::Reject(WriteOutcome::NotExecuted);
@@ -106,7 +107,7 @@
         if is_outdated || (is_same_role && self.is_role_lost) {
             Decision::Reject(WriteOutcome::Conflict)
         } else if !is_same_role || changed_hosts.contains(&update.host) {
-            Decision::WaitForNext
+            Decision::Defer
         } else {
             Decision::Include
         }
@@ -114,9 +115,9 @@
 }
 
 impl HostRegistry {
-    /// Takes the updates of a block that can be written together now, and prepares their write.
-    /// `leadership`: since which revision this controller leads, if it does. Rejected updates are returned
-    /// for the caller to complete.
+    /// Dequeues the updates of a block that can be written together now, and prepares their write.
+    /// `leadership` is the revision since which this controller is the leader, or `None`. Returns the
+    /// rejected updates, too, which the caller has to complete.
     pub(super) fn next_write(
         &mut self,
         cache: &WatchCache,
@@ -125,9 +126,9 @@
         block: u32,
         now: Micros,
     ) -> (NextWrite, Vec<RejectedUpdate>) {
-        let split_due = self.splits_due.remove(&block);
+        let is_split_requested = self.blocks_to_split.remove(&block);
         let pending = self.pending.remove(&block).unwrap_or_default();
-        let leader = leadership.filter(|_| split_due);
+        let leader = leadership.filter(|_| is_split_requested);
         let role = match pending.first() {
             Some(first) => Some(first.update.role),
             None => leader.map(|since| (Role::Leader, since)),
@@ -145,7 +146,7 @@
             now,
         };
         let mut hosts = cache.block(block);
-        let (mut included, mut waiting, mut rejected) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut included, mut deferred, mut rejected) = (Vec::new(), Vec::new(), Vec::new());
         let mut changed_hosts = BTreeSet::new();
         for pending in pending {
             let update = &pending.update;
@@ -155,29 +156,29 @@
                     changed_hosts.insert(update.host.clone());
                     included.push(pending);
                 }
-                Decision::WaitForNext => waiting.push(pending),
+                Decision::Defer => deferred.push(pending),
                 Decision::Reject(outcome) => rejected.push(RejectedUpdate {
                     update: pending,
                     outcome,
                 }),
             }
         }
-        let others_wait = !waiting.is_empty();
-        if others_wait {
-            self.pending.insert(block, waiting);
+        let has_deferred = !deferred.is_empty();
+        if has_deferred {
+            self.pending.insert(block, deferred);
         }
         let exists = cache.blocks.contains_key(&block);
-        let next = if !included.is_empty() || (split_due && exists) {
+        let next = if !included.is_empty() || (is_split_requested && exists) {
             NextWrite::Write(self.prepare_write(cache, limits, block, role, hosts, included))
-        } else if others_wait {
-            NextWrite::OthersWait
+        } else if has_deferred {
+            NextWrite::Deferred
         } else {
             NextWrite::Idle
         };
         (next, rejected)
     }
 
-    /// The write of a block with these hosts; split if they don't fit.
+    /// Prepares the write of a block with the given hosts, split into several blocks if they don't fit.
     fn prepare_write(
         &mut self,
         cache: &WatchCache,
@@ -196,9 +197,9 @@
             bytes,
             hosts = hosts.hosts.len(),
             updates = updates.len(),
-            "host block"
+            "prepared write of a host block"
         );
-        let must_split = bytes > limits.value_bytes && limits.may_split;
+        let must_split = bytes > limits.value_bytes && limits.is_split_supported;
         let mut write = PreparedWrite {
             updates,
             priority,
@@ -210,7 +211,7 @@
             new_blocks: Vec::new(),
         };
         if must_split {
-            // Not behind what can wait: a block that is too large soon can't be written at all.
+            // Not with background priority: a block that keeps growing soon can't be written at all.
             write.priority = priority.min(WritePriority::Finish);
             self.add_split(&mut write, cache, limits, block, hosts);
         } else {
@@ -219,7 +220,8 @@
         write
     }
 
-    /// Adds the parts of a block to its write: the first under its own key, the others in new blocks.
+    /// Splits a block and adds the parts to its write: the first under the block's own key, the others in
+    /// new blocks.
     fn add_split(
         &mut self,
         write: &mut PreparedWrite,
@@ -228,32 +230,32 @@
         block: u32,
         hosts: HostBlock,
     ) {
-        let capacity = limits.value_bytes.saturating_sub(BLOCK_OVERHEAD);
-        let mut parts = split_block(hosts, capacity, limits.txn_ops).into_iter();
+        let capacity_bytes = limits.value_bytes.saturating_sub(BLOCK_OVERHEAD);
+        let mut parts = split_block(hosts, capacity_bytes, limits.txn_ops).into_iter();
         let first = parts.next().unwrap_or_default();
         write.changes.push(put(block_key(block), &first));
         let mut new_block = block;
         for part in parts {
             new_block += limits.partitions;
-            while self.is_taken(cache, new_block) {
+            while self.is_block_number_used(cache, new_block) {
                 new_block += limits.partitions;
             }
-            self.reserved.insert(new_block);
+            self.reserved_blocks.insert(new_block);
             write.new_blocks.push(new_block);
             write.guards.push(guard(block_key(new_block), Revision(0)));
             write.changes.push(put(block_key(new_block), &part));
         }
     }
 
-    /// Whether a block's number can't be used for a new one.
-    fn is_taken(&self, cache: &WatchCache, block: u32) -> bool {
+    /// Returns whether a block number is in use and can't be given to a new block.
+    fn is_block_number_used(&self, cache: &WatchCache, block: u32) -> bool {
         cache.blocks.contains_key(&block)
-            || self.reserved.contains(&block)
+            || self.reserved_blocks.contains(&block)
             || self.pending.contains_key(&block)
     }
 }
 
-/// Changes a block as an update says.
+/// Inserts, replaces or removes the record of the update's host in a block.
 fn apply_update(block: &mut HostBlock, update: &HostUpdate) {
     let host = &update.host;
     match &update.new_record {
--- a/crates/jasperhill-controller/src/host_registry/batch/tests.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch/tests.rs
@@ -1,4 +1,4 @@
-//! Updates of a block are written together as far as they can be, and the others are told why not.
+//! Tests of the selection of updates for a block write, of rejected updates and of splits.
 
 use super::*;
 use crate::watch_cache::Input;
@@ -27,7 +27,7 @@
     }
 }
 
-/// A cache with so many hosts in the block, all of revision 5.
+/// Returns a cache in which the block has `hosts` hosts, all of revision 5.
 fn cache(hosts: usize) -> WatchCache {
     let block = HostBlock {
         hosts: (0..hosts).map(|n| (host(n), record(n))).collect(),
@@ -55,11 +55,11 @@
         value_bytes,
         txn_ops: 16,
         partitions: 4,
-        may_split: true,
+        is_split_supported: true,
     }
 }
 
-/// Queues an update of a host and returns where its outcome comes.
+/// Queues an update of host `n`, modified by `change`, and returns the receiver of its outcome.
 fn enqueue(
     registry: &mut HostRegistry,
     n: usize,
@@ -84,10 +84,10 @@
     updates.map(|pending| pending.update.host.clone()).collect()
 }
 
-/// Guards against updates that are written over a newer record, after their deadline, or under the role of
-/// others.
+/// Guards against updates that overwrite a newer record, are written after their deadline, or are written
+/// under another role than their own.
 #[test]
-fn only_updates_that_fit_together_are_written() {
+fn defers_or_rejects_updates_that_cannot_share_a_write() {
     let (cache, limits) = (cache(5), limits(60_000));
     let mut registry = HostRegistry::default();
     let _first = enqueue(&mut registry, 0, |_| {});
@@ -109,7 +109,7 @@
     rejected.into_iter().for_each(RejectedUpdate::complete);
     assert_eq!(outdated.try_recv().ok(), Some(WriteOutcome::Conflict));
     assert_eq!(expired.try_recv().ok(), Some(WriteOutcome::NotExecuted));
-    // The second update of the host goes next, and then that of the other role.
+    // The second update of host 1 is written next, then the update of the other role.
     let (next, _) = registry.next_write(&cache, None, &limits, BLOCK, NOW);
     assert!(matches!(next, NextWrite::Write(write) if hosts_of(&write) == [host(1)]));
     let (next, _) = registry.next_write(&cache, None, &limits, BLOCK, NOW);
@@ -118,9 +118,10 @@
     assert!(matches!(next, NextWrite::Idle));
 }
 
-/// Guards against a block that is written again and again although the store does not take it.
+/// Guards against rewriting a block in a tight loop although the store refuses the write: updates are
+/// rejected during the backoff.
 #[test]
-fn a_refused_block_is_left_alone() {
+fn rejects_updates_during_backoff_after_refusal() {
     let (cache, limits) = (cache(1), limits(60_000));
     let mut registry = HostRegistry::default();
     registry.back_off(BLOCK, NOW);
@@ -131,9 +132,10 @@
     assert_eq!(outcome.try_recv().ok(), Some(WriteOutcome::NotExecuted));
 }
 
-/// Guards against a host that is in two blocks, or in none, after a split.
+/// Guards against a host that is in two blocks, or in none, after a split: new blocks get unused numbers of
+/// the same partition, and the transaction requires that they don't exist yet.
 #[test]
-fn a_block_that_is_too_large_is_split_into_new_blocks() {
+fn splits_oversized_block_into_new_blocks() {
     let (cache, limits) = (cache(40), limits(2_048));
     let mut registry = HostRegistry::default();
     assert_eq!(
@@ -150,7 +152,7 @@
     assert_eq!(write.changes.len(), write.new_blocks.len() + 1);
     assert_eq!(write.guards.len(), write.new_blocks.len() + 2);
     let new_blocks = write.new_blocks.iter().copied();
-    assert!(new_blocks.eq(registry.reserved.iter().copied()));
+    assert!(new_blocks.eq(registry.reserved_blocks.iter().copied()));
     registry.release_reserved(&write.new_blocks);
-    assert!(registry.reserved.is_empty());
+    assert!(registry.reserved_blocks.is_empty());
 }
--- a/crates/jasperhill-controller/src/host_registry/split/tests.rs
+++ b/crates/jasperhill-controller/src/host_registry/split/tests.rs
@@ -1,4 +1,4 @@
-//! A split block keeps every host, once.
+//! Property test of block splitting: no host is lost or duplicated.
 
 use super::*;
 use jasperhill_wire::record::HostAssignment;
@@ -21,7 +21,7 @@
     }
 }
 
-fn bytes(block: &HostBlock) -> usize {
+fn encoded_bytes(block: &HostBlock) -> usize {
     serde_json::to_vec(block).unwrap().len()
 }
 
@@ -31,25 +31,26 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Every host is in exactly one part, changed only in its count of changes; all parts fit
-    /// if there are enough of them, and otherwise the first keeps what is left.
+    /// Guards against hosts that are lost, duplicated or altered by a split. Every host is in exactly
+    /// one part, and only its count of rewrites may differ. All parts fit the capacity, except that
+    /// the first holds the remaining hosts once the number of parts is exhausted.
     #[test]
-    fn a_split_block_loses_no_host(hosts in 0usize..160, kb in 2usize..6, parts_max in 1usize..16) {
+    fn split_keeps_every_host_exactly_once(hosts in 0usize..160, kb in 2usize..6, parts_max in 1usize..16) {
         let whole = block(hosts);
         let capacity = kb * 1_024 - BLOCK_OVERHEAD;
         let parts = split_block(whole.clone(), capacity, parts_max);
         prop_assert!(parts.len() <= parts_max);
-        let mut again = HostBlock::default();
+        let mut merged = HostBlock::default();
         for (n, part) in parts.iter().enumerate() {
             for (id, record) in &part.hosts {
                 let mut record = record.clone();
                 record.rewrites -= u64::from(n > 0);
-                prop_assert!(again.hosts.insert(id.clone(), record).is_none());
+                prop_assert!(merged.hosts.insert(id.clone(), record).is_none());
             }
             if parts.len() < parts_max || n > 0 {
-                prop_assert!(bytes(part) <= kb * 1_024, "{} bytes", bytes(part));
+                prop_assert!(encoded_bytes(part) <= kb * 1_024, "{} bytes", encoded_bytes(part));
             }
         }
-        prop_assert_eq!(again, whole);
+        prop_assert_eq!(merged, whole);
     }
 }
--- a/crates/jasperhill-controller/src/host_registry/state.rs
+++ b/crates/jasperhill-controller/src/host_registry/state.rs
@@ -1,4 +1,4 @@
-//! What is remembered of host updates and of the blocks that they go to.
+//! State of the host registry: queued updates of host records, and the assignment of hosts to blocks.
 
 use super::split::{BLOCK_OVERHEAD, entry_bytes};
 use crate::{
@@ -12,73 +12,77 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
 
-/// Updates that may wait for one block; more are refused.
-const PENDING_MAX: usize = 1_000;
-/// A refused block is left alone for so long: guards against one block that is written again and again
-/// although the store does not take it.
+/// Maximum number of updates queued for one block; further updates are rejected.
+const PENDING_UPDATES_MAX: usize = 1_000;
+/// Time for which a block is not written after the store has refused its write. Guards against rewriting
+/// a block in a tight loop although the store does not accept it.
 const REFUSAL_BACKOFF: Micros = Micros::from_secs(2);
-/// Blocks split at a time.
-const SPLITS_MAX: usize = 4;
+/// Maximum number of oversized blocks chosen for a split in one round of the leader.
+const SPLITS_PER_ROUND_MAX: usize = 4;
 
-/// One change of one host's record.
+/// A compare-and-swap update of one host's record.
 pub(crate) struct HostUpdate {
-    /// How its write is ranked among others.
+    /// The priority of the write in the commit queue.
     pub priority: WritePriority,
-    /// The role that entitles to it, and the revision since which it is owned.
+    /// The role under which this controller makes the update, and the revision since which it owns the
+    /// role.
     pub role: (Role, Revision),
     /// The host whose record changes.
     pub host: HostId,
-    /// The version that it changes; `None`: there is no record yet.
+    /// The version of the record that the update replaces; `None` if there must be no record yet.
     pub expected_version: Option<Revision>,
-    /// The record to be written; `None`: it is deleted.
+    /// The record to be written; `None` deletes the record.
     pub new_record: Option<HostRecord>,
-    /// It is not written after this, by the steady clock.
+    /// The time after which the update is not written any more, by the steady clock.
     pub deadline: Micros,
 }
 
-/// An update that waits to be written.
+/// A queued update and the channel for its outcome.
 pub(super) struct PendingUpdate {
-    /// The update.
+    /// The update to be written.
     pub update: HostUpdate,
-    /// Where its outcome is awaited.
+    /// The sender of the outcome to the caller that waits for it.
     pub reply: oneshot::Sender<WriteOutcome>,
 }
 
 impl PendingUpdate {
-    /// Tells whoever waits for the update what came of it.
+    /// Sends the outcome to the caller that waits for the update.
     pub fn complete(self, outcome: WriteOutcome) {
-        // Nobody waits any more if the receiver is gone.
+        // A dropped receiver means that the caller no longer waits.
         let _ = self.reply.send(outcome);
     }
 }
 
-/// Updates that wait, by block, and where hosts have been put.
+/// Queued updates of host records by block, and the blocks that hosts are assigned to.
 #[derive(Default)]
 pub(crate) struct HostRegistry {
-    /// The updates that wait for each block.
+    /// Queued updates, by block.
     pub(super) pending: BTreeMap<u32, Vec<PendingUpdate>>,
-    /// Blocks with a write under way.
-    writing: BTreeSet<u32>,
-    /// Where the leader has put hosts. A host keeps its block while this leadership lasts, even if the
-    /// outcome of a write is unknown: it must never be in two blocks.
+    /// Blocks that a task is writing.
+    blocks_being_written: BTreeSet<u32>,
+    /// The block of each host that this controller has registered as the leader. A host keeps its block
+    /// for the whole leadership, even if the outcome of a write is unknown, so that it is never in two
+    /// blocks.
     assigned_blocks: BTreeMap<HostId, u32>,
-    /// Blocks that the leader wants split, whether or not updates wait for them.
-    pub(super) splits_due: BTreeSet<u32>,
-    /// New blocks of splits that are being written.
-    pub(super) reserved: BTreeSet<u32>,
-    /// Blocks whose writes were refused, and until when they are left alone.
-    backing_off: BTreeMap<u32, Micros>,
+    /// Blocks that the leader has chosen for a split, with or without queued updates.
+    pub(super) blocks_to_split: BTreeSet<u32>,
+    /// Numbers of the new blocks in split writes that are in progress.
+    pub(super) reserved_blocks: BTreeSet<u32>,
+    /// Blocks whose writes the store has refused, and the time until which they are not written.
+    backoff_until: BTreeMap<u32, Micros>,
 }
 
 impl HostRegistry {
-    /// Begins with a new leadership, at whose revision late writes of the earlier one are refused.
+    /// Forgets all block assignments at the start of a new leadership. Late writes of the previous
+    /// leadership can't commit, because their guard on the leader's revision fails.
     pub fn clear_assignments(&mut self) {
         self.assigned_blocks.clear();
     }
 
-    /// The block for a new host of `partition`, of so many `partitions`. Blocks are filled by partition,
-    /// so that their owners seldom write the same one at the same time. `value_bytes`: how long a value
-    /// may be.
+    /// Assigns a new host of `partition` to a block and returns the block's number. `partitions` is the
+    /// number of partitions, and `value_bytes` the maximum size of a value in the store. Each block is
+    /// filled with hosts of one partition, so that the owners of different partitions seldom write the
+    /// same block at the same time.
     pub fn assign_block(
         &mut self,
         cache: &WatchCache,
@@ -90,7 +94,7 @@
         if let Some(block) = self.assigned_blocks.get(id) {
             return *block;
         }
-        let capacity = value_bytes.saturating_sub(BLOCK_OVERHEAD);
+        let capacity_bytes = value_bytes.saturating_sub(BLOCK_OVERHEAD);
         let new_bytes = entry_bytes(id, record);
         let mut used_bytes: BTreeMap<u32, usize> = BTreeMap::new();
         for (block, bytes) in &cache.block_bytes {
@@ -100,13 +104,15 @@
         }
         for (assigned, block) in &self.assigned_blocks {
             if !cache.hosts.contains_key(assigned) {
-                // Entries are alike: this one stands for those whose writes are under way.
+                // Hosts whose writes are in progress are counted with the size of the new entry, as
+                // entries are of similar size.
                 *used_bytes.entry(*block).or_default() += new_bytes;
             }
         }
         let is_full = |block: &u32| {
             let used = used_bytes.get(block);
-            self.reserved.contains(block) || used.is_some_and(|used| used + new_bytes > capacity)
+            self.reserved_blocks.contains(block)
+                || used.is_some_and(|used| used + new_bytes > capacity_bytes)
         };
         let mut block = partition;
         while is_full(&block) {
@@ -116,73 +122,75 @@
         block
     }
 
-    /// Notes that the record of a host is gone: it may be assigned another block.
+    /// Forgets the block of a host whose record is deleted, so that it may be assigned to another block.
     pub fn unassign_block(&mut self, id: &HostId) {
         self.assigned_blocks.remove(id);
     }
 
-    /// Whether a write of this block was refused a moment ago.
+    /// Returns whether a block is not to be written now, because the store has recently refused its write.
     pub fn is_backing_off(&self, block: u32, now: Micros) -> bool {
-        self.backing_off
+        self.backoff_until
             .get(&block)
             .is_some_and(|until| now < *until)
     }
 
-    /// Notes that a write of this block was refused.
+    /// Starts the backoff of a block whose write the store has refused.
     pub(super) fn back_off(&mut self, block: u32, now: Micros) {
-        self.backing_off.retain(|_, until| now < *until);
-        self.backing_off.insert(block, now + REFUSAL_BACKOFF);
+        self.backoff_until.retain(|_, until| now < *until);
+        self.backoff_until.insert(block, now + REFUSAL_BACKOFF);
     }
 
-    /// Queues an update. False if too many wait for the block already.
+    /// Queues an update. Returns false, and drops the update, if the block's queue is full.
     pub(super) fn enqueue(&mut self, block: u32, update: PendingUpdate) -> bool {
         let pending = self.pending.entry(block).or_default();
-        let has_room = pending.len() < PENDING_MAX;
+        let has_room = pending.len() < PENDING_UPDATES_MAX;
         if has_room {
             pending.push(update);
         }
         has_room
     }
 
-    /// Queues updates again, before those that wait.
+    /// Puts updates back at the head of a block's queue.
     pub(super) fn requeue(&mut self, block: u32, updates: Vec<PendingUpdate>) {
         let pending = self.pending.entry(block).or_default();
         pending.splice(0..0, updates);
     }
 
-    /// Notes that a block is being written. False if it is already.
+    /// Marks a block as being written. Returns false if it is marked already.
     pub(super) fn start_writing(&mut self, block: u32) -> bool {
-        self.writing.insert(block)
+        self.blocks_being_written.insert(block)
     }
 
-    /// Notes that nothing of a block is left to be written.
+    /// Marks a block as no longer being written.
     pub(super) fn finish_writing(&mut self, block: u32) {
-        self.writing.remove(&block);
+        self.blocks_being_written.remove(&block);
     }
 
-    /// Chooses blocks that are larger than `value_bytes`, a few at a time, and marks them to be split.
+    /// Chooses up to `SPLITS_PER_ROUND_MAX` blocks that are larger than `value_bytes` and marks them for a
+    /// split. Skips blocks that are being written or in backoff.
     pub(super) fn choose_splits(
         &mut self,
         cache: &WatchCache,
         value_bytes: usize,
         now: Micros,
     ) -> Vec<u32> {
-        let can_split =
-            |block: &u32| !self.is_backing_off(*block, now) && !self.writing.contains(block);
+        let can_split = |block: &u32| {
+            !self.is_backing_off(*block, now) && !self.blocks_being_written.contains(block)
+        };
         let too_large = cache
             .block_bytes
             .iter()
             .filter(|(block, bytes)| **bytes > value_bytes && can_split(block));
         let chosen: Vec<u32> = too_large
             .map(|(block, _)| *block)
-            .take(SPLITS_MAX)
+            .take(SPLITS_PER_ROUND_MAX)
             .collect();
-        self.splits_due.extend(chosen.iter().copied());
+        self.blocks_to_split.extend(chosen.iter().copied());
         chosen
     }
 
-    /// Takes over where the hosts of a block are after it was split.
-    pub(super) fn follow_split(&mut self, cache: &WatchCache, block: u32) {
+    /// Updates the block assignments of hosts that a split has moved out of `block`.
+    pub(super) fn reassign_after_split(&mut self, cache: &WatchCache, block: u32) {
         for (id, assigned) in &mut self.assigned_blocks {
             if *assigned == block
                 && let Some(cached) = cache.hosts.get(id)
@@ -192,10 +200,10 @@
         }
     }
 
-    /// Notes that the write of new blocks is over.
+    /// Releases the numbers of new blocks whose split write has ended.
     pub(super) fn release_reserved(&mut self, new_blocks: &[u32]) {
         for block in new_blocks {
-            self.reserved.remove(block);
+            self.reserved_blocks.remove(block);
         }
     }
 }
--- a/crates/jasperhill-controller/src/host_registry/writing.rs
+++ b/crates/jasperhill-controller/src/host_registry/writing.rs
@@ -1,5 +1,5 @@
-//! Writing blocks of host records: one task for each block that has updates, which ends when none are
-//! left.
+//! Writes blocks of host records. Each block with queued updates has one writer task, which ends once the
+//! queue is empty.
 
 use super::{
     batch::{BlockLimits, NextWrite, PreparedWrite},
@@ -17,24 +17,24 @@
 use std::{rc::Rc, time::Duration};
 use tokio::sync::oneshot;
 
-/// Updates that come within this time are written together.
+/// Time for which a block's writer collects updates before it writes them together.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
-/// How long the write of a block is tried.
-const WRITE_LIMIT: Micros = Micros::from_secs(3);
+/// Timeout of the write of a block.
+const WRITE_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// What is handed to the store of a prepared write.
+/// The part of a prepared write that goes to the store.
 struct BlockTransaction {
-    /// How it is ranked among other writes.
+    /// The priority of the write in the commit queue.
     priority: WritePriority,
-    /// Its compares.
+    /// The conditions of the transaction; all must hold.
     guards: Vec<Guard>,
-    /// Its puts.
+    /// The changes that the transaction makes.
     changes: Vec<Change>,
 }
 
 impl Shared {
-    /// Queues an update of a host's record in this block and waits for its outcome. `NotExecuted` also if
-    /// too many wait for the block, or it was refused a moment ago.
+    /// Queues an update of a host's record in `block` and waits for its outcome. The outcome is also
+    /// `NotExecuted` if the block's queue is full, or the store has recently refused a write of the block.
     pub async fn update_host(self: &Rc<Self>, block: u32, update: HostUpdate) -> WriteOutcome {
         let (reply, outcome) = oneshot::channel();
         {
@@ -48,13 +48,13 @@
         outcome.await.unwrap_or(WriteOutcome::Unknown)
     }
 
-    /// Begins to write a block's updates, unless that is under way.
+    /// Spawns the writer task of a block unless one is running.
     fn write_block(self: &Rc<Self>, block: u32) {
-        let is_started = {
+        let is_writer_needed = {
             let mut state = self.state.borrow_mut();
             state.host_registry.start_writing(block)
         };
-        if is_started {
+        if is_writer_needed {
             let shared = self.clone();
             self.clone().spawn(async move {
                 while shared.write_block_once(block).await {}
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Writes a block once. False: nothing is left to write.
+    /// Writes a block once. Returns false if there are no updates left.
     async fn write_block_once(self: &Rc<Self>, block: u32) -> bool {
         tokio::time::sleep(BATCH_DELAY).await;
         let write = match self.next_block_write(block) {
             NextWrite::Idle => return false,
-            NextWrite::OthersWait => return true,
+            NextWrite::Deferred => return true,
             NextWrite::Write(write) => write,
         };
         let PreparedWrite {
@@ -86,7 +86,7 @@
         };
         let outcome = self.commit_block(block, transaction, &new_blocks).await;
         if outcome == WriteOutcome::Conflict && self.read_index().await {
-            // Another controller has changed the block: the updates are tried on what it is now.
+            // Another controller has changed the block: retry the updates on its current content.
             let mut state = self.state.borrow_mut();
             state.host_registry.requeue(block, updates);
         } else {
@@ -97,7 +97,7 @@
         true
     }
 
-    /// What is to be written of a block next; tells those whose updates can't be written.
+    /// Returns the next write of a block, and reports to their callers the updates that can't be written.
     fn next_block_write(&self, block: u32) -> NextWrite {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
@@ -108,7 +108,7 @@
             value_bytes: self.settings.value_bytes,
             txn_ops: self.settings.txn_ops,
             partitions: self.settings.size,
-            may_split: state.membership.features.supports(DEPENDENCIES),
+            is_split_supported: state.membership.features.supports(DEPENDENCIES),
         };
         let (next, rejected) =
             state
@@ -120,7 +120,7 @@
         next
     }
 
-    /// Writes a block and takes note of the outcome.
+    /// Sends a block's transaction to the store and updates the registry according to the outcome.
     async fn commit_block(
         &self,
         block: u32,
@@ -133,27 +133,29 @@
             changes,
         } = transaction;
         let sent_at = self.now();
-        let outcome = self.write(priority, guards, changes, WRITE_LIMIT).await;
+        let outcome = self.write(priority, guards, changes, WRITE_TIMEOUT).await;
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
-        if outcome == WriteOutcome::NotExecuted && now - sent_at < WRITE_LIMIT {
-            // Refused, not merely late.
+        if outcome == WriteOutcome::NotExecuted && now - sent_at < WRITE_TIMEOUT {
+            // The store has refused the write; it did not merely time out.
             state.host_registry.back_off(block, now);
         }
         if matches!(outcome, WriteOutcome::Committed(_)) && !new_blocks.is_empty() {
             tracing::info!(block, into = new_blocks.len(), "host block split");
-            state.host_registry.follow_split(&state.cache, block);
+            state
+                .host_registry
+                .reassign_after_split(&state.cache, block);
         }
         state.host_registry.release_reserved(new_blocks);
         outcome
     }
 
-    /// Has blocks split that are larger than a value may be, a few at a time, if this controller leads.
-    /// Guards against blocks that nobody happens to update before the limits fall. Called with each round
-    /// of the leader.
+    /// Starts to split a few of the blocks that exceed the store's value size, if this controller is the
+    /// leader. Guards against oversized blocks that get no update before the store lowers its limits.
+    /// Called in each round of the leader.
     pub fn split_blocks(self: &Rc<Self>) {
-        let chosen = {
+        let blocks_to_split = {
             let mut state_guard = self.state.borrow_mut();
             let state = &mut *state_guard;
             if !state.membership.features.supports(DEPENDENCIES)
@@ -167,7 +169,7 @@
                 .host_registry
                 .choose_splits(&state.cache, value_bytes, now)
         };
-        for block in chosen {
+        for block in blocks_to_split {
             self.write_block(block);
         }
     }
--- a/crates/jasperhill-controller/src/roles/hand_over.rs
+++ b/crates/jasperhill-controller/src/roles/hand_over.rs
@@ -1,4 +1,5 @@
-//! Handing a role over to another member that is better off with it.
+//! Hands a role over to another member that can serve it better, for example because it reaches
+//! more of the role's hosts.
 
 use super::{unload_role, write::RoleWrite};
 use crate::{shared::Shared, state::State, store::guard};
@@ -10,12 +11,13 @@
 };
 use std::rc::Rc;
 
-/// How long the write may take. Nobody acts on the role meanwhile.
+/// Timeout of the write of the new owner. No member acts on the role while it is under way.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(2);
 
 impl Shared {
-    /// Stops acting first, then writes the new owner. If that fails or its outcome is unknown,
-    /// only a new takeover (at a new revision, which kills the late write) brings it back.
+    /// Stops acting on a role, then writes `to` as its owner. If the write fails or its outcome is
+    /// unknown, this controller gets the role back only by a new takeover, whose new revision
+    /// makes the guards of a late write fail.
     pub(super) async fn hand_over(self: Rc<Self>, role: Role, to: Member, urgent: bool) {
         if let Some(write) = self.prepare_hand_over(role, to, urgent) {
             self.write_role(write, WRITE_TIMEOUT).await;
@@ -23,10 +25,11 @@
         self.finish_transition(role);
     }
 
-    /// Stops acting on a role; the write of its new owner. `None` if it has to wait.
+    /// Stops acting on a role and returns the write of its new owner. Returns `None` and keeps the
+    /// role if it can't be handed over yet or `to` has no session.
     fn prepare_hand_over(&self, role: Role, to: Member, urgent: bool) -> Option<RoleWrite> {
-        let mut guarded = self.state.borrow_mut();
-        let state = &mut *guarded;
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
         let version = state.cache.roles.get(&role)?.version;
         let session = state.cache.sessions.get(&to)?;
         let (lease, session_version) = (session.value.lease, session.version);
@@ -46,15 +49,15 @@
     }
 }
 
-/// Whether a role is loaded and, unless that is urgent, no command to its hosts is in flight or
-/// in doubt.
+/// Returns whether a role is loaded and can be handed over now. Unless the hand-over is urgent, a
+/// partition must have no command to its hosts that is in flight or of unknown outcome.
 fn can_hand_over(state: &State, role: Role, urgent: bool) -> bool {
-    let settled = |host: &Host| !host.in_flight() && !host.in_doubt();
+    let has_settled_commands = |host: &Host| !host.in_flight() && !host.in_doubt();
     match role {
         Role::Leader => state.provisioning.leader.is_some(),
         Role::Partition(id) => {
             let partition = state.scheduling.partitions.get(&id);
-            partition.is_some_and(|p| urgent || p.hosts.values().all(settled))
+            partition.is_some_and(|p| urgent || p.hosts.values().all(has_settled_commands))
         }
     }
 }
--- a/crates/jasperhill-controller/src/roles/loading.rs
+++ b/crates/jasperhill-controller/src/roles/loading.rs
@@ -1,4 +1,4 @@
-//! Loading of a role that was taken over, from the watch cache.
+//! Builds the in-memory state of a role that this controller has taken over, from the watch cache.
 
 use crate::{provisioner::state::LeaderState, shared::Shared, state::State};
 use jasperhill_scheduler::{HostInput, Partition, config::Specs, job::Readiness};
@@ -8,16 +8,17 @@
 };
 use std::rc::Rc;
 
-/// What is left of cancelled tasks is restored for so many times `cancel_s`: late writes and
-/// clocks that differ included, longer than a cancelled task can last.
-const RESIDUAL_USAGE_CANCEL_TIMES: f64 = 3.0;
-/// Tasks of a job of this revision may be running anywhere.
-const MAY_RUN_ANYWHERE: Revision = Revision(0);
-/// Tasks of a job of this revision run nowhere.
-const RUNS_NOWHERE: Revision = Revision(u64::MAX);
+/// Age up to which the residual usage of cancelled jobs is restored, as a multiple of `cancel_s`.
+/// Longer than a cancelled task can run, including late writes and clock differences.
+const RESIDUAL_USAGE_AGE_PER_CANCEL: f64 = 3.0;
+/// Creation revision of a job whose tasks may be running on any host.
+const CREATED_MAY_RUN_ANYWHERE: Revision = Revision(0);
+/// Creation revision of a job whose tasks can't be running on any host.
+const CREATED_RUNS_NOWHERE: Revision = Revision(u64::MAX);
 
 impl Shared {
-    /// Begins to act on a role that this controller owns since `version`, unless it does already.
+    /// Starts to act on a role that this controller owns since revision `version`, unless it is
+    /// loaded at that revision already. Does nothing while the machine types are unknown.
     pub(super) fn load_role(&self, state: &mut State, role: Role, version: Revision, now: Micros) {
         let Some(specs) = state.scheduling.specs.clone() else {
             return;
@@ -33,6 +34,8 @@
         }
     }
 
+    /// Builds a partition from its jobs, residual usage, hosts and delegations, and wakes the
+    /// scheduler.
     fn load_partition(
         &self,
         state: &mut State,
@@ -62,6 +65,7 @@
         self.wake.scheduler.notify_one();
     }
 
+    /// Adds the unfinished jobs of a partition.
     fn load_jobs(&self, state: &State, id: u32, partition: &mut Partition, now: Micros) {
         for job in state.cache.active_jobs() {
             if self.partition_of(&job.request.team) != Some(id) {
@@ -70,40 +74,43 @@
             let submitted = self.clock.steady(job.submitted);
             let failures = (job.failed_attempts, now);
             let status = self.dependency_status(state, job);
-            // A job that waits for others now was never started by a controller that knows of
-            // that.
-            let supported = || state.membership.features.supports(DEPENDENCIES);
+            // Controllers that support dependencies don't start a job before its dependencies are
+            // done, so a job that still waits has no running tasks.
+            let is_dependency_supported = || state.membership.features.supports(DEPENDENCIES);
             let created = match status.readiness {
-                Readiness::Waiting if supported() => RUNS_NOWHERE,
-                _ => MAY_RUN_ANYWHERE,
+                Readiness::Waiting if is_dependency_supported() => CREATED_RUNS_NOWHERE,
+                _ => CREATED_MAY_RUN_ANYWHERE,
             };
             partition.upsert_job(&job.request, created, submitted, &job.finished, failures);
             partition.set_dependency_status(&job.request.id, status);
         }
     }
 
+    /// Adds the resources that tasks of recently cancelled jobs may still use.
     fn load_residual_usage(&self, state: &State, id: u32, partition: &mut Partition, now: Micros) {
-        let lasts = self.settings.cancel.scale(RESIDUAL_USAGE_CANCEL_TIMES);
-        for (job, usage) in state.cache.residual_usage(self.clock.wall() - lasts) {
+        let age_max = self.settings.cancel.scale(RESIDUAL_USAGE_AGE_PER_CANCEL);
+        for (job, usage) in state.cache.residual_usage(self.clock.wall() - age_max) {
             if self.partition_of(&usage.team) == Some(id) {
                 partition.restore_cancelled(job, usage, now);
             }
         }
     }
 
-    /// Whoever answers for hosts by a grant of the former owner may do so for the rest of it.
+    /// Marks the hosts that a former owner delegated as delegated for a full delegation time: their
+    /// delegates may renew the hosts' leases until those grants end.
     fn load_delegations(&self, state: &State, id: u32, partition: &mut Partition, now: Micros) {
-        let until = now + self.settings.delegation_time();
-        for ((granting, _), grant) in &state.cache.delegation_grants {
-            if *granting == id {
+        let delegated_until = now + self.settings.delegation_time();
+        for ((granting_partition, _), grant) in &state.cache.delegation_grants {
+            if *granting_partition == id {
                 for host in grant.value.hosts.keys() {
-                    partition.apply(host, HostInput::LeaseDelegated(until), now);
+                    partition.apply(host, HostInput::LeaseDelegated(delegated_until), now);
                 }
             }
         }
     }
 }
 
+/// Starts a leadership with empty leader state, unless it is loaded at this revision already.
 fn load_leader(state: &mut State, version: Revision, now: Micros) {
     let loaded = state.provisioning.leader.as_ref();
     if loaded.is_none_or(|leader| leader.since != version) {
--- a/crates/jasperhill-controller/src/roles/mod.rs
+++ b/crates/jasperhill-controller/src/roles/mod.rs
@@ -1,9 +1,13 @@
-//! Roles: which this controller acquires, loads, releases and hands over.
+//! Carries out role transitions: acquires, loads, releases, relinquishes and hands over the leader
+//! role and partitions.
 //!
-//! `state.membership.roles` decides and is changed by [`jasperhill_membership::Roles::apply`]
-//! alone; here its transitions are carried out. A role is acted on only once it is loaded, from a
-//! watch cache that holds everything up to the takeover, and is unloaded before anything else
-//! learns that it was given up. Owners change by guarded writes alone.
+//! `state.membership.roles` decides on the transitions; only [`jasperhill_membership::Roles::apply`]
+//! changes that state. Invariants:
+//!
+//! - This controller acts on a role only after loading it from a watch cache that includes the
+//!   revision of the takeover.
+//! - It unloads a role before any other member learns that the role was given up.
+//! - The owner in a role's record changes only by state_guard writes.
 
 mod hand_over;
 mod loading;
@@ -20,11 +24,12 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// Roles are evaluated at least this often.
+/// Longest time between two evaluations of the roles.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Shared {
-    /// Runs for as long as the controller does; started by it.
+    /// Evaluates the roles at regular intervals and on wake-ups, and spawns takeovers and
+    /// hand-overs. Spawned by the controller at its start; never returns.
     pub async fn roles_loop(self: Rc<Self>) {
         loop {
             let _ = timeout(EVALUATION_INTERVAL, self.wake.roles.notified()).await;
@@ -41,12 +46,12 @@
         }
     }
 
-    /// Loads and unloads roles by what the store says. Returns all transitions: takeovers and
-    /// hand-overs take time.
+    /// Evaluates the roles, and loads, unloads and relinquishes them accordingly. Returns all
+    /// transitions; the caller spawns the takeovers and hand-overs, which wait for the store.
     fn evaluate_roles(&self) -> Vec<Transition> {
         let now = self.now();
-        let mut guarded = self.state.borrow_mut();
-        let state = &mut *guarded;
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
         let Some((lease, _)) = self.session_guard(state) else {
             return Vec::new();
         };
@@ -60,7 +65,8 @@
         let transitions = membership.roles.apply(evaluate, now);
         for transition in &transitions {
             match transition {
-                // Built only once the watch cache holds everything up to the takeover.
+                // A role is loaded only once the watch cache includes the revision of the
+                // takeover.
                 Transition::Hold(role, version) if state.cache.revision >= *version => {
                     self.load_role(state, *role, *version, now);
                 }
@@ -72,7 +78,7 @@
         transitions
     }
 
-    /// What the decision on roles rests on. `lease`: that of this controller's session.
+    /// Returns the input of a role evaluation. `lease` is the lease of this controller's session.
     fn role_snapshot(&self, state: &State, lease: u64, now: Micros) -> Snapshot {
         let reachability = &state.membership.reachability;
         let mut ownerships = state.cache.ownerships();
@@ -97,8 +103,8 @@
         }
     }
 
-    /// Unloads a role for good and tells the others. Unloads first: the word that goes out next
-    /// must be true.
+    /// Unloads a role for good, then wakes the reachability loop, which reports that to the other
+    /// members. The role is unloaded first so that the report is true when it is sent.
     fn relinquish_role(&self, state: &mut State, role: Role, now: Micros) {
         let Some(version) = state.cache.roles.get(&role).map(|k| k.version) else {
             return;
@@ -110,15 +116,19 @@
         self.wake.reachability.notify_one();
     }
 
-    /// A takeover or hand-over is over, whatever became of it.
+    /// Marks a takeover or hand-over as completed, whether or not it succeeded.
     fn finish_transition(&self, role: Role) {
         let now = self.now();
-        let over = roles::Input::TransitionOver(role);
-        self.state.borrow_mut().membership.roles.apply(over, now);
+        let transition_over = roles::Input::TransitionOver(role);
+        self.state
+            .borrow_mut()
+            .membership
+            .roles
+            .apply(transition_over, now);
     }
 }
 
-/// Stops acting on a role.
+/// Stops acting on a role by dropping its in-memory state.
 fn unload_role(state: &mut State, role: Role) {
     match role {
         Role::Leader => state.provisioning.leader = None,
--- a/crates/jasperhill-controller/src/roles/takeover.rs
+++ b/crates/jasperhill-controller/src/roles/takeover.rs
@@ -1,4 +1,4 @@
-//! Failover: taking over a role that nobody acts on.
+//! Failover: takes over a role that no member acts on.
 
 use super::write::RoleWrite;
 use crate::{shared::Shared, state::State, store::guard};
@@ -9,11 +9,12 @@
 };
 use std::rc::Rc;
 
-/// How long the write may take: the next evaluation tries again.
+/// Timeout of the write of the new owner. The next evaluation of the roles retries a failed one.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(1);
 
 impl Shared {
-    /// Writes this controller as the owner of a role. It acts on it once the watch cache says so.
+    /// Writes this controller as the owner of a role. The controller acts on the role only once the
+    /// watch cache shows the new owner.
     pub(super) async fn take_over(self: Rc<Self>, role: Role) {
         if let Some(write) = self.prepare_takeover(role) {
             self.write_role(write, WRITE_TIMEOUT).await;
@@ -22,14 +23,14 @@
         self.wake.roles.notify_one();
     }
 
-    /// The write of a takeover; `None` without a session.
+    /// Returns the write of a takeover, or `None` if this controller has no session.
     fn prepare_takeover(&self, role: Role) -> Option<RoleWrite> {
         let state = self.state.borrow();
         let (lease, session) = self.session_guard(&state)?;
         let mut guards = vec![session];
         match state.cache.roles.get(&role) {
-            Some(kept) => {
-                guards.push(guard(role_key(role), kept.version));
+            Some(cached) => {
+                guards.push(guard(role_key(role), cached.version));
                 guards.extend(self.former_owner_guard(&state, role));
             }
             None => guards.push(guard(role_key(role), Revision(0))),
@@ -38,26 +39,29 @@
         Some(RoleWrite::new(role, &RoleRecord { owner, lease }, guards))
     }
 
-    /// The guard that the former owner has stopped. The session's key goes no earlier than its
-    /// lease expires. None is needed for a role of this controller, and for one whose owner has
-    /// said that it has stopped at this version for good: the guard on the version is enough.
+    /// Returns the guard that holds only if the former owner has stopped acting on a role. It
+    /// requires that the session by which the owner held the role is gone: a session's key is not
+    /// deleted before its lease has expired.
+    ///
+    /// Returns `None` for a role of this controller, and for a role that its owner has reported as
+    /// relinquished at this version: the guard on the role's version is enough there.
     fn former_owner_guard(&self, state: &State, role: Role) -> Option<Guard> {
-        let kept = state.cache.roles.get(&role)?;
-        let owner = &kept.value.owner;
+        let cached = state.cache.roles.get(&role)?;
+        let owner = &cached.value.owner;
         let relinquished = self.uses_reachability(state)
             && state.membership.reachability.has_relinquished(
                 owner,
                 role,
-                kept.version,
+                cached.version,
                 self.now(),
             );
         if *owner == self.settings.member || relinquished {
             return None;
         }
         let session = state.cache.sessions.get(owner);
-        // A newer session of the former owner does not own this any more.
+        // A newer session of the former owner does not hold the role any more.
         let version = session
-            .filter(|s| s.value.lease != kept.value.lease)
+            .filter(|s| s.value.lease != cached.value.lease)
             .map_or(Revision(0), |s| s.version);
         Some(guard(session_key(owner), version))
     }
--- a/crates/jasperhill-controller/src/roles/write.rs
+++ b/crates/jasperhill-controller/src/roles/write.rs
@@ -1,4 +1,4 @@
-//! The guarded write of a role's record.
+//! Guarded writes of role records.
 
 use crate::{
     shared::Shared,
@@ -10,14 +10,16 @@
     store::{Change, Guard},
 };
 
-/// The guarded write of a role's record.
+/// A guarded write of a role's record.
 pub(super) struct RoleWrite {
+    /// The conditions of the write; all must hold.
     guards: Vec<Guard>,
+    /// The put of the role's record.
     change: Change,
 }
 
 impl RoleWrite {
-    /// That writes a new owner, if the guards hold.
+    /// Creates a write of `record` that is executed only if all `guards` hold.
     pub(super) fn new(role: Role, record: &RoleRecord, guards: Vec<Guard>) -> Self {
         let change = put(role_key(role), record);
         Self { guards, change }
@@ -25,8 +27,8 @@
 }
 
 impl Shared {
-    /// Writes a role's record. Whatever became of a write that is not known to be committed,
-    /// the watch cache has it after the linearizable read.
+    /// Writes a role's record. Unless the write is known to be committed, waits for a linearizable
+    /// read, so that the watch cache shows the actual owner.
     pub(super) async fn write_role(&self, write: RoleWrite, timeout: Micros) {
         let RoleWrite { guards, change } = write;
         let outcome = self
