--- a/crates/jasperhill-controller/src/provisioner/assignment.rs
+++ b/crates/jasperhill-controller/src/provisioner/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment of free hosts to partitions.
+//! Assignment of free hosts to partitions by the leader.
 
 use super::{
     host_updates::{HeldRole, reassign},
@@ -16,22 +16,26 @@
 };
 use std::rc::Rc;
 
-/// A free host that no partition is short of is decommissioned after this time: demand may
-/// come back.
-const FREE_KEPT: Micros = Micros::from_secs(5);
-/// How long the write may take.
+/// Time for which a free host is kept before it is decommissioned if no partition needs it, because
+/// demand may come back.
+const FREE_HOST_RETENTION: Micros = Micros::from_secs(5);
+/// Timeout of the write of an assignment.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// A new assignment of a free host, to be written.
+/// A planned write that gives a free host a new assignment.
 struct Reassignment {
+    /// The leader role, which guards the write.
     holder: HeldRole,
     host: HostId,
+    /// The record to be replaced.
     entry: HostEntry,
+    /// The new assignment.
     assignment: HostAssignment,
 }
 
 impl Shared {
-    /// Assigns free hosts to partitions that are short, and decommissions those nobody needs.
+    /// Assigns free hosts to partitions that are short of hosts, and decommissions free hosts that no
+    /// partition has needed for a while.
     pub(super) fn assign_free_hosts(self: &Rc<Self>) {
         for reassignment in self.plan_assignments() {
             let shared = self.clone();
@@ -40,16 +44,18 @@
         }
     }
 
+    /// Chooses new assignments for free hosts and marks the hosts as having an update in progress.
+    /// Returns none if this controller is not the leader.
     fn plan_assignments(&self) -> Vec<Reassignment> {
         let now = self.now();
-        let mut guarded = self.state.borrow_mut();
-        let mut inventory = self.inventory(&guarded);
+        let mut state_guard = self.state.borrow_mut();
+        let mut inventory = self.inventory(&state_guard);
         let State {
             cache,
             commands,
             provisioning,
             ..
-        } = &mut *guarded;
+        } = &mut *state_guard;
         let Some(leader) = provisioning.leader.as_mut() else {
             return Vec::new();
         };
@@ -61,12 +67,12 @@
         let mut planned = Vec::new();
         for (id, entry) in hosts.iter().filter(|(_, entry)| is_free(entry)) {
             let since = *leader.free_since.entry(id.clone()).or_insert(now);
-            let assignment = match shortest_partition(&inventory) {
+            let assignment = match partition_with_largest_shortage(&inventory) {
                 Some(partition) => {
                     inventory[partition].actual += 1;
                     HostAssignment::Partition(partition as u32)
                 }
-                None if now - since > FREE_KEPT => HostAssignment::Decommissioned(None),
+                None if now - since > FREE_HOST_RETENTION => HostAssignment::Decommissioned(None),
                 None => continue,
             };
             if commands.token_updates.insert(id.clone()) {
@@ -84,6 +90,7 @@
         planned
     }
 
+    /// Writes a planned assignment, then clears the mark that an update of the host is in progress.
     async fn write_assignment(self: &Rc<Self>, planned: Reassignment) {
         let Reassignment {
             holder,
@@ -92,8 +99,8 @@
             assignment,
         } = planned;
         let deadline = self.now() + WRITE_TIMEOUT;
-        let urgency = WritePriority::Finish;
-        let update = reassign(holder, &host, &entry, assignment, urgency, deadline);
+        let priority = WritePriority::Finish;
+        let update = reassign(holder, &host, &entry, assignment, priority, deadline);
         if let WriteOutcome::Committed(_) = self.update_host(entry.block, update).await {
             tracing::info!(%host, ?assignment, "host assigned");
         }
@@ -101,13 +108,13 @@
     }
 }
 
-/// The partition that lacks the most hosts, for production and urgent work first; `None` if it
-/// lacks none.
-fn shortest_partition(inventory: &[PartitionInventory]) -> Option<usize> {
+/// Returns the partition with the largest shortage of hosts for production and urgent work, then with
+/// the largest shortage overall. Returns `None` if that partition is short of no hosts.
+fn partition_with_largest_shortage(inventory: &[PartitionInventory]) -> Option<usize> {
     let shortage = |partition: &usize| {
         let hosts = &inventory[*partition];
-        (hosts.pressing_shortage(), hosts.desired - hosts.actual)
+        (hosts.high_priority_shortage(), hosts.desired - hosts.actual)
     };
-    let shortest = (0..inventory.len()).max_by_key(shortage);
-    shortest.filter(|p| inventory[*p].desired > inventory[*p].actual)
+    let candidate = (0..inventory.len()).max_by_key(shortage);
+    candidate.filter(|p| inventory[*p].desired > inventory[*p].actual)
 }
--- a/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
+++ b/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
@@ -1,5 +1,5 @@
-//! What controllers tell each other of capacity: owners what rejected jobs would need, the leader
-//! how many machines the fleet can still scale out by.
+//! Messages about capacity between controllers: owners report the demand of rejected jobs, and the
+//! leader reports by how many machines the fleet can still scale out.
 
 use super::state::{LeaderState, MachineOffer, SpareCapacity, UnmetDemand};
 use crate::{shared::Shared, state::State};
@@ -7,60 +7,61 @@
 use jasperhill_wire::{Micros, mesh::MeshRequest};
 use std::rc::Rc;
 
-/// How long another controller's answer is waited for.
-const TIMEOUT: Micros = Micros::from_secs(1);
-/// A rejected job counts as demand for so long: a client that has given up does not come again.
-const REJECTED_COUNTS: Micros = Micros::from_secs(6);
-/// Rejected jobs count for less than accepted ones by this: some fit without more machines.
-const REJECTED_DISCOUNT: f64 = 1.5;
-/// The unit of unmet demand in messages: this many parts of a host.
-const PARTS_PER_HOST: f64 = 1e3;
-/// An offer that was not exhausted yet is taken to have a machine for every so many hosts ...
+/// Timeout of a message to another controller.
+const MESH_CALL_TIMEOUT: Micros = Micros::from_secs(1);
+/// Time for which a rejected job counts as demand after its last submission. Limited because a
+/// client that has given up does not submit the job again.
+const REJECTED_JOB_RETENTION: Micros = Micros::from_secs(6);
+/// Divisor of the demand of rejected jobs, because some of them fit without more machines.
+const REJECTED_DEMAND_DIVISOR: f64 = 1.5;
+/// Number of units of unmet demand per host in messages, which carry thousandths of a host.
+const THOUSANDTHS_PER_HOST: f64 = 1e3;
+/// Number of hosts in the fleet per machine that a not exhausted offer is assumed to have.
 const HOSTS_PER_OFFERED_MACHINE: usize = 20;
-/// ... and at least so many.
+/// Minimum number of machines that a not exhausted offer is assumed to have.
 const OFFERED_MACHINES_MIN: usize = 3;
 
 impl Shared {
-    /// Tells the others what rejected jobs would need: they come again, and the fleet scales out
-    /// for them as for accepted ones.
+    /// Reports the demand of rejected jobs to the other controllers. Clients submit rejected jobs
+    /// again, so the fleet scales out for them as for accepted jobs.
     pub(super) fn broadcast_unmet_demand(self: &Rc<Self>) {
-        for message in self.note_unmet_demand() {
+        for message in self.record_unmet_demand() {
             self.broadcast(&message);
         }
     }
 
-    /// Notes what the rejected jobs of each partition owned here would need; the messages for
-    /// the others, where that is or was anything.
-    fn note_unmet_demand(&self) -> Vec<MeshRequest> {
+    /// Records the demand of rejected jobs for each partition of this controller. Returns the messages
+    /// to the other controllers, one for each partition whose demand is or was not zero.
+    fn record_unmet_demand(&self) -> Vec<MeshRequest> {
         let now = self.now();
         let mut messages = Vec::new();
-        let mut guarded = self.state.borrow_mut();
+        let mut state_guard = self.state.borrow_mut();
         let State {
             scheduling,
             provisioning,
             ..
-        } = &mut *guarded;
+        } = &mut *state_guard;
         for partition in scheduling.partitions.keys().copied() {
             let hosts: f64 = scheduling
                 .rejected
                 .values()
-                .filter(|job| job.partition == partition && now - job.last < REJECTED_COUNTS)
-                .map(|job| job.hosts / REJECTED_DISCOUNT)
+                .filter(|job| job.partition == partition && now - job.last < REJECTED_JOB_RETENTION)
+                .map(|job| job.hosts / REJECTED_DEMAND_DIVISOR)
                 .sum();
             let demand = UnmetDemand { hosts, at: now };
-            let before = provisioning.unmet_demand.insert(partition, demand);
-            if hosts > 0.0 || before.is_some_and(|demand| demand.hosts > 0.0) {
+            let previous = provisioning.unmet_demand.insert(partition, demand);
+            if hosts > 0.0 || previous.is_some_and(|demand| demand.hosts > 0.0) {
                 messages.push(MeshRequest::UnmetDemand {
                     partition,
-                    thousandths: (hosts * PARTS_PER_HOST) as u32,
+                    thousandths: (hosts * THOUSANDTHS_PER_HOST) as u32,
                 });
             }
         }
         messages
     }
 
-    /// Tells the others how many machines the fleet can still scale out by, for their admission
-    /// tests.
+    /// Records the spare capacity and reports it to the other controllers for their admission tests, if
+    /// this controller is the leader.
     pub(super) fn broadcast_spare_capacity(self: &Rc<Self>) {
         let spare = {
             let mut state = self.state.borrow_mut();
@@ -76,17 +77,18 @@
         });
     }
 
-    /// The machines that the fleet can still scale out by; `None` where this controller does not
-    /// lead.
+    /// Estimates the machines by which the fleet can still scale out. Returns `None` if this controller
+    /// is not the leader or the machine types are unknown.
     fn spare_capacity(&self, state: &State) -> Option<SpareCapacity> {
         let now = self.now();
         let leader = state.provisioning.leader.as_ref()?;
         let specs = state.scheduling.specs.as_ref()?;
-        let fleet = state.cache.hosts.len();
-        // How many machines an offer still has is not known: some in proportion to the fleet.
-        let per_offer = (fleet / HOSTS_PER_OFFERED_MACHINE).max(OFFERED_MACHINES_MIN);
-        // The admission test counts only what will truly be there.
-        let booting = leader.booting_supply(specs, fleet, now);
+        let host_count = state.cache.hosts.len();
+        // The cloud does not tell how many machines an offer still has: assume a number in
+        // proportion to the fleet.
+        let machines_per_offer = (host_count / HOSTS_PER_OFFERED_MACHINE).max(OFFERED_MACHINES_MIN);
+        // Late machines don't count: the admission test must rely only on machines that come up.
+        let booting = leader.booting_supply(specs, host_count, now);
         let boot_time = specs
             .values()
             .flat_map(|spec| spec.zones.iter().map(move |zone| (spec, zone)))
@@ -98,25 +100,25 @@
             .unwrap_or_default();
         Some(SpareCapacity {
             machines: (booting.spot + booting.on_demand) as u32
-                + (per_offer * open_offers(leader, specs, now)) as u32,
+                + (machines_per_offer * count_available_offers(leader, specs, now)) as u32,
             boot_time,
             at: now,
         })
     }
 
-    /// Sends a message to every other controller.
+    /// Sends a message to every other controller, without waiting for their responses.
     fn broadcast(self: &Rc<Self>, message: &MeshRequest) {
         for peer in &self.settings.peers {
             let (shared, address, message) = (self.clone(), peer.address, message.clone());
             self.clone().spawn(async move {
-                shared.mesh_call(address, message, TIMEOUT).await;
+                shared.mesh_call(address, message, MESH_CALL_TIMEOUT).await;
             });
         }
     }
 }
 
-/// How many offers are not known to be exhausted.
-fn open_offers(leader: &LeaderState, specs: &Specs, now: Micros) -> usize {
+/// Returns the number of offers that are not known to be exhausted.
+fn count_available_offers(leader: &LeaderState, specs: &Specs, now: Micros) -> usize {
     let offers = specs
         .values()
         .flat_map(|spec| [false, true].map(|spot| MachineOffer::of(spec, spot)));
@@ -124,7 +126,7 @@
         .flatten()
         .filter(|offer| {
             leader
-                .exhausted
+                .exhausted_offers
                 .get(offer)
                 .is_none_or(|until| now >= *until)
         })
--- a/crates/jasperhill-controller/src/provisioner/cloud.rs
+++ b/crates/jasperhill-controller/src/provisioner/cloud.rs
@@ -1,4 +1,5 @@
-//! Requests to the cloud: within its limit, and each one evidence of the link to it.
+//! Requests to the cloud, within its rate limit. The result of each request is recorded as an
+//! observation of the link to the cloud.
 
 use crate::shared::{Shared, observation_of, to_duration};
 use jasperhill_http::{Method, Request, Response};
@@ -6,11 +7,12 @@
 use jasperhill_wire::Micros;
 use tokio::time::sleep;
 
-/// How long an answer of the cloud is waited for.
-const TIMEOUT: Micros = Micros::from_secs(4);
+/// Timeout of a request to the cloud.
+const REQUEST_TIMEOUT: Micros = Micros::from_secs(4);
 
 impl Shared {
-    /// Sends a request to the cloud once its limit allows; `None` without an answer in time.
+    /// Sends a request to the cloud as soon as the rate limit allows. Returns `None` if no response
+    /// arrives in time.
     pub(super) async fn cloud_call(
         &self,
         method: Method,
@@ -19,17 +21,25 @@
     ) -> Option<Response> {
         self.wait_for_cloud_limit().await;
         let request = Request::new(method, target, body);
-        let response = self.call(self.settings.cloud, request, TIMEOUT).await.ok();
-        // A 503 for want of machines is an answer too; one that says trouble is everybody's.
+        let response = self
+            .call(self.settings.cloud, request, REQUEST_TIMEOUT)
+            .await
+            .ok();
+        // Any response shows that the link is up: a 503 may mean that the cloud has no capacity,
+        // and a 503 for an outage affects all controllers alike.
         self.observe_link(LinkId::Cloud, observation_of(response.is_some()));
         response
     }
 
+    /// Waits until the rate limit of the cloud allows a request.
     async fn wait_for_cloud_limit(&self) {
         loop {
             let taken = {
                 let mut state = self.state.borrow_mut();
-                state.provisioning.requests.take(1.0, self.clock.now())
+                state
+                    .provisioning
+                    .request_limiter
+                    .take(1.0, self.clock.now())
             };
             match taken {
                 Ok(()) => return,
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -1,4 +1,5 @@
-//! Decommissioning: owners give up hosts that they do not need, and those that are lost or bad.
+//! Decommissioning: partition owners give up hosts that they do not need, and hosts that are lost or
+//! unhealthy.
 
 use super::{
     host_updates::{HeldRole, reassign},
@@ -18,42 +19,51 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// The part of the surplus that is drained at a time.
-const DRAIN_PART: usize = 4;
-/// How long a host has to be spare before another partition gets it.
-const SPARE_KEPT_IF_SHORT: Micros = Micros::from_secs(1);
-/// A host whose lease has lapsed is lost so long after that: a short cut is ridden out.
-const LOST_AFTER_LAPSE: Micros = Micros::from_secs(30);
-/// A host that takes so many times as long for its tasks as others is not worth its price.
+/// Divisor of the surplus: one quarter of it is drained at a time.
+const DRAIN_DIVISOR: usize = 4;
+/// Time for which a host must have been spare before it is given up while any partition is short of
+/// hosts.
+const SPARE_RETENTION_IN_SHORTAGE: Micros = Micros::from_secs(1);
+/// Time after the expiry of a host's lease until the host counts as lost, so that a short network
+/// failure does not cost the host.
+const LOST_AFTER_LEASE_EXPIRY: Micros = Micros::from_secs(30);
+/// Slowness above which a host is not worth its price: the factor by which its tasks take longer than
+/// on other hosts.
 const SLOWNESS_MAX: f64 = 2.2;
-/// How long a write may take.
+/// Timeout of the write of a host's record.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(5);
-/// The time between two attempts to take a host back.
+/// Pause before each attempt to reclaim a host.
 const RECLAIM_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A host that its owner has given up, to be written.
+/// A planned write by which an owner gives up a host.
 struct Decommission {
+    /// The partition that gives up the host.
     partition: u32,
+    /// The role of the partition, which guards the write.
     holder: HeldRole,
     host: HostId,
+    /// The record to be replaced.
     entry: HostEntry,
+    /// The new assignment.
     assignment: HostAssignment,
 }
 
-/// What decides on hosts of all partitions alike.
-struct Criteria {
+/// Criteria for giving up hosts that are the same for all partitions.
+struct DecommissionCriteria {
+    /// The time of the decision, by the steady clock.
     now: Micros,
-    /// Some partition lacks hosts.
-    any_short: bool,
-    /// How long a host has to be spare before it is given up.
-    keep_spare: Micros,
-    /// A host without an answer for so long is lost.
+    /// Whether any partition has fewer hosts than desired.
+    is_any_partition_short: bool,
+    /// Time for which a host must have been spare before it is given up.
+    spare_retention: Micros,
+    /// Time since its last answer after which a host with an expired lease is lost.
     lost_after: Micros,
 }
 
 impl Shared {
-    /// Owners give up hosts that they do not need, and decommission those that are lost or bad.
-    /// The host is out of use here before the write, and back only by the record.
+    /// Gives up hosts of this controller's partitions that are not needed, lost or unhealthy. The
+    /// scheduler stops using such a host before the write, and uses it again only after its record
+    /// has been rewritten.
     pub(super) fn decommission_surplus(self: Rc<Self>) {
         for planned in self.plan_decommissions() {
             let shared = self.clone();
@@ -62,31 +72,33 @@
         }
     }
 
+    /// Chooses the hosts to give up, removes them from scheduling and marks them as having an update
+    /// in progress. Returns none if this controller has no authority to act on its roles.
     fn plan_decommissions(&self) -> Vec<Decommission> {
         let now = self.now();
         let mut planned = Vec::new();
-        let mut guarded = self.state.borrow_mut();
-        if !guarded.authority.holds(now) {
+        let mut state_guard = self.state.borrow_mut();
+        if !state_guard.authority.holds(now) {
             return planned;
         }
-        let mut inventory = self.inventory(&guarded);
-        let any_short = inventory.iter().any(|p| p.desired > p.actual);
-        let criteria = Criteria {
+        let mut inventory = self.inventory(&state_guard);
+        let is_any_partition_short = inventory.iter().any(|p| p.desired > p.actual);
+        let criteria = DecommissionCriteria {
             now,
-            any_short,
-            keep_spare: if any_short {
-                SPARE_KEPT_IF_SHORT
+            is_any_partition_short,
+            spare_retention: if is_any_partition_short {
+                SPARE_RETENTION_IN_SHORTAGE
             } else {
                 self.settings.operator.tuning.idle_keep
             },
-            lost_after: self.scheduler_config.lease_expiry() + LOST_AFTER_LAPSE,
+            lost_after: self.scheduler_config.lease_expiry() + LOST_AFTER_LEASE_EXPIRY,
         };
         let State {
             cache,
             scheduling,
             commands,
             ..
-        } = &mut *guarded;
+        } = &mut *state_guard;
         for (number, partition) in &mut scheduling.partitions {
             let Some(hosts) = inventory.get_mut(*number as usize) else {
                 continue;
@@ -123,6 +135,7 @@
         planned
     }
 
+    /// Writes a planned decommission, and reclaims the host if the write is not known to be committed.
     async fn write_decommission(self: &Rc<Self>, planned: Decommission) {
         let Decommission {
             partition,
@@ -132,8 +145,8 @@
             assignment,
         } = planned;
         let deadline = self.now() + WRITE_TIMEOUT;
-        let urgency = WritePriority::Background;
-        let update = reassign(holder, &host, &entry, assignment, urgency, deadline);
+        let priority = WritePriority::Background;
+        let update = reassign(holder, &host, &entry, assignment, priority, deadline);
         if let WriteOutcome::Committed(_) = self.update_host(entry.block, update).await {
             tracing::info!(%host, ?assignment, "host decommissioned");
         } else {
@@ -143,8 +156,10 @@
         self.state.borrow_mut().commands.token_updates.remove(&host);
     }
 
-    /// After a decommission that failed, or may still be carried out: the host is used again
-    /// only once its record has been rewritten, which kills the late write.
+    /// Returns a host to its partition after a decommission that failed or whose outcome is unknown.
+    /// Retries until the host's record has been rewritten with its old `assignment`, which makes a
+    /// late write of the decommission fail. Gives up if the partition has been lost or the record
+    /// no longer has that assignment.
     async fn reclaim_host(
         self: &Rc<Self>,
         partition: u32,
@@ -156,8 +171,8 @@
             sleep(RECLAIM_INTERVAL).await;
             let entry = {
                 let state = self.state.borrow();
-                let owned = state.scheduling.partitions.get(&partition);
-                if owned.is_none_or(|p| p.since != holder.since) {
+                let owned_partition = state.scheduling.partitions.get(&partition);
+                if owned_partition.is_none_or(|p| p.since != holder.since) {
                     return;
                 }
                 state.cache.hosts.get(host).cloned()
@@ -166,8 +181,8 @@
                 return;
             };
             let deadline = self.now() + WRITE_TIMEOUT;
-            let urgency = WritePriority::Background;
-            let update = reassign(holder, host, &entry, assignment, urgency, deadline);
+            let priority = WritePriority::Background;
+            let update = reassign(holder, host, &entry, assignment, priority, deadline);
             if let WriteOutcome::Committed(_) = self.update_host(entry.block, update).await {
                 return;
             }
@@ -176,50 +191,57 @@
     }
 }
 
-/// Drains a part of the surplus at a time: what is desired changes from one moment to the next,
-/// and a replica that moves is away for a moment.
+/// Drains a part of a partition's surplus hosts. The surplus is not drained at once because the
+/// desired number of hosts fluctuates, and a replica that moves is briefly unavailable.
 fn drain_surplus(partition: &mut Partition, hosts: &PartitionInventory, now: Micros) {
-    let part = |surplus: i64| usize::try_from(surplus).unwrap_or(0).div_ceil(DRAIN_PART);
+    let portion = |surplus: i64| {
+        usize::try_from(surplus)
+            .unwrap_or(0)
+            .div_ceil(DRAIN_DIVISOR)
+    };
     let surplus = (
-        part(hosts.actual - hosts.desired),
-        part(hosts.actual_on_demand - hosts.desired_on_demand),
+        portion(hosts.actual - hosts.desired),
+        portion(hosts.actual_on_demand - hosts.desired_on_demand),
     );
     partition.drain_surplus(now, surplus);
 }
 
-/// What a host is to be assigned to instead; `None`: it stays.
+/// Returns the new assignment of a host that is to be given up, or `None` if the partition keeps it.
 fn next_assignment(
     partition: &Partition,
     id: &HostId,
     hosts: &PartitionInventory,
-    criteria: &Criteria,
+    criteria: &DecommissionCriteria,
 ) -> Option<HostAssignment> {
     let host = partition.hosts.get(id)?;
     if !matches!(host.assignment, HostAssignment::Partition(_)) {
         return None;
     }
-    if is_lost(host, criteria) || (is_bad(host, criteria) && host.fencing == FencingState::Fenced) {
+    if is_lost(host, criteria)
+        || (is_empty_and_unhealthy(host, criteria) && host.fencing == FencingState::Fenced)
+    {
         return Some(HostAssignment::Decommissioned(None));
     }
     let surplus = hosts.actual > hosts.desired
         && (host.spot || hosts.actual_on_demand > hosts.desired_on_demand);
-    if !surplus || !partition.is_spare(id, criteria.now, criteria.keep_spare) {
+    if !surplus || !partition.is_spare(id, criteria.now, criteria.spare_retention) {
         return None;
     }
-    if criteria.any_short {
+    if criteria.is_any_partition_short {
         Some(HostAssignment::Free)
     } else {
-        // Nobody is short: it need not go by way of the leader.
+        // No partition is short of hosts, so the leader need not reassign this one.
         Some(HostAssignment::Decommissioned(None))
     }
 }
 
-/// Its lease has lapsed, and it has not answered for long.
-fn is_lost(host: &Host, criteria: &Criteria) -> bool {
+/// Returns whether a host is lost: its lease has expired, and it has not answered for longer than
+/// `lost_after`.
+fn is_lost(host: &Host, criteria: &DecommissionCriteria) -> bool {
     host.fencing == FencingState::Lapsed && criteria.now - host.last_answer > criteria.lost_after
 }
 
-/// It is empty, and tasks fail or are slow on it.
-fn is_bad(host: &Host, criteria: &Criteria) -> bool {
+/// Returns whether a host is empty and unhealthy: tasks fail or run too slowly on it.
+fn is_empty_and_unhealthy(host: &Host, criteria: &DecommissionCriteria) -> bool {
     host.is_empty() && (host.is_faulty(criteria.now) || host.slowness > SLOWNESS_MAX)
 }
--- a/crates/jasperhill-controller/src/provisioner/host_updates.rs
+++ b/crates/jasperhill-controller/src/provisioner/host_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of host records by the provisioner.
+//! Builds the updates of host records that the provisioner makes.
 
 use crate::{host_registry::HostUpdate, store::WritePriority, watch_cache::HostEntry};
 use jasperhill_wire::{
@@ -6,24 +6,25 @@
     record::{HostAssignment, HostRecord, Role},
 };
 
-/// A role, and the revision since which this controller holds it: guards the update.
+/// A role and the revision since which this controller holds it. An update made under the role is
+/// guarded by that revision.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldRole {
-    /// The role.
+    /// The role under which the update is made.
     pub role: Role,
-    /// The revision of its record.
+    /// The revision of the role's record.
     pub since: Revision,
 }
 
-/// The update that gives a host another assignment. Every update raises the count of rewrites,
-/// so that a record never looks as it did before: its new revision is always seen, and the
-/// host's fencing token rises.
+/// Returns the update that gives a host another assignment. It increments the record's count of
+/// rewrites, so that the content of the record always changes: otherwise the new revision could go
+/// unnoticed, and the host's fencing token would not rise.
 pub(super) fn reassign(
     holder: HeldRole,
     host: &HostId,
     entry: &HostEntry,
     assignment: HostAssignment,
-    urgency: WritePriority,
+    priority: WritePriority,
     deadline: Micros,
 ) -> HostUpdate {
     let record = HostRecord {
@@ -31,10 +32,10 @@
         rewrites: entry.value.rewrites + 1,
         ..entry.value.clone()
     };
-    update(holder, host, entry, Some(record), urgency, deadline)
+    update(holder, host, entry, Some(record), priority, deadline)
 }
 
-/// The update that deletes a host's record.
+/// Returns the update that deletes a host's record.
 pub(super) fn delete(
     holder: HeldRole,
     host: &HostId,
@@ -44,16 +45,17 @@
     update(holder, host, entry, None, WritePriority::Finish, deadline)
 }
 
+/// Returns the update that replaces `entry` by `new_record`, or deletes the record if that is `None`.
 fn update(
     holder: HeldRole,
     host: &HostId,
     entry: &HostEntry,
     new_record: Option<HostRecord>,
-    urgency: WritePriority,
+    priority: WritePriority,
     deadline: Micros,
 ) -> HostUpdate {
     HostUpdate {
-        priority: urgency,
+        priority,
         role: (holder.role, holder.since),
         host: host.clone(),
         expected_version: Some(entry.version),
--- a/crates/jasperhill-controller/src/provisioner/inventory.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -1,4 +1,5 @@
-//! The capacity inventory: what every partition should have and has, by the records alone.
+//! The capacity inventory: how many hosts each partition should have and has, computed from the
+//! records in the watch cache.
 
 use crate::{shared::Shared, state::State, watch_cache::ActiveJob};
 use jasperhill_scheduler::{
@@ -9,69 +10,70 @@
 use jasperhill_wire::{JobId, Micros, Name, record::HostAssignment};
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// How long what an owner says of unmet demand counts: it says it every second.
-const UNMET_DEMAND_VALID: Micros = Micros::from_secs(8);
+/// Time for which an owner's report of unmet demand is valid. Owners report every second.
+const UNMET_DEMAND_MAX_AGE: Micros = Micros::from_secs(8);
 
-/// What a partition should have and has, in hosts.
+/// Numbers of hosts that a partition should have and has.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PartitionInventory {
-    /// What it should have.
+    /// Hosts that the partition should have.
     pub desired: i64,
-    /// What it should have of on-demand hosts.
+    /// On-demand hosts that the partition should have.
     pub desired_on_demand: i64,
-    /// What it should have for production and urgent work alone.
-    pub desired_pressing: i64,
-    /// What it has.
+    /// Hosts that the partition should have for its production and urgent work alone.
+    pub desired_high_priority: i64,
+    /// Hosts that are assigned to the partition.
     pub actual: i64,
-    /// What it has of on-demand hosts.
+    /// On-demand hosts that are assigned to the partition.
     pub actual_on_demand: i64,
 }
 
 impl PartitionInventory {
-    /// The hosts that it lacks for production and urgent work alone.
-    pub fn pressing_shortage(&self) -> i64 {
-        (self.desired_pressing - self.actual).max(0)
+    /// Returns the hosts that the partition lacks for its production and urgent work; at least 0.
+    pub fn high_priority_shortage(&self) -> i64 {
+        (self.desired_high_priority - self.actual).max(0)
     }
 
-    /// A host was given to the partition.
+    /// Counts a host that is assigned to the partition.
     fn add_host(&mut self, spot: bool) {
         self.actual += 1;
         self.actual_on_demand += i64::from(!spot);
     }
 
-    /// A host was taken from the partition.
+    /// Subtracts a host that is taken from the partition.
     pub fn remove_host(&mut self, spot: bool) {
         self.actual -= 1;
         self.actual_on_demand -= i64::from(!spot);
     }
 }
 
-/// A partition in a zone.
+/// Key of the hosts of a partition in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PartitionZone {
     partition: u32,
     zone: Name,
 }
 
-/// What the partitions lack, kept up to date while machines are assigned.
+/// Capacity that the partitions lack, updated as machines are assigned to them.
 pub(crate) struct CapacityNeeds {
-    /// By partition.
+    /// Inventory of each partition, indexed by partition.
     inventory: Vec<PartitionInventory>,
-    /// Hosts of each partition in each zone.
+    /// Number of hosts of each partition in each zone.
     hosts_in_zone: BTreeMap<PartitionZone, i64>,
 }
 
 impl CapacityNeeds {
-    /// The partition that a machine does the most good to: production and urgent work
-    /// first, then the greatest shortage, then the one with the fewest hosts in that zone, so
-    /// that replicas can be spread.
+    /// Returns the partition that benefits most from a machine. Partitions are ranked by their
+    /// shortage for production and urgent work, then by whether they have any shortage, then by
+    /// fewest hosts in the zone, so that replicas can be spread, and then by the size of their
+    /// shortage. Returns partition 0 if the inventory is empty.
     pub fn partition_most_in_need(&self, zone: &Name, spot: bool) -> u32 {
         let in_zone = |partition: u32| {
             let zone = zone.clone();
             let key = PartitionZone { partition, zone };
             self.hosts_in_zone.get(&key).copied().unwrap_or(0)
         };
-        let need = |(partition, hosts): &(u32, &PartitionInventory)| {
+        let need_rank = |(partition, hosts): &(u32, &PartitionInventory)| {
             let on_demand = if spot {
                 0
             } else {
@@ -79,7 +81,7 @@
             };
             let shortage = (hosts.desired - hosts.actual).max(0);
             (
-                hosts.pressing_shortage(),
+                hosts.high_priority_shortage(),
                 (shortage > 0, -in_zone(*partition)),
                 shortage,
                 on_demand,
@@ -87,11 +89,11 @@
                 Reverse(*partition),
             )
         };
-        let most = (0..).zip(&self.inventory).max_by_key(need);
-        most.map_or(0, |(partition, _)| partition)
+        let most_in_need = (0..).zip(&self.inventory).max_by_key(need_rank);
+        most_in_need.map_or(0, |(partition, _)| partition)
     }
 
-    /// A machine was assigned to a partition.
+    /// Records that a machine in `zone` was assigned to a partition.
     pub fn record_assignment(&mut self, partition: u32, zone: &Name, spot: bool) {
         if let Some(hosts) = self.inventory.get_mut(partition as usize) {
             hosts.add_host(spot);
@@ -103,15 +105,16 @@
 }
 
 impl Shared {
-    /// What every partition should have and has, by the watch cache alone; empty until the
-    /// machine types are known.
+    /// Computes the inventory of every partition, indexed by partition. Returns none while the machine
+    /// types are unknown.
     pub(super) fn inventory(&self, state: &State) -> Vec<PartitionInventory> {
         let Some(specs) = &state.scheduling.specs else {
             return Vec::new();
         };
-        let boot = specs.values().map(|s| s.boot).max().unwrap_or_default();
-        let demands = self.job_demands(state, boot);
-        let mut inventory: Vec<PartitionInventory> = self.desired(state, &demands, specs, boot);
+        let boot_time = specs.values().map(|s| s.boot).max().unwrap_or_default();
+        let demands = self.job_demands(state, boot_time);
+        let mut inventory: Vec<PartitionInventory> =
+            self.desired(state, &demands, specs, boot_time);
         for entry in state.cache.hosts.values() {
             if let HostAssignment::Partition(partition) = entry.value.assignment
                 && let Some(hosts) = inventory.get_mut(partition as usize)
@@ -122,15 +125,17 @@
         inventory
     }
 
-    /// The unfinished jobs that hosts are wanted for. `boot`: how long a machine takes to come up.
-    fn job_demands<'a>(&self, state: &'a State, boot: Micros) -> Vec<JobDemand<'a>> {
+    /// Returns the unfinished jobs that need hosts. `boot_time` is the time that a machine takes to
+    /// boot.
+    fn job_demands<'a>(&self, state: &'a State, boot_time: Micros) -> Vec<JobDemand<'a>> {
         let (wall, now) = (self.clock.wall(), self.now());
         state
             .cache
             .active_jobs()
-            // No machine is rented for what fails wherever it runs.
+            // Jobs with failed attempts don't count: no machine is rented for a job that fails on
+            // every host.
             .filter(|job| job.failed_attempts == 0)
-            .filter(|job| self.is_ready_within(state, job, boot, now))
+            .filter(|job| self.is_ready_within(state, job, boot_time, now))
             .filter_map(|job| {
                 Some(JobDemand {
                     request: &job.request,
@@ -142,41 +147,50 @@
             .collect()
     }
 
-    /// Whether a machine rented now would be there no sooner than the job is ready. A job whose
-    /// dependencies wait themselves does not count. Guards against walking long chains once for
-    /// each of their jobs.
-    fn is_ready_within(&self, state: &State, job: &ActiveJob, boot: Micros, now: Micros) -> bool {
+    /// Returns whether a job is ready now or will be by the time that a machine rented now has booted.
+    /// False for a job with a dependency that waits for dependencies of its own: this guards against
+    /// walking a long dependency chain once for each of its jobs.
+    fn is_ready_within(
+        &self,
+        state: &State,
+        job: &ActiveJob,
+        boot_time: Micros,
+        now: Micros,
+    ) -> bool {
         let dependencies = &state.cache.dependencies;
         let ready = |id: &JobId| dependencies.state_of(id) == DependencyState::Ready;
         let request = &job.request;
         ready(&request.id)
             || (request.dependencies.iter().all(ready)
-                && self.time_until_ready(state, request, now) <= boot)
+                && self.time_until_ready(state, request, now) <= boot_time)
     }
 
-    /// What every partition should have, by demand, forecast and the operators' tuning.
+    /// Computes the hosts that every partition should have from current demand, unmet demand, the
+    /// forecast and the operators' tuning. The counts of actual hosts are left at 0.
     fn desired(
         &self,
         state: &State,
         demands: &[JobDemand<'_>],
         specs: &Specs,
-        boot: Micros,
+        boot_time: Micros,
     ) -> Vec<PartitionInventory> {
         let now = self.now();
         let tuning = &self.settings.operator.tuning;
         let provisioning = &state.provisioning;
         let within = &self.scheduler_config.start_within;
         let desired = |(partition, demand): (u32, CapacityDemand)| {
-            let expected = provisioning.forecast.expected(partition, boot, within, now);
+            let expected = provisioning
+                .forecast
+                .expected(partition, boot_time, within, now);
             let unmet = match provisioning.unmet_demand.get(&partition) {
-                Some(unmet) if now - unmet.at < UNMET_DEMAND_VALID => unmet.hosts,
+                Some(unmet) if now - unmet.at < UNMET_DEMAND_MAX_AGE => unmet.hosts,
                 _ => 0.0,
             };
             let floor = tuning.min_machines_of(partition, self.settings.size);
             PartitionInventory {
                 desired: tuning.planned(demand.total(), expected + unmet, floor),
                 desired_on_demand: tuning.planned(demand.ordinary, expected, floor),
-                desired_pressing: tuning.planned(demand.pressing, 0.0, 0),
+                desired_high_priority: tuning.planned(demand.pressing, 0.0, 0),
                 ..PartitionInventory::default()
             }
         };
@@ -184,8 +198,8 @@
         (0..).zip(planned).map(desired).collect()
     }
 
-    /// What the partitions lack, for assigning machines to them. Called for heartbeats of
-    /// machines without a record.
+    /// Returns the capacity that the partitions lack, for the assignment of new machines. Called for
+    /// heartbeats of machines without a record.
     pub fn capacity_needs(&self, state: &State) -> CapacityNeeds {
         let mut hosts_in_zone: BTreeMap<PartitionZone, i64> = BTreeMap::new();
         for entry in state.cache.hosts.values() {
--- a/crates/jasperhill-controller/src/provisioner/machine_types.rs
+++ b/crates/jasperhill-controller/src/provisioner/machine_types.rs
@@ -1,5 +1,5 @@
-//! The machine types: asked of the cloud, and written to the store by the first leader, so that
-//! controllers without a link to the cloud know them too.
+//! Fetches the machine types from the cloud. The first leader writes them to the store, so that
+//! controllers without a link to the cloud know them, too.
 
 use crate::{
     shared::Shared,
@@ -14,31 +14,33 @@
 };
 use std::rc::Rc;
 
-/// How long the write to the store may take.
+/// Timeout of the write of the machine types to the store.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(5);
 
 impl Shared {
-    /// Asks for the machine types. True if they came.
+    /// Fetches the machine types and, as the leader, writes them to the store if it has none. Returns
+    /// whether they were received.
     pub(super) async fn fetch_machine_types(&self) -> bool {
         let Some(types) = self.request_machine_types().await else {
             return false;
         };
-        let unwritten_by = {
+        let leader_since = {
             let mut state = self.state.borrow_mut();
             state.scheduling.specs = Some(Rc::new(specs(&types.types)));
-            let in_store = state.cache.types();
-            match (&state.provisioning.leader, in_store) {
+            let stored_types = state.cache.types();
+            match (&state.provisioning.leader, stored_types) {
                 (Some(leader), None) if state.cache.is_synced() => Some(leader.since),
                 _ => None,
             }
         };
         self.wake.roles.notify_one();
-        if let Some(since) = unwritten_by {
+        if let Some(since) = leader_since {
             self.write_machine_types(types, since).await;
         }
         true
     }
 
+    /// Requests the machine types from the cloud. Returns `None` without a valid response.
     async fn request_machine_types(&self) -> Option<MachineTypes> {
         let response = self
             .cloud_call(Method::Get, "/machine_types", Vec::new())
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Writes the machine types, as the leader since that revision.
+    /// Writes the machine types to the store, as the leader since revision `since`.
     async fn write_machine_types(&self, types: MachineTypes, since: Revision) {
         let parts = types.split(self.settings.value_bytes);
         let Some(parts) = parts.filter(|p| p.len() <= self.settings.txn_ops) else {
--- a/crates/jasperhill-controller/src/provisioner/mod.rs
+++ b/crates/jasperhill-controller/src/provisioner/mod.rs
@@ -1,10 +1,12 @@
-//! The provisioner: machine types, and the leader's rounds, in which the fleet scales out and in.
+//! The provisioner: fetches the machine types and scales the fleet out and in.
 //!
-//! Its state is [`state::ProvisioningState`]. The leader reconciles its capacity inventory with
-//! the cloud's list of machines, assigns free hosts to partitions, scales out where capacity is
-//! short and returns machines; owners decommission hosts that they do not need. What the leader
-//! knows is lost with the role, and the list brings it back; a host's record is the only word on
-//! its assignment, and is changed by guarded writes alone.
+//! The leader reconciles its inventory with the cloud's list of machines, assigns free hosts to
+//! partitions, rents machines where capacity is short and returns machines. Partition owners
+//! decommission hosts that they do not need. The state is [`state::ProvisioningState`].
+//!
+//! The leader's state is lost with the role; a new leader rebuilds it from the machine list. A
+//! host's record is the only authority on the host's assignment and changes only by guarded
+//! writes.
 
 mod assignment;
 mod capacity_broadcast;
@@ -23,42 +25,43 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// The time between two rounds.
-const ROUND: Duration = Duration::from_secs(1);
-/// After this time the leader asks for the machine types anew: prices and zones change.
+/// Pause between two rounds of the provisioner.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Age after which the leader fetches the machine types again, because prices and zones change.
 const MACHINE_TYPES_MAX_AGE: Micros = Micros::from_secs(120);
-/// The part of the list's lag after which the list is asked for again.
+/// Interval between two requests for the machine list, as a fraction of the list's lag.
 const LIST_INTERVAL_PER_LAG: f64 = 0.3;
-/// The list is asked for no more often than this.
+/// Shortest interval between two requests for the machine list.
 const LIST_INTERVAL_MIN: Micros = Micros::from_secs(2);
 
 impl Shared {
-    /// Runs for as long as the controller does; started by it.
+    /// Runs the provisioner's rounds. Spawned by the controller at its start; never returns.
     pub async fn provisioner_loop(self: Rc<Self>) {
-        let mut types_fetched: Option<Micros> = None;
+        let mut types_fetched_at: Option<Micros> = None;
         loop {
             let now = self.now();
-            let (types_known, leads) = {
+            let (has_machine_types, is_leader) = {
                 let state = self.state.borrow();
                 (
                     state.scheduling.specs.is_some(),
                     state.provisioning.leader.is_some(),
                 )
             };
-            let stale = types_fetched.is_none_or(|at| now - at > MACHINE_TYPES_MAX_AGE);
-            if (!types_known || (leads && stale)) && self.fetch_machine_types().await {
-                types_fetched = Some(now);
+            let is_stale = types_fetched_at.is_none_or(|at| now - at > MACHINE_TYPES_MAX_AGE);
+            if (!has_machine_types || (is_leader && is_stale)) && self.fetch_machine_types().await {
+                types_fetched_at = Some(now);
             }
-            if leads && self.has_authority() {
+            if is_leader && self.has_authority() {
                 self.run_leader_round().await;
             }
             self.broadcast_unmet_demand();
             self.clone().decommission_surplus();
-            sleep(ROUND).await;
+            sleep(ROUND_INTERVAL).await;
         }
     }
 
-    /// One round of the leader: reconcile, return, assign, scale out.
+    /// Runs one round of the leader: reconciles the inventory, splits oversized host blocks, returns
+    /// machines, assigns free hosts, scales out and broadcasts the spare capacity.
     async fn run_leader_round(self: &Rc<Self>) {
         let now = self.now();
         if self.is_inventory_due(now) {
@@ -71,6 +74,8 @@
         self.broadcast_spare_capacity();
     }
 
+    /// Returns whether it is time to read the machine list again. False if this controller is not
+    /// the leader.
     fn is_inventory_due(&self, now: Micros) -> bool {
         let lag = self.settings.list_lag;
         let interval = lag.scale(LIST_INTERVAL_PER_LAG).max(LIST_INTERVAL_MIN);
--- a/crates/jasperhill-controller/src/provisioner/reconciliation.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of the capacity inventory with the cloud's list of machines: machines that are
-//! gone lose their records, and those that never come into use are returned.
+//! Reconciliation of the leader's inventory with the cloud's list of machines: deletes the records of
+//! machines that no longer exist, and marks machines for return that never become usable.
 
 use super::state::{BootingMachine, LeaderState, MachineOffer, ProvisioningState};
 use crate::{
@@ -15,40 +15,44 @@
 };
 use std::{collections::BTreeSet, rc::Rc};
 
-/// Added to twice the lag of the list: for late timers and answers.
+/// Margin for late timers and responses, added to twice the lag of the machine list.
 const LIST_AGE_MARGIN: Micros = Micros::from_secs(2);
-/// How long a machine of a type that is not known is taken to boot.
+/// Boot time assumed for a machine of an unknown type.
 const UNKNOWN_TYPE_BOOT: Micros = Micros::from_secs(60);
-/// A machine that runs and has sent no heartbeat for so long is returned.
-const SILENT_MAX: Micros = Micros::from_secs(60);
-/// What was rented and neither listed nor heard of for so many boot times does not count ...
-const UNHEARD_BOOTS: f64 = 4.0;
-/// ... and so much longer.
-const UNHEARD_MARGIN: Micros = Micros::from_secs(30);
+/// Time after which a running machine that has sent no heartbeat is returned.
+const HEARTBEAT_SILENCE_MAX: Micros = Micros::from_secs(60);
+/// Number of boot times after which a rented machine that is neither listed nor has sent a heartbeat
+/// no longer counts as booting.
+const BOOTING_MAX_BOOT_TIMES: f64 = 4.0;
+/// Margin added to `BOOTING_MAX_BOOT_TIMES` boot times.
+const BOOTING_MAX_MARGIN: Micros = Micros::from_secs(30);
 
-/// When a list was asked for and read.
+/// Times of a machine list, by the steady clock.
 #[derive(Clone, Copy)]
 struct ListTimes {
-    sent: Micros,
+    /// When the list was requested.
+    requested_at: Micros,
+    /// When the list was received completely.
     now: Micros,
-    /// How old a list may be.
+    /// Maximum age of the list's content when it was requested.
     age_max: Micros,
 }
 
 impl Shared {
-    /// Reads the machine list and reconciles the inventory with it.
+    /// Reads the machine list, reconciles the inventory with it, and deletes the records of machines
+    /// that no longer exist.
     pub(super) async fn reconcile_inventory(self: &Rc<Self>) {
-        let sent = self.now();
+        let requested_at = self.now();
         let Some(machines) = self.list_machines().await else {
             return;
         };
-        for (host, entry) in self.apply_machine_list(&machines, sent) {
+        for (host, entry) in self.apply_machine_list(&machines, requested_at) {
             tracing::info!(%host, "host gone from the machine list");
             self.clone().spawn(self.clone().delete_host(host, entry));
         }
     }
 
-    /// The whole list, page by page; `None` if any page does not come.
+    /// Reads all pages of the machine list. Returns `None` if any page fails.
     async fn list_machines(&self) -> Option<Vec<Machine>> {
         let mut machines = Vec::new();
         let mut target = "/rentals?page=500".to_owned();
@@ -63,6 +67,7 @@
         }
     }
 
+    /// Reads one page of the machine list. Returns `None` without a valid response.
     async fn list_machines_page(&self, target: &str) -> Option<MachineList> {
         let response = self.cloud_call(Method::Get, target, Vec::new()).await?;
         if response.status != 200 {
@@ -77,17 +82,22 @@
         }
     }
 
-    /// Draws the conclusions from a list; the records of machines that are gone, which are to
-    /// be deleted.
-    fn apply_machine_list(&self, machines: &[Machine], sent: Micros) -> Vec<(HostId, HostEntry)> {
+    /// Updates the leader's state from a complete machine list, and marks unusable machines for
+    /// return. Returns the records of machines that no longer exist, which the caller has to delete.
+    /// `requested_at` is the time at which the first page was requested.
+    fn apply_machine_list(
+        &self,
+        machines: &[Machine],
+        requested_at: Micros,
+    ) -> Vec<(HostId, HostEntry)> {
         let now = self.now();
-        let mut guarded = self.state.borrow_mut();
+        let mut state_guard = self.state.borrow_mut();
         let State {
             cache,
             scheduling,
             provisioning,
             ..
-        } = &mut *guarded;
+        } = &mut *state_guard;
         let ProvisioningState {
             leader, returning, ..
         } = provisioning;
@@ -95,47 +105,59 @@
             return Vec::new();
         };
         leader.listed_at = now;
-        leader.has_list = true;
-        // A machine that was listed stays listed until it is gone, and lists are at most
-        // twice the lag old: absent from one asked for later than that, it is gone.
+        leader.has_machine_list = true;
+        // A machine stays listed until it ceases to exist, and a list is at most twice the lag
+        // old. So a machine that is absent from a list requested later than this age after the
+        // machine was first seen no longer exists.
         let age_max = self.settings.list_lag.scale(2.0) + LIST_AGE_MARGIN;
-        let times = ListTimes { sent, now, age_max };
+        let times = ListTimes {
+            requested_at,
+            now,
+            age_max,
+        };
         let gone = leader.gone_machines(cache, machines, times);
         let unusable = leader.unusable_machines(cache, machines, returning, specs, now);
-        leader.forget_unheard(specs, &unusable, now);
+        leader.forget_stale_booting(specs, &unusable, now);
         returning.extend(unusable);
         gone
     }
 }
 
 impl LeaderState {
-    /// The records of machines that are gone for sure; forgets what is known of machines that
-    /// no list shows any more.
+    /// Returns the records of machines that certainly no longer exist. Also forgets when machines were
+    /// first seen or returned, once no machine list can show them any more.
     fn gone_machines(
         &mut self,
         cache: &WatchCache,
         machines: &[Machine],
         times: ListTimes,
     ) -> Vec<(HostId, HostEntry)> {
-        let ListTimes { sent, now, age_max } = times;
-        let present: BTreeSet<&HostId> = machines.iter().map(|m| &m.id).collect();
+        let ListTimes {
+            requested_at,
+            now,
+            age_max,
+        } = times;
+        let listed: BTreeSet<&HostId> = machines.iter().map(|m| &m.id).collect();
         let mut gone = Vec::new();
         for (id, entry) in &cache.hosts {
-            // It was there when its record was, whoever led then. Guards against records of
-            // machines that have gone, which nobody deletes while owners and leaders change.
-            let first = *self.first_seen.entry(id.clone()).or_insert(now);
-            if !present.contains(id) && sent >= first + age_max {
+            // A machine with a record has existed, even if another member was the leader then.
+            // Guards against records of machines that no longer exist and that no leader would
+            // delete while owners and leaders change.
+            let first_seen_at = *self.first_seen.entry(id.clone()).or_insert(now);
+            if !listed.contains(id) && requested_at >= first_seen_at + age_max {
                 gone.push((id.clone(), entry.clone()));
             }
         }
-        let forgotten = age_max + age_max;
-        self.first_seen
-            .retain(|id, first| present.contains(id) || sent < *first + forgotten);
-        self.returned.retain(|_, at| now < *at + forgotten);
+        let retention = age_max + age_max;
+        self.first_seen.retain(|id, first_seen_at| {
+            listed.contains(id) || requested_at < *first_seen_at + retention
+        });
+        self.returned.retain(|_, at| now < *at + retention);
         gone
     }
 
-    /// The machines that will never come into use; those that are booting count from now on.
+    /// Returns the machines that will never become usable. Also records the booting machines of the
+    /// list, so that they count as supply.
     fn unusable_machines(
         &mut self,
         cache: &WatchCache,
@@ -149,12 +171,12 @@
             if self.returned.contains_key(&machine.id) {
                 continue;
             }
-            let first = *self.first_seen.entry(machine.id.clone()).or_insert(now);
+            let first_seen_at = *self.first_seen.entry(machine.id.clone()).or_insert(now);
             let is_unusable = if cache.hosts.contains_key(&machine.id) {
                 self.booting.remove(&machine.id);
                 machine.phase == MachinePhase::Failed
             } else {
-                is_unusable(machine, specs, now - first)
+                is_unusable(machine, specs, now - first_seen_at)
             };
             if is_unusable {
                 unusable.insert(machine.id.clone());
@@ -162,13 +184,14 @@
                 && !cache.hosts.contains_key(&machine.id)
                 && !returning.contains(&machine.id)
             {
-                self.note_booting(machine, now);
+                self.record_booting(machine, now);
             }
         }
         unusable
     }
 
-    fn note_booting(&mut self, machine: &Machine, now: Micros) {
+    /// Records a listed machine as booting, unless it is known.
+    fn record_booting(&mut self, machine: &Machine, now: Micros) {
         let age = Micros::from_secs_f64(machine.age_s);
         let booting = self.booting.entry(machine.id.clone());
         booting.or_insert_with(|| BootingMachine {
@@ -181,36 +204,38 @@
         });
     }
 
-    /// What was rented and neither listed nor heard of in good time does not count.
-    fn forget_unheard(&mut self, specs: &Specs, unusable: &BTreeSet<HostId>, now: Micros) {
-        let boot = specs.values().map(|s| s.boot).max().unwrap_or_default();
-        let limit = boot.scale(UNHEARD_BOOTS) + UNHEARD_MARGIN;
+    /// Forgets booting machines that are unusable, or that are neither listed nor have sent a
+    /// heartbeat in time, so that they no longer count as supply.
+    fn forget_stale_booting(&mut self, specs: &Specs, unusable: &BTreeSet<HostId>, now: Micros) {
+        let boot_time = specs.values().map(|s| s.boot).max().unwrap_or_default();
+        let boot_time_limit = boot_time.scale(BOOTING_MAX_BOOT_TIMES) + BOOTING_MAX_MARGIN;
         self.booting
-            .retain(|id, machine| !unusable.contains(id) && now - machine.since < limit);
+            .retain(|id, machine| !unusable.contains(id) && now - machine.since < boot_time_limit);
     }
 }
 
-/// Whether a machine without a record will never come into use. `seen_for`: since it was first
-/// listed.
+/// Returns whether a machine without a record will never become usable. `seen_for` is the time since
+/// it was first listed.
 fn is_unusable(machine: &Machine, specs: &Specs, seen_for: Micros) -> bool {
     let host = &machine.id;
     let spec = specs.get(&machine.machine_type);
-    let boot = spec.map_or(UNKNOWN_TYPE_BOOT, |s| s.boot);
+    let boot_time = spec.map_or(UNKNOWN_TYPE_BOOT, |s| s.boot);
     match machine.phase {
         MachinePhase::Failed => true,
         MachinePhase::Booting => {
-            let never = BootTimes::never_comes(boot, Micros::from_secs_f64(machine.age_s));
-            if never {
+            let is_overdue =
+                BootTimes::never_comes(boot_time, Micros::from_secs_f64(machine.age_s));
+            if is_overdue {
                 tracing::info!(%host, "machine never came up");
             }
-            never
+            is_overdue
         }
         MachinePhase::Running => {
-            let silent = seen_for > SILENT_MAX;
-            if silent {
+            let is_silent = seen_for > HEARTBEAT_SILENCE_MAX;
+            if is_silent {
                 tracing::info!(%host, "machine runs and sends no heartbeat");
             }
-            silent
+            is_silent
         }
     }
 }
--- a/crates/jasperhill-controller/src/provisioner/scale_in.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: machines that were decommissioned or never came into use go back to the cloud.
+//! Scale-in: returns machines to the cloud that were decommissioned or never became usable.
 
 use super::host_updates::{HeldRole, delete};
 use crate::{shared::Shared, state::State, store::WriteOutcome, watch_cache::HostEntry};
@@ -10,14 +10,14 @@
 };
 use std::{collections::BTreeSet, rc::Rc};
 
-/// Machines returned by one request, at most.
+/// Maximum number of machines returned by one request.
 const RETURNED_MAX: usize = 100;
-/// How long the deletion of a record may take.
+/// Timeout of the deletion of a host's record.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(5);
 
 impl Shared {
-    /// Returns what was decommissioned or never came into use. The record goes only when the
-    /// machine is gone for sure.
+    /// Returns machines to the cloud that were decommissioned or never became usable. Deletes a
+    /// host's record only after the cloud has confirmed the return.
     pub(super) async fn return_machines(self: &Rc<Self>) {
         let hosts = machines_to_return(&self.state.borrow());
         if hosts.is_empty() || !self.has_authority() {
@@ -31,13 +31,14 @@
         if response.is_none_or(|r| r.status != 200) {
             return;
         }
-        for (host, entry) in self.note_returned(names.hosts) {
+        for (host, entry) in self.record_returned(names.hosts) {
             self.clone().spawn(self.clone().delete_host(host, entry));
         }
     }
 
-    /// Notes that machines were returned; their records, which are to be deleted.
-    fn note_returned(&self, hosts: Vec<HostId>) -> Vec<(HostId, HostEntry)> {
+    /// Records that machines were returned to the cloud. Returns those of their records that still
+    /// exist, which the caller has to delete.
+    fn record_returned(&self, hosts: Vec<HostId>) -> Vec<(HostId, HostEntry)> {
         let now = self.now();
         let mut records = Vec::new();
         let mut state = self.state.borrow_mut();
@@ -54,7 +55,7 @@
         records
     }
 
-    /// Deletes the record of a machine that is gone.
+    /// Deletes the record of a machine that no longer exists, if this controller is the leader.
     pub(super) async fn delete_host(self: Rc<Self>, host: HostId, entry: HostEntry) {
         let since = {
             let state = self.state.borrow();
@@ -74,18 +75,18 @@
     }
 }
 
-/// The machines that are to be returned now: those decommissioned, and those that are to be
-/// returned and have no record, or one that names a partition.
+/// Returns up to `RETURNED_MAX` machines to return now: the decommissioned hosts, and the machines
+/// marked for return whose record does not exist, is decommissioned or assigns them to a partition.
 fn machines_to_return(state: &State) -> Vec<HostId> {
     let hosts = &state.cache.hosts;
-    let decommissioned =
+    let is_decommissioned =
         |entry: &HostEntry| matches!(entry.value.assignment, HostAssignment::Decommissioned(_));
     let returning = state.provisioning.returning.iter().filter(|id| {
         hosts
             .get(*id)
-            .is_none_or(|entry| decommissioned(entry) || entry.value.partition().is_some())
+            .is_none_or(|entry| is_decommissioned(entry) || entry.value.partition().is_some())
     });
-    let by_record = hosts.iter().filter(|(_, entry)| decommissioned(entry));
+    let by_record = hosts.iter().filter(|(_, entry)| is_decommissioned(entry));
     let all: BTreeSet<&HostId> = returning.chain(by_record.map(|(id, _)| id)).collect();
     all.into_iter().take(RETURNED_MAX).cloned().collect()
 }
--- a/crates/jasperhill-controller/src/provisioner/scale_out.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_out.rs
@@ -1,4 +1,5 @@
-//! Scaling out: how many machines of which type are rented, and where.
+//! Scale-out: decides how many machines of which type to rent, in which zone and on which terms, and
+//! rents them from the cloud.
 
 use super::{
     inventory::PartitionInventory,
@@ -14,43 +15,46 @@
 };
 use std::rc::Rc;
 
-/// Machines asked for in one request, at most; the cloud's own bound.
+/// Maximum number of machines in one rental; the limit of the cloud.
 const RENT_MAX: u32 = 50;
-/// Rentals in one round, at most.
+/// Maximum number of rentals in one round of the leader.
 const RENTALS_PER_ROUND: usize = 3;
-/// An offer without capacity is left alone for so long.
-const EXHAUSTED_FOR: Micros = Micros::from_secs(15);
-/// What the cloud's answer contains if it has no machine to offer.
+/// Time for which an offer is not tried again after the cloud had no capacity for it.
+const EXHAUSTED_OFFER_BACKOFF: Micros = Micros::from_secs(15);
+/// Text in the body of a 503 response by which the cloud reports a lack of machines.
 const NO_CAPACITY: &[u8] = b"capacity";
-/// Prices are compared in this part of their unit.
-const PRICE_PARTS: f64 = 1e3;
+/// Factor by which prices are scaled to integers for their comparison.
+const PRICE_SCALE: f64 = 1e3;
 
-/// The machines that are to be rented, beyond those that are booting.
+/// Numbers of machines to rent in addition to those that are booting; negative for a surplus.
 struct Shortage {
-    /// Of any terms.
+    /// Machines on any terms.
     total: i64,
-    /// That have to be on-demand machines.
+    /// Machines that must be on-demand.
     on_demand: i64,
-    /// That may be spot machines.
+    /// Machines that may be spot machines.
     spot: i64,
 }
 
-/// Machines to ask for, on some terms.
-struct Order {
+/// A number of machines to rent, all spot or all on-demand.
+struct RentalOrder {
+    /// Number of machines; nothing is rented unless it is positive.
     count: i64,
+    /// True for spot machines, false for on-demand machines.
     spot: bool,
 }
 
 impl Shortage {
-    /// `free`: hosts that belong to no partition.
+    /// Computes the shortage of all partitions. `free` is the number of hosts that belong to no
+    /// partition.
     fn new(inventory: &[PartitionInventory], booting: BootingSupply, free: i64) -> Self {
-        let sum = |lack: fn(&PartitionInventory) -> i64| -> i64 {
-            inventory.iter().map(|p| lack(p).max(0)).sum()
+        let sum = |partition_shortage: fn(&PartitionInventory) -> i64| -> i64 {
+            inventory.iter().map(|p| partition_shortage(p).max(0)).sum()
         };
         let total = sum(|p| p.desired - p.actual);
         let on_demand = sum(|p| p.desired_on_demand - p.actual_on_demand);
-        // Work that may run on spot machines makes way on the on-demand ones: where those have
-        // run out, spot machines help as well.
+        // Work that may run on spot machines can leave the on-demand machines to other work, so
+        // spot machines also help where no on-demand machines can be rented.
         let spot = sum(|p| (p.desired - p.desired_on_demand) - (p.actual - p.actual_on_demand));
         Self {
             total: total - (booting.spot + booting.on_demand + free),
@@ -59,31 +63,37 @@
         }
     }
 
-    /// What to ask for, the first that can be had.
-    fn orders(&self) -> [Order; 2] {
-        let order = |count, spot| Order { count, spot };
+    /// Returns the possible orders by preference. The first one with a positive count and an
+    /// available offer is to be rented.
+    fn orders(&self) -> [RentalOrder; 2] {
+        let rental_order = |count, spot| RentalOrder { count, spot };
         if self.on_demand > 0 {
             [
-                order(self.on_demand, false),
-                order(self.total.min(self.spot), true),
+                rental_order(self.on_demand, false),
+                rental_order(self.total.min(self.spot), true),
             ]
         } else {
-            [order(self.total, true), order(self.total, false)]
+            [
+                rental_order(self.total, true),
+                rental_order(self.total, false),
+            ]
         }
     }
 }
 
-/// How well an offer suits, the smaller the better.
+/// Rank of an offer by number of machines in its zone, then by price. The smallest rank is best.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct OfferRank {
-    /// Where the fewest are, so that a lost zone takes the least with it.
+    /// Hosts and booting machines in the offer's zone. Zones with few machines come first, which
+    /// limits the loss if a zone fails.
     machines_in_zone: usize,
+    /// Price in units of 1 / `PRICE_SCALE`.
     price: u64,
     machine_type: Name,
     zone: Name,
 }
 
-/// The offer that suits best and is not exhausted.
+/// Returns the best offer that is not exhausted, or `None` if all are.
 fn best_offer(
     leader: &LeaderState,
     cache: &WatchCache,
@@ -98,10 +108,10 @@
     let ranks = specs.values().flat_map(|spec| {
         let price = if spot { spec.spot_price } else { spec.price };
         MachineOffer::of(spec, spot)
-            .filter(|offer| !leader.exhausted.contains_key(offer))
+            .filter(|offer| !leader.exhausted_offers.contains_key(offer))
             .map(move |offer| OfferRank {
                 machines_in_zone: machines_in(&offer.zone),
-                price: (price * PRICE_PARTS) as u64,
+                price: (price * PRICE_SCALE) as u64,
                 machine_type: offer.machine_type,
                 zone: offer.zone,
             })
@@ -116,7 +126,8 @@
 }
 
 impl Shared {
-    /// Rents machines as long as they are short and the cloud has some.
+    /// Rents machines until there is no shortage, the cloud has none to offer, or the limit of rentals
+    /// in a round is reached. Stops if this controller is no longer the leader.
     pub(super) async fn scale_out(self: &Rc<Self>) {
         for _ in 0..RENTALS_PER_ROUND {
             if !self.has_authority() {
@@ -132,26 +143,28 @@
             let Some(leader) = state.provisioning.leader.as_mut() else {
                 return;
             };
-            // An outage, a limit or no answer: the same name again later.
-            let Some(outcome) = response.and_then(RentalOutcome::of) else {
+            // After an outage, a rate limit or no response, the rental is retried later under the
+            // same name.
+            let Some(outcome) = response.and_then(RentalOutcome::from_response) else {
                 return;
             };
             leader.finish_rental(&rental, outcome, now);
         }
     }
 
-    /// The next rental, if machines are short.
+    /// Returns the next rental: the pending one if there is any, else a new one if machines are short.
+    /// Returns `None` before the first complete machine list of this leadership.
     fn next_rental(&self) -> Option<RentRequest> {
         let now = self.now();
-        let mut guarded = self.state.borrow_mut();
-        let inventory = self.inventory(&guarded);
-        let state = &mut *guarded;
+        let mut state_guard = self.state.borrow_mut();
+        let inventory = self.inventory(&state_guard);
+        let state = &mut *state_guard;
         let specs = state.scheduling.specs.clone()?;
         let leader = state.provisioning.leader.as_mut()?;
         if let Some(rental) = &leader.pending_rental {
             return Some(rental.clone());
         }
-        if !leader.has_list {
+        if !leader.has_machine_list {
             return None;
         }
         let hosts = &state.cache.hosts;
@@ -159,32 +172,33 @@
         let free = hosts.values().filter(|e| is_free(e.value.assignment));
         let booting = leader.booting_supply(&specs, hosts.len(), now);
         let shortage = Shortage::new(&inventory, booting, free.count() as i64);
-        leader.exhausted.retain(|_, until| *until > now);
+        leader.exhausted_offers.retain(|_, until| *until > now);
         let orders = shortage.orders();
         let (count, offer) = orders
             .into_iter()
-            .filter(|order| order.count > 0)
-            .find_map(|order| {
-                let offer = best_offer(leader, &state.cache, &specs, order.spot)?;
-                Some((order.count as u32, offer))
+            .filter(|rental_order| rental_order.count > 0)
+            .find_map(|rental_order| {
+                let offer = best_offer(leader, &state.cache, &specs, rental_order.spot)?;
+                Some((rental_order.count as u32, offer))
             })?;
         Some(leader.begin_rental(offer, count))
     }
 }
 
-/// What became of a rental.
+/// Outcome of a rental.
 enum RentalOutcome {
-    /// These machines were rented; perhaps fewer than were asked for.
+    /// These machines were rented, possibly fewer than requested.
     Rented(HostNames),
-    /// The cloud has no such machine.
+    /// The cloud has no machine of this offer.
     NoCapacity,
-    /// The cloud does not understand the request.
+    /// The cloud rejected the request as malformed.
     Malformed,
 }
 
 impl RentalOutcome {
-    /// What a response says; `None` if that is nothing about the rental.
-    fn of(response: Response) -> Option<Self> {
+    /// Parses a response. Returns `None` if it doesn't tell the outcome, as after an outage or a rate
+    /// limit.
+    fn from_response(response: Response) -> Option<Self> {
         let contains = |text: &[u8]| response.body.windows(text.len()).any(|w| w == text);
         match response.status {
             200 => {
@@ -200,14 +214,15 @@
 }
 
 impl LeaderState {
-    /// Names a new rental, which is asked for until its outcome is known.
-    fn begin_rental(&mut self, offer: MachineOffer, short: u32) -> RentRequest {
-        self.rentals += 1;
-        // Half of what is short, so that the next request may go to another zone.
-        let count = short.div_ceil(2).clamp(1, RENT_MAX).min(short);
+    /// Creates a new rental and stores it as the pending one, which is retried until its outcome is
+    /// known. `shortage` is the number of machines that are short.
+    fn begin_rental(&mut self, offer: MachineOffer, shortage: u32) -> RentRequest {
+        self.rental_count += 1;
+        // Rent half of the shortage, so that the next rental can go to another zone.
+        let count = shortage.div_ceil(2).clamp(1, RENT_MAX).min(shortage);
         let rental = RentRequest {
-            // Unique: the revision of this leadership, and a counter.
-            request: format!("r-{}-{}", self.since, self.rentals),
+            // Unique name from the revision of this leadership and a counter.
+            request: format!("r-{}-{}", self.since, self.rental_count),
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
@@ -217,7 +232,8 @@
         rental
     }
 
-    /// Notes what became of a rental.
+    /// Records the outcome of a rental: the rented machines as booting, and the offer as exhausted if
+    /// the cloud had fewer machines than requested.
     fn finish_rental(&mut self, rental: &RentRequest, outcome: RentalOutcome, now: Micros) {
         self.pending_rental = None;
         let offer = MachineOffer {
@@ -232,7 +248,8 @@
                     requested = rental.count, rented = hosts.len(), ?hosts, "machines rented"
                 );
                 if hosts.len() < rental.count as usize {
-                    self.exhausted.insert(offer.clone(), now + EXHAUSTED_FOR);
+                    self.exhausted_offers
+                        .insert(offer.clone(), now + EXHAUSTED_OFFER_BACKOFF);
                 }
                 for id in hosts {
                     let machine = BootingMachine {
@@ -244,7 +261,8 @@
             }
             RentalOutcome::NoCapacity => {
                 tracing::info!(zone = %rental.zone, spot = rental.spot, "no capacity");
-                self.exhausted.insert(offer, now + EXHAUSTED_FOR);
+                self.exhausted_offers
+                    .insert(offer, now + EXHAUSTED_OFFER_BACKOFF);
             }
             RentalOutcome::Malformed => {
                 tracing::warn!(rental = %rental.request, "rental rejected as malformed");
--- a/crates/jasperhill-controller/src/provisioner/state.rs
+++ b/crates/jasperhill-controller/src/provisioner/state.rs
@@ -1,6 +1,6 @@
-//! What is kept of dealings with the cloud, by the leader and by owners. The leader's part exists
-//! only while this controller leads and is changed by the leader's round, by reports of machines
-//! that have come up, and by the loading and unloading of the role.
+//! State of the provisioner, for the leader and for partition owners. The leader's part exists only
+//! while this controller is the leader. It is changed by the leader's rounds, by first heartbeats of
+//! machines that have booted, and by the loading and unloading of the leader role.
 
 use crate::{settings::Settings, token_bucket::TokenBucket};
 use jasperhill_scheduler::{
@@ -11,55 +11,55 @@
 use jasperhill_wire::{HostId, Micros, Name, Revision, cloud::RentRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part of the cloud's limit that its only caller, the leader, uses.
-const USED_SHARE: f64 = 0.8;
-/// So long before now a new leader takes the last list to be: longer than any interval between
-/// lists, so that it asks for one at once.
-const LISTED_LONG_AGO: Micros = Micros::from_secs(3_000);
+/// Fraction of the cloud's rate limit that the leader, its only regular caller, uses.
+const CLOUD_RATE_SHARE: f64 = 0.8;
+/// Assumed age of the last machine list at the start of a leadership. Longer than any interval
+/// between lists, so that a new leader requests a list at once.
+const INITIAL_LIST_AGE: Micros = Micros::from_secs(3_000);
 
-/// What is kept of dealings with the cloud.
+/// The provisioner's state of a controller.
 pub(crate) struct ProvisioningState {
-    /// What the leader knows; `None` while this controller does not lead.
+    /// The leader's state; `None` while this controller is not the leader.
     pub leader: Option<LeaderState>,
-    /// Bounds the requests to the cloud.
-    pub requests: TokenBucket,
-    /// Machines that are to be returned.
+    /// Rate limiter of requests to the cloud.
+    pub request_limiter: TokenBucket,
+    /// Machines that the leader is to return to the cloud.
     pub returning: BTreeSet<HostId>,
-    /// What rejected jobs would need, by partition.
+    /// Hosts that recently rejected jobs would need, by partition.
     pub unmet_demand: BTreeMap<u32, UnmetDemand>,
-    /// What demand is expected, by what has come lately.
+    /// Forecast of demand from recently submitted jobs.
     pub forecast: DemandForecast,
-    /// How many more machines can be had, as the leader last said.
+    /// The spare capacity last reported by the leader; `None` if none was reported yet.
     pub spare_capacity: Option<SpareCapacity>,
 }
 
-/// What the rejected jobs of a partition would need.
+/// Demand of the rejected jobs of a partition.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnmetDemand {
-    /// Hosts, with fractions.
+    /// Hosts that the jobs would need, possibly a fraction.
     pub hosts: f64,
-    /// When that became known here.
+    /// When this controller learned of the demand, by the steady clock.
     pub at: Micros,
 }
 
-/// The machines that the fleet can scale out by.
+/// Machines that are booting or are assumed to be rentable.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SpareCapacity {
-    /// How many, for all partitions together.
+    /// Number of machines, for all partitions together.
     pub machines: u32,
-    /// How long they take to come up.
+    /// The time that these machines usually take to boot.
     pub boot_time: Micros,
-    /// When that became known here.
+    /// When this controller learned of the capacity, by the steady clock.
     pub at: Micros,
 }
 
 impl ProvisioningState {
-    /// That of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(settings: &Settings, now: Micros) -> Self {
         let rate = settings.cloud_rps;
         Self {
             leader: None,
-            requests: TokenBucket::new(rate * USED_SHARE, rate, now),
+            request_limiter: TokenBucket::new(rate * CLOUD_RATE_SHARE, rate, now),
             returning: BTreeSet::new(),
             unmet_demand: BTreeMap::new(),
             forecast: DemandForecast::new(now),
@@ -68,19 +68,19 @@
     }
 }
 
-/// What machines are rented by: their type, where, and on which terms.
+/// A kind of machine that can be rented: a machine type in a zone, as spot or on-demand machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MachineOffer {
-    /// The machine type.
+    /// Name of the machine type.
     pub machine_type: Name,
-    /// The zone.
+    /// Name of the zone.
     pub zone: Name,
-    /// Spot machines, or on-demand ones.
+    /// True for spot machines, false for on-demand machines.
     pub spot: bool,
 }
 
 impl MachineOffer {
-    /// The offers of a machine type: one for each of its zones.
+    /// Returns the offers of a machine type, one for each of its zones.
     pub(super) fn of(spec: &MachineSpec, spot: bool) -> impl Iterator<Item = Self> + '_ {
         spec.zones.iter().map(move |zone| Self {
             machine_type: spec.machine_type.clone(),
@@ -90,68 +90,71 @@
     }
 }
 
-/// A machine that was rented and has not come up yet.
+/// A rented machine that has not sent a heartbeat yet.
 pub(crate) struct BootingMachine {
-    /// What it was rented by.
+    /// The offer under which the machine was rented.
     pub offer: MachineOffer,
-    /// When its boot began, by the steady clock.
+    /// When the machine started to boot, by the steady clock.
     pub since: Micros,
 }
 
-/// How many machines are booting that count as supply.
+/// Numbers of booting machines that count as supply.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BootingSupply {
-    /// Spot machines.
+    /// Number of spot machines.
     pub spot: i64,
-    /// On-demand machines.
+    /// Number of on-demand machines.
     pub on_demand: i64,
 }
 
-/// What the leader of the fleet knows. Lost with the role; the machine list brings it back.
+/// The provisioner's state of the leader. It is lost with the role; a new leader rebuilds it from
+/// the machine list.
 pub(crate) struct LeaderState {
-    /// The revision at which the role came here; guards the leader's writes.
+    /// The revision at which this controller became the leader. It guards the leader's writes.
     pub since: Revision,
-    /// Rentals asked for under this leadership.
-    pub(super) rentals: u64,
-    /// Machines that were rented and have not come up yet.
+    /// Number of rentals begun in this leadership; part of the rentals' names.
+    pub(super) rental_count: u64,
+    /// Rented machines that have not sent a heartbeat yet.
     pub booting: BTreeMap<HostId, BootingMachine>,
-    /// How long machines take to come up.
+    /// Recently observed boot times, by machine type and zone.
     pub(super) boot_times: BootTimes,
-    /// When a machine was first seen in a list, or by its record.
+    /// When each machine was first seen in a machine list or by its record, by the steady clock.
     pub(super) first_seen: BTreeMap<HostId, Micros>,
-    /// Offers without capacity, and until when they are not asked for again.
-    pub(super) exhausted: BTreeMap<MachineOffer, Micros>,
-    /// A rental whose answer is not known yet: asked again under the same name.
+    /// Offers for which the cloud had no capacity, and the time until which they are not tried again.
+    pub(super) exhausted_offers: BTreeMap<MachineOffer, Micros>,
+    /// The rental whose outcome is not known yet. It is retried under the same name, so that it
+    /// takes effect only once.
     pub(super) pending_rental: Option<RentRequest>,
-    /// When the last whole list was read.
+    /// When the last complete machine list was read, by the steady clock.
     pub(super) listed_at: Micros,
-    /// A whole list was read under this leadership.
-    pub(super) has_list: bool,
-    /// Since when a host has been free.
+    /// Whether a complete machine list was read in this leadership.
+    pub(super) has_machine_list: bool,
+    /// The time since which each free host has been free, by the steady clock.
     pub(super) free_since: BTreeMap<HostId, Micros>,
-    /// Machines returned already, which the list may still show, and when.
+    /// Machines that were returned to the cloud, and when. The machine list may still show them.
     pub(super) returned: BTreeMap<HostId, Micros>,
 }
 
 impl LeaderState {
-    /// That of a leadership that has just begun.
+    /// Creates the state of a leadership that has just begun at revision `since`.
     pub fn new(since: Revision, now: Micros) -> Self {
         Self {
             since,
-            rentals: 0,
+            rental_count: 0,
             booting: BTreeMap::new(),
             boot_times: BootTimes::default(),
             first_seen: BTreeMap::new(),
-            exhausted: BTreeMap::new(),
+            exhausted_offers: BTreeMap::new(),
             pending_rental: None,
-            listed_at: now - LISTED_LONG_AGO,
-            has_list: false,
+            listed_at: now - INITIAL_LIST_AGE,
+            has_machine_list: false,
             free_since: BTreeMap::new(),
             returned: BTreeMap::new(),
         }
     }
 
-    /// A machine without a record has sent a heartbeat: it is up.
+    /// Records that a machine has booted: it has sent a heartbeat and has no record yet. Its boot time
+    /// is added to the observed ones.
     pub fn came_up(&mut self, id: &HostId, now: Micros) {
         if let Some(machine) = self.booting.remove(id) {
             let MachineOffer {
@@ -162,18 +165,24 @@
         }
     }
 
-    /// Whether a machine is known to be booting.
+    /// Returns whether a machine is known to be booting and has not been returned.
     pub fn expects(&self, id: &HostId) -> bool {
         self.booting.contains_key(id) && !self.returned.contains_key(id)
     }
 
-    /// The booting machines that count as supply. Those that are late do not, so that others
-    /// are rented in their place; but no more than can be paid for if all of them come after
-    /// all. `fleet`: the hosts that there are.
-    pub(super) fn booting_supply(&self, specs: &Specs, fleet: usize, now: Micros) -> BootingSupply {
+    /// Returns the numbers of booting machines that count as supply. Late machines do not count, so
+    /// that others are rented in their place. The number of late machines left out is limited in
+    /// proportion to `host_count`, the current number of hosts: this bounds the cost if all late
+    /// machines come up after all.
+    pub(super) fn booting_supply(
+        &self,
+        specs: &Specs,
+        host_count: usize,
+        now: Micros,
+    ) -> BootingSupply {
         let (mut spot, mut on_demand, mut late) = (0, 0, 0);
         for machine in self.booting.values() {
-            if late < replaceable(fleet) && self.is_late(machine, specs, now) {
+            if late < replaceable(host_count) && self.is_late(machine, specs, now) {
                 late += 1;
             } else if machine.offer.spot {
                 spot += 1;
@@ -184,6 +193,8 @@
         BootingSupply { spot, on_demand }
     }
 
+    /// Returns whether a machine has been booting for longer than its type usually takes in its
+    /// zone. False for an unknown machine type.
     fn is_late(&self, machine: &BootingMachine, specs: &Specs, now: Micros) -> bool {
         let MachineOffer {
             machine_type, zone, ..
