--- a/crates/jasperhill-controller/src/roles/mod.rs
+++ b/crates/jasperhill-controller/src/roles/mod.rs
@@ -7,7 +7,7 @@
 //! - This controller acts on a role only after loading it from a watch cache that includes the
 //!   revision of the takeover.
 //! - It unloads a role before any other member learns that the role was given up.
-//! - The owner in a role's record changes only by state_guard writes.
+//! - The owner in a role's record changes only by guarded writes.
 
 mod hand_over;
 mod loading;
