--- a/crates/jasperhill-controller/src/host_registry/batch.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch.rs
@@ -22,8 +22,8 @@
     pub value_bytes: usize,
     /// The maximum number of operations in a transaction of the store.
     pub txn_ops: usize,
-    /// The number of partitions. The number of a new block is that of the split block plus a multiple of
-    /// this.
+    /// The number of partitions. A new block gets the number of the split block plus a multiple of this, so
+    /// that it belongs to the same partition.
     pub partitions: u32,
     /// Whether every member supports split blocks.
     pub is_split_supported: bool,
@@ -33,7 +33,7 @@
 pub(super) struct PreparedWrite {
     /// The updates that the write contains.
     pub updates: Vec<PendingUpdate>,
-    /// The most urgent priority among the updates, or that of a split.
+    /// The most urgent priority among the updates; a split has at least the priority `Finish`.
     pub priority: WritePriority,
     /// The conditions of the transaction; all must hold.
     pub guards: Vec<Guard>,
@@ -45,7 +45,7 @@
 
 /// The next step in writing a block.
 pub(super) enum NextWrite {
-    /// There are no updates left.
+    /// The block has no updates left to write.
     Idle,
     /// No update can be written in this step, but updates are still queued, for example of another role.
     Deferred,
@@ -78,26 +78,26 @@
     Reject(WriteOutcome),
 }
 
-/// Criteria that select the updates for the next write of a block.
-struct Selection<'a> {
+/// The criteria by which updates are selected for the next write of a block.
+struct UpdateSelection<'a> {
     /// The replica of the store.
     cache: &'a WatchCache,
     /// The block to be written.
     block: u32,
     /// The role whose updates are written, and the revision since which this controller owns the role.
     role: (Role, Revision),
-    /// Whether the role's record has a newer version, so that its updates can't commit.
+    /// Whether the role's record has a newer version, so that updates under this role can't commit.
     is_role_lost: bool,
     /// Whether the block is in backoff after the store has refused its write.
-    is_backing_off: bool,
+    is_in_backoff: bool,
     /// The time of the decision, by the steady clock.
     now: Micros,
 }
 
-impl Selection<'_> {
+impl UpdateSelection<'_> {
     /// Decides on an update. `changed_hosts` are the hosts that earlier updates of this write change.
     fn decide(&self, update: &HostUpdate, changed_hosts: &BTreeSet<HostId>) -> Decision {
-        if self.now >= update.deadline || self.is_backing_off {
+        if self.now >= update.deadline || self.is_in_backoff {
             return Decision::Reject(WriteOutcome::NotExecuted);
         }
         let cached = self.cache.hosts.get(&update.host);
@@ -137,12 +137,12 @@
             return (NextWrite::Idle, Vec::new());
         };
         let current_version = cache.roles.get(&role.0).map(|cached| cached.version);
-        let selection = Selection {
+        let selection = UpdateSelection {
             cache,
             block,
             role,
             is_role_lost: current_version.is_some_and(|version| version > role.1),
-            is_backing_off: self.is_backing_off(block, now),
+            is_in_backoff: self.is_backing_off(block, now),
             now,
         };
         let mut hosts = cache.block(block);
@@ -213,7 +213,7 @@
         if must_split {
             // Not with background priority: a block that keeps growing soon can't be written at all.
             write.priority = priority.min(WritePriority::Finish);
-            self.add_split(&mut write, cache, limits, block, hosts);
+            self.add_split_changes(&mut write, cache, limits, block, hosts);
         } else {
             write.changes.push(put(block_key(block), &hosts));
         }
@@ -222,7 +222,7 @@
 
     /// Splits a block and adds the parts to its write: the first under the block's own key, the others in
     /// new blocks.
-    fn add_split(
+    fn add_split_changes(
         &mut self,
         write: &mut PreparedWrite,
         cache: &WatchCache,
--- a/crates/jasperhill-controller/src/host_registry/batch/tests.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch/tests.rs
@@ -94,10 +94,10 @@
     let _second = enqueue(&mut registry, 1, |_| {});
     let _same_host = enqueue(&mut registry, 1, |_| {});
     let _other_role = enqueue(&mut registry, 2, |update| update.role.0 = Role::Leader);
-    let mut outdated = enqueue(&mut registry, 3, |update| {
+    let mut outdated_outcome = enqueue(&mut registry, 3, |update| {
         update.expected_version = Some(Revision(4));
     });
-    let mut expired = enqueue(&mut registry, 4, |update| update.deadline = NOW);
+    let mut expired_outcome = enqueue(&mut registry, 4, |update| update.deadline = NOW);
     let (next, rejected) = registry.next_write(&cache, None, &limits, BLOCK, NOW);
     let NextWrite::Write(write) = next else {
         panic!("nothing to write")
@@ -107,8 +107,14 @@
     assert_eq!(write.guards.len(), 2);
     assert_eq!(rejected.len(), 2);
     rejected.into_iter().for_each(RejectedUpdate::complete);
-    assert_eq!(outdated.try_recv().ok(), Some(WriteOutcome::Conflict));
-    assert_eq!(expired.try_recv().ok(), Some(WriteOutcome::NotExecuted));
+    assert_eq!(
+        outdated_outcome.try_recv().ok(),
+        Some(WriteOutcome::Conflict)
+    );
+    assert_eq!(
+        expired_outcome.try_recv().ok(),
+        Some(WriteOutcome::NotExecuted)
+    );
     // The second update of host 1 is written next, then the update of the other role.
     let (next, _) = registry.next_write(&cache, None, &limits, BLOCK, NOW);
     assert!(matches!(next, NextWrite::Write(write) if hosts_of(&write) == [host(1)]));
--- a/crates/jasperhill-controller/src/host_registry/state.rs
+++ b/crates/jasperhill-controller/src/host_registry/state.rs
@@ -95,7 +95,7 @@
             return *block;
         }
         let capacity_bytes = value_bytes.saturating_sub(BLOCK_OVERHEAD);
-        let new_bytes = entry_bytes(id, record);
+        let new_entry_bytes = entry_bytes(id, record);
         let mut used_bytes: BTreeMap<u32, usize> = BTreeMap::new();
         for (block, bytes) in &cache.block_bytes {
             if block % partitions == partition {
@@ -106,13 +106,13 @@
             if !cache.hosts.contains_key(assigned) {
                 // Hosts whose writes are in progress are counted with the size of the new entry, as
                 // entries are of similar size.
-                *used_bytes.entry(*block).or_default() += new_bytes;
+                *used_bytes.entry(*block).or_default() += new_entry_bytes;
             }
         }
         let is_full = |block: &u32| {
             let used = used_bytes.get(block);
             self.reserved_blocks.contains(block)
-                || used.is_some_and(|used| used + new_bytes > capacity_bytes)
+                || used.is_some_and(|used| used + new_entry_bytes > capacity_bytes)
         };
         let mut block = partition;
         while is_full(&block) {
--- a/crates/jasperhill-controller/src/provisioner/assignment.rs
+++ b/crates/jasperhill-controller/src/provisioner/assignment.rs
@@ -23,7 +23,7 @@
 const WRITE_TIMEOUT: Micros = Micros::from_secs(3);
 
 /// A planned write that gives a free host a new assignment.
-struct Reassignment {
+struct PlannedReassignment {
     /// The leader role, which guards the write.
     holder: HeldRole,
     host: HostId,
@@ -46,7 +46,7 @@
 
     /// Chooses new assignments for free hosts and marks the hosts as having an update in progress.
     /// Returns none if this controller is not the leader.
-    fn plan_assignments(&self) -> Vec<Reassignment> {
+    fn plan_assignments(&self) -> Vec<PlannedReassignment> {
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
         let mut inventory = self.inventory(&state_guard);
@@ -76,7 +76,7 @@
                 None => continue,
             };
             if commands.token_updates.insert(id.clone()) {
-                planned.push(Reassignment {
+                planned.push(PlannedReassignment {
                     holder: HeldRole {
                         role: Role::Leader,
                         since: leader.since,
@@ -91,8 +91,8 @@
     }
 
     /// Writes a planned assignment, then clears the mark that an update of the host is in progress.
-    async fn write_assignment(self: &Rc<Self>, planned: Reassignment) {
-        let Reassignment {
+    async fn write_assignment(self: &Rc<Self>, planned: PlannedReassignment) {
+        let PlannedReassignment {
             holder,
             host,
             entry,
@@ -109,7 +109,7 @@
 }
 
 /// Returns the partition with the largest shortage of hosts for production and urgent work, then with
-/// the largest shortage overall. Returns `None` if that partition is short of no hosts.
+/// the largest shortage overall. Returns `None` if that partition has no shortage.
 fn partition_with_largest_shortage(inventory: &[PartitionInventory]) -> Option<usize> {
     let shortage = |partition: &usize| {
         let hosts = &inventory[*partition];
--- a/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
+++ b/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
@@ -16,9 +16,11 @@
 const REJECTED_DEMAND_DIVISOR: f64 = 1.5;
 /// Number of units of unmet demand per host in messages, which carry thousandths of a host.
 const THOUSANDTHS_PER_HOST: f64 = 1e3;
-/// Number of hosts in the fleet per machine that a not exhausted offer is assumed to have.
+/// Number of hosts in the fleet for each machine that is assumed to be available in an offer that is
+/// not known to be exhausted.
 const HOSTS_PER_OFFERED_MACHINE: usize = 20;
-/// Minimum number of machines that a not exhausted offer is assumed to have.
+/// Minimum number of machines that are assumed to be available in an offer that is not known to be
+/// exhausted.
 const OFFERED_MACHINES_MIN: usize = 3;
 
 impl Shared {
@@ -121,7 +123,7 @@
 fn count_available_offers(leader: &LeaderState, specs: &Specs, now: Micros) -> usize {
     let offers = specs
         .values()
-        .flat_map(|spec| [false, true].map(|spot| MachineOffer::of(spec, spot)));
+        .flat_map(|spec| [false, true].map(|spot| MachineOffer::offers_of_type(spec, spot)));
     offers
         .flatten()
         .filter(|offer| {
--- a/crates/jasperhill-controller/src/provisioner/cloud.rs
+++ b/crates/jasperhill-controller/src/provisioner/cloud.rs
@@ -34,14 +34,14 @@
     /// Waits until the rate limit of the cloud allows a request.
     async fn wait_for_cloud_limit(&self) {
         loop {
-            let taken = {
+            let acquired = {
                 let mut state = self.state.borrow_mut();
                 state
                     .provisioning
                     .request_limiter
                     .take(1.0, self.clock.now())
             };
-            match taken {
+            match acquired {
                 Ok(()) => return,
                 Err(wait) => sleep(to_duration(wait)).await,
             }
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -36,7 +36,7 @@
 const RECLAIM_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A planned write by which an owner gives up a host.
-struct Decommission {
+struct PlannedDecommission {
     /// The partition that gives up the host.
     partition: u32,
     /// The role of the partition, which guards the write.
@@ -61,7 +61,7 @@
 }
 
 impl Shared {
-    /// Gives up hosts of this controller's partitions that are not needed, lost or unhealthy. The
+    /// Gives up hosts of this controller's partitions that are surplus, lost or unhealthy. The
     /// scheduler stops using such a host before the write, and uses it again only after its record
     /// has been rewritten.
     pub(super) fn decommission_surplus(self: Rc<Self>) {
@@ -74,7 +74,7 @@
 
     /// Chooses the hosts to give up, removes them from scheduling and marks them as having an update
     /// in progress. Returns none if this controller has no authority to act on its roles.
-    fn plan_decommissions(&self) -> Vec<Decommission> {
+    fn plan_decommissions(&self) -> Vec<PlannedDecommission> {
         let now = self.now();
         let mut planned = Vec::new();
         let mut state_guard = self.state.borrow_mut();
@@ -120,7 +120,7 @@
                 if let Some(host) = partition.hosts.get_mut(&id) {
                     host.assignment = assignment;
                 }
-                planned.push(Decommission {
+                planned.push(PlannedDecommission {
                     partition: *number,
                     holder: HeldRole {
                         role: Role::Partition(*number),
@@ -136,8 +136,8 @@
     }
 
     /// Writes a planned decommission, and reclaims the host if the write is not known to be committed.
-    async fn write_decommission(self: &Rc<Self>, planned: Decommission) {
-        let Decommission {
+    async fn write_decommission(self: &Rc<Self>, planned: PlannedDecommission) {
+        let PlannedDecommission {
             partition,
             holder,
             host,
--- a/crates/jasperhill-controller/src/provisioner/host_updates.rs
+++ b/crates/jasperhill-controller/src/provisioner/host_updates.rs
@@ -32,7 +32,7 @@
         rewrites: entry.value.rewrites + 1,
         ..entry.value.clone()
     };
-    update(holder, host, entry, Some(record), priority, deadline)
+    build_update(holder, host, entry, Some(record), priority, deadline)
 }
 
 /// Returns the update that deletes a host's record.
@@ -42,11 +42,11 @@
     entry: &HostEntry,
     deadline: Micros,
 ) -> HostUpdate {
-    update(holder, host, entry, None, WritePriority::Finish, deadline)
+    build_update(holder, host, entry, None, WritePriority::Finish, deadline)
 }
 
 /// Returns the update that replaces `entry` by `new_record`, or deletes the record if that is `None`.
-fn update(
+fn build_update(
     holder: HeldRole,
     host: &HostId,
     entry: &HostEntry,
--- a/crates/jasperhill-controller/src/provisioner/inventory.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Key of the hosts of a partition in a zone.
+/// A partition and a zone, the key by which hosts are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PartitionZone {
     partition: u32,
@@ -68,7 +68,7 @@
     /// fewest hosts in the zone, so that replicas can be spread, and then by the size of their
     /// shortage. Returns partition 0 if the inventory is empty.
     pub fn partition_most_in_need(&self, zone: &Name, spot: bool) -> u32 {
-        let in_zone = |partition: u32| {
+        let host_count_in_zone = |partition: u32| {
             let zone = zone.clone();
             let key = PartitionZone { partition, zone };
             self.hosts_in_zone.get(&key).copied().unwrap_or(0)
@@ -82,7 +82,7 @@
             let shortage = (hosts.desired - hosts.actual).max(0);
             (
                 hosts.high_priority_shortage(),
-                (shortage > 0, -in_zone(*partition)),
+                (shortage > 0, -host_count_in_zone(*partition)),
                 shortage,
                 on_demand,
                 -hosts.actual,
@@ -114,7 +114,7 @@
         let boot_time = specs.values().map(|s| s.boot).max().unwrap_or_default();
         let demands = self.job_demands(state, boot_time);
         let mut inventory: Vec<PartitionInventory> =
-            self.desired(state, &demands, specs, boot_time);
+            self.desired_capacity(state, &demands, specs, boot_time);
         for entry in state.cache.hosts.values() {
             if let HostAssignment::Partition(partition) = entry.value.assignment
                 && let Some(hosts) = inventory.get_mut(partition as usize)
@@ -167,7 +167,7 @@
 
     /// Computes the hosts that every partition should have from current demand, unmet demand, the
     /// forecast and the operators' tuning. The counts of actual hosts are left at 0.
-    fn desired(
+    fn desired_capacity(
         &self,
         state: &State,
         demands: &[JobDemand<'_>],
@@ -177,11 +177,11 @@
         let now = self.now();
         let tuning = &self.settings.operator.tuning;
         let provisioning = &state.provisioning;
-        let within = &self.scheduler_config.start_within;
+        let start_within = &self.scheduler_config.start_within;
         let desired = |(partition, demand): (u32, CapacityDemand)| {
             let expected = provisioning
                 .forecast
-                .expected(partition, boot_time, within, now);
+                .expected(partition, boot_time, start_within, now);
             let unmet = match provisioning.unmet_demand.get(&partition) {
                 Some(unmet) if now - unmet.at < UNMET_DEMAND_MAX_AGE => unmet.hosts,
                 _ => 0.0,
--- a/crates/jasperhill-controller/src/provisioner/reconciliation.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -18,7 +18,7 @@
 /// Margin for late timers and responses, added to twice the lag of the machine list.
 const LIST_AGE_MARGIN: Micros = Micros::from_secs(2);
 /// Boot time assumed for a machine of an unknown type.
-const UNKNOWN_TYPE_BOOT: Micros = Micros::from_secs(60);
+const UNKNOWN_TYPE_BOOT_TIME: Micros = Micros::from_secs(60);
 /// Time after which a running machine that has sent no heartbeat is returned.
 const HEARTBEAT_SILENCE_MAX: Micros = Micros::from_secs(60);
 /// Number of boot times after which a rented machine that is neither listed nor has sent a heartbeat
@@ -107,45 +107,45 @@
         leader.listed_at = now;
         leader.has_machine_list = true;
         // A machine stays listed until it ceases to exist, and a list is at most twice the lag
-        // old. So a machine that is absent from a list requested later than this age after the
-        // machine was first seen no longer exists.
+        // old. So a machine no longer exists if it is absent from a list that was requested at
+        // least `age_max` after the machine was first seen.
         let age_max = self.settings.list_lag.scale(2.0) + LIST_AGE_MARGIN;
-        let times = ListTimes {
+        let list_times = ListTimes {
             requested_at,
             now,
             age_max,
         };
-        let gone = leader.gone_machines(cache, machines, times);
+        let missing = leader.missing_machines(cache, machines, list_times);
         let unusable = leader.unusable_machines(cache, machines, returning, specs, now);
         leader.forget_stale_booting(specs, &unusable, now);
         returning.extend(unusable);
-        gone
+        missing
     }
 }
 
 impl LeaderState {
     /// Returns the records of machines that certainly no longer exist. Also forgets when machines were
     /// first seen or returned, once no machine list can show them any more.
-    fn gone_machines(
+    fn missing_machines(
         &mut self,
         cache: &WatchCache,
         machines: &[Machine],
-        times: ListTimes,
+        list_times: ListTimes,
     ) -> Vec<(HostId, HostEntry)> {
         let ListTimes {
             requested_at,
             now,
             age_max,
-        } = times;
+        } = list_times;
         let listed: BTreeSet<&HostId> = machines.iter().map(|m| &m.id).collect();
-        let mut gone = Vec::new();
+        let mut missing = Vec::new();
         for (id, entry) in &cache.hosts {
             // A machine with a record has existed, even if another member was the leader then.
             // Guards against records of machines that no longer exist and that no leader would
             // delete while owners and leaders change.
             let first_seen_at = *self.first_seen.entry(id.clone()).or_insert(now);
             if !listed.contains(id) && requested_at >= first_seen_at + age_max {
-                gone.push((id.clone(), entry.clone()));
+                missing.push((id.clone(), entry.clone()));
             }
         }
         let retention = age_max + age_max;
@@ -153,7 +153,7 @@
             listed.contains(id) || requested_at < *first_seen_at + retention
         });
         self.returned.retain(|_, at| now < *at + retention);
-        gone
+        missing
     }
 
     /// Returns the machines that will never become usable. Also records the booting machines of the
@@ -219,7 +219,7 @@
 fn is_unusable(machine: &Machine, specs: &Specs, seen_for: Micros) -> bool {
     let host = &machine.id;
     let spec = specs.get(&machine.machine_type);
-    let boot_time = spec.map_or(UNKNOWN_TYPE_BOOT, |s| s.boot);
+    let boot_time = spec.map_or(UNKNOWN_TYPE_BOOT_TIME, |s| s.boot);
     match machine.phase {
         MachinePhase::Failed => true,
         MachinePhase::Booting => {
--- a/crates/jasperhill-controller/src/provisioner/scale_in.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_in.rs
@@ -11,7 +11,7 @@
 use std::{collections::BTreeSet, rc::Rc};
 
 /// Maximum number of machines returned by one request.
-const RETURNED_MAX: usize = 100;
+const MACHINES_PER_RETURN_MAX: usize = 100;
 /// Timeout of the deletion of a host's record.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(5);
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Returns up to `RETURNED_MAX` machines to return now: the decommissioned hosts, and the machines
+/// Returns up to `MACHINES_PER_RETURN_MAX` machines to return now: the decommissioned hosts, and the machines
 /// marked for return whose record does not exist, is decommissioned or assigns them to a partition.
 fn machines_to_return(state: &State) -> Vec<HostId> {
     let hosts = &state.cache.hosts;
@@ -87,6 +87,10 @@
             .is_none_or(|entry| is_decommissioned(entry) || entry.value.partition().is_some())
     });
     let by_record = hosts.iter().filter(|(_, entry)| is_decommissioned(entry));
-    let all: BTreeSet<&HostId> = returning.chain(by_record.map(|(id, _)| id)).collect();
-    all.into_iter().take(RETURNED_MAX).cloned().collect()
+    let hosts_to_return: BTreeSet<&HostId> = returning.chain(by_record.map(|(id, _)| id)).collect();
+    hosts_to_return
+        .into_iter()
+        .take(MACHINES_PER_RETURN_MAX)
+        .cloned()
+        .collect()
 }
--- a/crates/jasperhill-controller/src/provisioner/scale_out.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_out.rs
@@ -15,10 +15,10 @@
 };
 use std::rc::Rc;
 
-/// Maximum number of machines in one rental; the limit of the cloud.
-const RENT_MAX: u32 = 50;
+/// Maximum number of machines in one rental, a limit set by the cloud.
+const MACHINES_PER_RENTAL_MAX: u32 = 50;
 /// Maximum number of rentals in one round of the leader.
-const RENTALS_PER_ROUND: usize = 3;
+const RENTALS_PER_ROUND_MAX: usize = 3;
 /// Time for which an offer is not tried again after the cloud had no capacity for it.
 const EXHAUSTED_OFFER_BACKOFF: Micros = Micros::from_secs(15);
 /// Text in the body of a 503 response by which the cloud reports a lack of machines.
@@ -28,7 +28,7 @@
 
 /// Numbers of machines to rent in addition to those that are booting; negative for a surplus.
 struct Shortage {
-    /// Machines on any terms.
+    /// Machines in total, spot or on-demand.
     total: i64,
     /// Machines that must be on-demand.
     on_demand: i64,
@@ -45,19 +45,20 @@
 }
 
 impl Shortage {
-    /// Computes the shortage of all partitions. `free` is the number of hosts that belong to no
-    /// partition.
-    fn new(inventory: &[PartitionInventory], booting: BootingSupply, free: i64) -> Self {
-        let sum = |partition_shortage: fn(&PartitionInventory) -> i64| -> i64 {
+    /// Computes the shortage of all partitions. `free_host_count` is the number of
+    /// hosts that belong to no partition.
+    fn new(inventory: &[PartitionInventory], booting: BootingSupply, free_host_count: i64) -> Self {
+        let sum_shortages = |partition_shortage: fn(&PartitionInventory) -> i64| -> i64 {
             inventory.iter().map(|p| partition_shortage(p).max(0)).sum()
         };
-        let total = sum(|p| p.desired - p.actual);
-        let on_demand = sum(|p| p.desired_on_demand - p.actual_on_demand);
+        let total = sum_shortages(|p| p.desired - p.actual);
+        let on_demand = sum_shortages(|p| p.desired_on_demand - p.actual_on_demand);
         // Work that may run on spot machines can leave the on-demand machines to other work, so
         // spot machines also help where no on-demand machines can be rented.
-        let spot = sum(|p| (p.desired - p.desired_on_demand) - (p.actual - p.actual_on_demand));
+        let spot =
+            sum_shortages(|p| (p.desired - p.desired_on_demand) - (p.actual - p.actual_on_demand));
         Self {
-            total: total - (booting.spot + booting.on_demand + free),
+            total: total - (booting.spot + booting.on_demand + free_host_count),
             on_demand: on_demand - booting.on_demand,
             spot: spot.min(total) - booting.spot,
         }
@@ -87,7 +88,7 @@
     /// Hosts and booting machines in the offer's zone. Zones with few machines come first, which
     /// limits the loss if a zone fails.
     machines_in_zone: usize,
-    /// Price in units of 1 / `PRICE_SCALE`.
+    /// Price of a machine, multiplied by `PRICE_SCALE`.
     price: u64,
     machine_type: Name,
     zone: Name,
@@ -100,17 +101,17 @@
     specs: &Specs,
     spot: bool,
 ) -> Option<MachineOffer> {
-    let machines_in = |zone: &Name| {
+    let count_machines_in_zone = |zone: &Name| {
         let hosts = cache.hosts.values().filter(|e| &e.value.zone == zone);
         let booting = leader.booting.values().filter(|b| &b.offer.zone == zone);
         hosts.count() + booting.count()
     };
     let ranks = specs.values().flat_map(|spec| {
         let price = if spot { spec.spot_price } else { spec.price };
-        MachineOffer::of(spec, spot)
+        MachineOffer::offers_of_type(spec, spot)
             .filter(|offer| !leader.exhausted_offers.contains_key(offer))
             .map(move |offer| OfferRank {
-                machines_in_zone: machines_in(&offer.zone),
+                machines_in_zone: count_machines_in_zone(&offer.zone),
                 price: (price * PRICE_SCALE) as u64,
                 machine_type: offer.machine_type,
                 zone: offer.zone,
@@ -129,7 +130,7 @@
     /// Rents machines until there is no shortage, the cloud has none to offer, or the limit of rentals
     /// in a round is reached. Stops if this controller is no longer the leader.
     pub(super) async fn scale_out(self: &Rc<Self>) {
-        for _ in 0..RENTALS_PER_ROUND {
+        for _ in 0..RENTALS_PER_ROUND_MAX {
             if !self.has_authority() {
                 return;
             }
@@ -169,9 +170,9 @@
         }
         let hosts = &state.cache.hosts;
         let is_free = |assignment| assignment == HostAssignment::Free;
-        let free = hosts.values().filter(|e| is_free(e.value.assignment));
+        let free_hosts = hosts.values().filter(|e| is_free(e.value.assignment));
         let booting = leader.booting_supply(&specs, hosts.len(), now);
-        let shortage = Shortage::new(&inventory, booting, free.count() as i64);
+        let shortage = Shortage::new(&inventory, booting, free_hosts.count() as i64);
         leader.exhausted_offers.retain(|_, until| *until > now);
         let orders = shortage.orders();
         let (count, offer) = orders
@@ -199,14 +200,14 @@
     /// Parses a response. Returns `None` if it doesn't tell the outcome, as after an outage or a rate
     /// limit.
     fn from_response(response: Response) -> Option<Self> {
-        let contains = |text: &[u8]| response.body.windows(text.len()).any(|w| w == text);
+        let body_contains = |text: &[u8]| response.body.windows(text.len()).any(|w| w == text);
         match response.status {
             200 => {
-                let none = HostNames { hosts: Vec::new() };
-                let names = serde_json::from_slice(&response.body).unwrap_or(none);
+                let no_hosts = HostNames { hosts: Vec::new() };
+                let names = serde_json::from_slice(&response.body).unwrap_or(no_hosts);
                 Some(Self::Rented(names))
             }
-            503 if contains(NO_CAPACITY) => Some(Self::NoCapacity),
+            503 if body_contains(NO_CAPACITY) => Some(Self::NoCapacity),
             400 => Some(Self::Malformed),
             _ => None,
         }
@@ -219,7 +220,10 @@
     fn begin_rental(&mut self, offer: MachineOffer, shortage: u32) -> RentRequest {
         self.rental_count += 1;
         // Rent half of the shortage, so that the next rental can go to another zone.
-        let count = shortage.div_ceil(2).clamp(1, RENT_MAX).min(shortage);
+        let count = shortage
+            .div_ceil(2)
+            .clamp(1, MACHINES_PER_RENTAL_MAX)
+            .min(shortage);
         let rental = RentRequest {
             // Unique name from the revision of this leadership and a counter.
             request: format!("r-{}-{}", self.since, self.rental_count),
--- a/crates/jasperhill-controller/src/provisioner/state.rs
+++ b/crates/jasperhill-controller/src/provisioner/state.rs
@@ -81,7 +81,10 @@
 
 impl MachineOffer {
     /// Returns the offers of a machine type, one for each of its zones.
-    pub(super) fn of(spec: &MachineSpec, spot: bool) -> impl Iterator<Item = Self> + '_ {
+    pub(super) fn offers_of_type(
+        spec: &MachineSpec,
+        spot: bool,
+    ) -> impl Iterator<Item = Self> + '_ {
         spec.zones.iter().map(move |zone| Self {
             machine_type: spec.machine_type.clone(),
             zone: zone.clone(),
@@ -171,8 +174,8 @@
     }
 
     /// Returns the numbers of booting machines that count as supply. Late machines do not count, so
-    /// that others are rented in their place. The number of late machines left out is limited in
-    /// proportion to `host_count`, the current number of hosts: this bounds the cost if all late
+    /// that others are rented in their place. The number of late machines left out is limited
+    /// according to `host_count`, the current number of hosts: this bounds the cost if all late
     /// machines come up after all.
     pub(super) fn booting_supply(
         &self,
--- a/crates/jasperhill-controller/src/roles/mod.rs
+++ b/crates/jasperhill-controller/src/roles/mod.rs
@@ -88,12 +88,12 @@
         }
         let partitions = state.scheduling.partitions.keys();
         let leader = state.provisioning.leader.iter().map(|_| Role::Leader);
-        let held = partitions.map(|p| Role::Partition(*p)).chain(leader);
+        let held_roles = partitions.map(|p| Role::Partition(*p)).chain(leader);
         let (eligibility, hosts) = self.role_eligibility(state, now);
         Snapshot {
             lease,
             ownerships,
-            held: held.collect(),
+            held: held_roles.collect(),
             may_acquire: state.authority.holds(now),
             reachability_enabled: self.uses_reachability(state),
             crash_looping: self.crash_looping_members(state),
