--- a/crates/jasperhill-controller/src/host_registry/batch.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// The decision on a queued update.
+/// Decision on whether a queued update goes into the next write of its block.
 enum Decision {
     /// The update goes into this write.
     Include,
@@ -96,7 +96,7 @@
 
 impl UpdateSelection<'_> {
     /// Decides on an update. `changed_hosts` are the hosts that earlier updates of this write change.
-    fn decide(&self, update: &HostUpdate, changed_hosts: &BTreeSet<HostId>) -> Decision {
+    fn decide_update(&self, update: &HostUpdate, changed_hosts: &BTreeSet<HostId>) -> Decision {
         if self.now >= update.deadline || self.is_in_backoff {
             return Decision::Reject(WriteOutcome::NotExecuted);
         }
@@ -150,7 +150,7 @@
         let mut changed_hosts = BTreeSet::new();
         for pending in pending {
             let update = &pending.update;
-            match selection.decide(update, &changed_hosts) {
+            match selection.decide_update(update, &changed_hosts) {
                 Decision::Include => {
                     apply_update(&mut hosts, update);
                     changed_hosts.insert(update.host.clone());
@@ -232,8 +232,8 @@
     ) {
         let capacity_bytes = limits.value_bytes.saturating_sub(BLOCK_OVERHEAD);
         let mut parts = split_block(hosts, capacity_bytes, limits.txn_ops).into_iter();
-        let first = parts.next().unwrap_or_default();
-        write.changes.push(put(block_key(block), &first));
+        let first_part = parts.next().unwrap_or_default();
+        write.changes.push(put(block_key(block), &first_part));
         let mut new_block = block;
         for part in parts {
             new_block += limits.partitions;
--- a/crates/jasperhill-controller/src/host_registry/batch/tests.rs
+++ b/crates/jasperhill-controller/src/host_registry/batch/tests.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns a cache in which the block has `hosts` hosts, all of revision 5.
-fn cache(hosts: usize) -> WatchCache {
+fn cache_with_hosts(hosts: usize) -> WatchCache {
     let block = HostBlock {
         hosts: (0..hosts).map(|n| (host(n), record(n))).collect(),
     };
@@ -79,7 +79,7 @@
     outcome
 }
 
-fn hosts_of(write: &PreparedWrite) -> Vec<HostId> {
+fn updated_hosts(write: &PreparedWrite) -> Vec<HostId> {
     let updates = write.updates.iter();
     updates.map(|pending| pending.update.host.clone()).collect()
 }
@@ -88,7 +88,7 @@
 /// under another role than their own.
 #[test]
 fn defers_or_rejects_updates_that_cannot_share_a_write() {
-    let (cache, limits) = (cache(5), limits(60_000));
+    let (cache, limits) = (cache_with_hosts(5), limits(60_000));
     let mut registry = HostRegistry::default();
     let _first = enqueue(&mut registry, 0, |_| {});
     let _second = enqueue(&mut registry, 1, |_| {});
@@ -102,7 +102,7 @@
     let NextWrite::Write(write) = next else {
         panic!("nothing to write")
     };
-    assert_eq!(hosts_of(&write), [host(0), host(1)]);
+    assert_eq!(updated_hosts(&write), [host(0), host(1)]);
     assert_eq!(write.changes.len(), 1);
     assert_eq!(write.guards.len(), 2);
     assert_eq!(rejected.len(), 2);
@@ -117,9 +117,9 @@
     );
     // The second update of host 1 is written next, then the update of the other role.
     let (next, _) = registry.next_write(&cache, None, &limits, BLOCK, NOW);
-    assert!(matches!(next, NextWrite::Write(write) if hosts_of(&write) == [host(1)]));
+    assert!(matches!(next, NextWrite::Write(write) if updated_hosts(&write) == [host(1)]));
     let (next, _) = registry.next_write(&cache, None, &limits, BLOCK, NOW);
-    assert!(matches!(next, NextWrite::Write(write) if hosts_of(&write) == [host(2)]));
+    assert!(matches!(next, NextWrite::Write(write) if updated_hosts(&write) == [host(2)]));
     let (next, _) = registry.next_write(&cache, None, &limits, BLOCK, NOW);
     assert!(matches!(next, NextWrite::Idle));
 }
@@ -128,7 +128,7 @@
 /// rejected during the backoff.
 #[test]
 fn rejects_updates_during_backoff_after_refusal() {
-    let (cache, limits) = (cache(1), limits(60_000));
+    let (cache, limits) = (cache_with_hosts(1), limits(60_000));
     let mut registry = HostRegistry::default();
     registry.back_off(BLOCK, NOW);
     let mut outcome = enqueue(&mut registry, 0, |_| {});
@@ -142,7 +142,7 @@
 /// the same partition, and the transaction requires that they don't exist yet.
 #[test]
 fn splits_oversized_block_into_new_blocks() {
-    let (cache, limits) = (cache(40), limits(2_048));
+    let (cache, limits) = (cache_with_hosts(40), limits(2_048));
     let mut registry = HostRegistry::default();
     assert_eq!(
         registry.choose_splits(&cache, limits.value_bytes, NOW),
--- a/crates/jasperhill-controller/src/host_registry/split/tests.rs
+++ b/crates/jasperhill-controller/src/host_registry/split/tests.rs
@@ -4,7 +4,7 @@
 use jasperhill_wire::record::HostAssignment;
 use proptest::prelude::*;
 
-fn block(hosts: usize) -> HostBlock {
+fn block_with_hosts(hosts: usize) -> HostBlock {
     let host = |n: usize| {
         let record = HostRecord {
             assignment: HostAssignment::Partition(1),
@@ -36,7 +36,7 @@
     /// the first holds the remaining hosts once the number of parts is exhausted.
     #[test]
     fn split_keeps_every_host_exactly_once(hosts in 0usize..160, kb in 2usize..6, parts_max in 1usize..16) {
-        let whole = block(hosts);
+        let whole = block_with_hosts(hosts);
         let capacity = kb * 1_024 - BLOCK_OVERHEAD;
         let parts = split_block(whole.clone(), capacity, parts_max);
         prop_assert!(parts.len() <= parts_max);
--- a/crates/jasperhill-controller/src/provisioner/assignment.rs
+++ b/crates/jasperhill-controller/src/provisioner/assignment.rs
@@ -27,9 +27,9 @@
     /// The leader role, which guards the write.
     holder: HeldRole,
     host: HostId,
-    /// The record to be replaced.
+    /// The host's current record, which the write replaces.
     entry: HostEntry,
-    /// The new assignment.
+    /// The host's new assignment.
     assignment: HostAssignment,
 }
 
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -19,7 +19,7 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Divisor of the surplus: one quarter of it is drained at a time.
+/// Divisor of a partition's surplus of hosts: one quarter of the surplus is drained at a time.
 const DRAIN_DIVISOR: usize = 4;
 /// Time for which a host must have been spare before it is given up while any partition is short of
 /// hosts.
@@ -42,9 +42,9 @@
     /// The role of the partition, which guards the write.
     holder: HeldRole,
     host: HostId,
-    /// The record to be replaced.
+    /// The host's current record, which the write replaces.
     entry: HostEntry,
-    /// The new assignment.
+    /// The host's new assignment.
     assignment: HostAssignment,
 }
 
--- a/crates/jasperhill-controller/src/provisioner/host_updates.rs
+++ b/crates/jasperhill-controller/src/provisioner/host_updates.rs
@@ -36,7 +36,7 @@
 }
 
 /// Returns the update that deletes a host's record.
-pub(super) fn delete(
+pub(super) fn delete_record(
     holder: HeldRole,
     host: &HostId,
     entry: &HostEntry,
--- a/crates/jasperhill-controller/src/provisioner/scale_in.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_in.rs
@@ -1,6 +1,6 @@
 //! Scale-in: returns machines to the cloud that were decommissioned or never became usable.
 
-use super::host_updates::{HeldRole, delete};
+use super::host_updates::{HeldRole, delete_record};
 use crate::{shared::Shared, state::State, store::WriteOutcome, watch_cache::HostEntry};
 use jasperhill_http::Method;
 use jasperhill_wire::{
@@ -68,7 +68,7 @@
             role: Role::Leader,
             since,
         };
-        let update = delete(holder, &host, &entry, self.now() + WRITE_TIMEOUT);
+        let update = delete_record(holder, &host, &entry, self.now() + WRITE_TIMEOUT);
         if let WriteOutcome::Committed(_) = self.update_host(entry.block, update).await {
             self.state.borrow_mut().host_registry.unassign_block(&host);
         }
--- a/crates/jasperhill-controller/src/provisioner/state.rs
+++ b/crates/jasperhill-controller/src/provisioner/state.rs
@@ -47,7 +47,7 @@
 pub(crate) struct SpareCapacity {
     /// Number of machines, for all partitions together.
     pub machines: u32,
-    /// The time that these machines usually take to boot.
+    /// The time that spare machines usually take to boot.
     pub boot_time: Micros,
     /// When this controller learned of the capacity, by the steady clock.
     pub at: Micros,
--- a/crates/jasperhill-controller/src/roles/hand_over.rs
+++ b/crates/jasperhill-controller/src/roles/hand_over.rs
@@ -11,7 +11,7 @@
 };
 use std::rc::Rc;
 
-/// Timeout of the write of the new owner. No member acts on the role while it is under way.
+/// Timeout of the write of the new owner. No member acts on the role during the write.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(2);
 
 impl Shared {
--- a/crates/jasperhill-controller/src/roles/restarts.rs
+++ b/crates/jasperhill-controller/src/roles/restarts.rs
@@ -16,14 +16,14 @@
     /// and have not run for long since. May include this controller.
     pub(super) fn crash_looping_members(&self, state: &State) -> BTreeSet<Member> {
         let threshold = state.membership.restarts.threshold();
-        let wall = self.clock.wall();
+        let wall_time = self.clock.wall();
         let this_member = &self.settings.member;
         let mut members: BTreeSet<Member> = state
             .cache
             .sessions
             .iter()
             .filter(|(member, _)| *member != this_member)
-            .filter(|(_, s)| process_run_of(&s.value).is_crash_looping(threshold, wall))
+            .filter(|(_, s)| process_run_of(&s.value).is_crash_looping(threshold, wall_time))
             .map(|(member, _)| member.clone())
             .collect();
         if is_crash_looping(state) {
