--- a/crates/jasperhill-wire/src/ids.rs
+++ b/crates/jasperhill-wire/src/ids.rs
@@ -1,9 +1,12 @@
-//! Newtypes for names and numbers that must not be mixed up.
+//! Newtypes for identifiers and counters, so that the compiler rejects the use of one in place of
+//! another.
+//!
+//! The string types share their text by reference counting, so clones are cheap.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc};
 
-macro_rules! name_type {
+macro_rules! string_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -11,12 +14,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Takes a name as it is.
+            /// Wraps a name without checking its form.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
 
-            /// The name.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -39,36 +42,37 @@
     };
 }
 
-name_type!(
-    /// A job, named by its user.
+string_newtype!(
+    /// Identifier of a job, chosen by the user who submits it.
     JobId
 );
-name_type!(
-    /// A machine, named by the cloud.
+string_newtype!(
+    /// Identifier of a host, assigned by the cloud.
     HostId
 );
-name_type!(
-    /// A controller.
+string_newtype!(
+    /// Name of a controller, which is a member of the controller cluster.
     Member
 );
-name_type!(
-    /// A team, class, zone, machine type or image.
+string_newtype!(
+    /// Name of a team, job class, zone, machine type or image.
     Name
 );
 
 impl JobId {
-    /// Checks the protocol's form: `job-` and then lower-case letters, digits or dashes.
+    /// Parses a job id of the protocol's form: `job-` followed by 1 to 60 lower-case letters,
+    /// digits or dashes. Returns `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
-        let rest = text.strip_prefix("job-")?;
-        let fits = (1..=60).contains(&rest.len())
-            && rest
+        let suffix = text.strip_prefix("job-")?;
+        let is_valid = (1..=60).contains(&suffix.len())
+            && suffix
                 .bytes()
                 .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-        fits.then(|| Self::new(text))
+        is_valid.then(|| Self::new(text))
     }
 }
 
-macro_rules! number_type {
+macro_rules! integer_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -85,30 +89,32 @@
     };
 }
 
-number_type!(
-    /// A revision of the state service.
+integer_newtype!(
+    /// Revision of the state service: its counter of changes, and the version of a key written at
+    /// that revision.
     Revision
 );
-number_type!(
-    /// A fencing token shown to workers.
+integer_newtype!(
+    /// Fencing token sent to workers with commands; a worker refuses a token lower than the highest
+    /// that it has seen.
     FencingToken
 );
-number_type!(
-    /// Tells one start of a task from another.
+integer_newtype!(
+    /// Number that distinguishes successive attempts to run the same task.
     Attempt
 );
 
-/// One task of a job.
+/// Identifier of one task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Counted from 0.
+    /// The task's index within its job, counted from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// The task of that index.
+    /// Returns the id of the job's task with this index.
     pub fn new(job: &JobId, index: u32) -> Self {
         Self {
             job: job.clone(),
@@ -116,7 +122,8 @@
         }
     }
 
-    /// Reads the protocol's form: the job, a slash and the index.
+    /// Parses the protocol's form of a task id: the job id, a slash and the task's index in
+    /// decimal. Returns `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         if index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
--- a/crates/jasperhill-wire/src/lib.rs
+++ b/crates/jasperhill-wire/src/lib.rs
@@ -1,5 +1,9 @@
-//! Wire formats of jasperhill: what users, workers, the cloud, the state service and the
-//! controllers say to one another. No I/O. The protocol's odd field names stop here.
+//! Wire formats of jasperhill: the messages exchanged with users, workers, the cloud and the state
+//! service, and between controllers.
+//!
+//! The crate parses and encodes messages and does no I/O. The field names that the protocols
+//! prescribe appear only here, in serde attributes, string literals and parsers; the rest of the
+//! code uses the scheduler's own terms.
 
 pub mod cloud;
 mod fields;
--- a/crates/jasperhill-wire/src/mesh.rs
+++ b/crates/jasperhill-wire/src/mesh.rs
@@ -1,17 +1,21 @@
-//! What controllers say to one another, in CBOR. Versioned and bounded.
+//! Messages between controllers, encoded as CBOR.
+//!
+//! Each message travels in an [`Envelope`] with the protocol version. [`encode`] and [`decode`]
+//! limit a message to [`MESSAGE_BYTES_MAX`]; [`decode`] rejects every version other than
+//! [`PROTOCOL_VERSION`].
 
 use crate::{HostId, JobId, Member, Micros, Name, Revision, record::Role, user::JobRequest};
 use serde::{Deserialize, Serialize};
 
-/// The protocol's version.
-pub const VERSION: u16 = 2;
-/// No message is longer, in bytes.
-pub const MESSAGE_MAX: usize = 64 * 1024;
+/// Version of the protocol between controllers.
+pub const PROTOCOL_VERSION: u16 = 2;
+/// Longest message between controllers, in bytes.
+pub const MESSAGE_BYTES_MAX: usize = 64 * 1024;
 
-/// What goes over the mesh: the protocol's version and the message.
+/// The outer frame of every message between controllers: the protocol version and the message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope<T> {
-    /// The version; any other than [`VERSION`] is refused.
+    /// The protocol version; a receiver rejects any other than [`PROTOCOL_VERSION`].
     #[serde(rename = "v")]
     pub version: u16,
     /// The request or response.
@@ -19,218 +23,230 @@
     pub message: T,
 }
 
-/// What one controller asks of another. The names on the wire are those of the first version.
+/// A request from one controller to another. The serde names are those of the protocol's first
+/// version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MeshRequest {
-    /// Run the admission test for this job and, if it passes, write its record.
+    /// Runs the admission test for this job and, if the job passes, writes its record.
     Admit(Box<JobRequest>),
-    /// Task counts for display, of several jobs.
+    /// Asks for the task counts of several jobs, for display to users.
     #[serde(rename = "Counts")]
     TaskCounts(Vec<JobId>),
-    /// The heartbeat of a worker that can't reach its owner, as it was sent.
+    /// Relays the unmodified heartbeat of a worker that can't reach its owner.
     #[serde(rename = "Relay")]
     RelayHeartbeat(String),
-    /// Whether the state service answers there.
+    /// Asks whether the state service answers the receiver.
     #[serde(rename = "IsFresh")]
     IsStoreReachable,
-    /// From the leader: how many more machines can be had soon, and how long they take to boot.
+    /// Sent by the leader: how many more machines can be rented soon, and how long they take to
+    /// boot.
     #[serde(rename = "Elastic")]
     SpareCapacity {
-        /// Machines that could be rented.
+        /// Number of machines that can still be rented.
         machines: u32,
-        /// From the rental to the first heartbeat, in microseconds.
+        /// Time from the rental to the first heartbeat, in microseconds.
         #[serde(rename = "ready")]
         boot_time: Micros,
     },
-    /// From an owner: the hosts that refused jobs would need.
+    /// Sent by the owner of a partition: how many hosts its rejected jobs would need.
     #[serde(rename = "Unmet")]
     UnmetDemand {
-        /// The owner's partition.
+        /// The partition that the sender owns.
         partition: u32,
-        /// Thousandths of a host.
+        /// Number of hosts needed, in thousandths of a host.
         thousandths: u32,
     },
-    /// How the sender's links stand. Only to members at [`crate::record::REACHABILITY`].
+    /// Reports the state of the sender's links. Sent only to members at feature level
+    /// [`crate::record::REACHABILITY`].
     #[serde(rename = "Links")]
     Reachability(Box<ReachabilityReport>),
-    /// As `RelayHeartbeat`, by way of one who reaches the owner, which the sender does not. Only to
-    /// members at [`crate::record::REACHABILITY`].
+    /// Relays a heartbeat as `RelayHeartbeat` does, but through a receiver that reaches the owner
+    /// when the sender does not. Sent only to members at feature level
+    /// [`crate::record::REACHABILITY`].
     #[serde(rename = "RelayOn")]
     RelayHeartbeatOnward(String),
-    /// Commands to a worker that the sender can't reach. Only to members at
-    /// [`crate::record::REACHABILITY`].
+    /// Relays commands to a worker that the sender can't reach. Sent only to members at feature
+    /// level [`crate::record::REACHABILITY`].
     #[serde(rename = "Push")]
     RelayCommands {
-        /// The worker.
+        /// The worker's host.
         host: HostId,
-        /// The body of the command request; `None`: a request for the worker's status.
+        /// The body of the command request; `None`: ask for the worker's status instead.
         body: Option<String>,
     },
 }
 
-/// How well requests get through a link.
+/// State of a link, as judged by whether requests sent over the link succeed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkState {
-    /// Nothing speaks for it or against it.
+    /// No evidence that the link is up or down.
     #[default]
     Unknown,
-    /// Requests get through.
+    /// Requests succeed.
     Up,
-    /// Some requests have failed, too few to call the link down.
+    /// Some requests have failed, but too few to consider the link down.
     #[serde(rename = "Doubtful")]
     Suspect,
-    /// Requests do not get through.
+    /// Requests fail.
     Down,
 }
 
-/// Both directions between a controller and a zone's workers.
+/// State of both directions of the link between a controller and the workers of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneLinks {
     /// The zone.
     pub zone: Name,
-    /// From the workers.
+    /// The direction from the workers to the controller, which carries heartbeats.
     #[serde(rename = "reports")]
     pub heartbeats: LinkState,
-    /// To the workers.
+    /// The direction from the controller to the workers, which carries commands.
     #[serde(rename = "orders")]
     pub commands: LinkState,
-    /// How long ago something last got through, in either direction, in microseconds.
+    /// Time since a request last succeeded in either direction, in microseconds.
     #[serde(rename = "proved")]
     pub last_success: Micros,
 }
 
-/// What a controller says of its links. Later ones have a greater (`process_started`, `number`).
+/// A controller's report on its links and on role ownership. Of two reports from one sender, the
+/// one with the greater (`process_started`, `number`) is the later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReachabilityReport {
-    /// The sender.
+    /// The controller that sends the report.
     pub from: Member,
-    /// When its process started, by the time of day in microseconds.
+    /// Wall-clock time at which the sender's process started, in microseconds.
     #[serde(rename = "born")]
     pub process_started: Micros,
-    /// Counts the reports of one process.
+    /// Sequence number of the report within the sender's process.
     pub number: u64,
-    /// Its link to the state service.
+    /// State of the sender's link to the state service.
     #[serde(rename = "state")]
     pub store: LinkState,
-    /// Its link to the cloud.
+    /// State of the sender's link to the cloud.
     pub cloud: LinkState,
-    /// Its links to the workers, by zone.
+    /// State of the sender's links to the workers, by zone.
     pub zones: Vec<ZoneLinks>,
-    /// The members whose messages reach it.
+    /// The members whose messages reach the sender.
     #[serde(rename = "heard")]
     pub reachable_peers: Vec<Member>,
-    /// Who owns what, with the revisions, as its watch cache shows.
+    /// Every role with its owner and the revision of the role's record, as in the sender's watch
+    /// cache.
     pub owners: Vec<(Role, Member, Revision)>,
-    /// Its own roles that it has stopped acting on for good, at these revisions.
+    /// Roles of the sender that it has permanently stopped acting on, each with the revision of the
+    /// role's record.
     #[serde(rename = "let_go")]
     pub relinquished: Vec<(Role, Revision)>,
 }
 
-/// How many tasks of a job run and are done, as its owner sees it.
+/// Number of running and finished tasks of a job, as known to the owner of the job's partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCounts {
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks that are done.
+    /// Number of finished tasks.
     pub done: u32,
 }
 
-/// What a controller answers another. The names on the wire are those of the first version.
+/// A response from one controller to another. The serde names are those of the protocol's first
+/// version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MeshResponse {
-    /// The record is written.
+    /// The job was admitted and its record was written.
     Accepted,
-    /// The record was there before; look at the watch cache.
+    /// A record of the job existed already; the requester finds its state in the watch cache.
     Known,
-    /// The job would miss its deadline.
+    /// The job was rejected because it would miss its deadline.
     #[serde(rename = "Refused")]
     Rejected {
-        /// When to try again, in seconds.
+        /// Time after which to submit the job again, in seconds.
         retry_after_s: u32,
     },
-    /// The asked controller can't decide now.
+    /// The receiver of the request can't decide now.
     Unavailable,
-    /// In the order asked for; `None` for a job that the asked controller does not run.
+    /// Task counts in the order of the requested jobs; `None` for a job that the receiver of the
+    /// request does not run.
     #[serde(rename = "Counts")]
     TaskCounts(Vec<Option<TaskCounts>>),
-    /// The owner's answer to a relayed heartbeat.
+    /// The owner's response to a relayed heartbeat.
     #[serde(rename = "Relayed")]
     HeartbeatRelayed {
-        /// The HTTP status for the worker.
+        /// HTTP status to return to the worker.
         status: u16,
-        /// The body for the worker.
+        /// Body to return to the worker.
         body: String,
     },
-    /// Whether the state service answers the asked controller.
+    /// Whether the state service answers the receiver of the request.
     #[serde(rename = "Fresh")]
     StoreReachable(bool),
-    /// The message was taken in.
+    /// The message was received and its contents were recorded.
     #[serde(rename = "Noted")]
     Acknowledged,
-    /// The asked controller's own report, in return.
+    /// The report of the request's receiver, in return for the sender's.
     #[serde(rename = "Links")]
     Reachability(Box<ReachabilityReport>),
-    /// What the worker answered.
+    /// The worker's response to relayed commands.
     #[serde(rename = "Pushed")]
     CommandsRelayed {
-        /// The worker's HTTP status.
+        /// HTTP status of the worker's response.
         status: u16,
-        /// The worker's body.
+        /// Body of the worker's response.
         body: String,
     },
-    /// Nothing was sent to the worker, and nothing will be.
+    /// The commands were not sent to the worker and will not be sent later.
     #[serde(rename = "NotPushed")]
     CommandsNotSent,
 }
 
-/// A message between controllers that can't be sent or understood.
+/// The error for a message between controllers that can't be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum MeshError {
-    /// Longer than [`MESSAGE_MAX`].
+    /// The message is longer than [`MESSAGE_BYTES_MAX`].
     #[error("message too long")]
     TooLong,
-    /// Of another version of the protocol.
+    /// The message has another protocol version, which is given.
     #[error("unknown version {0}")]
-    Version(u16),
-    /// Not CBOR, or not a message that this version knows.
+    UnsupportedVersion(u16),
+    /// The message is not valid CBOR, or not a message of this protocol version.
     #[error("not understood")]
     Malformed,
 }
 
-/// Writes a message as CBOR.
+/// Encodes a message as CBOR, in an [`Envelope`].
 ///
 /// # Errors
-/// [`MeshError::TooLong`] for a message over [`MESSAGE_MAX`].
+/// [`MeshError::TooLong`] if the encoded message exceeds [`MESSAGE_BYTES_MAX`];
+/// [`MeshError::Malformed`] if the message can't be encoded.
 pub fn encode<T: Serialize>(message: T) -> Result<Vec<u8>, MeshError> {
-    let mut out = Vec::new();
+    let mut bytes = Vec::new();
     ciborium::into_writer(
         &Envelope {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             message,
         },
-        &mut out,
+        &mut bytes,
     )
     .map_err(|_| MeshError::Malformed)?;
-    if out.len() > MESSAGE_MAX {
+    if bytes.len() > MESSAGE_BYTES_MAX {
         Err(MeshError::TooLong)
     } else {
-        Ok(out)
+        Ok(bytes)
     }
 }
 
-/// Reads a message.
+/// Decodes a message from its CBOR [`Envelope`].
 ///
 /// # Errors
-/// [`MeshError`] says why the bytes are no message of this version.
+/// [`MeshError::TooLong`] if the input exceeds [`MESSAGE_BYTES_MAX`],
+/// [`MeshError::UnsupportedVersion`] for another protocol version, [`MeshError::Malformed`] if the
+/// input is not a message of type `T`.
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, MeshError> {
-    if bytes.len() > MESSAGE_MAX {
+    if bytes.len() > MESSAGE_BYTES_MAX {
         return Err(MeshError::TooLong);
     }
     let envelope: Envelope<T> = ciborium::de::from_reader_with_recursion_limit(bytes, 32)
         .map_err(|_| MeshError::Malformed)?;
-    if envelope.version == VERSION {
+    if envelope.version == PROTOCOL_VERSION {
         Ok(envelope.message)
     } else {
-        Err(MeshError::Version(envelope.version))
+        Err(MeshError::UnsupportedVersion(envelope.version))
     }
 }
--- a/crates/jasperhill-wire/src/record.rs
+++ b/crates/jasperhill-wire/src/record.rs
@@ -1,39 +1,44 @@
-//! The records that controllers keep in the state service, and their keys.
+//! Records that controllers store in the state service, and the keys of these records.
+//!
+//! Functions such as [`job_key`] build keys and [`Key::parse`] recognises them. Records are JSON
+//! with short field names; fields added after the first version have defaults, because controllers
+//! of different versions read the same records.
 
 use crate::{FencingToken, HostId, JobId, Member, Micros, Name, Resources, user::JobRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All keys begin with this, so that one watch sees every change.
+/// Common prefix of all keys, so that a single watch receives every change.
 pub const ROOT: &str = "jh/";
 
-/// The key of a job's record.
+/// Returns the key of a job's record.
 pub fn job_key(id: &JobId) -> String {
     format!("jh/job/{id}")
 }
-/// The key of a block of hosts. Many hosts share a record: a fleet changes in bulk, and the state service counts writes.
+/// Returns the key of a block of host records. Many hosts share a record because hosts are added
+/// and removed in bulk and the state service limits the rate of writes.
 pub fn block_key(block: u32) -> String {
     format!("jh/hosts/{block}")
 }
-/// The key of a controller's session; goes with its lease.
+/// Returns the key of a controller's session, which is deleted when the session's lease ends.
 pub fn session_key(member: &Member) -> String {
     format!("jh/session/{member}")
 }
-/// The key of what a controller understands; stays without it.
+/// Returns the key of a controller's feature level, which outlasts the controller's session.
 pub fn feature_level_key(member: &Member) -> String {
     format!("jh/format/{member}")
 }
-/// The key of the owner of a role.
+/// Returns the key of a role's ownership record.
 pub fn role_key(role: Role) -> String {
     match role {
-        Role::Partition(n) => format!("jh/part/{n}"),
+        Role::Partition(partition) => format!("jh/part/{partition}"),
         Role::Leader => "jh/leader".to_owned(),
     }
 }
 
-/// A delegate's name for one part of its delegation request. The first is its own, so that a
-/// single part looks as it always did; an owner of any version answers each part as a request of
-/// its own.
+/// Returns the delegate's name for one part of its delegation request. Part 0 uses the delegate's
+/// own name, so that a request with a single part looks the same as in earlier versions. To an
+/// owner of any version, each part is a separate request.
 pub fn delegation_part(delegate: &Member, part: u32) -> Member {
     if part == 0 {
         delegate.clone()
@@ -41,54 +46,56 @@
         Member::new(&format!("{delegate}/{part}"))
     }
 }
-/// The key of a delegation request: the hosts that a controller asks to answer for while their
-/// owners are out of reach.
+/// Returns the key of a delegation request: the hosts whose heartbeats a controller asks to answer
+/// while the hosts' owners are unreachable.
 pub fn delegation_request_key(delegate: &Member) -> String {
     format!("jh/ask/{delegate}")
 }
-/// The key of a proposal: a job that its owner is asked to decide on by one who does not reach it.
+/// Returns the key of a proposal, with which a controller that can't reach a job's owner asks the
+/// owner to decide on the job.
 pub fn proposal_key(id: &JobId) -> String {
     format!("jh/want/{id}")
 }
-/// The key of a delegation grant: the hosts that an owner lets a delegate answer for.
+/// Returns the key of a delegation grant: the hosts whose heartbeats the owner of a partition
+/// allows a delegate to answer.
 pub fn delegation_grant_key(partition: u32, delegate: &Member) -> String {
     format!("jh/grant/{partition}/{delegate}")
 }
 
-/// A role that one controller holds at a time.
+/// A role that at most one controller holds at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// A partition of the teams, and the hosts assigned to it.
+    /// Ownership of a partition: its teams and the hosts assigned to the partition.
     Partition(u32),
-    /// The leader of the fleet, who rents and returns machines.
+    /// Leadership of the fleet; the leader rents and returns machines.
     Leader,
 }
 
-/// What a key names.
+/// A key of the state service, parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
     /// The record of a job.
     Job(JobId),
-    /// A block of hosts.
+    /// A block of host records, by the block's number.
     Hosts(u32),
     /// The session of a controller.
     Session(Member),
-    /// The owner of a role.
+    /// The ownership record of a role.
     Role(Role),
-    /// The hosts that a delegate asks for.
+    /// A delegation request, by the delegate's name (see [`delegation_part`]).
     DelegationRequest(Member),
-    /// The hosts of a partition that a delegate may answer for.
+    /// A delegation grant, by the partition and the delegate's name.
     DelegationGrant(u32, Member),
-    /// What a controller understands.
+    /// The feature level of a controller.
     FeatureLevel(Member),
-    /// A job that is proposed to its owner.
+    /// A job proposed to its owner.
     Proposal(JobId),
-    /// One part of the machine types.
+    /// One part of the list of machine types, by the part's number.
     Types(u32),
 }
 
-/// The key of a part of the machine types as the cloud last gave them, for controllers that start while the cloud
-/// is down.
+/// Returns the key of one part of the list of machine types last received from the cloud.
+/// Controllers that start while the cloud is unavailable read the list from there.
 pub fn types_key(part: u32) -> String {
     match part {
         0 => "jh/types".to_owned(),
@@ -97,21 +104,21 @@
 }
 
 impl Key {
-    /// What a key names; `None` for one that this version does not know.
+    /// Parses a key. Returns `None` for a key that this version does not know.
     pub fn parse(key: &str) -> Option<Self> {
-        let rest = key.strip_prefix(ROOT)?;
-        if rest == "leader" {
+        let suffix = key.strip_prefix(ROOT)?;
+        if suffix == "leader" {
             return Some(Self::Role(Role::Leader));
         }
-        if rest == "types" {
+        if suffix == "types" {
             return Some(Self::Types(0));
         }
-        let (space, name) = rest.split_once('/')?;
-        Some(match space {
+        let (namespace, name) = suffix.split_once('/')?;
+        Some(match namespace {
             "job" => Self::Job(name.into()),
             "hosts" => Self::Hosts(name.parse().ok()?),
             "session" => Self::Session(name.into()),
-            "types" => Self::Types(name.parse().ok().filter(|n| *n > 0)?),
+            "types" => Self::Types(name.parse().ok().filter(|part| *part > 0)?),
             "format" => Self::FeatureLevel(name.into()),
             "ask" => Self::DelegationRequest(name.into()),
             "want" => Self::Proposal(name.into()),
@@ -125,16 +132,16 @@
     }
 }
 
-/// The phase of a job as its record says.
+/// Phase of a job, as stored in the job's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordPhase {
-    /// It is not over.
+    /// The job has not ended.
     #[serde(rename = "a")]
     Active,
-    /// All tasks are done.
+    /// All tasks of the job have finished.
     #[serde(rename = "d")]
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     #[serde(rename = "c")]
     Cancelled,
 }
@@ -143,53 +150,56 @@
     *n == 0
 }
 
-/// One job. Final records shrink: `request` goes, the phase and counts stay for good.
+/// The stored state of a job. The record of a job that has ended omits `request`; its phase and
+/// counts are kept permanently.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The phase.
+    /// The job's phase.
     #[serde(rename = "p")]
     pub phase: RecordPhase,
-    /// Tasks that are done.
+    /// Number of finished tasks.
     #[serde(rename = "n")]
     pub done_count: u32,
-    /// The submission, while the job is active.
+    /// The submission; `None` once the job has ended.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request: Option<JobRequest>,
-    /// Time of day of the first submission.
+    /// Wall-clock time of the first submission, in microseconds; `None` once the job has ended.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub submitted: Option<Micros>,
-    /// Finished tasks: alternating lengths of unfinished and finished runs.
+    /// The set of finished tasks, run-length encoded: alternating lengths of runs of unfinished and
+    /// finished tasks, in order of task index, beginning with unfinished ones.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub finished: Vec<u32>,
-    /// The tries after which it failed wherever it ran; 0 if nothing speaks against it.
+    /// Number of failed attempts after which the job is known to fail wherever it runs; 0 if its
+    /// failures are not attributed to the job itself.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub failed_attempts: u32,
-    /// What its tasks may still take, if it was cancelled while they could run. Earlier versions
-    /// neither write nor read it.
+    /// Resources that the job's tasks may still use, if the job was cancelled while tasks could
+    /// run. Earlier versions neither write nor read this field.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub residual_usage: Option<ResidualUsage>,
 }
 
-/// What the tasks of a cancelled job take until they are gone: whoever owns its partition next counts
-/// it against the team's limit.
+/// Resources that the tasks of a cancelled job use until they have stopped. A later owner of the
+/// partition counts these resources against the team's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResidualUsage {
-    /// The team that it counts against.
+    /// The team whose limit the resources count against.
     #[serde(rename = "t")]
     pub team: Name,
-    /// What each task takes.
+    /// Resources of each task.
     #[serde(rename = "r")]
     pub each: Resources,
-    /// The number of tasks.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// Time of day of the cancellation.
+    /// Wall-clock time of the cancellation, in microseconds.
     #[serde(rename = "a")]
     pub cancelled: Micros,
 }
 
 impl JobRecord {
-    /// What stays of a job that is over.
+    /// Returns the record of a job that has ended and whose tasks no longer run.
     pub fn terminal(phase: RecordPhase, done_count: u32) -> Self {
         Self {
             phase,
@@ -202,13 +212,14 @@
         }
     }
 
-    /// What stays of a job that is cancelled while its tasks may run. `at`: the time of day.
-    pub fn cancelled(request: &JobRequest, done_count: u32, at: Micros) -> Self {
+    /// Returns the record of a job that is cancelled while its tasks may still run. `cancelled_at`
+    /// is the wall-clock time.
+    pub fn cancelled(request: &JobRequest, done_count: u32, cancelled_at: Micros) -> Self {
         let residual_usage = ResidualUsage {
             team: request.team.clone(),
             each: request.each,
             tasks: request.tasks,
-            cancelled: at,
+            cancelled: cancelled_at,
         };
         Self {
             residual_usage: Some(residual_usage),
@@ -217,34 +228,38 @@
     }
 }
 
-/// What this version understands. 0, or no word of it: nothing beyond single jobs and blocks of
-/// any size. [`DEPENDENCIES`] and [`REACHABILITY`] say what came with the others.
+/// The feature level of this version. Level 0, which is also that of a session without the field,
+/// has neither job dependencies nor a limit on the size of host blocks. [`DEPENDENCIES`] and
+/// [`REACHABILITY`] list what each later level adds.
 pub const FEATURE_LEVEL: u32 = REACHABILITY;
-/// `waits_on`, the spreading of cancellations, small blocks, delegation requests in parts.
+/// Feature level that adds job dependencies (`waits_on`), the cancellation of a cancelled job's
+/// dependents, host blocks of limited size and delegation requests in several parts.
 pub const DEPENDENCIES: u32 = 1;
-/// Messages about links, commands through another controller, roles taken by the owner's word, jobs
-/// proposed to their owner through the store.
+/// Feature level that adds reachability reports, commands relayed through another controller, the
+/// takeover of roles that their owner reports as relinquished, and proposals of jobs to their owner
+/// through the state service.
 pub const REACHABILITY: u32 = 2;
 
 /// The session of a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// The session's lease.
+    /// The lease of the session; the record is deleted when the lease ends.
     #[serde(rename = "l")]
     pub lease: u64,
-    /// The feature level of the process.
+    /// The feature level of the controller's process.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub format: u32,
-    /// The time of day at which its process began. Earlier versions neither write nor read this
-    /// and the next; nothing but who serves depends on them.
+    /// Wall-clock time at which the controller's process started, in microseconds. Earlier versions
+    /// neither write nor read `process_started` and `quick_restarts`; these fields influence only
+    /// which controller takes a role.
     #[serde(rename = "b", default)]
     pub process_started: Micros,
-    /// The quick restarts just before that.
+    /// Number of consecutive quick restarts that preceded this process.
     #[serde(rename = "q", default, skip_serializing_if = "is_zero")]
     pub quick_restarts: u32,
 }
 
-/// The feature level of a member's last process; outlasts its session.
+/// The feature level of a controller's last process. The record outlasts the controller's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeatureLevelRecord {
     /// The feature level.
@@ -252,111 +267,122 @@
     pub format: u32,
 }
 
-/// The owner of a role. Counts only while the owner has that very session.
+/// The ownership of a role. It is valid only while the session of the owner has the lease given
+/// here.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoleRecord {
-    /// The owner.
+    /// The controller that owns the role.
     #[serde(rename = "o")]
     pub owner: Member,
-    /// The owner's session.
+    /// The lease of the owner's session.
     #[serde(rename = "l")]
     pub lease: u64,
 }
 
-/// The hosts that a delegate asks for. The lease and the number name the request.
+/// A delegation request: the hosts whose heartbeats a delegate asks to answer. The lease and the
+/// number together identify the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegationRequestRecord {
-    /// Counts the requests of a session.
+    /// Sequence number of the request within the delegate's session.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The delegate's session.
+    /// The lease of the delegate's session.
     #[serde(rename = "l")]
     pub lease: u64,
-    /// The hosts.
+    /// The hosts whose heartbeats the delegate asks to answer.
     #[serde(rename = "h")]
     pub hosts: Vec<HostId>,
 }
 
-/// A job that is put before its owner through the store; gone with the proposer's session.
+/// A job submitted to its owner through the state service. The record is deleted with the
+/// proposer's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProposalRecord {
-    /// The controller that proposes it.
+    /// The controller that proposes the job.
     #[serde(rename = "b")]
     pub proposer: Member,
-    /// The submission; gone once it is rejected.
+    /// The submission; `None` once the owner has rejected the job.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request: Option<JobRequest>,
-    /// Rejected by the owner: when to try again, in seconds.
+    /// Time after which to submit the rejected job again, in seconds; `None` unless the owner has
+    /// rejected the job.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u32>,
 }
 
-/// The hosts that an owner lets a delegate answer for, with the tokens to show, and the
-/// request that this answers. The owner names the tokens: another controller's watch cache may have read a
-/// host's record as part of a younger block, and a token above the owner's would shut it out.
+/// A delegation grant: the hosts whose heartbeats a delegate may answer, each with its fencing
+/// token, and the request that is granted. The owner chooses the tokens because the delegate's
+/// watch cache may have first seen a host's record in a later revision of the host's block; a token
+/// from that revision would be higher than the owner's, and the host would then refuse the owner's
+/// commands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegationGrantRecord {
-    /// The number of the request.
+    /// The number of the granted request.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The delegate's session that asked.
+    /// The lease of the delegate's session that wrote the request.
     #[serde(rename = "l")]
     pub lease: u64,
-    /// The hosts, and the fencing token to show each.
+    /// The hosts, with the fencing token to send to each.
     #[serde(rename = "h")]
     pub hosts: BTreeMap<HostId, FencingToken>,
 }
 
-/// What a host is used for.
+/// Assignment of a host to a partition, or its state outside of partitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostAssignment {
-    /// In a partition, whose owner may start tasks.
+    /// The host belongs to a partition, whose owner may start tasks on it.
     #[serde(rename = "p")]
     Partition(u32),
-    /// Empty and in no partition; the leader gives it to one or returns it.
+    /// The host runs no tasks and belongs to no partition; the leader assigns it to one or returns
+    /// it to the cloud.
     #[serde(rename = "f")]
     Free,
-    /// To be returned to the cloud; never used again. With a partition while tasks may run.
+    /// The host is to be returned to the cloud and is never used again. The partition is given
+    /// while tasks may still run on the host.
     #[serde(rename = "x")]
     Decommissioned(Option<u32>),
 }
 
-/// A host.
+/// The stored state of a host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// What it is used for.
+    /// The assignment of the host.
     #[serde(rename = "u")]
     pub assignment: HostAssignment,
-    /// Where it takes commands.
+    /// The address to which commands for the host are sent.
     #[serde(rename = "a")]
     pub address: String,
-    /// Its machine type.
+    /// The machine type of the host.
     #[serde(rename = "k")]
     pub machine_type: Name,
-    /// Its zone.
+    /// The zone that the host is in.
     #[serde(rename = "z")]
     pub zone: Name,
-    /// It is a spot machine.
+    /// Whether the host is a spot machine.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Rewritten only to raise the token.
+    /// Number of times the record was rewritten. Counting makes every rewrite a change, so that the
+    /// host's fencing token rises with the record's new revision.
     #[serde(rename = "g", default)]
     pub rewrites: u64,
 }
 
-/// The hosts that share a record.
+/// A block of host records that are stored under one key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostBlock {
-    /// The hosts of the block.
+    /// The records of the hosts in the block.
     #[serde(rename = "h")]
     pub hosts: BTreeMap<HostId, HostRecord>,
 }
 
 impl HostRecord {
-    /// The partition that it belongs to, or did while tasks may run.
+    /// Returns the partition that the host belongs to, or the last one while its tasks may still
+    /// run on a decommissioned host.
     pub fn partition(&self) -> Option<u32> {
         match self.assignment {
-            HostAssignment::Partition(p) | HostAssignment::Decommissioned(Some(p)) => Some(p),
+            HostAssignment::Partition(partition)
+            | HostAssignment::Decommissioned(Some(partition)) => Some(partition),
             _ => None,
         }
     }
--- a/crates/jasperhill-wire/src/store.rs
+++ b/crates/jasperhill-wire/src/store.rs
@@ -1,46 +1,47 @@
-//! What the state service is asked and answers.
+//! Request and response bodies of the state service: transactions, listings, watches and leases.
 
 use crate::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A condition of a transaction: a key has this version.
+/// A condition of a transaction: the key still has the expected version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Guard {
-    /// The key.
+    /// The key that is compared.
     #[serde(rename = "k")]
     pub key: String,
-    /// The revision of its last write; 0: it is not there.
+    /// The expected revision of the key's last write; 0: the key must not exist.
     #[serde(rename = "stamp")]
     pub version: Revision,
 }
 
-/// What a transaction does to a key.
+/// A write or deletion of one key by a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Write a value.
+    /// Writes a value.
     Put {
-        /// The key.
+        /// The key to write.
         #[serde(rename = "write")]
         key: String,
         /// The new value.
         #[serde(rename = "data")]
         value: Value,
-        /// The key goes with this lease; `None`: it stays.
+        /// The lease with whose end the key is deleted; `None`: the key is kept until it is
+        /// deleted explicitly.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Delete the key.
+    /// Deletes a key.
     Delete {
-        /// The key.
+        /// The key to delete.
         #[serde(rename = "delete")]
         key: String,
     },
 }
 
 impl Change {
-    /// The key that is changed.
+    /// Returns the key that is written or deleted.
     pub fn key(&self) -> &str {
         match self {
             Self::Put { key, .. } | Self::Delete { key } => key,
@@ -48,29 +49,29 @@
     }
 }
 
-/// A compare-and-swap: all changes if all guards hold, or none.
+/// A multi-key compare-and-swap: all changes are applied if every guard holds, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// The conditions that must all hold.
     #[serde(rename = "guards", default)]
     pub guards: Vec<Guard>,
-    /// What is done then, together.
+    /// The changes, which are applied atomically.
     #[serde(rename = "then", default)]
     pub changes: Vec<Change>,
 }
 
-/// Answers that carry a revision; `failed` in a 409.
+/// The response to a transaction and to other requests that are answered with a revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TransactionResponse {
-    /// The revision of the state service.
+    /// The current revision of the state service.
     #[serde(rename = "generation")]
     pub revision: Revision,
-    /// The keys of the guards that did not hold.
+    /// The keys of the guards that did not hold; present in a response with status 409.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
 }
 
-/// A key and its value, as a listing shows it.
+/// A key and its value, as returned in a listing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyValue {
     /// The key.
@@ -79,34 +80,34 @@
     /// The value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of its last write.
+    /// The revision of the key's last write.
     #[serde(rename = "stamp")]
     pub version: Revision,
-    /// The lease that it goes with, if any.
+    /// The lease with whose end the key is deleted; `None`: the key has no lease.
     #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// A page of a listing.
+/// One page of a listing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listing {
-    /// The keys and values, in order of the keys.
+    /// The keys and values, ordered by key.
     #[serde(rename = "pairs")]
     pub items: Vec<KeyValue>,
-    /// There is another page.
+    /// Whether further pages follow.
     pub more: bool,
-    /// The revision that the page shows.
+    /// The revision of the state that the page shows.
     #[serde(rename = "generation")]
     pub revision: Revision,
 }
 
-/// A change that a watch shows.
+/// A change to one key, as reported by a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
     /// The key was written.
     Put {
-        /// The key.
+        /// The key that was written.
         #[serde(rename = "write")]
         key: String,
         /// The new value.
@@ -118,7 +119,7 @@
     },
     /// The key was deleted.
     Delete {
-        /// The key.
+        /// The key that was deleted.
         #[serde(rename = "delete")]
         key: String,
         /// The revision of the deletion.
@@ -128,7 +129,7 @@
 }
 
 impl WatchEvent {
-    /// The revision of the change.
+    /// Returns the revision of the change.
     pub fn version(&self) -> Revision {
         match self {
             Self::Put { version, .. } | Self::Delete { version, .. } => *version,
@@ -136,21 +137,21 @@
     }
 }
 
-/// What a watch answers.
+/// The response to a watch request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// The revision up to which this holds everything.
+    /// The revision up to which `events` is complete.
     #[serde(rename = "generation")]
     pub revision: Revision,
-    /// The changes since the revision that was asked from, in order.
+    /// The changes after the requested revision, in order.
     #[serde(rename = "news", default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// The answer to a request for a lease.
+/// The response to a request for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// The lease.
+    /// The id of the new lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
--- a/crates/jasperhill-wire/src/user.rs
+++ b/crates/jasperhill-wire/src/user.rs
@@ -1,169 +1,172 @@
 //! Requests of users and the responses to them.
+//!
+//! [`JobRequest::parse`] validates a submission. The same [`JobRequest`], with short field names,
+//! is part of the job's record in the state service and of messages between controllers.
 
 use crate::{
     JobId, Malformed, Micros, Name, Resources,
-    fields::{Fields, bad, object},
+    fields::{Fields, field_error, parse_object},
 };
 use serde::{Deserialize, Serialize};
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job relate to one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
-    /// A job array: tasks that run on their own.
+    /// A job array, whose tasks run independently.
     #[serde(rename = "array")]
     Array,
-    /// A gang: tasks that run together or not at all.
+    /// A gang, whose tasks run simultaneously or not at all.
     #[serde(rename = "ensemble")]
     Gang,
-    /// Replicas that run until the job is cancelled.
+    /// A service, whose tasks are replicas that run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
 }
 
-/// How important a job is: the smaller goes first.
+/// Priority of a job. Smaller values are scheduled first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// The most important.
+    /// The highest priority.
     #[serde(rename = "prod")]
     Production,
-    /// Before the usual work.
+    /// Above the normal priority.
     #[serde(rename = "urgent")]
     High,
-    /// The usual one.
+    /// The normal priority.
     #[serde(rename = "standard")]
     Normal,
-    /// After everything else.
+    /// The lowest priority.
     #[serde(rename = "idle")]
     Low,
 }
 
-/// A job as its user described it.
+/// A job as its user submitted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRequest {
-    /// The name that its user gave it.
+    /// The job's id, chosen by the user.
     #[serde(rename = "u")]
     pub id: JobId,
-    /// The class that objectives name.
+    /// The job's class, by which objectives select jobs.
     #[serde(rename = "c")]
     pub class: Name,
-    /// The team that it counts against.
+    /// The team whose limit the job's resources count against.
     #[serde(rename = "t")]
     pub team: Name,
-    /// How its tasks belong together.
+    /// How the job's tasks relate to one another.
     #[serde(rename = "k")]
     pub shape: Shape,
-    /// How important it is.
+    /// The job's priority.
     #[serde(rename = "p")]
     pub priority: Priority,
-    /// The number of tasks.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// What each task takes.
+    /// Resources of each task.
     #[serde(rename = "r")]
     pub each: Resources,
-    /// The image that its tasks run.
+    /// The image that the tasks run.
     #[serde(rename = "i")]
     pub image: Name,
-    /// The size of the image in gigabytes.
+    /// Size of the image, in gigabytes.
     #[serde(rename = "g")]
     pub image_gb: f64,
-    /// The machine types that it may run on; `None`: any.
+    /// The machine types that the job may run on; `None`: any.
     #[serde(rename = "y")]
     pub types: Option<Vec<Name>>,
-    /// The zone that it has to run in; `None`: any.
+    /// The zone that the job must run in; `None`: any.
     #[serde(rename = "z")]
     pub zone: Option<Name>,
-    /// All tasks have to run in the same zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "o")]
     pub one_zone: bool,
-    /// No zone may hold more than half of the tasks.
+    /// Whether the tasks must be spread so that no zone holds more than half of them, rounded up.
     #[serde(rename = "s")]
     pub spread: bool,
-    /// It may run on spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "l")]
     pub spot: bool,
-    /// How long a task is expected to run.
+    /// Expected run time of a task.
     #[serde(rename = "e")]
     pub estimate: Micros,
-    /// The time between two checkpoints of a task.
+    /// Time between two checkpoints of a task.
     #[serde(rename = "ce")]
     pub checkpoint_every: Micros,
-    /// How long a task takes to save a checkpoint.
+    /// Time that a task takes to save a checkpoint.
     #[serde(rename = "sv")]
     pub checkpoint_time: Micros,
-    /// How long after the submission it has to be done; `None`: whenever.
+    /// Time after the submission by which the job must have finished; `None`: no deadline.
     #[serde(rename = "d")]
     pub deadline: Option<Micros>,
-    /// Jobs that have to be done before any task of this one starts; sorted, each once.
+    /// The jobs that must finish before any task of this job starts; sorted and without duplicates.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
 }
 
-/// Tasks of a job, at most.
-pub const TASKS_MAX: u64 = 100_000;
+/// Most tasks accepted in a job.
+pub const TASKS_PER_JOB_MAX: u64 = 100_000;
 
 impl JobRequest {
-    /// Reads a submission. Unknown fields are ignored.
+    /// Parses and validates a submission. Unknown fields are ignored.
     ///
     /// # Errors
-    /// Names the field that is missing or not of its form.
+    /// [`Malformed`] names the field that is missing or invalid.
     pub fn parse(body: &[u8]) -> Result<Self, Malformed> {
-        let map = object(body)?;
-        let f = Fields(&map);
-        let id = JobId::parse(f.text("uid")?).ok_or(Malformed {
+        let object = parse_object(body)?;
+        let fields = Fields(&object);
+        let id = JobId::parse(fields.string("uid")?).ok_or(Malformed {
             field: "uid",
             reason: "not of the form job-000412",
         })?;
-        let shape = match f.text("shape")? {
+        let shape = match fields.string("shape")? {
             "array" => Shape::Array,
             "ensemble" => Shape::Gang,
             "daemon" => Shape::Service,
-            _ => return bad("shape", "none of array, ensemble, daemon"),
+            _ => return field_error("shape", "none of array, ensemble, daemon"),
         };
-        let priority = match f.text("urgency")? {
+        let priority = match fields.string("urgency")? {
             "prod" => Priority::Production,
             "urgent" => Priority::High,
             "standard" => Priority::Normal,
             "idle" => Priority::Low,
-            _ => return bad("urgency", "none of prod, urgent, standard, idle"),
+            _ => return field_error("urgency", "none of prod, urgent, standard, idle"),
         };
-        let tasks = f.count("shards")?;
-        if !(1..=TASKS_MAX).contains(&tasks) {
-            return bad("shards", "must be from 1 to 100000");
+        let tasks = fields.unsigned_integer("shards")?;
+        if !(1..=TASKS_PER_JOB_MAX).contains(&tasks) {
+            return field_error("shards", "must be from 1 to 100000");
         }
-        let secs = Micros::from_secs_f64;
+        let micros = Micros::from_secs_f64;
         Ok(Self {
             id,
-            class: f.text("jobclass")?.into(),
-            team: f.text("tenant")?.into(),
+            class: fields.string("jobclass")?.into(),
+            team: fields.string("tenant")?.into(),
             shape,
             priority,
             tasks: tasks as u32,
             each: Resources::from_units(
-                f.amount("vcpus")?,
-                f.amount("accelerators")?,
-                f.amount("memory_gb")?,
+                fields.amount("vcpus")?,
+                fields.amount("accelerators")?,
+                fields.amount("memory_gb")?,
             ),
-            image: f.text("bundle")?.into(),
-            image_gb: f.amount("size_gb")?,
-            types: f
-                .opt_texts("hosttypes")?
+            image: fields.string("bundle")?.into(),
+            image_gb: fields.amount("size_gb")?,
+            types: fields
+                .optional_strings("hosttypes")?
                 .map(|list| list.into_iter().map(Name::from).collect()),
-            zone: f.opt_text("hall")?.map(Name::from),
-            one_zone: f.flag("together")?,
-            spread: f.flag("apart")?,
-            spot: f.flag("reclaimable")?,
-            estimate: secs(f.amount("expected_s")?),
-            checkpoint_every: secs(f.amount("snapshot_every_s")?),
-            checkpoint_time: secs(f.amount("snapshot_s")?),
-            deadline: f.opt_amount("due_s")?.map(secs),
-            dependencies: Self::parse_dependencies(&f)?,
+            zone: fields.optional_string("hall")?.map(Name::from),
+            one_zone: fields.boolean("together")?,
+            spread: fields.boolean("apart")?,
+            spot: fields.boolean("reclaimable")?,
+            estimate: micros(fields.amount("expected_s")?),
+            checkpoint_every: micros(fields.amount("snapshot_every_s")?),
+            checkpoint_time: micros(fields.amount("snapshot_s")?),
+            deadline: fields.optional_amount("due_s")?.map(micros),
+            dependencies: Self::parse_dependencies(&fields)?,
         })
     }
 
-    fn parse_dependencies(f: &Fields<'_>) -> Result<Vec<JobId>, Malformed> {
+    fn parse_dependencies(fields: &Fields<'_>) -> Result<Vec<JobId>, Malformed> {
         let mut ids = Vec::new();
-        for item in f.opt_list("waits_on")? {
+        for item in fields.optional_list("waits_on")? {
             let id = item.as_str().and_then(JobId::parse).ok_or(Malformed {
                 field: "waits_on",
                 reason: "not a list of job ids",
@@ -175,12 +178,13 @@
         Ok(ids)
     }
 
-    /// The id alone, for a submission that is not understood as a whole.
+    /// Returns the job id of a submission that is otherwise malformed; `None` if the id can't be
+    /// read either.
     pub fn parse_id(body: &[u8]) -> Option<JobId> {
-        JobId::parse(Fields(&object(body).ok()?).text("uid").ok()?)
+        JobId::parse(Fields(&parse_object(body).ok()?).string("uid").ok()?)
     }
 
-    /// Most tasks that one zone may hold.
+    /// Returns the largest number of the job's tasks that may run in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -189,61 +193,64 @@
         }
     }
 
-    /// Whether its tasks may run on a host of that type and zone.
-    pub fn allows_host(&self, kind: &Name, zone: &Name, spot: bool) -> bool {
-        self.allows_type(kind)
-            && self.zone.as_ref().is_none_or(|z| z == zone)
+    /// Returns whether the job's tasks may run on a host of this machine type and zone; `spot` says
+    /// whether the host is a spot machine.
+    pub fn allows_host(&self, machine_type: &Name, zone: &Name, spot: bool) -> bool {
+        self.allows_type(machine_type)
+            && self.zone.as_ref().is_none_or(|required| required == zone)
             && (self.spot || !spot)
     }
 
-    /// Whether its tasks may run on that machine type.
-    pub fn allows_type(&self, kind: &Name) -> bool {
-        self.types.as_ref().is_none_or(|list| list.contains(kind))
+    /// Returns whether the job's tasks may run on this machine type.
+    pub fn allows_type(&self, machine_type: &Name) -> bool {
+        self.types
+            .as_ref()
+            .is_none_or(|allowed| allowed.contains(machine_type))
     }
 }
 
-/// The state of a job as its user sees it.
+/// Phase of a job, as shown to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// No task runs.
+    /// No task is running.
     Pending,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
-    /// All tasks are done.
+    /// All tasks have finished.
     Done,
-    /// It was cancelled, or a job that it depends on was.
+    /// The job was cancelled, or a job that it depends on was.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The answer to a submission or a cancellation.
+/// The response body for a submission or a cancellation.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobResponse<'a> {
-    /// The job.
+    /// The job's id.
     #[serde(rename = "uid")]
     pub id: &'a str,
-    /// Its phase.
+    /// The job's phase.
     pub phase: JobPhase,
 }
 
-/// The answer to a poll.
+/// The response body for a status query.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobStatus<'a> {
-    /// The job.
+    /// The job's id.
     #[serde(rename = "uid")]
     pub id: &'a str,
-    /// Its phase.
+    /// The job's phase.
     pub phase: JobPhase,
-    /// Tasks that are done.
+    /// Number of finished tasks.
     pub done: u32,
-    /// Tasks that run, as last heard.
+    /// Number of running tasks, by the latest information.
     pub running: u32,
 }
 
-/// The body of every refusal.
+/// The response body for a request that is refused.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong, for a person to read.
+    /// Why the request was refused, as text for people.
     pub error: String,
 }
--- a/crates/jasperhill-wire/src/worker.rs
+++ b/crates/jasperhill-wire/src/worker.rs
@@ -1,136 +1,145 @@
-//! Heartbeats of workers, and commands to them.
+//! Heartbeats from workers and commands to them.
+//!
+//! [`Heartbeat::parse`] validates what a worker sends; [`commands_body`] and [`redirect_body`]
+//! write what a worker receives.
 
 use crate::{
     Attempt, FencingToken, HostId, Malformed, Member, Micros, Name, TaskId,
-    fields::{Fields, bad, object},
+    fields::{Fields, field_error, parse_object},
 };
 use serde::Serialize;
 use serde_json::Value;
 
-/// Why a task has exited.
+/// Reason why a task has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCause {
-    /// It has done its work.
+    /// The task finished its work.
     Done,
-    /// It was told to stop.
+    /// The task was stopped by a command.
     Stopped {
-        /// Its checkpoint was saved.
+        /// Whether the task's checkpoint was saved.
         saved: bool,
     },
-    /// Another task of its gang has gone.
+    /// Another task of the same gang exited.
     Peers,
-    /// The other tasks of its gang did not come in time.
+    /// The other tasks of the gang did not start in time.
     Incomplete,
-    /// It has failed.
+    /// The task failed.
     Error,
-    /// The host has no room for it.
+    /// The host had insufficient free resources for the task.
     NoRoom,
-    /// Another start of the same task is on the host.
+    /// Another attempt of the same task is on the host.
     Busy,
-    /// No such task is known there.
+    /// The host does not know the task.
     Unknown,
 }
 
-/// What a task is at.
+/// Phase of a task on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// Its image is fetched.
+    /// The host is fetching the task's image.
     Fetching,
-    /// It waits for the other tasks of its gang.
+    /// The task is waiting for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It saves a checkpoint before it stops.
+    /// The task is saving a checkpoint before it stops.
     Checkpointing,
-    /// It has exited; the host remembers it until it is cleared.
+    /// The task has exited. The host keeps this status until a [`Command::Clear`].
     Exited(ExitCause),
 }
 
-/// A task on a host.
+/// Status of one attempt of a task on a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskStatus {
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The attempt of the task.
     pub attempt: Attempt,
-    /// What it is at.
+    /// The phase that the attempt is in.
     pub phase: TaskPhase,
 }
 
-/// A worker's heartbeat with status, from `/hello`, or its answer to `/do` or `/inspect`.
+/// A worker's heartbeat with the status of its tasks: sent to `/hello`, or returned in response to
+/// `/do` or `/inspect`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The host that the worker runs on.
     pub host: HostId,
-    /// Where it takes commands.
+    /// The address to which commands for the worker are sent.
     pub address: String,
-    /// Its machine type.
+    /// The machine type of the host.
     pub machine_type: Name,
-    /// Its zone.
+    /// The zone that the host is in.
     pub zone: Name,
-    /// It is a spot machine.
+    /// Whether the host is a spot machine.
     pub spot: bool,
-    /// Counts the sessions of the agent; one ends when its lease expires.
+    /// Counter of the worker's sessions. A session ends when the worker's lease expires.
     pub incarnation: u64,
-    /// Orders the heartbeats of an incarnation.
+    /// Sequence number of the heartbeat within its incarnation.
     pub sequence: u64,
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
-    /// The cloud takes the machine back after this time.
+    /// Time until the cloud reclaims the machine; `None`: no termination is announced.
     pub termination_notice: Option<Micros>,
-    /// All tasks that it knows.
+    /// The status of every task that the worker knows.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// Tasks in a heartbeat, at most: more than any machine could hold.
+/// Most tasks accepted in a heartbeat; more than any machine can hold.
 const HEARTBEAT_TASKS_MAX: usize = 2_000;
 
 impl Heartbeat {
-    /// Reads a heartbeat. Unknown fields are ignored.
+    /// Parses and validates a heartbeat. Unknown fields are ignored.
     ///
     /// # Errors
-    /// Names the field that is missing or not of its form.
+    /// [`Malformed`] names the field that is missing or invalid.
     pub fn parse(body: &[u8]) -> Result<Self, Malformed> {
-        let map = object(body)?;
-        let f = Fields(&map);
-        let list = f.list("shards")?;
+        let object = parse_object(body)?;
+        let fields = Fields(&object);
+        let list = fields.list("shards")?;
         if list.len() > HEARTBEAT_TASKS_MAX {
-            return bad("shards", "too many");
+            return field_error("shards", "too many");
         }
         let mut tasks = Vec::with_capacity(list.len());
         for item in list {
             let Value::Object(item) = item else {
-                return bad("shards", "not objects");
+                return field_error("shards", "not objects");
             };
-            tasks.push(Self::task_status(&Fields(item))?);
+            tasks.push(Self::parse_task_status(&Fields(item))?);
         }
         Ok(Self {
-            host: f.text("host")?.into(),
-            address: f.text("address")?.to_owned(),
-            machine_type: f.text("hosttype")?.into(),
-            zone: f.text("hall")?.into(),
-            spot: f.flag("reclaimable")?,
-            incarnation: f.count("tenure")?,
-            sequence: f.count("counter")?,
-            token: FencingToken(f.count("epoch")?),
-            termination_notice: f.opt_amount("warning_s")?.map(Micros::from_secs_f64),
+            host: fields.string("host")?.into(),
+            address: fields.string("address")?.to_owned(),
+            machine_type: fields.string("hosttype")?.into(),
+            zone: fields.string("hall")?.into(),
+            spot: fields.boolean("reclaimable")?,
+            incarnation: fields.unsigned_integer("tenure")?,
+            sequence: fields.unsigned_integer("counter")?,
+            token: FencingToken(fields.unsigned_integer("epoch")?),
+            termination_notice: fields
+                .optional_amount("warning_s")?
+                .map(Micros::from_secs_f64),
             tasks,
         })
     }
 
-    fn task_status(f: &Fields<'_>) -> Result<TaskStatus, Malformed> {
-        let Some(task) = TaskId::parse(f.text("shard")?) else {
-            return bad("shard", "not of the form job-000412/3");
+    fn parse_task_status(fields: &Fields<'_>) -> Result<TaskStatus, Malformed> {
+        let Some(task) = TaskId::parse(fields.string("shard")?) else {
+            return field_error("shard", "not of the form job-000412/3");
         };
-        let phase = match f.text("phase")? {
+        let phase = match fields.string("phase")? {
             "pulling" => TaskPhase::Fetching,
             "waiting" => TaskPhase::Waiting,
             "running" => TaskPhase::Running,
             "flushing" => TaskPhase::Checkpointing,
-            "exited" => TaskPhase::Exited(match f.text("cause")? {
+            "exited" => TaskPhase::Exited(match fields.string("cause")? {
                 "done" => ExitCause::Done,
                 "halted" => ExitCause::Stopped {
-                    saved: f.opt("kept").and_then(Value::as_bool).unwrap_or(false),
+                    saved: fields
+                        .optional("kept")
+                        .and_then(Value::as_bool)
+                        .unwrap_or(false),
                 },
                 "peers" => ExitCause::Peers,
                 "incomplete" => ExitCause::Incomplete,
@@ -138,34 +147,36 @@
                 "no_room" => ExitCause::NoRoom,
                 "busy" => ExitCause::Busy,
                 "no_such" => ExitCause::Unknown,
-                _ => return bad("cause", "unknown"),
+                _ => return field_error("cause", "unknown"),
             }),
-            _ => return bad("phase", "unknown"),
+            _ => return field_error("phase", "unknown"),
         };
         Ok(TaskStatus {
             task,
-            attempt: Attempt(f.count("try")?),
+            attempt: Attempt(fields.unsigned_integer("try")?),
             phase,
         })
     }
 }
 
-/// What a worker is told to do.
+/// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Start a task.
+    /// Starts an attempt of a task.
     Start(TaskId, Attempt),
-    /// Stop a task, with so much time to save a checkpoint.
+    /// Stops an attempt of a task. The duration is the time that the task has to save a checkpoint.
     Stop(TaskId, Attempt, Micros),
-    /// Forget a task that has exited.
+    /// Removes the status of an exited attempt from the worker.
     Clear(TaskId, Attempt),
 }
 
 impl Command {
-    /// The task and the start of it that this is about.
+    /// Returns the task and the attempt that the command refers to.
     pub fn key(&self) -> (&TaskId, Attempt) {
         match self {
-            Self::Start(t, a) | Self::Stop(t, a, _) | Self::Clear(t, a) => (t, *a),
+            Self::Start(task, attempt)
+            | Self::Stop(task, attempt, _)
+            | Self::Clear(task, attempt) => (task, *attempt),
         }
     }
 }
@@ -173,16 +184,18 @@
 #[derive(Serialize)]
 struct CommandBody {
     verb: &'static str,
-    shard: String,
+    #[serde(rename = "shard")]
+    task: String,
     #[serde(rename = "try")]
     attempt: Attempt,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    wind_down_s: Option<f64>,
+    #[serde(rename = "wind_down_s", skip_serializing_if = "Option::is_none")]
+    grace_period_s: Option<f64>,
 }
 
 #[derive(Serialize)]
 struct CommandsBody {
-    epoch: FencingToken,
+    #[serde(rename = "epoch")]
+    token: FencingToken,
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "tenure")]
     incarnation: Option<u64>,
@@ -190,7 +203,8 @@
     commands: Vec<CommandBody>,
 }
 
-/// The body of a 200 to a heartbeat (`incarnation` absent) or of a `/do` (`incarnation` given).
+/// Returns the body of a 200 response to a heartbeat, for which `incarnation` is `None`, or of a
+/// `/do` request, which names the worker's incarnation.
 pub fn commands_body(
     token: FencingToken,
     incarnation: Option<u64>,
@@ -200,41 +214,43 @@
         .iter()
         .map(|command| {
             let (task, attempt) = command.key();
-            let (verb, wind_down_s) = match command {
+            let (verb, grace_period_s) = match command {
                 Command::Start(..) => ("run", None),
-                Command::Stop(_, _, grace) => ("halt", Some(grace.as_secs_f64())),
+                Command::Stop(_, _, grace_period) => ("halt", Some(grace_period.as_secs_f64())),
                 Command::Clear(..) => ("clear", None),
             };
             CommandBody {
                 verb,
-                shard: task.to_string(),
+                task: task.to_string(),
                 attempt,
-                wind_down_s,
+                grace_period_s,
             }
         })
         .collect();
     serde_json::to_vec(&CommandsBody {
-        epoch: token,
+        token,
         incarnation,
         commands,
     })
     .unwrap_or_default()
 }
 
-/// Where the body of a 421 sends a worker, if it names somebody.
+/// Returns the controller to which the body of a 421 response redirects a worker; `None` if the
+/// body names no controller or is malformed.
 pub fn redirected_to(body: &[u8]) -> Option<Member> {
     #[derive(serde::Deserialize)]
     struct Body {
-        reports_to: Option<String>,
+        #[serde(rename = "reports_to")]
+        owner: Option<String>,
     }
     let body: Body = serde_json::from_slice(body).ok()?;
-    body.reports_to.map(|m| Member::new(&m))
+    body.owner.map(|owner| Member::new(&owner))
 }
 
-/// The body of a 421.
-pub fn redirect_body(to: Option<&Member>) -> Vec<u8> {
-    match to {
-        Some(member) => serde_json::json!({ "reports_to": member.as_str() }).to_string(),
+/// Returns the body of a 421 response, which redirects a worker to `owner` if one is known.
+pub fn redirect_body(owner: Option<&Member>) -> Vec<u8> {
+    match owner {
+        Some(owner) => serde_json::json!({ "reports_to": owner.as_str() }).to_string(),
         None => "{}".to_owned(),
     }
     .into_bytes()
--- a/crates/jasperhill-wire/tests/earlier.rs
+++ b/crates/jasperhill-wire/tests/earlier.rs
@@ -5,8 +5,8 @@
     FencingToken, HostId, JobId, Member, Micros, Name, Resources, Revision,
     cloud::{MachineType, MachineTypes},
     mesh::{
-        LinkState, MeshRequest, MeshResponse, ReachabilityReport, VERSION, ZoneLinks, decode,
-        encode,
+        LinkState, MeshRequest, MeshResponse, PROTOCOL_VERSION, ReachabilityReport, ZoneLinks,
+        decode, encode,
     },
     record::{
         DelegationGrantRecord, DelegationRequestRecord, HostAssignment, HostBlock, JobRecord, Key,
@@ -224,7 +224,7 @@
 #[test]
 fn old_and_new_controllers_understand_each_other() {
     assert_eq!(
-        VERSION, 2,
+        PROTOCOL_VERSION, 2,
         "any other is refused by the version in production"
     );
     let asks = [
