--- a/crates/jasperhill-wire/tests/formats.rs
+++ b/crates/jasperhill-wire/tests/formats.rs
@@ -1,4 +1,5 @@
-//! Every format survives the round trip, and malformed input is refused, never a panic.
+//! Round trips of the wire formats, and malformed input: parsers must return an error and never
+//! panic.
 
 use jasperhill_wire::{
     Attempt, FencingToken, JobId, Micros, Name, Resources, Revision, TaskId,
@@ -32,14 +33,14 @@
 }
 
 #[test]
-fn every_field_is_needed_but_the_nullable_ones() {
-    let whole = submission();
-    assert!(parse(&whole).is_ok());
-    for (field, _) in whole.as_object().unwrap() {
-        let mut cut = whole.clone();
-        cut.as_object_mut().unwrap().remove(field);
+fn rejects_submission_with_any_required_field_missing() {
+    let complete = submission();
+    assert!(parse(&complete).is_ok());
+    for (field, _) in complete.as_object().unwrap() {
+        let mut incomplete = complete.clone();
+        incomplete.as_object_mut().unwrap().remove(field);
         let nullable = ["hosttypes", "hall", "due_s"].contains(&field.as_str());
-        match parse(&cut) {
+        match parse(&incomplete) {
             Ok(_) => assert!(nullable, "{field} may not be missing"),
             Err(error) => assert!(!nullable && error.starts_with(field.as_str()), "{error}"),
         }
@@ -47,8 +48,8 @@
 }
 
 #[test]
-fn wrong_values_are_refused_by_name() {
-    let wrong = [
+fn rejects_invalid_values_with_the_name_of_the_field() {
+    let invalid = [
         ("uid", json!("412")),
         ("uid", json!("job-")),
         ("uid", json!("job-A b")),
@@ -72,26 +73,26 @@
         ("waits_on", json!(["job-1", 7])),
         ("waits_on", json!(["job-1", ""])),
     ];
-    for (field, value) in wrong {
+    for (field, value) in invalid {
         let mut body = submission();
         body[field] = value.clone();
         let error = parse(&body).expect_err(&format!("{field} {value}"));
         assert!(error.starts_with(field), "{error}");
     }
     assert!(JobRequest::parse(b"[1]").is_err() && JobRequest::parse(b"{").is_err());
-    for (waits, read) in [
+    for (waits_on, expected) in [
         (json!(null), vec![]),
         (json!([]), vec![]),
         (json!(["job-2", "job-1", "job-2"]), vec!["job-1", "job-2"]),
     ] {
         let mut body = submission();
-        body["waits_on"] = waits;
-        let ids: Vec<JobId> = read.into_iter().map(JobId::new).collect();
+        body["waits_on"] = waits_on;
+        let ids: Vec<JobId> = expected.into_iter().map(JobId::new).collect();
         assert_eq!(parse(&body).unwrap().dependencies, ids);
     }
-    let mut more = submission();
-    more["unknown"] = json!({"a": 1});
-    assert!(parse(&more).is_ok());
+    let mut with_unknown_field = submission();
+    with_unknown_field["unknown"] = json!({"a": 1});
+    assert!(parse(&with_unknown_field).is_ok());
 }
 
 fn request() -> impl Strategy<Value = JobRequest> {
@@ -115,7 +116,9 @@
         0..4usize,
     )
         .prop_map(
-            |((id, tasks, a, b, c), (cpus, time, gb), types, zone, due, shape, priority)| {
+            |(counts_and_flags, amounts, types, zone, deadline, shape, priority)| {
+                let (id, tasks, one_zone, spread, spot) = counts_and_flags;
+                let (cpus, micros, image_gb) = amounts;
                 JobRequest {
                     id: JobId::new(&format!("job-{id:06}")),
                     class: "c".into(),
@@ -134,16 +137,16 @@
                         memory: cpus / 3,
                     },
                     image: "i".into(),
-                    image_gb: gb,
-                    types: types.map(|l| l.iter().map(|t| Name::new(t)).collect()),
-                    zone: zone.map(|z| Name::new(&z)),
-                    one_zone: a,
-                    spread: b,
-                    spot: c,
-                    estimate: Micros(time),
-                    checkpoint_every: Micros(time / 2),
-                    checkpoint_time: Micros(time / 3),
-                    deadline: due.map(Micros),
+                    image_gb,
+                    types: types.map(|names| names.iter().map(|name| Name::new(name)).collect()),
+                    zone: zone.map(|name| Name::new(&name)),
+                    one_zone,
+                    spread,
+                    spot,
+                    estimate: Micros(micros),
+                    checkpoint_every: Micros(micros / 2),
+                    checkpoint_time: Micros(micros / 3),
+                    deadline: deadline.map(Micros),
                     dependencies: (0..id % 4)
                         .map(|n| JobId::new(&format!("job-{n}")))
                         .collect(),
@@ -164,12 +167,12 @@
         ] {
             prop_assert_eq!(decode::<MeshRequest>(&encode(&message).unwrap()).unwrap(), message);
         }
-        let answer = MeshResponse::TaskCounts(vec![None, Some(TaskCounts { running, done: 1 })]);
-        prop_assert_eq!(decode::<MeshResponse>(&encode(&answer).unwrap()).unwrap(), answer);
+        let response = MeshResponse::TaskCounts(vec![None, Some(TaskCounts { running, done: 1 })]);
+        prop_assert_eq!(decode::<MeshResponse>(&encode(&response).unwrap()).unwrap(), response);
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn parsers_do_not_panic_on_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode::<MeshRequest>(&bytes);
         let _ = decode::<MeshResponse>(&bytes);
         prop_assert!(JobRequest::parse(&bytes).is_err());
@@ -177,57 +180,58 @@
     }
 
     #[test]
-    fn records_and_transactions_round_trip(request in request(), runs in proptest::collection::vec(any::<u32>(), 0..9)) {
+    fn records_and_transactions_round_trip(request in request(), finished in proptest::collection::vec(any::<u32>(), 0..9)) {
         let record = JobRecord {
             phase: RecordPhase::Active, done_count: 3, request: Some(request),
-            submitted: Some(Micros(7)), finished: runs, failed_attempts: 2,
+            submitted: Some(Micros(7)), finished, failed_attempts: 2,
             residual_usage: Some(ResidualUsage {
                 team: "red".into(), each: Resources::from_units(1.0, 2.0, 3.0), tasks: 4, cancelled: Micros(9),
             }),
         };
         let value = serde_json::to_value(&record).unwrap();
         prop_assert_eq!(serde_json::from_value::<JobRecord>(value.clone()).unwrap(), record);
-        let txn = Transaction {
+        let transaction = Transaction {
             guards: vec![Guard { key: "a/b".to_owned(), version: Revision(4) }],
             changes: vec![
                 Change::Put { key: "a/b".to_owned(), value, lease: Some(7) },
                 Change::Delete { key: "c/d".to_owned() },
             ],
         };
-        let text = serde_json::to_string(&txn).unwrap();
-        prop_assert_eq!(serde_json::from_str::<Transaction>(&text).unwrap(), txn);
+        let text = serde_json::to_string(&transaction).unwrap();
+        prop_assert_eq!(serde_json::from_str::<Transaction>(&text).unwrap(), transaction);
     }
 
     #[test]
-    fn task_names_round_trip(id in "job-[a-z0-9]{1,12}", index in any::<u32>()) {
+    fn task_ids_round_trip(id in "job-[a-z0-9]{1,12}", index in any::<u32>()) {
         let task = TaskId::new(&JobId::new(&id), index);
         prop_assert_eq!(TaskId::parse(&task.to_string()), Some(task));
     }
 
-    /// A report with one field replaced by something else is refused or still understood.
+    /// Replaces one field of a heartbeat by a value of another type or range. The parser must
+    /// return a result, either a heartbeat or an error, without panicking.
     #[test]
-    fn mangled_reports_are_refused(which in 0usize..10, junk in 0usize..6) {
-        let mut report = json!({"host":"n-1","address":"10.1.0.1:9","hosttype":"g8","hall":"a",
+    fn heartbeat_with_replaced_field_does_not_panic(field_index in 0usize..10, replacement_index in 0usize..6) {
+        let mut heartbeat = json!({"host":"n-1","address":"10.1.0.1:9","hosttype":"g8","hall":"a",
             "reclaimable":true,"tenure":1,"counter":88,"epoch":41,"warning_s":null,
             "shards":[{"shard":"job-1/3","try":2,"phase":"exited","cause":"done"}]});
-        prop_assert!(Heartbeat::parse(report.to_string().as_bytes()).is_ok());
-        let field = report.as_object().unwrap().keys().nth(which).unwrap().clone();
-        let value = [json!(-1), json!("x"), json!([1]), json!({}), json!(1.5), json!(null)][junk].clone();
-        report[&field] = value;
-        let _ = Heartbeat::parse(report.to_string().as_bytes());
+        prop_assert!(Heartbeat::parse(heartbeat.to_string().as_bytes()).is_ok());
+        let field = heartbeat.as_object().unwrap().keys().nth(field_index).unwrap().clone();
+        let value = [json!(-1), json!("x"), json!([1]), json!({}), json!(1.5), json!(null)][replacement_index].clone();
+        heartbeat[&field] = value;
+        let _ = Heartbeat::parse(heartbeat.to_string().as_bytes());
     }
 }
 
 #[test]
-fn orders_are_written_as_the_protocol_says() {
+fn commands_body_has_the_field_names_of_the_protocol() {
     let task = TaskId::parse("job-000412/4").unwrap();
-    let orders = [
+    let commands = [
         Command::Start(task.clone(), Attempt(2)),
         Command::Stop(task.clone(), Attempt(1), Micros::from_secs(10)),
         Command::Clear(task, Attempt(1)),
     ];
     let body: Value =
-        serde_json::from_slice(&commands_body(FencingToken(41), None, &orders)).unwrap();
+        serde_json::from_slice(&commands_body(FencingToken(41), None, &commands)).unwrap();
     assert_eq!(
         body,
         json!({"epoch":41,"orders":[
--- a/crates/jasperhill-wire/tests/samples.rs
+++ b/crates/jasperhill-wire/tests/samples.rs
@@ -1,5 +1,6 @@
-//! A sample of each record, key, message and body, as commit 6144652 wrote them: what is written
-//! keeps its bytes, and what is stored or sent is read back as the same value.
+//! Guards the wire format of each record, key, message and body against accidental changes.
+//! `samples.txt` holds a sample of each, as written by commit 6144652. Values must be written with
+//! exactly the same bytes; stored and sent samples must also be read back as equal values.
 
 use jasperhill_wire::{
     Attempt, FencingToken, HostId, JobId, Member, Micros, Name, Resources, Revision, TaskId,
@@ -23,33 +24,43 @@
 
 const SAMPLES: &str = include_str!("samples.txt");
 
-/// The sample with this name.
+/// Returns the sample with this name from `samples.txt`.
 fn sample(name: &str) -> &'static str {
-    let find = |line: &'static str| line.strip_prefix(name)?.strip_prefix(' ');
-    let missing = || panic!("no sample {name}");
-    SAMPLES.lines().find_map(find).unwrap_or_else(missing)
+    let strip_name = |line: &'static str| line.strip_prefix(name)?.strip_prefix(' ');
+    let no_such_sample = || panic!("no sample {name}");
+    SAMPLES
+        .lines()
+        .find_map(strip_name)
+        .unwrap_or_else(no_such_sample)
 }
 
-/// What a value is written as.
-fn writes(name: &str, value: &impl Serialize) {
+/// Asserts that a value is written as the JSON sample.
+fn assert_json(name: &str, value: &impl Serialize) {
     let written = serde_json::to_string(value).unwrap();
     assert_eq!(written, sample(name), "{name}");
 }
 
-/// A record in the store: written and read.
-fn keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
-    writes(name, &value);
+/// Asserts that a stored record is written as the JSON sample and read back from it.
+fn assert_json_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    name: &str,
+    value: T,
+) {
+    assert_json(name, &value);
     let read: T = serde_json::from_str(sample(name)).unwrap();
     assert_eq!(read, value, "{name}");
 }
 
-/// A message between controllers: sent and understood.
-fn sends<T: Serialize + DeserializeOwned + PartialEq + Debug + Clone>(name: &str, message: T) {
+/// Asserts that a message between controllers is encoded as the CBOR sample, given in hexadecimal
+/// digits, and decoded from it.
+fn assert_cbor_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug + Clone>(
+    name: &str,
+    message: T,
+) {
     let hex = |bytes: Vec<u8>| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
     let bytes = encode(message.clone()).unwrap();
-    let understood: T = decode(&bytes).unwrap();
+    let decoded: T = decode(&bytes).unwrap();
     assert_eq!(hex(bytes), sample(name), "{name}");
-    assert_eq!(understood, message, "{name}");
+    assert_eq!(decoded, message, "{name}");
 }
 
 fn request() -> JobRequest {
@@ -76,8 +87,8 @@
     }
 }
 
-/// Nothing that can be left out.
-fn short_request() -> JobRequest {
+/// Returns a request without any of the optional values.
+fn minimal_request() -> JobRequest {
     JobRequest {
         shape: Shape::Service,
         priority: Priority::Production,
@@ -89,9 +100,9 @@
     }
 }
 
-fn host(usage: HostAssignment) -> HostRecord {
+fn host_record(assignment: HostAssignment) -> HostRecord {
     HostRecord {
-        assignment: usage,
+        assignment,
         address: "10.1.0.232:9000".to_owned(),
         machine_type: Name::new("g8"),
         zone: Name::new("a"),
@@ -101,8 +112,8 @@
 }
 
 #[test]
-fn records_of_jobs_keep_their_form() {
-    keeps(
+fn job_records_match_their_samples() {
+    assert_json_round_trip(
         "record-job",
         JobRecord {
             phase: RecordPhase::Active,
@@ -114,25 +125,25 @@
             residual_usage: None,
         },
     );
-    keeps(
+    assert_json_round_trip(
         "record-service",
         JobRecord {
             phase: RecordPhase::Active,
             done_count: 0,
-            request: Some(short_request()),
+            request: Some(minimal_request()),
             submitted: Some(Micros(5)),
             finished: Vec::new(),
             failed_attempts: 0,
             residual_usage: None,
         },
     );
-    keeps("record-done", JobRecord::terminal(RecordPhase::Done, 16));
-    keeps(
+    assert_json_round_trip("record-done", JobRecord::terminal(RecordPhase::Done, 16));
+    assert_json_round_trip(
         "record-cancelled",
         JobRecord::cancelled(&request(), 2, Micros(9)),
     );
-    keeps("shapes", [Shape::Array, Shape::Gang, Shape::Service]);
-    keeps(
+    assert_json_round_trip("shapes", [Shape::Array, Shape::Gang, Shape::Service]);
+    assert_json_round_trip(
         "priorities",
         [
             Priority::Production,
@@ -144,22 +155,23 @@
 }
 
 #[test]
-fn records_of_hosts_and_types_keep_their_form() {
-    let uses = [
+fn host_and_machine_type_records_match_their_samples() {
+    let assignments = [
         HostAssignment::Partition(2),
         HostAssignment::Free,
         HostAssignment::Decommissioned(None),
         HostAssignment::Decommissioned(Some(1)),
     ];
-    let hosts = (0..).zip(uses);
-    let hosts = hosts.map(|(n, usage)| (HostId::new(&format!("n-00023{n}")), host(usage)));
-    keeps(
+    let hosts = (0..).zip(assignments);
+    let hosts =
+        hosts.map(|(n, assignment)| (HostId::new(&format!("n-00023{n}")), host_record(assignment)));
+    assert_json_round_trip(
         "record-hosts",
         HostBlock {
             hosts: hosts.collect(),
         },
     );
-    let kind = MachineType {
+    let machine_type = MachineType {
         name: Name::new("g8"),
         cpus: 96.0,
         gpus: 8.0,
@@ -172,15 +184,15 @@
         zones: vec![Name::new("a"), Name::new("b")],
     };
     let types = MachineTypes {
-        types: vec![kind],
+        types: vec![machine_type],
         parts: 3,
     };
-    keeps("record-types", types);
+    assert_json_round_trip("record-types", types);
 }
 
 #[test]
-fn records_of_controllers_keep_their_form() {
-    keeps(
+fn controller_records_match_their_samples() {
+    assert_json_round_trip(
         "record-session",
         SessionRecord {
             lease: 7,
@@ -189,15 +201,15 @@
             quick_restarts: 4,
         },
     );
-    keeps("record-format", FeatureLevelRecord { format: 2 });
-    keeps(
+    assert_json_round_trip("record-format", FeatureLevelRecord { format: 2 });
+    assert_json_round_trip(
         "record-role",
         RoleRecord {
             owner: Member::new("worker-1"),
             lease: 7,
         },
     );
-    keeps(
+    assert_json_round_trip(
         "record-ask",
         DelegationRequestRecord {
             number: 4,
@@ -205,7 +217,7 @@
             hosts: vec![HostId::new("n-000231")],
         },
     );
-    keeps(
+    assert_json_round_trip(
         "record-grant",
         DelegationGrantRecord {
             number: 4,
@@ -213,7 +225,7 @@
             hosts: BTreeMap::from([(HostId::new("n-000231"), FencingToken(99))]),
         },
     );
-    keeps(
+    assert_json_round_trip(
         "record-want",
         ProposalRecord {
             proposer: Member::new("worker-1"),
@@ -221,7 +233,7 @@
             retry_after_s: None,
         },
     );
-    keeps(
+    assert_json_round_trip(
         "record-want-refused",
         ProposalRecord {
             proposer: Member::new("worker-1"),
@@ -232,19 +244,22 @@
 }
 
 #[test]
-fn keys_keep_their_form_and_are_told_apart() {
-    let (me, job) = (Member::new("worker-1"), JobId::new("job-000412"));
-    let part = delegation_part(&me, 2);
-    for (key, means) in [
+fn keys_match_their_samples_and_are_parsed() {
+    let (member, job) = (Member::new("worker-1"), JobId::new("job-000412"));
+    let part = delegation_part(&member, 2);
+    for (key, parsed) in [
         (job_key(&job), Key::Job(job.clone())),
         (block_key(12), Key::Hosts(12)),
-        (session_key(&me), Key::Session(me.clone())),
-        (feature_level_key(&me), Key::FeatureLevel(me.clone())),
+        (session_key(&member), Key::Session(member.clone())),
+        (
+            feature_level_key(&member),
+            Key::FeatureLevel(member.clone()),
+        ),
         (role_key(Role::Partition(2)), Key::Role(Role::Partition(2))),
         (role_key(Role::Leader), Key::Role(Role::Leader)),
         (
-            delegation_request_key(&me),
-            Key::DelegationRequest(me.clone()),
+            delegation_request_key(&member),
+            Key::DelegationRequest(member.clone()),
         ),
         (
             delegation_request_key(&part),
@@ -252,8 +267,8 @@
         ),
         (proposal_key(&job), Key::Proposal(job.clone())),
         (
-            delegation_grant_key(1, &me),
-            Key::DelegationGrant(1, me.clone()),
+            delegation_grant_key(1, &member),
+            Key::DelegationGrant(1, member.clone()),
         ),
         (
             delegation_grant_key(1, &part),
@@ -264,57 +279,60 @@
     ] {
         let name = format!("key {key}");
         assert!(SAMPLES.lines().any(|line| line == name), "{name}");
-        assert_eq!(Key::parse(&key), Some(means));
+        assert_eq!(Key::parse(&key), Some(parsed));
     }
 }
 
 #[test]
-fn requests_between_controllers_keep_their_form() {
-    sends("mesh-admit", MeshRequest::Admit(Box::new(request())));
-    sends(
+fn mesh_requests_match_their_samples() {
+    assert_cbor_round_trip("mesh-admit", MeshRequest::Admit(Box::new(request())));
+    assert_cbor_round_trip(
         "mesh-counts",
         MeshRequest::TaskCounts(vec![JobId::new("job-1")]),
     );
-    sends("mesh-relay", MeshRequest::RelayHeartbeat("{}".to_owned()));
-    sends("mesh-is-fresh", MeshRequest::IsStoreReachable);
-    let ready = Micros::from_secs(9);
-    sends(
+    assert_cbor_round_trip("mesh-relay", MeshRequest::RelayHeartbeat("{}".to_owned()));
+    assert_cbor_round_trip("mesh-is-fresh", MeshRequest::IsStoreReachable);
+    let boot_time = Micros::from_secs(9);
+    assert_cbor_round_trip(
         "mesh-elastic",
         MeshRequest::SpareCapacity {
             machines: 3,
-            boot_time: ready,
+            boot_time,
         },
     );
-    sends(
+    assert_cbor_round_trip(
         "mesh-unmet",
         MeshRequest::UnmetDemand {
             partition: 1,
             thousandths: 1_500,
         },
     );
-    sends("mesh-links", MeshRequest::Reachability(Box::new(links())));
-    sends(
+    assert_cbor_round_trip(
+        "mesh-links",
+        MeshRequest::Reachability(Box::new(reachability_report())),
+    );
+    assert_cbor_round_trip(
         "mesh-relay-on",
         MeshRequest::RelayHeartbeatOnward("{}".to_owned()),
     );
     let host = HostId::new("n-000231");
     let body = Some("{\"epoch\":9}".to_owned());
-    let push = MeshRequest::RelayCommands {
+    let commands = MeshRequest::RelayCommands {
         host: host.clone(),
         body,
     };
-    sends("mesh-push", push);
-    sends(
+    assert_cbor_round_trip("mesh-push", commands);
+    assert_cbor_round_trip(
         "mesh-push-inspect",
         MeshRequest::RelayCommands { host, body: None },
     );
 }
 
-fn links() -> ReachabilityReport {
-    let zone = |name: &str, reports, orders| ZoneLinks {
+fn reachability_report() -> ReachabilityReport {
+    let zone = |name: &str, heartbeats, commands| ZoneLinks {
         zone: Name::new(name),
-        heartbeats: reports,
-        commands: orders,
+        heartbeats,
+        commands,
         last_success: Micros::from_millis(300),
     };
     ReachabilityReport {
@@ -337,78 +355,78 @@
 }
 
 #[test]
-fn answers_between_controllers_keep_their_form() {
-    sends("mesh-accepted", MeshResponse::Accepted);
-    sends("mesh-known", MeshResponse::Known);
-    sends("mesh-refused", MeshResponse::Rejected { retry_after_s: 3 });
-    sends("mesh-unavailable", MeshResponse::Unavailable);
+fn mesh_responses_match_their_samples() {
+    assert_cbor_round_trip("mesh-accepted", MeshResponse::Accepted);
+    assert_cbor_round_trip("mesh-known", MeshResponse::Known);
+    assert_cbor_round_trip("mesh-refused", MeshResponse::Rejected { retry_after_s: 3 });
+    assert_cbor_round_trip("mesh-unavailable", MeshResponse::Unavailable);
     let counts = TaskCounts {
         running: 3,
         done: 4,
     };
-    sends(
+    assert_cbor_round_trip(
         "mesh-counted",
         MeshResponse::TaskCounts(vec![Some(counts), None]),
     );
     let (status, body) = (200, "{\"epoch\":9}".to_owned());
-    sends(
+    assert_cbor_round_trip(
         "mesh-relayed",
         MeshResponse::HeartbeatRelayed {
             status,
             body: body.clone(),
         },
     );
-    sends("mesh-fresh", MeshResponse::StoreReachable(true));
-    sends("mesh-noted", MeshResponse::Acknowledged);
-    sends(
+    assert_cbor_round_trip("mesh-fresh", MeshResponse::StoreReachable(true));
+    assert_cbor_round_trip("mesh-noted", MeshResponse::Acknowledged);
+    assert_cbor_round_trip(
         "mesh-links-back",
-        MeshResponse::Reachability(Box::new(links())),
+        MeshResponse::Reachability(Box::new(reachability_report())),
     );
-    sends(
+    assert_cbor_round_trip(
         "mesh-pushed",
         MeshResponse::CommandsRelayed { status, body },
     );
-    sends("mesh-not-pushed", MeshResponse::CommandsNotSent);
+    assert_cbor_round_trip("mesh-not-pushed", MeshResponse::CommandsNotSent);
 }
 
 #[test]
-fn bodies_for_workers_keep_their_form() {
-    let task = |i| TaskId::new(&JobId::new("job-000412"), i);
-    let orders = [
+fn worker_bodies_match_their_samples() {
+    let task = |index| TaskId::new(&JobId::new("job-000412"), index);
+    let commands = [
         Command::Start(task(0), Attempt(31)),
         Command::Stop(task(1), Attempt(32), Micros::from_millis(2_500)),
         Command::Clear(task(2), Attempt(33)),
     ];
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    let direct = text(commands_body(FencingToken(9), Some(4), &orders));
-    assert_eq!(direct, sample("orders-direct"));
-    let answer = text(commands_body(FencingToken(9), None, &orders[..1]));
-    assert_eq!(answer, sample("orders-answer"));
-    let to = Member::new("worker-1");
-    assert_eq!(text(redirect_body(Some(&to))), sample("redirect"));
+    let command_request = text(commands_body(FencingToken(9), Some(4), &commands));
+    assert_eq!(command_request, sample("orders-direct"));
+    let heartbeat_response = text(commands_body(FencingToken(9), None, &commands[..1]));
+    assert_eq!(heartbeat_response, sample("orders-answer"));
+    let owner = Member::new("worker-1");
+    assert_eq!(text(redirect_body(Some(&owner))), sample("redirect"));
     assert_eq!(text(redirect_body(None)), sample("redirect-nowhere"));
 }
 
 #[test]
-fn bodies_for_users_the_store_and_the_cloud_keep_their_form() {
+fn user_store_and_cloud_bodies_match_their_samples() {
     let (id, phase) = ("job-000412", JobPhase::Pending);
-    writes("job-answer", &JobResponse { id, phase });
+    assert_json("job-answer", &JobResponse { id, phase });
     let phases = [
         JobPhase::Pending,
         JobPhase::Running,
         JobPhase::Done,
         JobPhase::Cancelled,
     ];
-    writes("job-phases", &phases);
+    assert_json("job-phases", &phases);
     let status = JobStatus {
         id,
         phase: JobPhase::Running,
         done: 2,
         running: 3,
     };
-    writes("job-status", &status);
+    assert_json("job-status", &status);
     let error = "uid: missing".to_owned();
-    writes("error", &ErrorBody { error });
+    assert_json("error", &ErrorBody { error });
     let put = |lease| Change::Put {
         key: "jh/job/job-1".to_owned(),
         value: serde_json::json!({"p": "d", "n": 1}),
@@ -427,7 +445,7 @@
             },
         ],
     };
-    keeps("transaction", transaction);
+    assert_json_round_trip("transaction", transaction);
     let rental = RentRequest {
         request: "r-9-1".to_owned(),
         machine_type: Name::new("g8"),
@@ -435,7 +453,7 @@
         spot: true,
         count: 4,
     };
-    writes("rental", &rental);
+    assert_json("rental", &rental);
     let hosts = vec![HostId::new("n-000231")];
-    writes("release", &HostNames { hosts });
+    assert_json("release", &HostNames { hosts });
 }
