--- a/crates/jasperhill-wire/src/cloud.rs
+++ b/crates/jasperhill-wire/src/cloud.rs
@@ -12,13 +12,13 @@
 pub struct MachineType {
     /// The cloud's name for the machine type.
     pub name: Name,
-    /// Number of CPUs.
+    /// Number of CPUs of a machine of this type.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Number of accelerators.
+    /// Number of accelerators of a machine of this type.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory in gigabytes.
+    /// Memory of a machine of this type, in gigabytes.
     pub memory_gb: f64,
     /// Local disk space for cached images, in gigabytes.
     #[serde(rename = "local_gb")]
@@ -114,7 +114,7 @@
 /// The names of machines that were rented or are to be returned.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostNames {
-    /// The machine names.
+    /// The machines' names.
     pub hosts: Vec<HostId>,
 }
 
--- a/crates/jasperhill-wire/src/mesh.rs
+++ b/crates/jasperhill-wire/src/mesh.rs
@@ -18,7 +18,7 @@
     /// The protocol version; a receiver rejects any other than [`PROTOCOL_VERSION`].
     #[serde(rename = "v")]
     pub version: u16,
-    /// The request or response.
+    /// The request or response that the envelope carries.
     #[serde(rename = "m")]
     pub message: T,
 }
@@ -69,7 +69,7 @@
     /// level [`crate::record::REACHABILITY`].
     #[serde(rename = "Push")]
     RelayCommands {
-        /// The worker's host.
+        /// The host whose worker is to receive the commands.
         host: HostId,
         /// The body of the command request; `None`: ask for the worker's status instead.
         body: Option<String>,
@@ -94,7 +94,7 @@
 /// State of both directions of the link between a controller and the workers of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneLinks {
-    /// The zone.
+    /// The zone of the workers.
     pub zone: Name,
     /// The direction from the workers to the controller, which carries heartbeats.
     #[serde(rename = "reports")]
@@ -128,8 +128,7 @@
     /// The members whose messages reach the sender.
     #[serde(rename = "heard")]
     pub reachable_peers: Vec<Member>,
-    /// Every role with its owner and the revision of the role's record, as in the sender's watch
-    /// cache.
+    /// Roles with their owners and the revisions of their records, as in the sender's watch cache.
     pub owners: Vec<(Role, Member, Revision)>,
     /// Roles of the sender that it has permanently stopped acting on, each with the revision of the
     /// role's record.
@@ -140,9 +139,9 @@
 /// Number of running and finished tasks of a job, as known to the owner of the job's partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCounts {
-    /// Number of running tasks.
+    /// Number of the job's tasks that are running.
     pub running: u32,
-    /// Number of finished tasks.
+    /// Number of the job's tasks that have finished.
     pub done: u32,
 }
 
@@ -180,7 +179,7 @@
     /// The message was received and its contents were recorded.
     #[serde(rename = "Noted")]
     Acknowledged,
-    /// The report of the request's receiver, in return for the sender's.
+    /// The receiver's own reachability report, in return for the requester's.
     #[serde(rename = "Links")]
     Reachability(Box<ReachabilityReport>),
     /// The worker's response to relayed commands.
@@ -202,7 +201,7 @@
     /// The message is longer than [`MESSAGE_BYTES_MAX`].
     #[error("message too long")]
     TooLong,
-    /// The message has another protocol version, which is given.
+    /// The message has this protocol version, which the receiver does not support.
     #[error("unknown version {0}")]
     UnsupportedVersion(u16),
     /// The message is not valid CBOR, or not a message of this protocol version.
--- a/crates/jasperhill-wire/src/record.rs
+++ b/crates/jasperhill-wire/src/record.rs
@@ -154,10 +154,10 @@
 /// counts are kept permanently.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The job's phase.
+    /// The job's phase: active, done or cancelled.
     #[serde(rename = "p")]
     pub phase: RecordPhase,
-    /// Number of finished tasks.
+    /// Number of the job's tasks that have finished.
     #[serde(rename = "n")]
     pub done_count: u32,
     /// The submission; `None` once the job has ended.
@@ -190,7 +190,7 @@
     /// Resources of each task.
     #[serde(rename = "r")]
     pub each: Resources,
-    /// Number of tasks.
+    /// Number of the job's tasks, each of which uses `each`.
     #[serde(rename = "n")]
     pub tasks: u32,
     /// Wall-clock time of the cancellation, in microseconds.
@@ -199,7 +199,7 @@
 }
 
 impl JobRecord {
-    /// Returns the record of a job that has ended and whose tasks no longer run.
+    /// Returns the record of a job that has ended, with its final counts only and no residual usage.
     pub fn terminal(phase: RecordPhase, done_count: u32) -> Self {
         Self {
             phase,
@@ -240,7 +240,7 @@
 /// through the state service.
 pub const REACHABILITY: u32 = 2;
 
-/// The session of a controller.
+/// The session of a controller, which lasts as long as the controller keeps its lease alive.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionRecord {
     /// The lease of the session; the record is deleted when the lease ends.
@@ -262,7 +262,7 @@
 /// The feature level of a controller's last process. The record outlasts the controller's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeatureLevelRecord {
-    /// The feature level.
+    /// The feature level of the controller's last process.
     #[serde(rename = "f")]
     pub format: u32,
 }
@@ -294,8 +294,8 @@
     pub hosts: Vec<HostId>,
 }
 
-/// A job submitted to its owner through the state service. The record is deleted with the
-/// proposer's session.
+/// A job proposed to its owner through the state service, by a controller that can't reach the
+/// owner. The record is deleted with the proposer's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProposalRecord {
     /// The controller that proposes the job.
--- a/crates/jasperhill-wire/src/store.rs
+++ b/crates/jasperhill-wire/src/store.rs
@@ -7,7 +7,7 @@
 /// A condition of a transaction: the key still has the expected version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Guard {
-    /// The key that is compared.
+    /// The key whose version is compared.
     #[serde(rename = "k")]
     pub key: String,
     /// The expected revision of the key's last write; 0: the key must not exist.
@@ -24,7 +24,7 @@
         /// The key to write.
         #[serde(rename = "write")]
         key: String,
-        /// The new value.
+        /// The value to write.
         #[serde(rename = "data")]
         value: Value,
         /// The lease with whose end the key is deleted; `None`: the key is kept until it is
@@ -74,10 +74,10 @@
 /// A key and its value, as returned in a listing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// The entry's key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The value.
+    /// The entry's value, as stored.
     #[serde(rename = "data")]
     pub value: Value,
     /// The revision of the key's last write.
@@ -88,7 +88,7 @@
     pub lease: Option<u64>,
 }
 
-/// One page of a listing.
+/// One page of a listing of keys and values.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listing {
     /// The keys and values, ordered by key.
@@ -110,7 +110,7 @@
         /// The key that was written.
         #[serde(rename = "write")]
         key: String,
-        /// The new value.
+        /// The value that was written.
         #[serde(rename = "data")]
         value: Value,
         /// The revision of the write.
--- a/crates/jasperhill-wire/src/user.rs
+++ b/crates/jasperhill-wire/src/user.rs
@@ -26,7 +26,7 @@
 /// Priority of a job. Smaller values are scheduled first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// The highest priority.
+    /// The highest priority, for production work.
     #[serde(rename = "prod")]
     Production,
     /// Above the normal priority.
@@ -58,7 +58,7 @@
     /// The job's priority.
     #[serde(rename = "p")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of the job's tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
     /// Resources of each task.
@@ -134,7 +134,7 @@
         if !(1..=TASKS_PER_JOB_MAX).contains(&tasks) {
             return field_error("shards", "must be from 1 to 100000");
         }
-        let micros = Micros::from_secs_f64;
+        let from_secs = Micros::from_secs_f64;
         Ok(Self {
             id,
             class: fields.string("jobclass")?.into(),
@@ -156,10 +156,10 @@
             one_zone: fields.boolean("together")?,
             spread: fields.boolean("apart")?,
             spot: fields.boolean("reclaimable")?,
-            estimate: micros(fields.amount("expected_s")?),
-            checkpoint_every: micros(fields.amount("snapshot_every_s")?),
-            checkpoint_time: micros(fields.amount("snapshot_s")?),
-            deadline: fields.optional_amount("due_s")?.map(micros),
+            estimate: from_secs(fields.amount("expected_s")?),
+            checkpoint_every: from_secs(fields.amount("snapshot_every_s")?),
+            checkpoint_time: from_secs(fields.amount("snapshot_s")?),
+            deadline: fields.optional_amount("due_s")?.map(from_secs),
             dependencies: Self::parse_dependencies(&fields)?,
         })
     }
@@ -242,7 +242,7 @@
     pub id: &'a str,
     /// The job's phase.
     pub phase: JobPhase,
-    /// Number of finished tasks.
+    /// Number of the job's tasks that have finished.
     pub done: u32,
     /// Number of running tasks, by the latest information.
     pub running: u32,
--- a/crates/jasperhill-wire/src/worker.rs
+++ b/crates/jasperhill-wire/src/worker.rs
@@ -22,7 +22,7 @@
     },
     /// Another task of the same gang exited.
     Peers,
-    /// The other tasks of the gang did not start in time.
+    /// The other tasks of the gang were not ready in time.
     Incomplete,
     /// The task failed.
     Error,
@@ -52,11 +52,11 @@
 /// Status of one attempt of a task on a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskStatus {
-    /// The task.
+    /// The task that the status describes.
     pub task: TaskId,
-    /// The attempt of the task.
+    /// The attempt of the task that the status describes.
     pub attempt: Attempt,
-    /// The phase that the attempt is in.
+    /// The phase of this attempt.
     pub phase: TaskPhase,
 }
 
--- a/crates/jasperhill-wire/tests/samples.rs
+++ b/crates/jasperhill-wire/tests/samples.rs
@@ -46,8 +46,8 @@
     value: T,
 ) {
     assert_json(name, &value);
-    let read: T = serde_json::from_str(sample(name)).unwrap();
-    assert_eq!(read, value, "{name}");
+    let parsed: T = serde_json::from_str(sample(name)).unwrap();
+    assert_eq!(parsed, value, "{name}");
 }
 
 /// Asserts that a message between controllers is encoded as the CBOR sample, given in hexadecimal
