--- a/crates/jasperhill-controller/src/clock.rs
+++ b/crates/jasperhill-controller/src/clock.rs
@@ -1,26 +1,26 @@
-//! The two clocks: a steady one for durations, the time of day for deadlines that must mean
-//! the same to all controllers. Owns no state that changes; tests put a time of day of their own
-//! behind it.
+//! The clocks of a controller: a steady (monotonic) clock for durations, and the time of day for deadlines
+//! that must mean the same to all controllers. Has no mutable state; tests can replace the source of the
+//! time of day.
 
 use jasperhill_wire::Micros;
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// The clocks of a process.
+/// The steady clock and the time of day of a process.
 #[derive(Clone)]
 pub struct Clock {
-    /// When the process began.
+    /// When this clock was created, at the start of the process.
     origin: Instant,
-    /// The time of day.
+    /// Returns the time of day since the Unix epoch.
     wall: Rc<dyn Fn() -> Micros>,
 }
 
-/// What the steady clock shows when the process begins: so much may be subtracted from any time
-/// without reaching zero.
+/// The steady time at the start of the process. Durations up to this long can be subtracted from any steady
+/// time without reaching zero.
 const STEADY_START: Micros = Micros::from_secs(3_600);
 
 impl Clock {
-    /// Clocks with this source of the time of day.
+    /// Creates clocks with the given source of the time of day.
     pub fn new(wall: impl Fn() -> Micros + 'static) -> Self {
         Self {
             origin: Instant::now(),
@@ -28,28 +28,28 @@
         }
     }
 
-    /// The system's clocks.
+    /// Creates clocks that use the time of day of the operating system.
     pub fn system() -> Self {
         Self::new(|| {
-            let since = std::time::SystemTime::now()
+            let since_epoch = std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .unwrap_or_default();
-            Micros(since.as_micros().try_into().unwrap_or(u64::MAX))
+            Micros(since_epoch.as_micros().try_into().unwrap_or(u64::MAX))
         })
     }
 
-    /// The steady clock. Means nothing to other processes.
+    /// Returns the steady time, which is not comparable between processes.
     pub fn now(&self) -> Micros {
-        let since = Instant::now() - self.origin;
-        STEADY_START + Micros(since.as_micros().try_into().unwrap_or(u64::MAX))
+        let since_origin = Instant::now() - self.origin;
+        STEADY_START + Micros(since_origin.as_micros().try_into().unwrap_or(u64::MAX))
     }
 
-    /// The time of day, since the Unix epoch.
+    /// Returns the time of day since the Unix epoch.
     pub fn wall(&self) -> Micros {
         (self.wall)()
     }
 
-    /// The steady time of a moment given as time of day.
+    /// Converts a time of day to steady time.
     pub fn steady(&self, wall: Micros) -> Micros {
         let (now, now_wall) = (self.now(), self.wall());
         if wall >= now_wall {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A length of time as timers take it.
-pub(crate) fn to_duration(length: Micros) -> Duration {
-    Duration::from_micros(length.0)
+/// Converts a duration to the type that tokio's timers take.
+pub(crate) fn to_duration(duration: Micros) -> Duration {
+    Duration::from_micros(duration.0)
 }
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -1,8 +1,8 @@
-//! The connections that this process may have: the budget follows the number of machines, and the log and
-//! `/ready` say which classes of connections have come to their bound.
+//! Management of this process's connection budget: resizes the budget to the number of machines, and
+//! reports in the log and on `/ready` which connection classes have reached their limit.
 //!
-//! The budget itself belongs to the transport's connection tracker; the concurrency limiter of commands,
-//! in `CommandState`, follows its size.
+//! The transport's connection tracker owns the budget. The concurrency limiter of commands, in
+//! `CommandState`, is resized with the budget.
 
 use crate::shared::Shared;
 use jasperhill_connections::{Class, limiter::Input};
@@ -10,37 +10,38 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// A class is at its bound while a connection of it was refused within this time.
-const REFUSAL_MEMORY: Duration = Duration::from_secs(5);
-/// How often the budget is divided anew.
+/// A connection class counts as being at its limit if one of its connections was refused within this time.
+const REFUSAL_WINDOW: Duration = Duration::from_secs(5);
+/// Interval at which the budget is resized.
 const RESIZE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the log says how many connections there are.
+/// Interval at which the use of connections is logged.
 const LOG_INTERVAL: Micros = Micros::from_secs(60);
-/// The quantile of the waits for a turn that is logged.
+/// Quantile of the commands' waiting times for a connection that is logged.
 const LOGGED_QUANTILE: f64 = 0.99;
 
 impl Shared {
-    /// The classes of connections in which one was just refused. Called by `/ready`.
-    pub fn at_bound(&self) -> Vec<&'static str> {
-        let at_bound = self
+    /// Returns the names of the connection classes in which a connection was refused within
+    /// [`REFUSAL_WINDOW`]. Called by `/ready`.
+    pub fn classes_at_limit(&self) -> Vec<&'static str> {
+        let classes = self
             .transport
             .connection_tracker()
-            .recently_refused(REFUSAL_MEMORY);
-        at_bound.into_iter().map(Class::as_str).collect()
+            .recently_refused(REFUSAL_WINDOW);
+        classes.into_iter().map(Class::as_str).collect()
     }
 
-    /// Divides the connection budget by the machines that are known, and logs its use, for as long as the
-    /// controller lives.
+    /// Resizes the connection budget to the number of known machines and logs its use, for as long as the
+    /// controller runs.
     pub async fn connection_budget_loop(self: Rc<Self>) {
-        let (mut logged_at_bound, mut usage_logged_at) = (Vec::new(), self.now());
+        let (mut logged_classes, mut usage_logged_at) = (Vec::new(), self.now());
         loop {
             sleep(RESIZE_INTERVAL).await;
             self.resize_budget();
             let now = self.now();
-            let at_bound = self.at_bound();
-            if at_bound != logged_at_bound {
-                self.log_bound_changes(&logged_at_bound, &at_bound);
-                logged_at_bound = at_bound;
+            let classes = self.classes_at_limit();
+            if classes != logged_classes {
+                self.log_limit_changes(&logged_classes, &classes);
+                logged_classes = classes;
             }
             if now - usage_logged_at >= LOG_INTERVAL {
                 usage_logged_at = now;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Divides the connection budget by the machines that are known now.
+    /// Resizes the connection budget, and the limiter of commands, to the number of known machines.
     fn resize_budget(self: &Rc<Self>) {
         let connections = self.transport.connection_tracker();
         let machines = self.state.borrow().cache.hosts.len();
@@ -65,19 +66,19 @@
         self.send_commands(ready_hosts);
     }
 
-    /// Logs the classes that have come to their bound, or are below it again.
-    fn log_bound_changes(&self, before: &[&'static str], after: &[&'static str]) {
+    /// Logs the connection classes that have reached their limit, or have fallen below it again.
+    fn log_limit_changes(&self, before: &[&'static str], after: &[&'static str]) {
         let connections = self.transport.connection_tracker();
         let open = connections.totals().open;
         for class in Class::ALL {
             let name = class.as_str();
-            let report = connections.usage(class);
+            let usage = connections.usage(class);
             match (before.contains(&name), after.contains(&name)) {
                 (false, true) => tracing::warn!(
                     class = name,
-                    open = report.open,
-                    guaranteed = report.guaranteed,
-                    refused = report.refused,
+                    open = usage.open,
+                    guaranteed = usage.guaranteed,
+                    refused = usage.refused,
                     all = open,
                     "sockets at their bound"
                 ),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Logs how many connections there are, and how long commands wait for theirs.
+    /// Logs the number of connections and how long commands wait for one.
     fn log_connection_usage(&self) {
         let connections = self.transport.connection_tracker();
         let totals = connections.totals();
@@ -110,17 +111,18 @@
         limiter.reset_wait_times();
     }
 
-    /// Logs the class or team of whose jobs the smallest share has begun here.
+    /// Logs the class or team with the smallest share of started jobs, among those in the owned partitions
+    /// that have jobs waiting for too long.
     fn log_starvation(&self) {
         let state = self.state.borrow();
         let partitions = state.scheduling.partitions.values();
-        let standings = partitions.flat_map(|partition| partition.starvation.shares());
-        let least_served = standings.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
+        let shares = partitions.flat_map(|partition| partition.starvation.shares());
+        let least_served = shares.min_by(|a, b| a.1.share.total_cmp(&b.1.share));
         match least_served {
-            Some((group, standing)) => tracing::info!(
+            Some((group, served)) => tracing::info!(
                 least = ?group,
-                share = standing.share,
-                waiting = standing.waiting,
+                share = served.share,
+                waiting = served.waiting,
                 "served"
             ),
             None => tracing::info!("served: nobody waits for too long"),
--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -1,5 +1,5 @@
-//! A controller: starts its loops, and hands in the requests that come to it. The daemon and the
-//! simulated cluster of the test kit are its two users.
+//! The entry point of a controller: starts the loops and dispatches incoming requests. Used by the daemon
+//! and by the simulated cluster of the testkit.
 
 use crate::{
     clock::Clock,
@@ -12,7 +12,7 @@
 use jasperhill_scheduler::sharding::split;
 use std::{cell::RefCell, future::Future, rc::Rc};
 
-/// One controller. Dropping it ends all that it does.
+/// A running controller. Dropping the value aborts all its tasks.
 pub struct Controller(pub(crate) Rc<Shared>);
 
 impl Drop for Controller {
@@ -22,7 +22,7 @@
 }
 
 impl Controller {
-    /// Starts the loops. Needs a `LocalSet`.
+    /// Starts the controller's loops. Must be called within a `LocalSet`.
     pub fn start(settings: Settings, clock: Clock, transport: Rc<dyn Transport>) -> Self {
         let shared = Rc::new(Shared {
             scheduler_config: Rc::new(settings.scheduler_config()),
@@ -38,20 +38,20 @@
         Self(shared)
     }
 
-    /// Answers users, workers and health checks.
+    /// Handles a request from a user, a worker or a health check.
     pub fn handle(&self, request: Request) -> impl Future<Output = Response> + use<> {
         let shared = self.0.clone();
         async move { shared.serve(request).await }
     }
 
-    /// Answers the other controllers.
+    /// Handles a mesh request from another controller.
     pub fn handle_mesh(&self, request: Request) -> impl Future<Output = Response> + use<> {
         let shared = self.0.clone();
         async move { shared.serve_mesh(request).await }
     }
 }
 
-/// Spawns the loops that run for as long as the controller lives. They are polled first in this order.
+/// Spawns the loops that run for as long as the controller runs. They are first polled in this order.
 fn spawn_loops(shared: &Rc<Shared>) {
     shared.clone().spawn(shared.clone().watch_loop());
     shared.clone().spawn(shared.clone().read_index_loop());
--- a/crates/jasperhill-controller/src/lib.rs
+++ b/crates/jasperhill-controller/src/lib.rs
@@ -1,12 +1,13 @@
-//! A controller of the cluster scheduler: thin I/O around the state machines here, in
-//! `jasperhill-scheduler` and in `jasperhill-membership`.
+//! A controller of the cluster scheduler: a thin I/O layer around the state machines of this crate, of
+//! `jasperhill-scheduler` and of `jasperhill-membership`.
 //!
-//! - `controller` starts the loops; `shared` is the context that they share, `state` all that changes.
-//! - `store` is the client of the state service; `watch_cache` the replica of the store that it feeds;
-//!   `scheduling` carries the changes over and runs the scheduler.
-//! - `users` answers users, `heartbeats` workers, `mesh` the other controllers; `relay`, `delegation`
-//!   and `proposals` go by way of those where a direct link is down.
-//! - `roles` and `membership`: which controller owns what. `provisioner`: machines of the cloud.
+//! - `controller` starts the loops; `shared` holds the context of all modules, `state` the mutable state.
+//! - `store` is the client of the state service; `watch_cache` is the replica of the store that the client
+//!   feeds; `scheduling` propagates changes of the replica and runs the scheduler.
+//! - `users` handles requests of users, `heartbeats` those of workers, `mesh` those of other controllers.
+//! - `relay`, `delegation` and `proposals` use other controllers or the store where a direct link is down.
+//! - `roles` and `membership` determine which controller owns which role.
+//! - `provisioner` rents and returns machines of the cloud.
 
 pub mod clock;
 mod commands;
--- a/crates/jasperhill-controller/src/membership.rs
+++ b/crates/jasperhill-controller/src/membership.rs
@@ -1,51 +1,58 @@
-//! What this controller knows of the others: roles, reachability, restarts, feature levels; and whether
-//! it is isolated from the store. Only the state is here; `roles`, `relay` and `mesh` change it.
+//! State about the controllers of the deployment (roles, reachability, restarts, feature levels), and
+//! whether this controller is isolated from the store. This module only defines the state; `roles`,
+//! `relay` and `mesh` modify it.
 
 use crate::{feature_gate::FeatureGate, settings::Settings};
 use jasperhill_membership::{Reachability, RestartHistory, Roles, restart_history::ProcessRun};
 use jasperhill_wire::{Member, Micros, record::SessionRecord};
 use std::collections::BTreeMap;
 
-/// What this controller knows of the others.
+/// What this controller knows about the members: roles, links, restarts and feature levels.
 pub(crate) struct MembershipState {
-    /// Who should hold which role.
+    /// Which member should hold which role.
     pub roles: Roles,
-    /// Whether this process has been restarted again and again.
+    /// The recent restarts of this process, to detect a crash loop.
     pub restarts: RestartHistory,
-    /// Which links work.
+    /// The state of the links between members, the store, the cloud and workers.
     pub reachability: Reachability,
-    /// What every member understands.
+    /// The features that all members support.
     pub features: FeatureGate,
-    /// Since when peers have not been reached, by the steady clock.
+    /// The time since which each unreachable peer has not been reached, by the steady clock.
     pub silent_since: BTreeMap<Member, Micros>,
 }
 
 impl MembershipState {
-    /// `now`: by the steady clock; `wall`: the time of day at which this process started.
+    /// Creates the state of a process that has just started. `now`: steady time; `wall`: time of day of the
+    /// process's start.
     pub fn new(settings: &Settings, now: Micros, wall: Micros) -> Self {
-        let own = &settings.member;
-        let peers = settings.peers.iter().map(|p| p.member.clone()).collect();
+        let own_member = &settings.member;
+        let peers = settings
+            .peers
+            .iter()
+            .map(|peer| peer.member.clone())
+            .collect();
         Self {
-            roles: Roles::new(own.clone(), settings.members(), settings.size),
+            roles: Roles::new(own_member.clone(), settings.members(), settings.size),
             restarts: RestartHistory::new(settings.crash_loop_threshold(), now),
-            reachability: Reachability::new(own.clone(), peers, wall),
+            reachability: Reachability::new(own_member.clone(), peers, wall),
             features: FeatureGate::default(),
             silent_since: BTreeMap::new(),
         }
     }
 }
 
-/// Whether the state service answers others, but not this controller.
+/// Whether this controller is isolated from the store: the state service answers other controllers, but
+/// not this one.
 #[derive(Default)]
 pub(crate) struct IsolationState {
-    /// It does.
+    /// Whether this controller counts as isolated.
     pub isolated: bool,
-    /// Since when the links show it, by the steady clock. Once that has lasted, it is kept until the link
-    /// to the store is up.
+    /// The time since which the links show the isolation, by the steady clock; `None` if they don't. Once the
+    /// isolation has lasted for some seconds, this time is kept until the link to the store is up.
     pub since: Option<Micros>,
 }
 
-/// What a session's record says of the process that began it.
+/// Extracts the start time and the number of quick restarts of a member's process from its session record.
 pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
     ProcessRun {
         started: record.process_started,
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -1,5 +1,6 @@
-//! The mesh between controllers: CBOR over HTTP. A peer that can't be reached is no error. Owns no state,
-//! except that it decides on isolation while some members run a version without reachability.
+//! The mesh: messages between controllers, encoded as CBOR over HTTP. An unreachable peer is not an error.
+//! The module owns no state, except that it updates [`crate::membership::IsolationState`] while some
+//! members run a version without reachability reports.
 
 use crate::{
     provisioner::state::{SpareCapacity, UnmetDemand},
@@ -13,111 +14,115 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// A watch cache that was up to date within this time is as good as the state service gives.
-const FRESH_PERIOD: Micros = Micros::from_secs(6);
-/// Where all messages of the mesh are sent.
+/// The store counts as reachable if the watch cache was up to date within this time: the state service
+/// can't be expected to keep the cache any fresher.
+const REACHABLE_CACHE_AGE_MAX: Micros = Micros::from_secs(6);
+/// Path to which all mesh messages are sent.
 const MESH_PATH: &str = "/mesh";
-/// How often isolation is decided on.
+/// Interval at which isolation is evaluated.
 const ISOLATION_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a peer's answer about the store is waited for.
-const ISOLATION_CALL_LIMIT: Micros = Micros::from_secs(1);
-/// Rounds in a row after which this controller counts as isolated.
+/// Timeout of asking one peer whether it reaches the store.
+const ISOLATION_CALL_TIMEOUT: Micros = Micros::from_secs(1);
+/// Number of consecutive evaluations that must show isolation before this controller counts as isolated.
 const ISOLATION_ROUNDS: u32 = 2;
 
-/// The reply to a worker's heartbeat, on its way back through another controller.
-fn as_relayed(answer: Response) -> MeshResponse {
+/// Wraps the response to a worker's heartbeat into a mesh response, for the controller that relays it.
+fn relayed_response(response: Response) -> MeshResponse {
     MeshResponse::HeartbeatRelayed {
-        status: answer.status,
-        body: String::from_utf8(answer.body).unwrap_or_default(),
+        status: response.status,
+        body: String::from_utf8(response.body).unwrap_or_default(),
     }
 }
 
 impl Shared {
-    /// Whether the state service has answered this controller lately.
+    /// Returns whether the state service has answered this controller recently.
     fn is_store_reachable(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
-        now - state.authority.fresh() < FRESH_PERIOD && !state.stalls.is_store_silent(now)
+        now - state.authority.fresh() < REACHABLE_CACHE_AGE_MAX
+            && !state.stalls.is_store_silent(now)
     }
 
-    /// Decides on isolation while some members do not take part in reachability yet. Asks the peers
-    /// while the state service is silent: if it answers the others, users are better served there; if
-    /// nobody gets an answer, there is no better place to go. Isolated only after several rounds in a
-    /// row, since the others may notice an outage a little later.
+    /// Evaluates isolation while some members do not support reachability reports yet. Asks the peers while
+    /// the state service does not answer this controller: if it answers the peers, they serve users better;
+    /// if it answers nobody, no other controller would be better. Requires [`ISOLATION_ROUNDS`] consecutive
+    /// results, since the peers may notice an outage slightly later.
     pub async fn legacy_isolation_loop(self: Rc<Self>) {
-        let mut rounds = 0u32;
+        let mut isolated_rounds = 0u32;
         loop {
             sleep(ISOLATION_INTERVAL).await;
             if self.uses_reachability(&self.state.borrow()) {
-                // Decided by the reachability of the links.
+                // The reachability reports of the links determine isolation instead.
                 continue;
             }
-            let isolated = !self.is_store_reachable() && self.is_isolated_from_store().await;
-            rounds = if isolated { rounds + 1 } else { 0 };
-            self.state.borrow_mut().isolation.isolated = rounds >= ISOLATION_ROUNDS;
+            let is_isolated = !self.is_store_reachable() && self.is_isolated_from_store().await;
+            isolated_rounds = if is_isolated { isolated_rounds + 1 } else { 0 };
+            self.state.borrow_mut().isolation.isolated = isolated_rounds >= ISOLATION_ROUNDS;
         }
     }
 
-    /// Whether this controller alone seems to be cut off from the store: a peer reaches it, or none of
-    /// the peers answers.
+    /// Returns whether only this controller seems to be cut off from the store: a peer reaches the store, or
+    /// there are peers and none of them answers.
     async fn is_isolated_from_store(&self) -> bool {
-        let mut isolated = !self.settings.peers.is_empty();
+        let mut is_isolated = !self.settings.peers.is_empty();
         for peer in &self.settings.peers {
             let request = MeshRequest::IsStoreReachable;
             match self
-                .mesh_call(peer.address, request, ISOLATION_CALL_LIMIT)
+                .mesh_call(peer.address, request, ISOLATION_CALL_TIMEOUT)
                 .await
             {
                 Some(MeshResponse::StoreReachable(true)) => return true,
-                Some(MeshResponse::StoreReachable(false)) => isolated = false,
+                Some(MeshResponse::StoreReachable(false)) => is_isolated = false,
                 _ => {}
             }
         }
-        isolated
+        is_isolated
     }
 
-    /// Sends a message to another controller; `None` if no answer came in time.
+    /// Sends a message to another controller. Returns `None` if the call fails or times out.
     pub async fn mesh_call(
         &self,
         to: SocketAddr,
         request: MeshRequest,
-        limit: Micros,
+        timeout: Micros,
     ) -> Option<MeshResponse> {
-        self.try_mesh_call(to, request, limit).await.ok()
+        self.try_mesh_call(to, request, timeout).await.ok()
     }
 
-    /// Sends a message to another controller, and notes what that shows of the link.
+    /// Sends a message to another controller, and records the outcome as an observation of the link.
     ///
     /// # Errors
-    /// [`ClientError::NotSent`] if the peer surely did not act on the message; otherwise it may have.
+    /// [`ClientError::NotSent`] if the peer certainly did not act on the message; after other errors it may
+    /// have.
     pub async fn try_mesh_call(
         &self,
         to: SocketAddr,
         request: MeshRequest,
-        limit: Micros,
+        timeout: Micros,
     ) -> Result<MeshResponse, ClientError> {
-        let short = matches!(
+        let is_answered_at_once = matches!(
             request,
             MeshRequest::Reachability(_) | MeshRequest::IsStoreReachable
         );
         let body = encode(request).map_err(|_| ClientError::NotSent)?;
         let request = Request::new(Method::Post, MESH_PATH, body);
-        let answer = self.call(to, request, limit).await;
-        // A request that found no free socket here says nothing of the peer.
-        if !matches!(answer, Err(ClientError::NoSocket)) {
-            self.record_peer_contact(to, answer.is_ok(), short);
+        let response = self.call(to, request, timeout).await;
+        // A request that got no free socket in this process says nothing about the peer.
+        if !matches!(response, Err(ClientError::NoSocket)) {
+            self.record_peer_contact(to, response.is_ok(), is_answered_at_once);
         }
-        let answer = answer?;
-        if answer.status != 200 {
+        let response = response?;
+        if response.status != 200 {
             return Err(ClientError::NotSent);
         }
-        decode(&answer.body).map_err(|error| {
+        decode(&response.body).map_err(|error| {
             tracing::warn!(%error, "malformed mesh response");
             ClientError::NoAnswer
         })
     }
 
-    /// Answers a message of another controller.
+    /// Handles an HTTP request from another controller: decodes the message, dispatches it and encodes the
+    /// response.
     pub async fn serve_mesh(self: Rc<Self>, request: Request) -> Response {
         if request.method != Method::Post || request.path() != MESH_PATH {
             return Response::new(404, Vec::new());
@@ -132,22 +137,22 @@
                 return Response::new(400, Vec::new());
             }
         };
-        let answer = self.handle_mesh_request(message).await;
-        let mut response = Response::new(200, encode(answer).unwrap_or_default());
+        let reply = self.handle_mesh_request(message).await;
+        let mut response = Response::new(200, encode(reply).unwrap_or_default());
         response.cbor = true;
         response
     }
 
-    /// Does what a message asks for.
+    /// Dispatches a mesh message to its handler.
     async fn handle_mesh_request(self: Rc<Self>, message: MeshRequest) -> MeshResponse {
         match message {
             MeshRequest::Admit(job) => self.admit(*job).await,
             MeshRequest::TaskCounts(ids) => self.local_task_counts(&ids),
-            MeshRequest::RelayHeartbeat(report) => {
-                as_relayed(self.handle_relayed_heartbeat(report.as_bytes()).await)
+            MeshRequest::RelayHeartbeat(heartbeat) => {
+                relayed_response(self.handle_relayed_heartbeat(heartbeat.as_bytes()).await)
             }
-            MeshRequest::RelayHeartbeatOnward(report) => {
-                as_relayed(self.relay_onward(report.as_bytes()).await)
+            MeshRequest::RelayHeartbeatOnward(heartbeat) => {
+                relayed_response(self.relay_onward(heartbeat.as_bytes()).await)
             }
             MeshRequest::SpareCapacity {
                 machines,
@@ -165,7 +170,7 @@
                 thousandths,
             } => {
                 if partition < self.settings.size {
-                    let unmet = UnmetDemand {
+                    let demand = UnmetDemand {
                         hosts: f64::from(thousandths) / 1e3,
                         at: self.now(),
                     };
@@ -173,12 +178,12 @@
                         .borrow_mut()
                         .provisioning
                         .unmet_demand
-                        .insert(partition, unmet);
+                        .insert(partition, demand);
                 }
                 MeshResponse::Acknowledged
             }
-            MeshRequest::Reachability(theirs) => {
-                MeshResponse::Reachability(Box::new(self.receive_reachability(&theirs)))
+            MeshRequest::Reachability(report) => {
+                MeshResponse::Reachability(Box::new(self.receive_reachability(&report)))
             }
             MeshRequest::RelayCommands { host, body } => self.relay_commands(host, body).await,
             MeshRequest::IsStoreReachable => {
--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -1,6 +1,6 @@
-//! Carries changes of the watch cache over to all that depends on them: the scheduler's partitions, the
-//! demand forecast, the feature gate, and the loops that wait. Called by the store client with each
-//! listing, watch and own write. Owns no state.
+//! Propagates changes of the watch cache to its dependents: the scheduler's partitions, the demand
+//! forecast, the feature gate, and the loops that wait for changes. The store client calls this module
+//! with each listing, watch response and write of this controller. The module owns no state.
 
 use crate::{
     feature_gate::MemberVersions,
@@ -15,31 +15,32 @@
 use jasperhill_wire::{JobId, Micros, user::JobRequest};
 use std::rc::Rc;
 
-/// Released jobs whose release times are kept; beyond, waiting time counts from the submission.
-const RELEASED_MAX: usize = 20_000;
+/// Maximum number of jobs whose time of becoming ready is stored. The waiting time of further jobs counts
+/// from their submission.
+const RELEASE_TIMES_MAX: usize = 20_000;
 
-/// What is to be woken once all changes are carried over.
+/// The set of loops to wake once all changes have been propagated.
 #[derive(Clone, Copy, Default)]
-struct FollowUp {
-    /// The loop that acquires and hands over roles.
+struct LoopsToWake {
+    /// Whether to wake the loop that acquires and hands over roles.
     roles: bool,
-    /// The scheduler.
+    /// Whether to wake the scheduling loop.
     scheduler: bool,
 }
 
-impl FollowUp {
-    /// Roles alone.
+impl LoopsToWake {
+    /// Only the loop that acquires and hands over roles.
     const ROLES: Self = Self {
         roles: true,
         scheduler: false,
     };
-    /// The scheduler alone.
+    /// Only the scheduling loop.
     const SCHEDULER: Self = Self {
         roles: false,
         scheduler: true,
     };
 
-    /// The scheduler, if it is needed.
+    /// Only the scheduling loop if `needed`, otherwise no loop.
     fn scheduler_if(needed: bool) -> Self {
         Self {
             roles: false,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Adds what another change needs.
+    /// Adds the loops of another set to this set.
     fn add(&mut self, other: Self) {
         self.roles |= other.roles;
         self.scheduler |= other.scheduler;
@@ -55,7 +56,8 @@
 }
 
 impl Shared {
-    /// Applies an input to the watch cache and carries the changes over to all that depends on it.
+    /// Applies an input to the watch cache, propagates the resulting changes and wakes the loops that
+    /// depend on them.
     pub fn apply_to_cache(&self, input: watch_cache::Input) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -68,102 +70,106 @@
         if changes.is_empty() {
             return;
         }
-        let mut follow_up = FollowUp::default();
+        let mut loops_to_wake = LoopsToWake::default();
         for change in changes {
-            follow_up.add(self.carry_over(&mut state, change, was_synced, now));
+            loops_to_wake.add(self.propagate_change(&mut state, change, was_synced, now));
         }
         if became_synced {
             self.restore_forecast(&mut state, now);
         }
         drop(state);
-        if follow_up.roles {
+        if loops_to_wake.roles {
             self.wake.roles.notify_one();
         }
-        if follow_up.scheduler {
+        if loops_to_wake.scheduler {
             self.wake.scheduler.notify_one();
         }
     }
 
-    /// Carries one change over. `was_synced`: the watch cache was complete before it, so that a new
-    /// job is one that has just been submitted.
-    fn carry_over(
+    /// Propagates one change and returns the loops to wake. `was_synced`: whether the watch cache was
+    /// complete before the change, so that a new job is one that was just submitted.
+    fn propagate_change(
         &self,
         state: &mut State,
         change: Change,
         was_synced: bool,
         now: Micros,
-    ) -> FollowUp {
+    ) -> LoopsToWake {
         match change {
-            Change::Job(id) => self.job_record_changed(state, &id, was_synced, now),
-            Change::Released(id) => self.job_released(state, id, now),
-            Change::Related(id) => FollowUp::scheduler_if(self.job_changed(state, &id, now)),
+            Change::Job(id) => self.handle_job_record_change(state, &id, was_synced, now),
+            Change::Released(id) => self.handle_job_release(state, id, now),
+            Change::Related(id) => {
+                LoopsToWake::scheduler_if(self.apply_job_change(state, &id, now))
+            }
             Change::Host(id) => {
-                self.host_changed(state, &id, now);
+                self.apply_host_change(state, &id, now);
                 self.wake.hosts_changed.notify_waiters();
-                FollowUp::SCHEDULER
+                LoopsToWake::SCHEDULER
             }
             Change::Session(member) => {
                 let lease = state.cache.sessions.get(&member).map(|k| k.value.lease);
                 let session = roles::Input::Session(&member, lease);
                 state.membership.roles.apply(session, now);
                 self.update_feature_gate(state);
-                FollowUp::ROLES
+                LoopsToWake::ROLES
             }
             Change::FeatureLevel(_) => {
                 self.update_feature_gate(state);
-                FollowUp::default()
+                LoopsToWake::default()
             }
             Change::Role(_) => {
-                // Heartbeats that wait for the owner go where the role went.
+                // Wakes heartbeats that wait for the partition's owner, so that they are routed to the new
+                // owner.
                 self.wake.ownership_changed.notify_waiters();
-                FollowUp::ROLES
+                LoopsToWake::ROLES
             }
             Change::DelegationRequest(delegate) => {
                 state.delegation.changed_requests.insert(delegate);
                 self.wake.delegation_grants.notify_one();
-                FollowUp::default()
+                LoopsToWake::default()
             }
             Change::Proposal(id) => {
-                self.proposal_changed(state, id);
-                FollowUp::default()
+                self.handle_proposal_change(state, id);
+                LoopsToWake::default()
             }
             Change::DelegationGrant => {
                 self.wake.grants_changed.notify_waiters();
-                FollowUp::default()
+                LoopsToWake::default()
             }
             Change::Types => load_specs(state),
         }
     }
 
-    /// A job is new, or its record has changed.
-    fn job_record_changed(
+    /// Handles a new job or a changed job record.
+    fn handle_job_record_change(
         &self,
         state: &mut State,
         id: &JobId,
         was_synced: bool,
         now: Micros,
-    ) -> FollowUp {
+    ) -> LoopsToWake {
         if state.proposals.open.contains(id) {
             self.wake.proposals.notify_waiters();
         }
         if was_synced && state.cache.dependencies.state_of(id) == DependencyState::Ready {
             self.record_arrival(state, id, now);
         }
-        FollowUp::scheduler_if(self.job_changed(state, id, now))
+        LoopsToWake::scheduler_if(self.apply_job_change(state, id, now))
     }
 
-    /// The last dependency of a job is done.
-    fn job_released(&self, state: &mut State, id: JobId, now: Micros) -> FollowUp {
-        // Its waiting time counts from now on.
-        if state.scheduling.released.len() < RELEASED_MAX {
+    /// Handles a job whose last dependency is done.
+    fn handle_job_release(&self, state: &mut State, id: JobId, now: Micros) -> LoopsToWake {
+        // The job's waiting time counts from now, not from its submission.
+        if state.scheduling.released.len() < RELEASE_TIMES_MAX {
             state.scheduling.released.insert(id.clone(), now);
         }
         self.record_arrival(state, &id, now);
-        FollowUp::scheduler_if(self.job_changed(state, &id, now))
+        LoopsToWake::scheduler_if(self.apply_job_change(state, &id, now))
     }
 
-    /// A proposal of this controller may have been answered; one of another is to be considered.
-    fn proposal_changed(&self, state: &mut State, id: JobId) {
+    /// Handles a changed proposal. For a proposal of this controller, wakes the requests that wait for the
+    /// decision; one of another controller is queued for evaluation.
+    fn handle_proposal_change(&self, state: &mut State, id: JobId) {
         if state.proposals.open.contains(&id) {
             self.wake.proposals.notify_waiters();
         } else {
@@ -172,7 +178,7 @@
         }
     }
 
-    /// Brings the feature gate up to what the watch cache says of the members.
+    /// Updates the feature gate from the members' sessions and feature levels in the watch cache.
     fn update_feature_gate(&self, state: &mut State) {
         let State {
             membership, cache, ..
@@ -188,14 +194,13 @@
         }
     }
 
-    /// Restores the demand forecast of a controller that has just started from the records of jobs that
-    /// came lately. Guards against a fleet that shrinks when its leader has restarted and expects
-    /// nothing any more.
+    /// Restores the demand forecast of a controller that has just started from the records of recently
+    /// submitted jobs. Without it, a restarted leader would expect no demand and shrink the fleet.
     fn restore_forecast(&self, state: &mut State, now: Micros) {
         let Some(specs) = state.scheduling.specs.clone() else {
             return;
         };
-        let mut recent: Vec<(Micros, Rc<JobRequest>)> = state
+        let mut arrivals: Vec<(Micros, Rc<JobRequest>)> = state
             .cache
             .active_jobs()
             .filter(|job| {
@@ -203,14 +208,14 @@
             })
             .map(|job| (self.clock.steady(job.submitted), job.request.clone()))
             .collect();
-        recent.sort_by_key(|(at, _)| *at);
-        let Some((first, _)) = recent.first() else {
+        arrivals.sort_by_key(|(at, _)| *at);
+        let Some((first, _)) = arrivals.first() else {
             return;
         };
         state.provisioning.forecast = DemandForecast::new(*first);
-        for (at, request) in recent {
+        for (at, request) in arrivals {
             if state.provisioning.forecast.counts(at)
-                && self.settings.waited_for.contains_key(&request.class)
+                && self.settings.start_objectives.contains_key(&request.class)
                 && let Some(p) = self.partition_of(&request.team)
             {
                 state
@@ -221,14 +226,18 @@
         }
     }
 
-    /// Counts a job that has become ready in the demand forecast.
+    /// Records a job that has become ready in the demand forecast. Counts only jobs of classes with a start
+    /// objective that have no finished tasks and no failed attempts.
     fn record_arrival(&self, state: &mut State, id: &JobId, now: Micros) {
         let Some(specs) = &state.scheduling.specs else {
             return;
         };
         let forecast = &mut state.provisioning.forecast;
         if let Some(JobEntry::Active(job)) = state.cache.job(id)
-            && self.settings.waited_for.contains_key(&job.request.class)
+            && self
+                .settings
+                .start_objectives
+                .contains_key(&job.request.class)
             && job.finished.is_empty()
             && job.failed_attempts == 0
             && forecast.counts(now)
@@ -239,13 +248,14 @@
     }
 }
 
-/// Takes over the machine types once all their parts are known.
-fn load_specs(state: &mut State) -> FollowUp {
+/// Loads the machine types from the watch cache once all their parts are known. Returns the roles loop as
+/// the loop to wake when the types have been loaded.
+fn load_specs(state: &mut State) -> LoopsToWake {
     if state.scheduling.specs.is_none()
         && let Some(types) = state.cache.types()
     {
         state.scheduling.specs = Some(Rc::new(specs(&types.types)));
-        return FollowUp::ROLES;
+        return LoopsToWake::ROLES;
     }
-    FollowUp::default()
+    LoopsToWake::default()
 }
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the scheduler: hands it what changes in the store, makes a pass after changes and every second,
-//! and sends out what it decides. Owns [`state::SchedulingState`]; the decisions themselves are those of
-//! `jasperhill_scheduler`.
+//! Runs the scheduler: applies store changes to the partitions, runs a scheduling pass after changes and
+//! every second, and sends the resulting commands and writes. Owns [`state::SchedulingState`]; the
+//! scheduling decisions are made by `jasperhill_scheduler`.
 
 mod cache_changes;
 pub mod state;
@@ -22,19 +22,21 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// How long changes are gathered before a pass, at least.
-const GATHER_MIN: Duration = Duration::from_millis(10);
-/// How much longer changes are gathered for each job that waits.
-const GATHER_PER_JOB: Duration = Duration::from_micros(60);
-/// How much longer changes are gathered, at most: bounds how late a pass comes behind a long backlog.
-const GATHER_EXTRA_MAX: Duration = Duration::from_millis(250);
-/// Waiting jobs that count for the time to gather, at most; it reaches its maximum with fewer.
-const GATHER_JOBS_MAX: usize = 10_000;
-/// There is a pass at least this often, for what only time changes.
-const TICK: Micros = Micros::from_secs(1);
+/// Minimum delay between the first change and the scheduling pass, in which further changes are batched.
+const BATCH_DELAY_MIN: Duration = Duration::from_millis(10);
+/// Addition to the batching delay per waiting job.
+const BATCH_DELAY_PER_JOB: Duration = Duration::from_micros(60);
+/// Maximum addition to the batching delay; limits the delay of a pass when the backlog is long.
+const BATCH_DELAY_EXTRA_MAX: Duration = Duration::from_millis(250);
+/// Maximum number of waiting jobs that count for the batching delay. The delay reaches its maximum with
+/// fewer jobs.
+const BATCH_DELAY_JOBS_MAX: usize = 10_000;
+/// Maximum interval between passes. Regular passes handle conditions that change only with time.
+const TICK_INTERVAL: Micros = Micros::from_secs(1);
 
 impl Shared {
-    /// What the dependency graph says of a job, with times by the steady clock.
+    /// Returns the dependency status of a job according to the dependency graph, with times by the steady
+    /// clock.
     pub fn dependency_status(&self, state: &State, job: &ActiveJob) -> DependencyStatus {
         let id = &job.request.id;
         let urgency = state.cache.dependencies.inherited_urgency(id);
@@ -52,8 +54,9 @@
         }
     }
 
-    /// A job's record or its dependency status has changed. Whether a pass could make use of it.
-    fn job_changed(&self, state: &mut State, id: &JobId, now: Micros) -> bool {
+    /// Updates the partitions after a change of a job's record or dependency status. Returns whether the
+    /// change could affect a scheduling pass.
+    fn apply_job_change(&self, state: &mut State, id: &JobId, now: Micros) -> bool {
         if let Some((phase, _)) = state.cache.final_phase(id) {
             let termination = match phase {
                 RecordPhase::Done => Termination::Done,
@@ -68,12 +71,12 @@
         let Some(JobEntry::Active(job)) = state.cache.job(id) else {
             return false;
         };
-        let Some(p) = self.partition_of(&job.request.team) else {
+        let Some(partition_id) = self.partition_of(&job.request.team) else {
             return false;
         };
         let status = self.dependency_status(state, job);
         let submitted = self.clock.steady(job.submitted);
-        let Some(partition) = state.scheduling.partitions.get_mut(&p) else {
+        let Some(partition) = state.scheduling.partitions.get_mut(&partition_id) else {
             return false;
         };
         let failures = (job.failed_attempts, now);
@@ -83,28 +86,28 @@
         true
     }
 
-    /// A host's record has changed.
-    fn host_changed(&self, state: &mut State, id: &HostId, now: Micros) {
+    /// Updates the partitions after a change of a host's record.
+    fn apply_host_change(&self, state: &mut State, id: &HostId, now: Micros) {
         let record = state.cache.hosts.get(id).cloned();
-        let owner = record.as_ref().and_then(|k| k.value.partition());
-        for (p, partition) in &mut state.scheduling.partitions {
+        let owner_partition = record.as_ref().and_then(|entry| entry.value.partition());
+        for (partition_id, partition) in &mut state.scheduling.partitions {
             match &record {
-                Some(entry) if owner == Some(*p) => {
+                Some(entry) if owner_partition == Some(*partition_id) => {
                     partition.upsert_host(id, &entry.value, entry.version, false, now);
                 }
                 _ if partition.hosts.contains_key(id) => partition.remove_host(id, now),
                 _ => {}
             }
         }
-        if owner.is_none() {
+        if owner_partition.is_none() {
             state.provisioning.returning.remove(id);
         }
     }
 
-    /// How long changes are gathered before the next pass. Guards against passes through a long
-    /// backlog for every change: a pass costs as much as there are waiting jobs, and with more of
-    /// them none has to start within milliseconds.
-    fn gather_period(&self) -> Duration {
+    /// Returns the batching delay before the next pass, which grows with the backlog. The cost of a pass is
+    /// proportional to the number of waiting jobs, so that a pass for every change is too expensive with a
+    /// long backlog; and with a long backlog no job has to start within milliseconds.
+    fn batch_delay(&self) -> Duration {
         let state = self.state.borrow();
         let backlog: usize = state
             .scheduling
@@ -112,64 +115,69 @@
             .values()
             .map(|p| p.backlog)
             .sum();
-        let extra = GATHER_PER_JOB * backlog.min(GATHER_JOBS_MAX) as u32;
-        GATHER_MIN + extra.min(GATHER_EXTRA_MAX)
+        let extra_delay = BATCH_DELAY_PER_JOB * backlog.min(BATCH_DELAY_JOBS_MAX) as u32;
+        BATCH_DELAY_MIN + extra_delay.min(BATCH_DELAY_EXTRA_MAX)
     }
 
-    /// The loop that decides: after changes, and every second for what only time changes.
+    /// Runs a scheduling pass after changes, and at least every [`TICK_INTERVAL`] for conditions that change
+    /// only with time.
     pub async fn pass_loop(self: Rc<Self>) {
-        let mut ticked = self.now();
+        let mut last_tick = self.now();
         loop {
-            let changed = self.wake.scheduler.notified();
-            if timeout(to_duration(TICK), changed).await.is_ok() {
-                // Changes come in groups.
-                sleep(self.gather_period()).await;
+            let change_notified = self.wake.scheduler.notified();
+            if timeout(to_duration(TICK_INTERVAL), change_notified)
+                .await
+                .is_ok()
+            {
+                // Changes come in groups: batch them into one pass.
+                sleep(self.batch_delay()).await;
             }
-            // In a large deployment something changes all the time: the tick comes all the
-            // same, or hosts that did not answer after a failover were never asked again.
+            // In a large deployment changes never pause. The tick does not depend on a pause, since
+            // otherwise hosts that did not answer after a failover would never be asked again.
             self.note_activity();
             let now = self.now();
-            let tick = now - ticked >= TICK;
-            if tick {
-                ticked = now;
+            let is_tick = now - last_tick >= TICK_INTERVAL;
+            if is_tick {
+                last_tick = now;
             }
-            self.clone().scheduling_pass(tick);
+            self.clone().scheduling_pass(is_tick);
         }
     }
 
-    /// One pass over all partitions, and the commands and writes that follow from it. Does nothing
-    /// without authority. `tick`: a second has passed since the last pass with it.
-    pub fn scheduling_pass(self: Rc<Self>, tick: bool) {
+    /// Runs one scheduling pass over all owned partitions and queues the resulting commands and writes.
+    /// Does nothing without authority. `is_tick`: whether [`TICK_INTERVAL`] has passed since the last pass
+    /// with `is_tick`; such a pass covers partitions without changes too.
+    pub fn scheduling_pass(self: Rc<Self>, is_tick: bool) {
         let now = self.now();
         let mut hosts_to_command = Vec::new();
         let mut state = self.state.borrow_mut();
         if !state.authority.holds(now) {
             return;
         }
-        for (p, partition) in &mut state.scheduling.partitions {
-            if tick {
+        for (partition_id, partition) in &mut state.scheduling.partitions {
+            if is_tick {
                 mark_unfenced_hosts(partition);
-                log_unusable_hosts(*p, partition, now);
+                log_unschedulable_hosts(*partition_id, partition, now);
             }
-            if tick || partition.changed {
+            if is_tick || partition.changed {
                 partition.run_cycle(now);
             }
             for event in partition.events.drain(..) {
                 log_event(&event);
             }
             for host in std::mem::take(&mut partition.dirty) {
-                hosts_to_command.push((*p, host));
+                hosts_to_command.push((*partition_id, host));
             }
         }
         drop(state);
-        self.queue_commands(hosts_to_command, tick);
+        self.queue_commands(hosts_to_command, is_tick);
         self.clone().save_results();
         self.clone().write_cancelled();
         self.raise_tokens();
     }
 
-    /// Drops all that this controller acts on as an owner, at once: the session is gone. `reason` is
-    /// for the log.
+    /// Drops all partitions and the leader role immediately, because the session has ended. `reason` is
+    /// logged.
     pub fn drop_ownership(&self, state: &mut State, reason: &str) {
         let partitions: Vec<u32> = state.scheduling.partitions.keys().copied().collect();
         if !partitions.is_empty() || state.provisioning.leader.is_some() {
@@ -185,7 +193,7 @@
     }
 }
 
-/// Has the hosts that have not shown the fencing token yet asked again.
+/// Marks the hosts that have not reported the fencing token yet, so that they are queried again.
 fn mark_unfenced_hosts(partition: &mut Partition) {
     let unfenced = |host: &&Host| matches!(host.fencing, FencingState::Unfenced { .. });
     let hosts = partition.hosts.values().filter(unfenced);
@@ -193,34 +201,41 @@
     partition.dirty.extend(hosts);
 }
 
-/// Logs, at `debug`, how many hosts get no tasks, by reason.
-fn log_unusable_hosts(p: u32, partition: &Partition, now: Micros) {
+/// Logs at `debug` the number of hosts on which no tasks can be placed, by reason.
+fn log_unschedulable_hosts(partition_id: u32, partition: &Partition, now: Micros) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
     }
-    let [unknown, lapsed, doubt, silent, aside, draining] = partition.unusable(now);
+    let [
+        unconfirmed,
+        lease_expired,
+        command_in_doubt,
+        silent,
+        quarantined,
+        draining,
+    ] = partition.unusable(now);
     tracing::debug!(
-        partition = p,
+        partition = partition_id,
         hosts = partition.hosts.len(),
-        unknown,
-        lease_expired = lapsed,
-        command_in_doubt = doubt,
+        unconfirmed,
+        lease_expired,
+        command_in_doubt,
         silent,
-        quarantined = aside,
+        quarantined,
         draining,
-        "hosts that get no tasks"
+        "unschedulable hosts"
     );
 }
 
-/// Logs what a pass has noticed.
+/// Logs an event of a scheduling pass.
 fn log_event(event: &Event) {
     match event {
         Event::HostLost(host) => tracing::info!(%host, "host lost: its lease has expired"),
         Event::HostQuarantined(host) => {
             tracing::info!(%host, "host quarantined: it fails what it starts")
         }
-        Event::Failed(task, host, ran) => {
-            tracing::debug!(%task, %host, ran_s = ran.as_secs_f64(), "task failed");
+        Event::Failed(task, host, run_time) => {
+            tracing::debug!(%task, %host, ran_s = run_time.as_secs_f64(), "task failed");
         }
         Event::JobBackingOff(job) => {
             tracing::info!(%job, "job backs off: it fails wherever it runs")
@@ -229,17 +244,17 @@
         Event::HostSlow(host, times) => {
             tracing::info!(%host, times, "straggler: tasks overrun there")
         }
-        Event::Starved(group, Some(s)) => tracing::info!(
+        Event::Starved(group, Some(served)) => tracing::info!(
             ?group,
-            share = s.share,
-            waiting = s.waiting,
+            share = served.share,
+            waiting = served.waiting,
             "below its minimum share"
         ),
         Event::Starved(group, None) => tracing::info!(?group, "at its minimum share again"),
-        Event::ProductionRecovered(r) => tracing::info!(
-            after_s = r.after.as_secs_f64(),
-            lost = r.lost,
-            overtaken = r.overtaken,
+        Event::ProductionRecovered(recovery) => tracing::info!(
+            after_s = recovery.after.as_secs_f64(),
+            lost = recovery.lost,
+            overtaken = recovery.overtaken,
             "production recovered"
         ),
         Event::AllHostsConfirmed(after, lapsed) => tracing::info!(
--- a/crates/jasperhill-controller/src/scheduling/state.rs
+++ b/crates/jasperhill-controller/src/scheduling/state.rs
@@ -1,5 +1,5 @@
-//! The state that the scheduler of this controller works on. Changed by `scheduling` (passes, changes of
-//! the watch cache), by `roles` (partitions that are loaded and dropped) and by `users` (rejected jobs).
+//! The state of this controller's scheduler. It is modified by `scheduling` (scheduling passes and watch
+//! cache changes), by `roles` (loading and dropping partitions) and by `users` (rejected jobs).
 
 use jasperhill_scheduler::{Partition, config::Specs};
 use jasperhill_wire::{JobId, Micros};
@@ -8,27 +8,28 @@
     rc::Rc,
 };
 
-/// What the scheduler works on.
+/// The partitions that this controller schedules, and the data shared between them.
 #[derive(Default)]
 pub(crate) struct SchedulingState {
     /// The partitions that this controller owns and has loaded.
     pub partitions: BTreeMap<u32, Partition>,
-    /// The machine types, once they are known.
+    /// The machine types; `None` until they have been read from the store.
     pub specs: Option<Rc<Specs>>,
-    /// When unfinished jobs that waited for others became ready, by the steady clock.
+    /// The time at which each unfinished job with dependencies became ready, by the steady clock.
     pub released: HashMap<JobId, Micros>,
-    /// Jobs that the admission test rejected, so that a retry does not get more time.
+    /// Jobs that the admission test rejected. Remembered so that the deadline of a retry still counts
+    /// from the first submission.
     pub rejected: BTreeMap<JobId, RejectedJob>,
 }
 
-/// A job that the admission test rejected and that may come again.
+/// A job that the admission test rejected and that may be submitted again.
 pub(crate) struct RejectedJob {
-    /// When it was first submitted, by the steady clock.
+    /// Time of the first submission, by the steady clock.
     pub first: Micros,
-    /// When it was last submitted, by the steady clock.
+    /// Time of the last submission, by the steady clock.
     pub last: Micros,
-    /// The partition that would run it.
+    /// The partition that would run the job.
     pub partition: u32,
-    /// The hosts it would need.
+    /// Number of hosts that the job would need.
     pub hosts: f64,
 }
--- a/crates/jasperhill-controller/src/scheduling/waiting.rs
+++ b/crates/jasperhill-controller/src/scheduling/waiting.rs
@@ -1,25 +1,26 @@
-//! Logs what the jobs wait for that have nothing running.
+//! Logs the jobs that have no running tasks, by the reason why they wait.
 
 use crate::shared::Shared;
 use jasperhill_scheduler::partition::{WaitReason, WaitingJobs};
 use jasperhill_wire::Name;
 use std::cmp::Reverse;
 
-/// Lines for one partition each time, at most: those with the jobs that have waited for the longest.
-const LINES_MAX: usize = 8;
+/// Maximum number of lines that are logged for one partition at a time. The lines with the longest
+/// waiting times are logged.
+const LOG_LINES_PER_PARTITION_MAX: usize = 8;
 
 impl Shared {
-    /// Logs for each partition held here which classes wait, for what, and the oldest job of each.
+    /// Logs for each owned partition the waiting jobs by class and reason, with the oldest job of each.
     pub(crate) fn log_waiting_jobs(&self) {
         let now = self.now();
         let state = self.state.borrow();
-        for (number, partition) in &state.scheduling.partitions {
+        for (partition_id, partition) in &state.scheduling.partitions {
             let waiting = partition.waiting_jobs(now).into_iter();
             let mut waiting: Vec<((Name, WaitReason), WaitingJobs)> = waiting.collect();
             waiting.sort_by_key(|(_, waiting)| Reverse(waiting.longest));
-            for ((class, reason), waiting) in waiting.iter().take(LINES_MAX) {
+            for ((class, reason), waiting) in waiting.iter().take(LOG_LINES_PER_PARTITION_MAX) {
                 tracing::info!(
-                    partition = number,
+                    partition = partition_id,
                     %class,
                     ?reason,
                     jobs = waiting.jobs,
--- a/crates/jasperhill-controller/src/settings/check.rs
+++ b/crates/jasperhill-controller/src/settings/check.rs
@@ -1,9 +1,9 @@
-//! Checks of the platform's file. Each error names the field; the first one counts, in the order
-//! in which the checks stand here.
+//! Validation of the platform's settings file. Each error names its field. Only the first error is
+//! returned, in the order in which [`validate`] checks the fields.
 
 use super::{
     OperatorSettings, Peer, Settings,
-    error::{SettingsError, invalid},
+    error::{SettingsError, invalid_field},
     file::{self, File, Params},
 };
 use jasperhill_membership::{FreshnessBounds, LeaseTerms};
@@ -14,98 +14,107 @@
     net::SocketAddr,
 };
 
-/// Partitions, at most.
-const SIZE_MAX: u32 = 1_000;
-/// Numbers above this are mistakes, and would not fit once they are scaled.
+/// Maximum number of partitions.
+const PARTITIONS_MAX: u32 = 1_000;
+/// Upper bound of numbers in the file. Larger numbers are mistakes, and would overflow when scaled to
+/// internal units.
 const NUMBER_MAX: f64 = 1e9;
-/// Bytes of a name, at most: keys in the store hold several.
+/// Maximum length of a name in bytes. Limited because one key in the store contains several names.
 const NAME_BYTES_MAX: usize = 150;
-/// What a value in the store must hold at least, in kilobytes.
+/// Minimum of the store's value size limit, in kilobytes.
 const VALUE_KB_MIN: f64 = 2.0;
-/// What is used of a value at most, in kilobytes: longer ones only make writes slow.
+/// Maximum value size that this controller uses, in kilobytes. Longer values would only slow down writes.
 const VALUE_KB_MAX: f64 = 64.0;
-/// Bytes in a kilobyte.
+/// Bytes per kilobyte.
 const BYTES_PER_KB: f64 = 1_024.0;
-/// Guards and changes that a transaction must take at least.
+/// Minimum of the store's limit of guards and changes in a transaction.
 const TXN_OPS_MIN: u32 = 4;
-/// The lag of the machine list is taken to be no longer, in seconds.
+/// Upper bound to which the lag of the cloud's machine list is clamped, in seconds.
 const LIST_LAG_S_MAX: f64 = 3_600.0;
-/// Starts are waited for no longer, in seconds.
+/// Upper bound to which the start time of an objective is clamped, in seconds.
 const START_WITHIN_S_MAX: f64 = 86_400.0;
-/// Connections that a controller may have open if the platform does not say.
-const MAX_CONNECTIONS: u32 = 1_000;
+/// Default for the maximum number of open connections of a controller.
+const DEFAULT_MAX_CONNECTIONS: u32 = 1_000;
 
-/// The settings of a file.
-pub(super) fn checked(file: &File) -> Result<Settings, SettingsError> {
+/// Validates a settings file and converts it to [`Settings`].
+///
+/// # Errors
+/// The first field whose value is not allowed.
+pub(super) fn validate(file: &File) -> Result<Settings, SettingsError> {
     let params = &file.params;
-    let member = name("member", &file.member)?;
-    let peers = peers(&member, &file.others)?;
+    let member = parse_name("member", &file.member)?;
+    let peers = parse_peers(&member, &file.others)?;
     check_size(params, peers.len() + 1)?;
     if params.zones.is_empty() {
-        return invalid("params.zones", "must not be empty");
+        return invalid_field("params.zones", "must not be empty");
     }
-    let teams = teams(&params.teams)?;
+    let teams = parse_teams(&params.teams)?;
     if !(params.time_bound_ms.is_finite() && params.time_bound_ms >= 0.0) {
-        return invalid("params.time_bound_ms", "must be a number from 0");
+        return invalid_field("params.time_bound_ms", "must be a number from 0");
     }
     let workers = &params.workers;
-    let lease = seconds("params.workers.lease_s", workers.lease_s)?;
-    let cancel = seconds("params.workers.cancel_s", workers.cancel_s)?;
+    let lease = parse_seconds("params.workers.lease_s", workers.lease_s)?;
+    let cancel = parse_seconds("params.workers.cancel_s", workers.cancel_s)?;
     let bounds = freshness_bounds(LeaseTerms { lease, cancel }, workers.lease_s)?;
-    let limits = StateLimits::of(&params.state)?;
+    let limits = StateLimits::effective(&params.state)?;
     Ok(Settings {
         member: Member::new(member.as_str()),
-        site: name("site", &file.site)?,
-        bind: address("bind", &file.bind)?,
-        mesh: address("mesh_addr", &file.mesh_addr)?,
+        site: parse_name("site", &file.site)?,
+        bind: parse_address("bind", &file.bind)?,
+        mesh: parse_address("mesh_addr", &file.mesh_addr)?,
         peers,
-        cloud: address("services.cloud", &file.services.cloud)?,
-        state: address("services.state", &file.services.state)?,
+        cloud: parse_address("services.cloud", &file.services.cloud)?,
+        state: parse_address("services.state", &file.services.state)?,
         size: params.size,
-        zones: zones(&params.zones)?,
+        zones: parse_zones(&params.zones)?,
         time_bound: Micros::from_secs_f64(params.time_bound_ms / 1e3),
         teams,
-        heartbeat_interval: seconds("params.workers.report_s", workers.report_s)?,
+        heartbeat_interval: parse_seconds("params.workers.report_s", workers.report_s)?,
         lease,
-        gang_wait: seconds("params.workers.gang_wait_s", workers.gang_wait_s)?,
-        gang_peer: seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
+        gang_wait: parse_seconds("params.workers.gang_wait_s", workers.gang_wait_s)?,
+        gang_peer: parse_seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
         cancel,
         bounds,
         state_rps: limits.rps,
         state_write_rps: limits.write_rps,
         value_bytes: (limits.value_kb.min(VALUE_KB_MAX) * BYTES_PER_KB) as usize,
         txn_ops: limits.txn_ops as usize,
-        cloud_rps: positive("params.cloud.rps", params.cloud.rps)?,
+        cloud_rps: check_positive("params.cloud.rps", params.cloud.rps)?,
         list_lag: Micros::from_secs_f64(params.cloud.list_lag_s.clamp(0.0, LIST_LAG_S_MAX)),
-        max_connections: params.quota.max_connections.unwrap_or(MAX_CONNECTIONS) as usize,
-        waited_for: start_objectives(&params.objectives),
+        max_connections: params
+            .quota
+            .max_connections
+            .unwrap_or(DEFAULT_MAX_CONNECTIONS) as usize,
+        start_objectives: start_objectives(&params.objectives),
         operator: OperatorSettings::default(),
     })
 }
 
-fn peers(member: &Name, others: &[file::Other]) -> Result<Vec<Peer>, SettingsError> {
+/// Parses the other controllers. All member names, including this controller's, must be distinct.
+fn parse_peers(member: &Name, others: &[file::Other]) -> Result<Vec<Peer>, SettingsError> {
     let mut members = BTreeSet::from([member.clone()]);
     let mut peers = Vec::new();
     for other in others {
-        let peer = name("others.member", &other.member)?;
+        let peer = parse_name("others.member", &other.member)?;
         if !members.insert(peer.clone()) {
-            return invalid("others.member", format!("{peer} is named twice"));
+            return invalid_field("others.member", format!("{peer} is named twice"));
         }
         peers.push(Peer {
             member: Member::new(peer.as_str()),
             site: other.site.as_deref().map(Name::from),
-            address: address("others.endpoint", &other.endpoint)?,
+            address: parse_address("others.endpoint", &other.endpoint)?,
         });
     }
     Ok(peers)
 }
 
+/// Checks that the number of partitions is in range and not below the number of controllers.
 fn check_size(params: &Params, controllers: usize) -> Result<(), SettingsError> {
-    if params.size == 0 || params.size > SIZE_MAX {
-        return invalid("params.size", "must be from 1 to 1000");
+    if params.size == 0 || params.size > PARTITIONS_MAX {
+        return invalid_field("params.size", "must be from 1 to 1000");
     }
     if controllers > params.size as usize {
-        return invalid(
+        return invalid_field(
             "params.size",
             "smaller than the number of controllers named",
         );
@@ -113,12 +122,13 @@
     Ok(())
 }
 
-fn teams(named: &[file::Team]) -> Result<Vec<TeamLimits>, SettingsError> {
+/// Parses the teams, whose names must be distinct.
+fn parse_teams(teams_in_file: &[file::Team]) -> Result<Vec<TeamLimits>, SettingsError> {
     let mut teams: Vec<TeamLimits> = Vec::new();
-    for team in named {
-        let name = name("params.teams.name", &team.name)?;
+    for team in teams_in_file {
+        let name = parse_name("params.teams.name", &team.name)?;
         if teams.iter().any(|other| other.name == name) {
-            return invalid("params.teams.name", format!("{name} is named twice"));
+            return invalid_field("params.teams.name", format!("{name} is named twice"));
         }
         for (field, value) in [
             ("params.teams.cpus", team.cpus),
@@ -127,7 +137,7 @@
             ("params.teams.gpus_max", team.gpus_max),
         ] {
             if !(value.is_finite() && (0.0..=NUMBER_MAX).contains(&value)) {
-                return invalid(field, "must be a number from 0");
+                return invalid_field(field, "must be a number from 0");
             }
         }
         teams.push(TeamLimits {
@@ -139,107 +149,118 @@
     Ok(teams)
 }
 
-fn zones(named: &[String]) -> Result<Vec<Name>, SettingsError> {
-    named
+/// Parses the names of the zones.
+fn parse_zones(names: &[String]) -> Result<Vec<Name>, SettingsError> {
+    names
         .iter()
-        .map(|zone| name("params.zones", zone))
+        .map(|zone| parse_name("params.zones", zone))
         .collect()
 }
 
-/// Without these, tasks out of reach could not be gone in time.
+/// Computes the freshness bounds from the lease and cancellation times. Fails if `cancel_s` is too short:
+/// tasks on hosts that can't be reached could then outlive the time in which a cancellation must complete.
 fn freshness_bounds(terms: LeaseTerms, lease_s: f64) -> Result<FreshnessBounds, SettingsError> {
-    terms.bounds().or_else(|short| {
-        let least = short.least.as_secs_f64();
+    terms.bounds().or_else(|too_short| {
+        let least = too_short.least.as_secs_f64();
         let reason = format!("must be at least {least:.2} with a lease_s of {lease_s}");
-        invalid("params.workers.cancel_s", reason)
+        invalid_field("params.workers.cancel_s", reason)
     })
 }
 
-/// The classes whose starts are waited for, and how long. Of several objectives for one class
-/// the soonest counts, whatever their order.
+/// Returns the start objectives (`kind = "wait"`): the time within which jobs of each class should start.
+/// Of several objectives for a class the shortest applies, regardless of their order.
 fn start_objectives(objectives: &[file::Objective]) -> BTreeMap<Name, Micros> {
-    let mut soonest: BTreeMap<Name, Micros> = BTreeMap::new();
+    let mut start_within: BTreeMap<Name, Micros> = BTreeMap::new();
     for objective in objectives.iter().filter(|o| o.kind == "wait") {
         let Some(class) = objective.class.as_deref().map(Name::from) else {
             continue;
         };
         let within_s = objective.within_s.clamp(0.0, START_WITHIN_S_MAX);
         let within = Micros::from_secs_f64(within_s);
-        let kept = soonest.entry(class).or_insert(within);
-        *kept = within.min(*kept);
+        let shortest = start_within.entry(class).or_insert(within);
+        *shortest = within.min(*shortest);
     }
-    soonest
+    start_within
 }
 
-/// Limits of the state service.
+/// The limits of the state service.
 struct StateLimits {
+    /// Requests per second.
     rps: f64,
+    /// Writes per second.
     write_rps: f64,
+    /// Maximum value size in kilobytes.
     value_kb: f64,
+    /// Maximum number of guards and changes in a transaction.
     txn_ops: u32,
 }
 
 impl StateLimits {
-    /// The smaller of the present limits and the coming ones: what is written keeps within both.
-    fn of(service: &file::StateService) -> Result<Self, SettingsError> {
-        let present = Self {
+    /// Returns the smaller of the current and the future value of each limit, so that requests and stored
+    /// values conform to both.
+    fn effective(service: &file::StateService) -> Result<Self, SettingsError> {
+        let current = Self {
             rps: service.rps,
             write_rps: service.write_rps,
             value_kb: service.value_kb,
             txn_ops: service.txn_ops,
         };
-        present.check("params.state")?;
+        current.check("params.state")?;
         let next = Self {
-            rps: service.next.rps.unwrap_or(present.rps),
-            write_rps: service.next.write_rps.unwrap_or(present.write_rps),
-            value_kb: service.next.value_kb.unwrap_or(present.value_kb),
-            txn_ops: service.next.txn_ops.unwrap_or(present.txn_ops),
+            rps: service.next.rps.unwrap_or(current.rps),
+            write_rps: service.next.write_rps.unwrap_or(current.write_rps),
+            value_kb: service.next.value_kb.unwrap_or(current.value_kb),
+            txn_ops: service.next.txn_ops.unwrap_or(current.txn_ops),
         };
         next.check("params.state.next")?;
         Ok(Self {
-            rps: present.rps.min(next.rps),
-            write_rps: present.write_rps.min(next.write_rps),
-            value_kb: present.value_kb.min(next.value_kb),
-            txn_ops: present.txn_ops.min(next.txn_ops),
+            rps: current.rps.min(next.rps),
+            write_rps: current.write_rps.min(next.write_rps),
+            value_kb: current.value_kb.min(next.value_kb),
+            txn_ops: current.txn_ops.min(next.txn_ops),
         })
     }
 
-    /// `table`: the path of the table that they stand in.
+    /// Checks the limits. `table`: path of their table in the file, for errors.
     fn check(&self, table: &str) -> Result<(), SettingsError> {
-        positive(&format!("{table}.rps"), self.rps)?;
-        positive(&format!("{table}.write_rps"), self.write_rps)?;
+        check_positive(&format!("{table}.rps"), self.rps)?;
+        check_positive(&format!("{table}.write_rps"), self.write_rps)?;
         let field = format!("{table}.value_kb");
-        if positive(&field, self.value_kb)? < VALUE_KB_MIN {
-            return invalid(field, "must be at least 2");
+        if check_positive(&field, self.value_kb)? < VALUE_KB_MIN {
+            return invalid_field(field, "must be at least 2");
         }
         if self.txn_ops < TXN_OPS_MIN {
-            return invalid(format!("{table}.txn_ops"), "must be at least 4");
+            return invalid_field(format!("{table}.txn_ops"), "must be at least 4");
         }
         Ok(())
     }
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
+/// Parses a socket address.
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
     text.parse()
-        .or_else(|_| invalid(field, "not an address of the form 10.0.0.1:8080"))
+        .or_else(|_| invalid_field(field, "not an address of the form 10.0.0.1:8080"))
 }
 
-fn positive(field: &str, value: f64) -> Result<f64, SettingsError> {
+/// Checks that a number is above 0 and at most [`NUMBER_MAX`].
+fn check_positive(field: &str, value: f64) -> Result<f64, SettingsError> {
     if value.is_finite() && value > 0.0 && value <= NUMBER_MAX {
         Ok(value)
     } else {
-        invalid(field, "must be a number above 0")
+        invalid_field(field, "must be a number above 0")
     }
 }
 
-fn seconds(field: &str, value: f64) -> Result<Micros, SettingsError> {
-    positive(field, value).map(Micros::from_secs_f64)
+/// Parses a positive duration in seconds.
+fn parse_seconds(field: &str, value: f64) -> Result<Micros, SettingsError> {
+    check_positive(field, value).map(Micros::from_secs_f64)
 }
 
-fn name(field: &str, text: &str) -> Result<Name, SettingsError> {
+/// Parses a name: 1 to [`NAME_BYTES_MAX`] bytes without whitespace.
+fn parse_name(field: &str, text: &str) -> Result<Name, SettingsError> {
     if (1..=NAME_BYTES_MAX).contains(&text.len()) && !text.contains(char::is_whitespace) {
         Ok(text.into())
     } else {
-        invalid(field, "must have 1 to 150 bytes and no spaces")
+        invalid_field(field, "must have 1 to 150 bytes and no spaces")
     }
 }
--- a/crates/jasperhill-controller/src/settings/error.rs
+++ b/crates/jasperhill-controller/src/settings/error.rs
@@ -1,17 +1,17 @@
-//! The error of settings that are not accepted.
+//! The error type of invalid settings.
 
-/// A field whose value is missing or not allowed.
+/// A settings field that is missing or has an invalid value.
 #[derive(Debug, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct SettingsError {
-    /// The field, by its path in the file.
+    /// Path of the field in the file, such as `params.size`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the field is not accepted.
     pub reason: String,
 }
 
-/// The error of a field.
-pub(super) fn invalid<T>(
+/// Returns a [`SettingsError`] for a field.
+pub(super) fn invalid_field<T>(
     field: impl Into<String>,
     reason: impl Into<String>,
 ) -> Result<T, SettingsError> {
--- a/crates/jasperhill-controller/src/settings/file.rs
+++ b/crates/jasperhill-controller/src/settings/file.rs
@@ -1,65 +1,65 @@
-//! The platform's file as it stands, before anything is checked. Names of fields are the
-//! platform's.
+//! The platform's settings file as deserialized, before validation. The platform determines the names of
+//! the fields.
 
-use super::error::{SettingsError, invalid};
+use super::error::{SettingsError, invalid_field};
 use serde::Deserialize;
 
-/// The file.
+/// The top level of the settings file.
 #[derive(Deserialize)]
 pub(super) struct File {
     /// The name of this controller.
     pub member: String,
     /// The zone that this controller is in.
     pub site: String,
-    /// Where users and workers reach it.
+    /// Address on which users and workers reach this controller.
     pub bind: String,
-    /// Where other controllers reach it.
+    /// Address on which other controllers reach this controller.
     pub mesh_addr: String,
     /// The other controllers.
     #[serde(default)]
     pub others: Vec<Other>,
-    /// Where services are reached.
+    /// The addresses of services.
     pub services: Services,
-    /// The parameters of the site.
+    /// The parameters of the deployment.
     pub params: Params,
 }
 
 /// Another controller.
 #[derive(Deserialize)]
 pub(super) struct Other {
-    /// Its name.
+    /// The controller's name.
     pub member: String,
-    /// The zone that it is in, if that is said.
+    /// The zone that the controller is in; `None` if the platform does not specify it.
     #[serde(default)]
     pub site: Option<String>,
-    /// Where it is reached by mesh.
+    /// The controller's mesh address.
     pub endpoint: String,
 }
 
-/// Addresses of services.
+/// The addresses of the services that a controller uses.
 #[derive(Deserialize)]
 pub(super) struct Services {
-    /// The cloud.
+    /// Address of the cloud's API.
     pub cloud: String,
-    /// The state service.
+    /// Address of the state service.
     pub state: String,
 }
 
-/// The parameters of the site.
+/// The parameters of the deployment.
 #[derive(Deserialize)]
 pub(super) struct Params {
     /// The number of partitions.
     pub size: u32,
-    /// The zones.
+    /// The zones that machines can be in.
     pub zones: Vec<String>,
-    /// Milliseconds.
+    /// A time in milliseconds that is validated but not used.
     pub time_bound_ms: f64,
-    /// The teams.
+    /// The teams with their guarantees and limits.
     pub teams: Vec<Team>,
     /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// What workers do on their own.
+    /// The timing parameters of workers.
     pub workers: Workers,
     /// The limits of the state service.
     pub state: StateService,
@@ -72,79 +72,80 @@
 /// A service-level objective.
 #[derive(Deserialize)]
 pub(super) struct Objective {
-    /// `wait` for the start of jobs; other kinds are ignored.
+    /// The kind of objective: `wait` limits the time until jobs start; other kinds are ignored.
     pub kind: String,
-    /// The class of jobs.
+    /// The class of jobs to which the objective applies; `None`: the objective is ignored.
     #[serde(default)]
     pub class: Option<String>,
-    /// Seconds.
+    /// Time within which jobs should start, in seconds.
     #[serde(default)]
     pub within_s: f64,
 }
 
-/// What a team is guaranteed and limited to.
+/// A team's resource guarantees and limits.
 #[derive(Deserialize)]
 pub(super) struct Team {
-    /// Its name.
+    /// The team's name.
     pub name: String,
-    /// CPUs that it is guaranteed.
+    /// Number of CPUs that the team is guaranteed.
     #[serde(default)]
     pub cpus: f64,
-    /// CPUs that it may use.
+    /// Maximum number of CPUs that the team may use.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Accelerators that it is guaranteed.
+    /// Number of accelerators that the team is guaranteed.
     #[serde(default)]
     pub gpus: f64,
-    /// Accelerators that it may use.
+    /// Maximum number of accelerators that the team may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What workers do on their own.
+/// The timing parameters of workers.
 #[derive(Deserialize)]
 pub(super) struct Workers {
-    /// The time between two heartbeats, in seconds.
+    /// Heartbeat interval, in seconds.
     pub report_s: f64,
-    /// Tasks end so many seconds after the last answered heartbeat was sent.
+    /// Lease time, in seconds: a worker ends its tasks this long after it sent the last heartbeat that was
+    /// answered.
     pub lease_s: f64,
-    /// How long the tasks of a gang wait for each other, in seconds.
+    /// How long the tasks of a gang wait for each other to start, in seconds.
     pub gang_wait_s: f64,
-    /// How long a gang goes on without one of its tasks, in seconds.
+    /// How long a gang continues after losing one of its tasks, in seconds.
     pub gang_peer_s: f64,
-    /// The tasks of a cancelled job are gone after so many seconds.
+    /// Time within which the tasks of a cancelled job must have ended, in seconds.
     pub cancel_s: f64,
 }
 
 /// The limits of the state service.
 #[derive(Deserialize)]
 pub(super) struct StateService {
-    /// Requests in a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Writes in a second.
+    /// Maximum number of writes per second.
     pub write_rps: f64,
-    /// What a value may hold, in kilobytes.
+    /// Maximum size of a value, in kilobytes.
     pub value_kb: f64,
-    /// Guards and changes in a transaction, at most.
+    /// Maximum number of guards and changes in a transaction.
     pub txn_ops: u32,
-    /// The limits from some moment on, without notice; what is absent stays as it is.
+    /// Limits that take effect at some time without notice. Absent fields keep the current limit.
     #[serde(default)]
     pub next: NextLimits,
 }
 
-/// The limits that the state service will have.
+/// The future limits of the state service; `None` keeps the current limit.
 #[derive(Default, Deserialize)]
 pub(super) struct NextLimits {
-    /// Requests in a second.
+    /// Maximum number of requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Writes in a second.
+    /// Maximum number of writes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// What a value may hold, in kilobytes.
+    /// Maximum size of a value, in kilobytes.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Guards and changes in a transaction, at most.
+    /// Maximum number of guards and changes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<u32>,
 }
@@ -152,41 +153,44 @@
 /// The limits of the cloud.
 #[derive(Deserialize)]
 pub(super) struct Cloud {
-    /// Requests in a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// How far the list of machines may lag behind, in seconds.
+    /// Maximum lag of the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
 /// The limits of the controller's own process.
 #[derive(Deserialize)]
 pub(super) struct Quota {
-    /// Connections that may be open.
+    /// Maximum number of open connections; `None` selects a default.
     #[serde(default)]
     pub max_connections: Option<u32>,
 }
 
-/// Reads the file.
+/// Deserializes the settings file.
+///
+/// # Errors
+/// If the text is not TOML, or a field is missing or has the wrong type.
 pub(super) fn read(text: &str) -> Result<File, SettingsError> {
     let table: toml::Table = text.parse().or_else(|error: toml::de::Error| {
         let message = error.message().replace('\n', " ");
-        invalid("file", format!("not TOML: {message}"))
+        invalid_field("file", format!("not TOML: {message}"))
     })?;
     let value = toml::Value::Table(table);
     serde_path_to_error::deserialize(value).map_err(|error| field_error(&error))
 }
 
-/// Names the field that does not fit, by its path.
+/// Converts a deserialization error to an error that names the field by its path.
 fn field_error(error: &serde_path_to_error::Error<toml::de::Error>) -> SettingsError {
     let path = error.path().to_string();
     let message = error.inner().message().replace('\n', " ");
-    let Some(rest) = message.strip_prefix("missing field `") else {
+    let Some(quoted_name) = message.strip_prefix("missing field `") else {
         return SettingsError {
             field: path,
             reason: message,
         };
     };
-    let missing = rest.split('`').next().unwrap_or("");
+    let missing = quoted_name.split('`').next().unwrap_or("");
     let field = if path == "." {
         missing.to_owned()
     } else {
--- a/crates/jasperhill-controller/src/settings/mod.rs
+++ b/crates/jasperhill-controller/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The settings that the platform hands over, checked, and the operators' own.
+//! The settings of a controller: the platform's settings file and the operators' settings.
 //!
-//! [`Settings::parse`] reads the platform's file in two steps: `file` deserializes it and
-//! `check` checks each value. What follows from settings is computed here. Settings never
-//! change while a controller runs.
+//! [`Settings::parse`] reads the platform's file in two steps: `file` deserializes it and `check`
+//! validates each value. Derived values are computed here. Settings never change while a controller
+//! runs.
 
 mod check;
 mod error;
@@ -15,114 +15,118 @@
 use jasperhill_wire::{Member, Micros, Name};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its name.
+    /// The controller's name.
     pub member: Member,
-    /// The zone it is in, if that is said.
+    /// The zone that the controller is in; `None` if the platform does not specify it.
     pub site: Option<Name>,
-    /// Where it is reached by mesh.
+    /// The controller's mesh address.
     pub address: SocketAddr,
 }
 
-/// What the operators may set beyond the file handed over.
+/// Settings that operators can make in addition to the platform's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// How the scheduler weighs things.
+    /// Tuning parameters of the scheduler.
     pub tuning: Tuning,
-    /// How long a controller's session outlives its last renewal; derived when absent.
+    /// How long a controller's session outlives its last renewal; `None`: derived from the lease time.
     pub session: Option<Micros>,
-    /// Quick ends in a row after which a controller leaves its roles to others; 0: never.
+    /// Number of consecutive quick process exits after which a controller leaves its roles to others; 0
+    /// disables this, `None` selects a default.
     pub crash_loop_threshold: Option<u32>,
 }
 
-/// Quick ends in a row that make a crash loop, unless the operators say otherwise: one or two
-/// happen with any upgrade.
-const CRASH_LOOP_THRESHOLD: u32 = 3;
-/// The part of a worker's lease that a session lasts: a takeover has to come before the workers'
-/// leases lapse.
-const SESSION_PER_LEASE: f64 = 0.5;
-/// A session lasts no shorter than this, or each late answer of the state service would end it ...
+/// Default number of consecutive quick process exits that count as a crash loop. One or two happen with
+/// any upgrade.
+const DEFAULT_CRASH_LOOP_THRESHOLD: u32 = 3;
+/// Session time as a fraction of a worker's lease. A takeover must happen before the workers' leases
+/// expire.
+const SESSION_LEASE_FRACTION: f64 = 0.5;
+/// Minimum session time. With a shorter one, every late response of the state service would end the
+/// session.
 const SESSION_MIN: Micros = Micros::from_secs(2);
-/// ... and no longer.
+/// Maximum session time.
 const SESSION_MAX: Micros = Micros::from_secs(600);
-/// The part of a worker's lease that a delegation lasts, if the time of cancellation allows.
-const DELEGATION_PER_LEASE: f64 = 0.6;
-/// The part of the time between lease and cancellation that a delegation may last ...
-const DELEGATION_PER_SLACK: f64 = 0.5;
-/// ... less this, for late timers.
+/// Delegation time as a fraction of a worker's lease, unless the cancellation time requires a shorter one.
+const DELEGATION_LEASE_FRACTION: f64 = 0.6;
+/// Maximum delegation time as a fraction of the difference between cancellation time and lease time;
+/// [`DELEGATION_MARGIN`] is subtracted from the product.
+const DELEGATION_SLACK_FRACTION: f64 = 0.5;
+/// Time subtracted from the maximum delegation time to allow for late timers.
 const DELEGATION_MARGIN: Micros = Micros::from_secs(1);
 
-/// The settings of a controller.
+/// The validated settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The name of this controller.
     pub member: Member,
     /// The zone that this controller is in.
     pub site: Name,
-    /// Where users and workers reach this controller.
+    /// Address on which users and workers reach this controller.
     pub bind: SocketAddr,
-    /// Where the other controllers reach this one by mesh.
+    /// Address on which the other controllers reach this controller over the mesh.
     pub mesh: SocketAddr,
     /// The other controllers.
     pub peers: Vec<Peer>,
-    /// Where the cloud is reached.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// Where the state service is reached.
+    /// Address of the state service.
     pub state: SocketAddr,
-    /// The number of partitions; at least that of the controllers.
+    /// The number of partitions; at least the number of controllers.
     pub size: u32,
     /// The zones that machines can be in.
     pub zones: Vec<Name>,
-    /// The platform's `time_bound_ms`; checked, and used nowhere.
+    /// The platform's `time_bound_ms`; validated but not used.
     pub time_bound: Micros,
-    /// What each team is guaranteed and limited to.
+    /// The resource guarantees and limits of each team.
     pub teams: Vec<TeamLimits>,
-    /// The time between two heartbeats of a worker.
+    /// Heartbeat interval of workers.
     pub heartbeat_interval: Micros,
-    /// A worker's tasks end so long after it sent the last heartbeat that was answered.
+    /// Lease time: a worker ends its tasks this long after it sent the last heartbeat that was answered.
     pub lease: Micros,
-    /// How long workers let the tasks of a gang wait for each other to start; they do so on their
-    /// own, the scheduler only carries it.
+    /// How long workers let the tasks of a gang wait for each other to start. Workers enforce this time
+    /// themselves; the scheduler only passes it through.
     pub gang_wait: Micros,
-    /// How long workers let a gang go on without one of its tasks; as above.
+    /// How long workers let a gang continue without one of its tasks. Workers enforce this time themselves;
+    /// the scheduler only passes it through.
     pub gang_peer: Micros,
-    /// The tasks of a cancelled job are gone so long after its user was told.
+    /// Time after the response to a cancellation within which the job's tasks must have ended.
     pub cancel: Micros,
-    /// How old the knowledge may be that a renewal of a lease rests on.
+    /// Maximum age of the information on which a lease renewal may be based.
     pub bounds: FreshnessBounds,
-    /// Requests to the state service in a second, of all controllers.
+    /// Maximum number of requests per second to the state service, for all controllers together.
     pub state_rps: f64,
-    /// Writes to the state service in a second, of all controllers.
+    /// Maximum number of writes per second to the state service, for all controllers together.
     pub state_write_rps: f64,
-    /// What a value in the store may hold in bytes, now and later.
+    /// Maximum size of a value in the store in bytes, under the current and the future limits.
     pub value_bytes: usize,
-    /// Guards and changes in a transaction, at most.
+    /// Maximum number of guards and changes in a transaction, under the current and the future limits.
     pub txn_ops: usize,
-    /// Requests to the cloud in a second.
+    /// Maximum number of requests per second to the cloud.
     pub cloud_rps: f64,
-    /// How far the cloud's list of machines may lag behind.
+    /// Maximum lag of the cloud's list of machines.
     pub list_lag: Micros,
-    /// Connections that this controller may have open.
+    /// Maximum number of open connections of this controller.
     pub max_connections: usize,
-    /// Classes whose starts are waited for, and how long, by the objectives.
-    pub waited_for: BTreeMap<Name, Micros>,
-    /// What the operators have set.
+    /// Start objectives: the time within which jobs of a class should start.
+    pub start_objectives: BTreeMap<Name, Micros>,
+    /// The operators' settings.
     pub operator: OperatorSettings,
 }
 
 impl Settings {
-    /// Reads the platform's file. Unknown fields are ignored.
+    /// Parses and validates the platform's file. Unknown fields are ignored.
     ///
     /// # Errors
     /// If the file is not TOML, or a field is missing or has a value that is not allowed; the
     /// error names the field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        check::checked(&file::read(text)?)
+        check::validate(&file::read(text)?)
     }
 
-    /// What the scheduler takes of the settings.
+    /// Returns the settings that the scheduler uses.
     pub fn scheduler_config(&self) -> SchedulerConfig {
         SchedulerConfig {
             partitions: self.size,
@@ -131,43 +135,45 @@
             lease: self.lease,
             gang_wait: self.gang_wait,
             gang_peer: self.gang_peer,
-            start_within: self.waited_for.clone(),
+            start_within: self.start_objectives.clone(),
             tuning: self.operator.tuning.clone(),
         }
     }
 
-    /// How old the watch cache may be while there is authority: a cancellation that is not seen
-    /// must stop the renewal of leases soon enough for the tasks to be gone by `cancel_s`.
+    /// Returns the maximum age of the watch cache at which this controller has authority. If the controller
+    /// misses a cancellation, lease renewals must stop early enough for the tasks to end within `cancel_s`.
     pub fn cache_age_max(&self) -> Micros {
         self.bounds.owner()
     }
 
-    /// Quick ends in a row after which a controller leaves its roles to others; 0: never.
+    /// Returns the number of consecutive quick process exits after which a controller leaves its roles to
+    /// others; 0: never.
     pub fn crash_loop_threshold(&self) -> u32 {
-        let set = self.operator.crash_loop_threshold;
-        set.unwrap_or(CRASH_LOOP_THRESHOLD)
+        let configured = self.operator.crash_loop_threshold;
+        configured.unwrap_or(DEFAULT_CRASH_LOOP_THRESHOLD)
     }
 
-    /// The session's time: long enough to ride out short outages, short enough for a takeover
-    /// before the workers' leases lapse.
+    /// Returns the session time: long enough to survive short outages of the state service, short enough for
+    /// a takeover before the workers' leases expire.
     pub fn session(&self) -> Micros {
         let derived = self
             .lease
-            .scale(SESSION_PER_LEASE)
+            .scale(SESSION_LEASE_FRACTION)
             .min(self.cache_age_max());
         let session = self.operator.session.unwrap_or(derived);
         session.clamp(SESSION_MIN, SESSION_MAX)
     }
 
-    /// How long a delegate may answer for an owner, counted from its request: long enough to
-    /// bridge the time between requests several times, and no longer than lets cancelled tasks
-    /// end in time even if their host is lost to the delegate as well.
+    /// Returns how long a delegate may answer heartbeats on behalf of an owner, counted from the delegate's
+    /// request. Long enough to cover several intervals between requests, and short enough that cancelled tasks end in time
+    /// even if the delegate loses contact with their host as well.
     pub fn delegation_time(&self) -> Micros {
-        let slack = (self.cancel - self.lease).scale(DELEGATION_PER_SLACK) - DELEGATION_MARGIN;
-        self.lease.scale(DELEGATION_PER_LEASE).min(slack)
+        let slack = (self.cancel - self.lease).scale(DELEGATION_SLACK_FRACTION) - DELEGATION_MARGIN;
+        self.lease.scale(DELEGATION_LEASE_FRACTION).min(slack)
     }
 
-    /// All controllers in the same order everywhere; a partition's home follows from its index.
+    /// Returns all controllers, sorted by name. The order is the same on every controller, since a
+    /// partition's preferred controller is determined by its index in the list.
     pub fn members(&self) -> Vec<Member> {
         let mut all: Vec<Member> = self.peers.iter().map(|p| p.member.clone()).collect();
         all.push(self.member.clone());
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -1,6 +1,6 @@
-//! The context that every part of a controller shares: settings, clocks, transport, the state, and how
-//! one part wakes another. The state lives in one cell that is never borrowed across an await; each
-//! concern of it is changed only by its own module.
+//! The context that all modules of a controller share: settings, clocks, transport, mutable state and
+//! wakeups. The state is in one `RefCell` that is never borrowed across an await. Each part of the state
+//! is modified only by its own module.
 
 use crate::{clock::Clock, settings::Settings, stall_detector, state::State, transport::Transport};
 use jasperhill_http::{ClientError, Request, Response};
@@ -12,7 +12,8 @@
 
 pub(crate) use crate::clock::to_duration;
 
-/// What an answer of the only counterpart of a link, or its absence, shows of the link.
+/// Converts the outcome of one request over a link with a single remote end into an observation of the
+/// link.
 pub(crate) fn observation_of(answered: bool) -> Observation {
     if answered {
         Observation::Success
@@ -21,106 +22,110 @@
     }
 }
 
-/// Wakes the loops of a controller, and requests that wait for something.
+/// Notifications that wake the controller's loops and waiting requests.
 #[derive(Default)]
 pub(crate) struct Wakeups {
-    /// Something has changed that a scheduling pass could make use of.
+    /// A change that could affect a scheduling pass.
     pub scheduler: Notify,
-    /// A write has been queued.
+    /// A write was queued for the store.
     pub commit_queue: Notify,
-    /// Somebody waits for a linearizable read.
+    /// A request waits for a linearizable read.
     pub read_index: Notify,
-    /// Who holds a role, or who could, has changed.
+    /// The holder of a role, or the set of possible holders, has changed.
     pub roles: Notify,
-    /// A host waits for a delegate's answer.
+    /// A host waits for a delegate's response.
     pub delegation_requests: Notify,
-    /// Another controller asks to answer for hosts of this one, or proposes a job.
+    /// Another controller requests a delegation of hosts of this controller, or proposes a job to it.
     pub delegation_grants: Notify,
-    /// An owner has granted, or taken back, a delegation.
+    /// An owner has granted or revoked a delegation.
     pub grants_changed: Notify,
-    /// Task counts of another controller's jobs have come.
+    /// Task counts of jobs that another controller owns have arrived.
     pub task_counts: Notify,
-    /// A link has changed.
+    /// The state of a link has changed.
     pub reachability: Notify,
-    /// A partition has come here, or went elsewhere.
+    /// This controller has acquired a partition, or a partition's owner has changed.
     pub ownership_changed: Notify,
     /// A host's record has changed.
     pub hosts_changed: Notify,
-    /// A job that this controller has proposed to its owner may have been decided on.
+    /// The owner may have decided on a job that this controller proposed.
     pub proposals: Notify,
 }
 
-/// The context that every part of a controller shares.
+/// The context that all modules of a controller share.
 pub(crate) struct Shared {
-    /// As the controller was started.
+    /// The settings with which the controller was started.
     pub settings: Settings,
-    /// What of the settings the scheduler needs.
+    /// The part of the settings that the scheduler uses.
     pub scheduler_config: Rc<SchedulerConfig>,
-    /// The partition of each team.
+    /// The number of each team's partition.
     pub partition_by_team: BTreeMap<Name, u32>,
-    /// All controllers, in the order that all agree on.
+    /// All controllers, in an order that is the same on every controller.
     pub members: Vec<Member>,
     /// The steady clock and the time of day.
     pub clock: Clock,
-    /// How requests leave the process.
+    /// Sends requests to other processes.
     pub transport: Rc<dyn Transport>,
-    /// All that changes.
+    /// The mutable state.
     pub state: RefCell<State>,
-    /// How loops and waiting requests are woken.
+    /// Notifications for loops and waiting requests.
     pub wake: Wakeups,
 }
 
 impl Shared {
-    /// The time by the steady clock.
+    /// Returns the current steady time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Runs a task for as long as the controller lives.
+    /// Spawns a task that is aborted when the controller is dropped.
     pub fn spawn(self: Rc<Self>, task: impl Future<Output = ()> + 'static) {
         let mut state = self.state.borrow_mut();
         while state.tasks.try_join_next().is_some() {}
         state.tasks.spawn_local(task);
     }
 
-    /// Tells the stall detector that the process runs. Whether a request that is taken up now has waited
-    /// through a stall, and is not to be served.
+    /// Reports activity to the stall detector. Returns whether a request that is taken up now has been
+    /// queued during a stall and must not be served.
     pub fn note_activity(&self) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        if let Some(gap) = state.stalls.apply(stall_detector::Input::Activity, now) {
-            tracing::warn!(for_s = gap.as_secs_f64(), "process stalled");
+        if let Some(stall) = state.stalls.apply(stall_detector::Input::Activity, now) {
+            tracing::warn!(for_s = stall.as_secs_f64(), "process stalled");
         }
         state.stalls.is_stale(now)
     }
 
-    /// Sends a request and waits for the response until `limit` has passed.
+    /// Sends a request and waits for the response until `timeout` has passed.
     ///
     /// # Errors
-    /// Those of the transport; they say whether the request can have been executed.
+    /// The transport's [`ClientError`], which tells whether the request may have been executed.
     pub async fn call(
         &self,
         to: SocketAddr,
         request: Request,
-        limit: Micros,
+        timeout: Micros,
     ) -> Result<Response, ClientError> {
-        self.transport.call(to, request, to_duration(limit)).await
+        self.transport.call(to, request, to_duration(timeout)).await
     }
 
-    /// Whether this controller may act on its roles now.
+    /// Returns whether this controller may currently act on its roles.
     pub fn has_authority(&self) -> bool {
         let now = self.now();
         self.state.borrow().authority.holds(now)
     }
 
-    /// The partition of a team; `None` for a team that the settings do not name.
+    /// Returns the number of a team's partition; `None` if the settings do not name the team.
     pub fn partition_of(&self, team: &Name) -> Option<u32> {
         self.partition_by_team.get(team).copied()
     }
 
-    /// Where another controller is reached by mesh.
+    /// Returns the mesh address of another controller; `None` if the settings do not name the controller.
     pub fn address_of(&self, member: &Member) -> Option<SocketAddr> {
-        let peer = self.settings.peers.iter().find(|p| &p.member == member);
-        peer.map(|p| p.address)
+        let peer = self
+            .settings
+            .peers
+            .iter()
+            .find(|peer| &peer.member == member);
+        peer.map(|peer| peer.address)
     }
 }
--- a/crates/jasperhill-controller/src/stall_detector.rs
+++ b/crates/jasperhill-controller/src/stall_detector.rs
@@ -1,83 +1,86 @@
-//! Detects that this process has stalled, and that the state service does not answer it. Both are
-//! inferred from what goes on in this process alone. Pure; every change goes through
-//! [`StallDetector::apply`], called by `Shared::note_activity` and by the renewal of the session.
+//! Detects stalls of this process, and a state service that does not answer this process. Both are inferred
+//! only from events within this process. Performs no I/O; every change goes through
+//! [`StallDetector::apply`], which `Shared::note_activity` and the session renewal call.
 
 use jasperhill_wire::Micros;
 
-/// There is some activity at least every second. After a longer gap the process has stalled while
-/// its clocks ran on, or got no processor time, which comes to the same.
-const STALL_GAP: Micros = Micros::from_millis(2_500);
-/// Requests that are taken up within this time after a stall have queued up in it.
-const STALE_PERIOD: Micros = Micros::from_millis(20);
-/// Renewals of the session that fail for so long are no accident.
-const STORE_SILENCE: Micros = Micros::from_secs(2);
+/// Minimum gap between two activities that counts as a stall. Normally there is some activity at least
+/// every second. After a longer gap the process was suspended while its clocks continued, or got no CPU
+/// time; both have the same effect.
+const STALL_DURATION_MIN: Micros = Micros::from_millis(2_500);
+/// Requests that are taken up within this time after a stall were queued during the stall.
+const STALE_REQUEST_PERIOD: Micros = Micros::from_millis(20);
+/// Time for which session renewals must go unanswered before the state service counts as silent. Shorter
+/// failures can be accidental.
+const STORE_SILENCE_MIN: Micros = Micros::from_secs(2);
 
-/// What is observed.
+/// An observed event.
 #[derive(Clone, Copy, Debug)]
 pub enum Input {
-    /// The process runs.
+    /// The process is running.
     Activity,
-    /// The state service has answered a renewal of the session.
+    /// The state service has answered a session renewal.
     Answered,
-    /// The state service has not answered a renewal of the session.
+    /// The state service has not answered a session renewal.
     Unanswered {
-        /// When it was sent, by the steady clock.
+        /// When the renewal was sent, by the steady clock.
         sent: Micros,
     },
 }
 
-/// When the process last ran, and since when the state service is silent; all times by the steady
-/// clock.
+/// Detector of process stalls and of a silent state service. All times are by the steady clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
-    /// When the process last ran.
+    /// Time of the last activity.
     last_activity: Micros,
-    /// The end of the last stall.
-    resumed: Option<Micros>,
-    /// When the first of the renewals was sent that have gone unanswered in a row.
-    first_unanswered: Option<Micros>,
+    /// Time at which the last stall ended; `None` if there was no stall.
+    resumed_at: Option<Micros>,
+    /// Time at which the first of the consecutive unanswered renewals was sent; `None` if the last renewal
+    /// was answered.
+    first_unanswered_sent_at: Option<Micros>,
 }
 
 impl StallDetector {
-    /// That of a process that has just started.
+    /// Creates the detector of a process that has just started.
     pub fn new(now: Micros) -> Self {
         Self {
             last_activity: now,
-            resumed: None,
-            first_unanswered: None,
+            resumed_at: None,
+            first_unanswered_sent_at: None,
         }
     }
 
-    /// The one function that changes it. How long the process has stalled, if a stall has just ended.
+    /// Applies an event; the only function that changes the state. Returns the duration of a stall that has
+    /// just ended, or `None`.
     pub fn apply(&mut self, input: Input, now: Micros) -> Option<Micros> {
         match input {
             Input::Activity => {
                 let gap = now - std::mem::replace(&mut self.last_activity, now);
-                if gap > STALL_GAP {
-                    self.resumed = Some(now);
-                    // What went unanswered meanwhile is no fault of the state service.
-                    self.first_unanswered = None;
+                if gap > STALL_DURATION_MIN {
+                    self.resumed_at = Some(now);
+                    // Renewals that went unanswered during the stall say nothing about the state service.
+                    self.first_unanswered_sent_at = None;
                     return Some(gap);
                 }
             }
-            Input::Answered => self.first_unanswered = None,
+            Input::Answered => self.first_unanswered_sent_at = None,
             Input::Unanswered { sent } => {
-                self.first_unanswered.get_or_insert(sent);
+                self.first_unanswered_sent_at.get_or_insert(sent);
             }
         }
         None
     }
 
-    /// Whether requests that are taken up now have waited through a stall: whoever sent them has given
-    /// up.
+    /// Returns whether requests that are taken up now were queued during a stall, so that their senders have
+    /// given up on them.
     pub fn is_stale(&self, now: Micros) -> bool {
-        self.resumed
-            .is_some_and(|resumed| now - resumed < STALE_PERIOD)
+        self.resumed_at
+            .is_some_and(|resumed_at| now - resumed_at < STALE_REQUEST_PERIOD)
     }
 
-    /// Whether the state service does not answer this controller.
+    /// Returns whether the state service has not answered this controller for `STORE_SILENCE_MIN`.
     pub fn is_store_silent(&self, now: Micros) -> bool {
-        self.first_unanswered
-            .is_some_and(|sent| now - sent >= STORE_SILENCE)
+        self.first_unanswered_sent_at
+            .is_some_and(|sent| now - sent >= STORE_SILENCE_MIN)
     }
 }
--- a/crates/jasperhill-controller/src/state.rs
+++ b/crates/jasperhill-controller/src/state.rs
@@ -1,5 +1,5 @@
-//! All that changes in a controller, by concern. Each concern's state is defined beside it, where its
-//! invariants are; here they are only put together. Lives in the one cell of `Shared`.
+//! The mutable state of a controller. Each module defines its part of the state next to its invariants; this
+//! module only combines the parts. `Shared` holds the state in a `RefCell`.
 
 use crate::{
     clock::Clock,
@@ -24,46 +24,46 @@
 use jasperhill_membership::Authority;
 use tokio::task::JoinSet;
 
-/// All that changes in a controller.
+/// The mutable state of a controller, by module.
 pub(crate) struct State {
     /// Whether this controller may act on its roles.
     pub authority: Authority,
     /// The replica of the store.
     pub cache: WatchCache,
-    /// What the client of the store keeps.
+    /// State of the client of the state service: session, write queue and watch.
     pub store: StoreState,
-    /// What is known of the other members.
+    /// Roles, links, restarts and feature levels of the members.
     pub membership: MembershipState,
-    /// Whether this controller is cut off from the store.
+    /// Whether this controller is isolated from the store.
     pub isolation: IsolationState,
-    /// The partitions and what the scheduler needs for them.
+    /// The owned partitions and the scheduler's data about them.
     pub scheduling: SchedulingState,
-    /// Heartbeats of workers.
+    /// State of the handling of workers' heartbeats.
     pub heartbeats: HeartbeatState,
-    /// Commands to workers.
+    /// Queued and running commands to workers.
     pub commands: CommandState,
-    /// Results that are being written.
+    /// Task results that are being written to the store.
     pub results: ResultState,
-    /// Heartbeats and commands that go by way of other controllers.
+    /// Heartbeats and commands that are relayed through other controllers.
     pub relay: RelayState,
-    /// Leases of hosts that are delegated to other controllers.
+    /// Delegations of host leases between controllers.
     pub delegation: DelegationState,
-    /// Jobs handed over to their owners through the store.
+    /// Jobs that are proposed to their partitions' owners through the store.
     pub proposals: ProposalState,
-    /// Updates of host records.
+    /// Pending updates of host records.
     pub host_registry: HostRegistry,
-    /// Task counts of jobs that other controllers run.
+    /// Cached task counts of jobs that other controllers run.
     pub task_counts: TaskCountCache,
-    /// Machines that are rented and returned.
+    /// State of renting and returning machines.
     pub provisioning: ProvisioningState,
-    /// Whether this process has stalled.
+    /// Detector of stalls of this process.
     pub stalls: StallDetector,
-    /// The tasks that run for as long as the controller lives.
+    /// The spawned tasks, which are aborted when the controller is dropped.
     pub tasks: JoinSet<()>,
 }
 
 impl State {
-    /// That of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(settings: &Settings, clock: &Clock, transport: &dyn Transport) -> Self {
         let now = clock.now();
         let command_connections = transport.connection_tracker().usage(Class::Commands);
--- a/crates/jasperhill-controller/src/transport.rs
+++ b/crates/jasperhill-controller/src/transport.rs
@@ -1,42 +1,46 @@
-//! How requests leave the process. Tests put a simulated network behind the same trait. Owns the pool of
-//! connections; the account of sockets is that of `jasperhill_connections`.
+//! Outgoing requests. [`Transport`] is implemented by [`HttpTransport`], and by the simulated network of
+//! tests. Owns the connection pool; `jasperhill_connections` does the accounting of sockets.
 
 use crate::{clock::to_duration, settings::Settings};
 use jasperhill_connections::{Class, PlanInputs};
 use jasperhill_http::{Client, ClientError, ClientLimits, ConnectionTracker, Request, Response};
 use std::{collections::BTreeMap, future::Future, net::SocketAddr, pin::Pin, time::Duration};
 
-/// Idle connections to one address that are kept, at most: bounds the sockets that nothing goes on on.
-const IDLE_PER_ADDRESS: usize = 4;
-/// How long a worker waits for the answer to a heartbeat.
-const WORKER_ANSWER_LIMIT: Duration = Duration::from_secs(4);
+/// Maximum number of idle connections that are kept per address; limits the number of unused sockets.
+const IDLE_CONNECTIONS_PER_ADDRESS_MAX: usize = 4;
+/// How long a worker waits for the response to a heartbeat.
+const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A request under way.
+/// The future of a request in flight.
 pub type Call<'a> = Pin<Box<dyn Future<Output = Result<Response, ClientError>> + 'a>>;
 
 /// Sends requests to the state service, the cloud, other controllers and workers.
 pub trait Transport {
-    /// Sends one request and waits for the response until `limit` has passed; the error says whether
-    /// it can have been executed.
-    fn call(&self, to: SocketAddr, request: Request, limit: Duration) -> Call<'_>;
-    /// The connections of this process, by what they are for.
+    /// Sends one request and waits for the response until `timeout` has passed.
+    ///
+    /// # Errors
+    /// A [`ClientError`], which tells whether the request may have been executed.
+    fn call(&self, to: SocketAddr, request: Request, timeout: Duration) -> Call<'_>;
+    /// Returns the tracker of this process's connections by class.
     fn connection_tracker(&self) -> &ConnectionTracker;
 }
 
-/// The connection budget of a controller, before any machine is known.
+/// Creates a connection tracker with the budget of a controller that knows no machine yet.
 pub fn new_connection_tracker(settings: &Settings) -> ConnectionTracker {
     let inputs = PlanInputs {
         max_connections: settings.max_connections,
         peers: settings.peers.len(),
         machines: 0,
     };
-    // A worker sends a heartbeat after an interval and a quarter at the latest, and waits for an answer
-    // before it goes elsewhere.
-    let overdue = to_duration(settings.heartbeat_interval.scale(1.25)) + WORKER_ANSWER_LIMIT;
-    ConnectionTracker::new(inputs, overdue)
+    // A worker sends its next heartbeat after at most 1.25 intervals, and waits for the response before it
+    // turns to another controller.
+    let heartbeat_overdue_after =
+        to_duration(settings.heartbeat_interval.scale(1.25)) + WORKER_RESPONSE_TIMEOUT;
+    ConnectionTracker::new(inputs, heartbeat_overdue_after)
 }
 
-/// What a connection from users, workers or the balancer is for, by what comes on it.
+/// Returns the class of an incoming connection from a user, a worker or the load balancer, by the path of
+/// its request.
 pub fn class_of(request: &Request) -> Class {
     match request.path() {
         "/hello" => Class::Heartbeats,
@@ -45,24 +49,27 @@
     }
 }
 
-/// The transport of a real controller: HTTP with pooled connections.
+/// The transport of a deployed controller: HTTP with pooled connections.
 pub struct HttpTransport {
-    /// Pools the connections.
+    /// HTTP client with the connection pool.
     client: Client,
-    /// The connection budget.
+    /// Tracker of the connections and their budget.
     connections: ConnectionTracker,
 }
 
 impl HttpTransport {
-    /// `connections`: the budget that [`new_connection_tracker`] makes.
+    /// Creates a transport. `connections`: the tracker from [`new_connection_tracker`].
     pub fn new(settings: &Settings, connections: ConnectionTracker) -> Self {
-        let peers = settings.peers.iter().map(|p| (p.address, Class::Peers));
+        let peers = settings
+            .peers
+            .iter()
+            .map(|peer| (peer.address, Class::Peers));
         let mut classes: BTreeMap<SocketAddr, Class> = peers.collect();
         classes.insert(settings.state, Class::State);
         classes.insert(settings.cloud, Class::Cloud);
         let class_of = move |to: SocketAddr| classes.get(&to).copied().unwrap_or(Class::Commands);
         let limits = ClientLimits {
-            idle_per_address: IDLE_PER_ADDRESS,
+            idle_per_address: IDLE_CONNECTIONS_PER_ADDRESS_MAX,
             ..ClientLimits::default()
         };
         Self {
@@ -73,8 +80,8 @@
 }
 
 impl Transport for HttpTransport {
-    fn call(&self, to: SocketAddr, request: Request, limit: Duration) -> Call<'_> {
-        Box::pin(async move { self.client.call(to, &request, limit).await })
+    fn call(&self, to: SocketAddr, request: Request, timeout: Duration) -> Call<'_> {
+        Box::pin(async move { self.client.call(to, &request, timeout).await })
     }
     fn connection_tracker(&self) -> &ConnectionTracker {
         &self.connections
--- a/crates/jasperhill-controller/src/users/admission.rs
+++ b/crates/jasperhill-controller/src/users/admission.rs
@@ -1,4 +1,5 @@
-//! The admission test of a job with a deadline, by the owner of its partition.
+//! The admission test for jobs with a deadline. The controller that owns the job's partition runs
+//! it, and either writes the job's record or rejects the submission.
 
 use super::job_creation::PartitionOwnership;
 use crate::{scheduling::state::RejectedJob, shared::Shared, state::State};
@@ -6,29 +7,33 @@
 use jasperhill_wire::{Micros, mesh::MeshResponse, user::JobRequest};
 use std::rc::Rc;
 
-/// How soon a rejected job is worth another try, in seconds: tasks end and machines come up
-/// all the time.
+/// `Retry-After` of a rejected job, in seconds. Capacity changes constantly as tasks end and
+/// machines boot.
 const REJECTED_RETRY_S: u32 = 3;
-/// Rejected jobs that are remembered.
-const REJECTED_MAX: usize = 2_000;
-/// How long a rejected job is remembered once there are too many of them.
-const REJECTED_KEPT: Micros = Micros::from_secs(40);
-/// How long the leader's word on spare capacity counts: it says it every second.
-const SPARE_CAPACITY_VALID: Micros = Micros::from_secs(10);
-/// How much longer than its type says a machine is taken to boot without that word.
+/// Number of rejected jobs above which the older ones are forgotten.
+const REJECTED_JOBS_MAX: usize = 2_000;
+/// How long a rejected job is kept after its last submission when there are more than
+/// [`REJECTED_JOBS_MAX`].
+const REJECTED_JOB_RETENTION: Micros = Micros::from_secs(40);
+/// How long the leader's last report of spare capacity is used. The leader sends one every
+/// second.
+const SPARE_CAPACITY_VALIDITY: Micros = Micros::from_secs(10);
+/// Factor by which the boot time of a machine type is lengthened when the leader has not reported
+/// a boot time recently.
 const BOOT_TIME_MARGIN: f64 = 1.3;
 
-/// The outcome of an admission test.
+/// The result of an admission test.
 struct AdmissionOutcome {
+    /// Whether the job is admitted.
     decision: AdmissionDecision,
-    /// The ownership under which it was taken.
+    /// The partition ownership under which the decision was made; guards the write of the job.
     owner: PartitionOwnership,
 }
 
 impl Shared {
-    /// Runs the admission test and accepts the job if it passes. Called for a submission to
-    /// this controller, for one that another controller sends by mesh, and for a proposal
-    /// through the store.
+    /// Runs the admission test and creates the job if it passes. Called for submissions to this
+    /// controller, for submissions that another controller forwards over the mesh, and for
+    /// proposals received through the store.
     pub async fn admit(self: &Rc<Self>, request: JobRequest) -> MeshResponse {
         if self.is_known(&request.id) {
             return MeshResponse::Known;
@@ -44,7 +49,7 @@
                 } else if self.is_known(&request.id) {
                     MeshResponse::Known
                 } else {
-                    tracing::debug!(job = %request.id, "job rejected");
+                    tracing::debug!(job = %request.id, "job rejected by the admission test");
                     MeshResponse::Rejected {
                         retry_after_s: REJECTED_RETRY_S,
                     }
@@ -53,36 +58,43 @@
         }
     }
 
-    /// The admission test; `None` without authority, ownership or machine types. A rejection is
-    /// remembered, so that the deadline counts from the first submission.
+    /// Runs the admission test. Returns `None` if this controller has no authority, does not own the
+    /// job's partition or does not know the machine types. A rejection is remembered, so that the
+    /// deadline of a retried job counts from its first submission.
     fn test_admission(&self, request: &JobRequest) -> Option<AdmissionOutcome> {
         let now = self.now();
-        let mut guarded = self.state.borrow_mut();
-        let state = &mut *guarded;
+        let mut state_guard = self.state.borrow_mut();
+        let state = &mut *state_guard;
         if !state.authority.holds(now) {
             return None;
         }
-        let id = self.partition_of(&request.team)?;
+        let partition_id = self.partition_of(&request.team)?;
         let specs = state.scheduling.specs.clone()?;
-        let elastic = self.capacity_to_scale_out(state, &specs, now);
+        let scale_out_capacity = self.capacity_to_scale_out(state, &specs, now);
         forget_old_rejections(state, now);
         let rejected = &state.scheduling.rejected;
-        let submitted = rejected.get(&request.id).map_or(now, |r| r.first);
-        let release = self.time_until_ready(state, request, now);
-        let partition = state.scheduling.partitions.get(&id)?;
+        let first_submitted = rejected.get(&request.id).map_or(now, |job| job.first);
+        let time_until_ready = self.time_until_ready(state, request, now);
+        let partition = state.scheduling.partitions.get(&partition_id)?;
         let owner = PartitionOwnership {
-            partition: id,
+            partition: partition_id,
             since: partition.since,
         };
-        let decision = partition.admit(request, submitted, now, release, elastic);
+        let decision = partition.admit(
+            request,
+            first_submitted,
+            now,
+            time_until_ready,
+            scale_out_capacity,
+        );
         let rejected = &mut state.scheduling.rejected;
         if decision == AdmissionDecision::Admit {
             rejected.remove(&request.id);
-        } else if rejected.len() <= REJECTED_MAX {
+        } else if rejected.len() <= REJECTED_JOBS_MAX {
             let job = RejectedJob {
-                first: submitted,
+                first: first_submitted,
                 last: now,
-                partition: id,
+                partition: partition_id,
                 hosts: hosts_for(request, &specs),
             };
             rejected.insert(request.id.clone(), job);
@@ -90,22 +102,28 @@
         Some(AdmissionOutcome { decision, owner })
     }
 
-    /// The machines that this partition may expect beyond its own, and after how long: its part
-    /// of the spare capacity, or a guess where the leader has not said it lately.
+    /// Returns the number of machines that a partition can expect to gain, and their boot time: the
+    /// partition's share of the spare capacity, or one machine with a lengthened boot time if the
+    /// leader has not reported its spare capacity recently.
     fn capacity_to_scale_out(&self, state: &State, specs: &Specs, now: Micros) -> (u32, Micros) {
-        let boot = specs.values().map(|s| s.boot).max().unwrap_or_default();
+        let longest_boot = specs
+            .values()
+            .map(|spec| spec.boot)
+            .max()
+            .unwrap_or_default();
         match state.provisioning.spare_capacity {
-            Some(spare) if now - spare.at < SPARE_CAPACITY_VALID => {
+            Some(spare) if now - spare.at < SPARE_CAPACITY_VALIDITY => {
                 (spare.machines.div_ceil(self.settings.size), spare.boot_time)
             }
-            _ => (1, boot.scale(BOOT_TIME_MARGIN)),
+            _ => (1, longest_boot.scale(BOOT_TIME_MARGIN)),
         }
     }
 }
 
+/// Removes rejected jobs past their retention once there are more than [`REJECTED_JOBS_MAX`].
 fn forget_old_rejections(state: &mut State, now: Micros) {
     let rejected = &mut state.scheduling.rejected;
-    if rejected.len() > REJECTED_MAX {
-        rejected.retain(|_, job| now - job.last < REJECTED_KEPT);
+    if rejected.len() > REJECTED_JOBS_MAX {
+        rejected.retain(|_, job| now - job.last < REJECTED_JOB_RETENTION);
     }
 }
--- a/crates/jasperhill-controller/src/users/cancellation.rs
+++ b/crates/jasperhill-controller/src/users/cancellation.rs
@@ -1,4 +1,5 @@
-//! Cancellations: the job's record becomes terminal by one guarded write, whoever owns the job.
+//! Cancellation of jobs. Any controller can cancel a job, whichever controller owns its partition: one
+//! guarded write makes the job's record terminal.
 
 use super::{
     job_view::user_phase,
@@ -17,34 +18,41 @@
 };
 use std::rc::Rc;
 
-/// Writes that are tried for one cancellation, and reads in between: an owner that records
-/// results at the same time makes some of them fail.
-const ATTEMPTS: usize = 4;
-/// How long a write may take: users wait five seconds for a response.
+/// Maximum number of read and write attempts for one cancellation. A write conflicts if the owner
+/// records results of the job at the same time.
+const ATTEMPTS_MAX: usize = 4;
+/// Timeout of one write. Users wait five seconds for a response.
 const WRITE_TIMEOUT: Micros = Micros::from_millis(1_500);
 
-/// What the watch cache says of a job that is to be cancelled.
-enum Cancellable {
-    /// It has ended already.
+/// The state of a job to be cancelled, according to the watch cache.
+enum CancellationTarget {
+    /// The job has already ended in this phase.
     Ended(RecordPhase),
-    /// It has not: the record to write, and the revision that it replaces.
+    /// The job has not ended: the cancelled record to write, and the revision of the record that it
+    /// replaces.
     Active {
         version: Revision,
         record: Box<JobRecord>,
     },
-    /// The watch cache does not know it.
+    /// The watch cache does not contain the job.
     Unknown,
 }
 
 impl Shared {
-    /// Cancels a job, or says how it has ended.
+    /// Cancels a job, or returns its final phase if it has already ended.
+    ///
+    /// # Errors
+    /// [`UserError::NoSuchJob`] if the job was never accepted; [`UserError::Unavailable`] if the store
+    /// can't be read or the cancellation could not be written.
     pub(super) async fn cancel_job(self: &Rc<Self>, id: &str) -> Result<Response, UserError> {
         let id = JobId::parse(id).ok_or(UserError::NoSuchJob)?;
-        for _ in 0..ATTEMPTS {
-            let (version, record) = match self.cancellable(&id) {
-                Cancellable::Ended(phase) => return Ok(job_response(200, &id, user_phase(phase))),
-                Cancellable::Active { version, record } => (version, record),
-                Cancellable::Unknown => {
+        for _ in 0..ATTEMPTS_MAX {
+            let (version, record) = match self.cancellation_target(&id) {
+                CancellationTarget::Ended(phase) => {
+                    return Ok(job_response(200, &id, user_phase(phase)));
+                }
+                CancellationTarget::Active { version, record } => (version, record),
+                CancellationTarget::Unknown => {
                     if !self.read_index().await {
                         return Err(Unavailable::StateUnknown.into());
                     }
@@ -60,7 +68,7 @@
                     return Ok(job_response(200, &id, JobPhase::Cancelled));
                 }
                 WriteOutcome::NotExecuted => break,
-                // Another write was first, or the outcome is not known: read again.
+                // Another write came first, or the outcome is unknown: read the record again.
                 WriteOutcome::Conflict | WriteOutcome::Unknown => {
                     if !self.read_index().await {
                         break;
@@ -71,13 +79,14 @@
         Err(Unavailable::Undecided.into())
     }
 
-    fn cancellable(&self, id: &JobId) -> Cancellable {
+    /// Looks up a job to be cancelled in the watch cache.
+    fn cancellation_target(&self, id: &JobId) -> CancellationTarget {
         let state = self.state.borrow();
         if let Some((phase, _)) = state.cache.final_phase(id) {
-            return Cancellable::Ended(phase);
+            return CancellationTarget::Ended(phase);
         }
         match state.cache.job(id) {
-            Some(JobEntry::Active(job)) => Cancellable::Active {
+            Some(JobEntry::Active(job)) => CancellationTarget::Active {
                 version: job.version,
                 record: Box::new(JobRecord::cancelled(
                     &job.request,
@@ -85,10 +94,11 @@
                     self.clock.wall(),
                 )),
             },
-            _ => Cancellable::Unknown,
+            _ => CancellationTarget::Unknown,
         }
     }
 
+    /// Replaces a job's record with a cancelled one, guarded by the revision of the current record.
     async fn write_cancellation(
         &self,
         id: &JobId,
--- a/crates/jasperhill-controller/src/users/dependencies.rs
+++ b/crates/jasperhill-controller/src/users/dependencies.rs
@@ -1,4 +1,5 @@
-//! Dependencies of a job: whether a new job's are valid, and how long until they are done.
+//! Dependencies of a job: validates the dependencies of a new job and estimates the time until they
+//! are done.
 
 use super::response::{Unavailable, UserError};
 use crate::{
@@ -13,18 +14,23 @@
     user::{JobRequest, Shape},
 };
 
-/// What the watch cache says of a new job's dependencies.
+/// The result of checking the dependencies of a new job.
 pub(super) enum DependencyCheck {
-    /// All of them were accepted and can end.
+    /// All dependencies were accepted and can end.
     Valid,
-    /// One is not, by a linearizable read that began after the submission came; the reason.
+    /// One dependency is invalid according to a linearizable read that began after the submission
+    /// arrived. Holds the reason.
     Invalid(String),
-    /// That read has brought the job itself: this is a repeated submission.
+    /// The linearizable read found the submitted job itself, so this is a repeated submission.
     AlreadyKnown,
 }
 
 impl Shared {
-    /// Whether the jobs that a new job depends on were ever accepted and are none that never end.
+    /// Checks that every dependency of a new job was accepted and can end, which a service never does.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if some controller does not support dependencies, or if a dependency looks
+    /// invalid and the store can't be read.
     pub(super) async fn check_dependencies(
         &self,
         request: &JobRequest,
@@ -34,13 +40,14 @@
             state.membership.features.supports(DEPENDENCIES)
         };
         if !supported {
-            // An earlier version would start the job at once.
+            // A controller of an earlier version ignores dependencies and would start the job at once.
             return Err(Unavailable::EarlierVersion.into());
         }
         if self.invalid_dependency(request).is_none() {
             return Ok(DependencyCheck::Valid);
         }
-        // Said only after a linearizable read that began after the submission came.
+        // The watch cache may lag: reject only after a linearizable read that began after the
+        // submission arrived.
         if !self.read_index().await {
             return Err(Unavailable::StateUnknown.into());
         }
@@ -53,7 +60,7 @@
         })
     }
 
-    /// Drops the dependencies that are done already.
+    /// Removes the dependencies that are already done from a request.
     pub(super) fn drop_done_dependencies(&self, request: &mut JobRequest) {
         let state = self.state.borrow();
         request.dependencies.retain(|id| {
@@ -62,7 +69,7 @@
         });
     }
 
-    /// Why the first invalid dependency is, if there is one.
+    /// Returns why the first invalid dependency of a request is invalid; `None` if all are valid.
     fn invalid_dependency(&self, request: &JobRequest) -> Option<String> {
         let state = self.state.borrow();
         request
@@ -77,27 +84,30 @@
             })
     }
 
-    /// How long until the dependencies of a job are expected to be done: their estimates along
-    /// the longest path, less what has passed where they run already. Called by the admission
-    /// test and for the capacity inventory.
+    /// Returns the expected time until all dependencies of a job are done: the sum of the estimates
+    /// along the longest path of dependencies, less the time that running ones have already run.
+    /// Called by the admission test and for the capacity inventory.
     pub fn time_until_ready(&self, state: &State, request: &JobRequest, now: Micros) -> Micros {
-        let rest = |id: &JobId| match state.cache.job(id) {
+        let time_until_done = |id: &JobId| match state.cache.job(id) {
             Some(JobEntry::Active(job)) => self.time_until_done(state, job, now),
             _ => Micros::ZERO,
         };
         state
             .cache
             .dependencies
-            .time_until_ready(&request.dependencies, rest)
+            .time_until_ready(&request.dependencies, time_until_done)
     }
 
-    /// How long an unfinished job is expected to take once its own dependencies are done.
+    /// Returns how much longer an unfinished job is expected to take, not counting the time until its
+    /// own dependencies are done.
     fn time_until_done(&self, state: &State, job: &ActiveJob, now: Micros) -> Micros {
         let id = &job.request.id;
-        let own = self
+        let owned_partition = self
             .partition_of(&job.request.team)
             .and_then(|p| state.scheduling.partitions.get(&p));
-        let estimate = own.map_or(job.request.estimate, |p| p.estimate(&job.request));
+        let estimate = owned_partition.map_or(job.request.estimate, |partition| {
+            partition.estimate(&job.request)
+        });
         if state.cache.dependencies.state_of(id) != DependencyState::Ready {
             return estimate;
         }
@@ -105,8 +115,9 @@
             Some(at) => *at,
             None => self.clock.steady(job.submitted),
         };
-        // How far it has come is known to its owner alone.
-        match own.and_then(|p| p.jobs.get(id)) {
+        // Only the partition's owner knows the job's progress. Other controllers assume that the job has
+        // been running since it became ready.
+        match owned_partition.and_then(|partition| partition.jobs.get(id)) {
             Some(job) if job.running.is_empty() => estimate,
             _ => remaining(estimate, now - ready_since),
         }
--- a/crates/jasperhill-controller/src/users/job_creation.rs
+++ b/crates/jasperhill-controller/src/users/job_creation.rs
@@ -1,4 +1,5 @@
-//! The record of a new job, and the write of it: the acceptance.
+//! Creation of jobs: builds the record of a new job and writes it to the store. A job is accepted once
+//! this write is committed.
 
 use crate::{
     shared::Shared,
@@ -12,22 +13,23 @@
 };
 use std::rc::Rc;
 
-/// What a new record leaves for results, in bytes.
+/// Space that a new job's record leaves free for results within the store's value limit, in bytes.
 const RESULTS_RESERVE_BYTES: usize = 160;
-/// How long the write may take: users wait five seconds for a response.
+/// Timeout of the write. Users wait five seconds for a response.
 const WRITE_TIMEOUT: Micros = Micros::from_millis(1_500);
 
-/// A partition that this controller owns, and the revision at which it came here.
+/// A partition that this controller owns, and the revision at which it acquired the partition.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PartitionOwnership {
-    /// The partition.
+    /// The partition's number.
     pub partition: u32,
-    /// The revision of the role's record; guards the owner's writes.
+    /// The revision of the partition's role record; guards the owner's writes.
     pub since: Revision,
 }
 
 impl Shared {
-    /// Whether a job can never start, as one that it depends on is cancelled.
+    /// Returns whether a job that the request depends on is cancelled, so that the new job can never
+    /// start.
     pub(super) fn is_cancelled_upstream(&self, request: &JobRequest) -> bool {
         let state = self.state.borrow();
         request.dependencies.iter().any(|id| {
@@ -36,7 +38,8 @@
         })
     }
 
-    /// The record of a new job; `None` if it would not fit, with room for some results.
+    /// Builds the record of a new job. Returns `None` if it would not fit into a value of the store
+    /// together with [`RESULTS_RESERVE_BYTES`].
     pub(super) fn new_job_record(&self, request: &JobRequest) -> Option<JobRecord> {
         let record = if self.is_cancelled_upstream(request) {
             JobRecord::terminal(RecordPhase::Cancelled, 0)
@@ -55,8 +58,8 @@
         (bytes + RESULTS_RESERVE_BYTES <= self.settings.value_bytes).then_some(record)
     }
 
-    /// Writes a new job's record: the acceptance. With `owner`, only as long as that ownership
-    /// lasts.
+    /// Accepts a job by writing its record, guarded by the absence of a record with its id. With
+    /// `owner`, the write also requires that the partition is still owned under that ownership.
     pub(super) async fn create_job(
         self: &Rc<Self>,
         request: &JobRequest,
@@ -78,7 +81,7 @@
             WriteOutcome::Committed(_) => MeshResponse::Accepted,
             WriteOutcome::Conflict => MeshResponse::Known,
             WriteOutcome::NotExecuted => MeshResponse::Unavailable,
-            // Read again, never assume.
+            // The write may or may not have been committed: read the store, never assume.
             WriteOutcome::Unknown => {
                 if self.read_index().await && self.is_known(&request.id) {
                     MeshResponse::Known
--- a/crates/jasperhill-controller/src/users/job_view.rs
+++ b/crates/jasperhill-controller/src/users/job_view.rs
@@ -1,32 +1,34 @@
-//! A job as its user sees it, by the watch cache and the partitions that run here.
+//! The user-visible state of a job, computed from the watch cache and the partitions that this
+//! controller owns.
 
 use crate::{shared::Shared, watch_cache::JobEntry};
 use jasperhill_wire::{JobId, record::RecordPhase, user::JobPhase};
 
-/// A job as its user sees it.
+/// The user-visible phase and task counts of a job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobView {
     /// The job's phase.
     pub phase: JobPhase,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that run; 0 where the job's owner is another controller.
+    /// Number of running tasks; 0 if another controller owns the job's partition.
     pub running: u32,
-    /// The job has ended: nothing of this will change any more.
-    pub terminal: bool,
+    /// Whether the job has ended, so that this view is final.
+    pub is_terminal: bool,
 }
 
 impl JobView {
+    /// Returns the view of a job that has ended.
     fn terminal(phase: RecordPhase, done: u32) -> Self {
         Self {
             phase: user_phase(phase),
             done,
             running: 0,
-            terminal: true,
+            is_terminal: true,
         }
     }
 
-    /// That of a job that has not ended.
+    /// Returns the view of a job that has not ended.
     pub(super) fn active(running: u32, done: u32) -> Self {
         let phase = if running > 0 {
             JobPhase::Running
@@ -37,12 +39,12 @@
             phase,
             done,
             running,
-            terminal: false,
+            is_terminal: false,
         }
     }
 }
 
-/// The phase that users see for that of a record.
+/// Maps the phase in a job's record to the phase that users see.
 pub(super) fn user_phase(phase: RecordPhase) -> JobPhase {
     match phase {
         RecordPhase::Active => JobPhase::Pending,
@@ -52,7 +54,7 @@
 }
 
 impl Shared {
-    /// The user's view of a known job; `None` if the watch cache does not know it.
+    /// Returns the user-visible state of a job; `None` if the watch cache does not contain the job.
     pub(super) fn job_view(&self, id: &JobId) -> Option<JobView> {
         let state = self.state.borrow();
         if let Some((phase, done)) = state.cache.final_phase(id) {
@@ -61,11 +63,11 @@
         match state.cache.job(id)? {
             JobEntry::Final { phase, done } => Some(JobView::terminal(*phase, *done)),
             JobEntry::Active(active) => {
-                let owned = self
+                let owned_job = self
                     .partition_of(&active.request.team)
-                    .and_then(|p| state.scheduling.partitions.get(&p))
+                    .and_then(|partition_id| state.scheduling.partitions.get(&partition_id))
                     .and_then(|partition| partition.jobs.get(id));
-                Some(match owned {
+                Some(match owned_job {
                     Some(job) => JobView::active(job.running.len() as u32, job.done.count()),
                     None => JobView::active(0, active.done_count),
                 })
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Whether the watch cache knows a job.
+    /// Returns whether the watch cache contains a job.
     pub(super) fn is_known(&self, id: &JobId) -> bool {
         self.job_view(id).is_some()
     }
--- a/crates/jasperhill-controller/src/users/mod.rs
+++ b/crates/jasperhill-controller/src/users/mod.rs
@@ -1,8 +1,8 @@
-//! The users' API: submissions, polls, cancellations and readiness, over HTTP.
+//! The HTTP API for users: job submission, status queries, cancellation and readiness.
 //!
-//! Owns no state. What it answers rests on the watch cache, after a linearizable read wherever
-//! the answer could change, and every job is accepted by one write that is guarded by the
-//! absence of the job's record: a repeated submission is idempotent on every controller.
+//! The module owns no state. Responses are computed from the watch cache, after a linearizable read
+//! wherever the answer could still change. Every job is accepted by one write that is guarded by the
+//! absence of the job's record, so that a repeated submission is idempotent on every controller.
 
 mod admission;
 mod cancellation;
@@ -19,32 +19,32 @@
 use response::{Unavailable, UserError};
 use std::rc::Rc;
 
-/// Where workers send heartbeats.
+/// Path to which workers send heartbeats.
 const HEARTBEAT_PATH: &str = "/hello";
-/// Where the load balancer and operators ask for readiness.
+/// Path on which the load balancer and operators query readiness.
 const READINESS_PATH: &str = "/ready";
-/// Where jobs are submitted.
+/// Path to which jobs are submitted.
 const JOBS_PATH: &str = "/v1/jobs";
-/// What the path of a single job starts with.
+/// Prefix of the paths of a single job.
 const JOB_PREFIX: &str = "/v1/jobs/";
-/// The last segment of the path that cancels a job.
-const CANCELLATION: &str = "abort";
+/// Last segment of the path that cancels a job.
+const CANCEL_SEGMENT: &str = "abort";
 
 impl Shared {
-    /// Answers a request of a user, a worker or a health check. Called by the controller for
-    /// every request on its public address.
+    /// Handles a request from a user, a worker or a health check. Called for every request on the
+    /// controller's public address.
     pub async fn serve(self: Rc<Self>, request: Request) -> Response {
         let path = request.path().to_owned();
         if self.note_activity() && path != READINESS_PATH {
-            // Guards against working off what queued up while the process was stalled: users
-            // and workers have given up on it and ask elsewhere.
+            // Requests that queued up while the process was stalled are not served: their senders
+            // have given up on them and ask another controller.
             return UserError::Unavailable(Unavailable::Stalled).into_response();
         }
-        let served = self.route(request.method, &path, &request.body).await;
-        served.unwrap_or_else(UserError::into_response)
+        let result = self.route(request.method, &path, &request.body).await;
+        result.unwrap_or_else(UserError::into_response)
     }
 
-    /// Calls the handler of a path and method.
+    /// Dispatches a request to the handler of its path and method.
     async fn route(
         self: &Rc<Self>,
         method: Method,
@@ -58,19 +58,19 @@
             (_, HEARTBEAT_PATH | JOBS_PATH) => Err(UserError::OnlyPost),
             (_, READINESS_PATH) => Err(UserError::OnlyGet),
             (method, path) => match path.strip_prefix(JOB_PREFIX) {
-                Some(rest) => self.route_job(method, rest).await,
+                Some(job_path) => self.route_job(method, job_path).await,
                 None => Err(UserError::NoSuchPath),
             },
         }
     }
 
-    /// Calls the handler of a path below that of all jobs.
+    /// Dispatches a request for a single job. `path`: the part after [`JOB_PREFIX`].
     async fn route_job(self: &Rc<Self>, method: Method, path: &str) -> Result<Response, UserError> {
         match (method, path.split_once('/')) {
             (Method::Get, None) => self.job_status(path).await,
             (_, None) => Err(UserError::OnlyGet),
-            (Method::Post, Some((id, CANCELLATION))) => self.cancel_job(id).await,
-            (_, Some((_, CANCELLATION))) => Err(UserError::OnlyPost),
+            (Method::Post, Some((id, CANCEL_SEGMENT))) => self.cancel_job(id).await,
+            (_, Some((_, CANCEL_SEGMENT))) => Err(UserError::OnlyPost),
             _ => Err(UserError::NoSuchPath),
         }
     }
--- a/crates/jasperhill-controller/src/users/query.rs
+++ b/crates/jasperhill-controller/src/users/query.rs
@@ -1,4 +1,4 @@
-//! Polls: phase and task counts of a job.
+//! Status queries: the phase and the task counts of a job.
 
 use super::{
     job_view::JobView,
@@ -11,6 +11,7 @@
 };
 use std::rc::Rc;
 
+/// Builds the response to a status query.
 fn status_response(id: &JobId, view: JobView) -> Response {
     let status = JobStatus {
         id: id.as_str(),
@@ -22,11 +23,16 @@
 }
 
 impl Shared {
-    /// Answers a poll.
+    /// Returns the status of a job. Task counts come from the owner of the job's partition if it
+    /// answers in time.
+    ///
+    /// # Errors
+    /// [`UserError::NoSuchJob`] if the job was never accepted; [`UserError::Unavailable`] if the store
+    /// can't be read.
     pub(super) async fn job_status(self: &Rc<Self>, id: &str) -> Result<Response, UserError> {
         let id = JobId::parse(id).ok_or(UserError::NoSuchJob)?;
-        // Final phases are final: any watch cache may say them.
-        if let Some(view) = self.job_view(&id).filter(|view| view.terminal) {
+        // A final phase never changes, so that it can be returned without a linearizable read.
+        if let Some(view) = self.job_view(&id).filter(|view| view.is_terminal) {
             return Ok(status_response(&id, view));
         }
         let owner = self.other_owner(&id);
@@ -36,15 +42,15 @@
                 None => None,
             }
         };
-        let (synced, counts) = tokio::join!(self.read_index(), counts);
-        if !synced {
+        let (is_read, counts) = tokio::join!(self.read_index(), counts);
+        if !is_read {
             return Err(Unavailable::StateUnknown.into());
         }
         let view = self.job_view(&id).ok_or(UserError::NoSuchJob)?;
-        // The phase is that of the linearizable read; counts are for display.
+        // The phase comes from the linearizable read; the owner's counts are only for display.
         let view = match counts {
             Some(TaskCounts { running, done })
-                if !view.terminal && view.phase == JobPhase::Pending =>
+                if !view.is_terminal && view.phase == JobPhase::Pending =>
             {
                 JobView::active(running, done)
             }
@@ -53,7 +59,8 @@
         Ok(status_response(&id, view))
     }
 
-    /// Who runs an unfinished job, if another controller does.
+    /// Returns the controller that owns the partition of an unfinished job; `None` if the owner is this
+    /// controller or unknown.
     fn other_owner(&self, id: &JobId) -> Option<Member> {
         let state = self.state.borrow();
         let Some(JobEntry::Active(active)) = state.cache.job(id) else {
--- a/crates/jasperhill-controller/src/users/readiness.rs
+++ b/crates/jasperhill-controller/src/users/readiness.rs
@@ -1,31 +1,36 @@
-//! Readiness, for the load balancer and for operators.
+//! The readiness check for the load balancer and for operators.
 
 use super::response::{Unavailable, UserError, json};
 use crate::shared::Shared;
 use jasperhill_http::Response;
 
-/// The body of a response that says that the controller is ready.
+/// Body of the response of a controller that is ready.
 #[derive(serde::Serialize)]
 struct ReadinessBody {
-    /// The classes of connections in which a connection was refused just now.
+    /// The connection classes in which a connection was refused recently.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     at_bound: Vec<&'static str>,
 }
 
 impl Shared {
-    /// Whether the load balancer should send users here.
+    /// Returns 200 if the load balancer should send users to this controller.
+    ///
+    /// # Errors
+    /// [`Unavailable::NotReady`] if users should go to another controller.
     pub(super) fn readiness(&self) -> Result<Response, UserError> {
         if !self.is_ready() {
             return Err(Unavailable::NotReady.into());
         }
-        // An operator who asks sees what is short; the balancer looks at the status alone.
-        let at_bound = self.at_bound();
+        // For operators only: the load balancer evaluates nothing but the status.
+        let at_bound = self.classes_at_limit();
         Ok(json(200, &ReadinessBody { at_bound }))
     }
 
+    /// Returns whether this controller is ready to serve users.
     fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        // In an outage that everybody sees, leaving the balancer would only delay the return.
+        // The reachability of the store alone is no condition: in an outage that affects all controllers,
+        // leaving the load balancer would only delay the recovery.
         state.cache.is_synced()
             && state.scheduling.specs.is_some()
             && !state.isolation.isolated
--- a/crates/jasperhill-controller/src/users/response.rs
+++ b/crates/jasperhill-controller/src/users/response.rs
@@ -1,4 +1,4 @@
-//! Responses to users: bodies, and the one place where errors become HTTP statuses and texts.
+//! Responses to users: JSON bodies, and the mapping of errors to HTTP statuses and texts.
 
 use jasperhill_http::Response;
 use jasperhill_wire::{
@@ -6,63 +6,64 @@
     user::{ErrorBody, JobPhase, JobResponse},
 };
 
-/// How soon a user should ask again when a controller can't decide, in seconds.
+/// `Retry-After` of a request on which the controller can't decide, in seconds.
 const UNAVAILABLE_RETRY_S: u32 = 1;
 
-/// Why a controller can't decide on a request now; another one may, or this one in a moment.
+/// The reason why a controller can't decide on a request now. Another controller may be able to, or
+/// this one shortly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Unavailable {
-    /// The process was stalled, so that the request has waited for long.
+    /// The process was stalled while the request was queued.
     #[error("stood still")]
     Stalled,
     /// The controller is not ready for users.
     #[error("not ready")]
     NotReady,
-    /// The store can't be read up to now.
+    /// The current state can't be read from the store.
     #[error("state unknown")]
     StateUnknown,
-    /// No machine type is known, so that no job can be checked against them.
+    /// The machine types are unknown, so that jobs can't be checked against them.
     #[error("machine types unknown")]
     MachineTypesUnknown,
-    /// A controller of a version that ignores dependencies still serves.
+    /// A controller that runs a version without support for dependencies is still active.
     #[error("an earlier version still serves")]
     EarlierVersion,
-    /// No partition belongs to the job's team.
+    /// The job's team has no partition.
     #[error("owner unknown")]
     OwnerUnknown,
-    /// The owner was not reached, or the outcome of a write is not known.
+    /// The partition's owner was not reached, or the outcome of a write is unknown.
     #[error("can't decide now")]
     Undecided,
 }
 
-/// Why a request of a user was not carried out. The texts are part of the API.
+/// The reason why a user's request failed. The texts are part of the API.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum UserError {
-    /// The path takes POST alone.
+    /// The path accepts only POST.
     #[error("only POST")]
     OnlyPost,
-    /// The path takes GET alone.
+    /// The path accepts only GET.
     #[error("only GET")]
     OnlyGet,
-    /// The path leads nowhere.
+    /// The path does not exist.
     #[error("no such path")]
     NoSuchPath,
-    /// No job of that id was ever accepted.
+    /// No job with this id was ever accepted.
     #[error("no such job")]
     NoSuchJob,
-    /// The submission is not understood; the text names the field.
+    /// The submission can't be parsed; the text names the field.
     #[error("{0}")]
     Malformed(String),
-    /// The job can never be accepted as it is; the text names the field.
+    /// The submission is well-formed but can never be accepted; the text names the field.
     #[error("{0}")]
     Unprocessable(String),
-    /// The job would miss its deadline if it was accepted now.
+    /// The job would miss its deadline if it were accepted now.
     #[error("would miss its deadline")]
     Rejected {
-        /// How soon another try is worth while, in seconds.
+        /// Time after which to submit the job again, in seconds.
         retry_after_s: u32,
     },
-    /// Nothing is decided; the user should come back.
+    /// The request was not decided on; the user should retry.
     #[error("{0}")]
     Unavailable(Unavailable),
 }
@@ -74,6 +75,7 @@
 }
 
 impl UserError {
+    /// Returns the HTTP status of the error.
     fn status(&self) -> u16 {
         match self {
             Self::Malformed(_) => 400,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The response with status, text and the headers that go with them.
+    /// Builds the response with the error's status, text, and `Allow` or `Retry-After` header.
     pub(super) fn into_response(self) -> Response {
         let error = self.to_string();
         let response = json(self.status(), &ErrorBody { error });
@@ -94,7 +96,7 @@
             Self::OnlyGet => response.allow("GET"),
             Self::Rejected { retry_after_s } => response.retry_after(retry_after_s),
             Self::Unavailable(reason) => {
-                tracing::debug!(%reason, "request not decided, client to retry");
+                tracing::debug!(%reason, "request not decided; client told to retry");
                 response.retry_after(UNAVAILABLE_RETRY_S)
             }
             Self::NoSuchPath | Self::NoSuchJob | Self::Malformed(_) | Self::Unprocessable(_) => {
@@ -104,12 +106,12 @@
     }
 }
 
-/// A response with a JSON body.
+/// Builds a response with a JSON body.
 pub(super) fn json(status: u16, body: &impl serde::Serialize) -> Response {
     Response::new(status, serde_json::to_vec(body).unwrap_or_default())
 }
 
-/// The response to a submission or a cancellation.
+/// Builds the response to a submission or a cancellation.
 pub(super) fn job_response(status: u16, id: &JobId, phase: JobPhase) -> Response {
     let id = id.as_str();
     json(status, &JobResponse { id, phase })
--- a/crates/jasperhill-controller/src/users/submission.rs
+++ b/crates/jasperhill-controller/src/users/submission.rs
@@ -1,4 +1,5 @@
-//! Submissions: decoding, checks, and the way to the owner of the job's partition.
+//! Job submission: parses and validates a request, and has the owner of the job's partition run the
+//! admission test if the job has a deadline.
 
 use super::{
     dependencies::DependencyCheck,
@@ -15,28 +16,32 @@
 };
 use std::rc::Rc;
 
-/// How long another controller's admission test may take: users wait five seconds for a
-/// response.
+/// Timeout of the admission test of another controller. Users wait five seconds for a response.
 const ADMISSION_TIMEOUT: Micros = Micros::from_millis(1_800);
-/// From so many dependencies on, a job that is too long to be recorded is so because of them.
-const MANY_DEPENDENCIES: usize = 8;
+/// Number of dependencies from which on they are named as the reason that a job's record is too long.
+const MANY_DEPENDENCIES_MIN: usize = 8;
 
 impl Shared {
-    /// Answers a submission: an idempotent request, by the job's id.
+    /// Handles a submission, which is idempotent by the job's id.
+    ///
+    /// # Errors
+    /// A [`UserError`] if the job is malformed, unprocessable or rejected by the admission test, or if
+    /// it can't be decided on now.
     pub(super) async fn submit_job(self: &Rc<Self>, body: &[u8]) -> Result<Response, UserError> {
         let mut request = match JobRequest::parse(body) {
             Ok(request) => request,
             Err(malformed) => return self.answer_malformed(body, &malformed).await,
         };
         let id = request.id.clone();
-        // Looked up before anything that can change: a repeated submission gets its 200.
+        // A known job is answered before any check whose result can change over time, so that a
+        // repeated submission still gets 200.
         if let Some(job) = self.job_view(&id) {
-            if job.terminal {
+            if job.is_terminal {
                 return Ok(job_response(200, &id, job.phase));
             }
             return self.answer_known(&id).await;
         }
-        if let Some(reason) = self.why_impossible(&request)? {
+        if let Some(reason) = self.impossible_reason(&request)? {
             return self.answer_impossible(&id, reason).await;
         }
         if !request.dependencies.is_empty() {
@@ -49,7 +54,7 @@
             }
         }
         if self.new_job_record(&request).is_none() {
-            return self.answer_too_long(&request).await;
+            return self.answer_record_too_long(&request).await;
         }
         let decision = if request.deadline.is_none() || self.is_cancelled_upstream(&request) {
             self.create_job(&request, None).await
@@ -59,8 +64,8 @@
         self.answer_decision(&id, decision).await
     }
 
-    /// Answers a submission that is not understood. A repeated one gets its 200 whatever it
-    /// says now.
+    /// Answers a submission that can't be parsed. If it has the id of a known job, it counts as a
+    /// repeated submission and gets 200 regardless of its other fields.
     async fn answer_malformed(
         self: &Rc<Self>,
         body: &[u8],
@@ -70,7 +75,7 @@
         let Some(id) = JobRequest::parse_id(body) else {
             return Err(error);
         };
-        // Guards against a watch cache that has not heard of the job yet.
+        // The watch cache may not contain the job yet, so that a linearizable read is needed.
         if !self.is_known(&id) && !self.read_index().await {
             return Err(Unavailable::StateUnknown.into());
         }
@@ -80,8 +85,11 @@
         self.answer_known(&id).await
     }
 
-    /// Why no machine type could ever run the job, if so.
-    fn why_impossible(&self, request: &JobRequest) -> Result<Option<&'static str>, Unavailable> {
+    /// Returns why the job can never run; `None` if it can.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if the machine types are unknown or the watch cache is not complete.
+    fn impossible_reason(&self, request: &JobRequest) -> Result<Option<&'static str>, Unavailable> {
         let state = self.state.borrow();
         let Some(specs) = &state.scheduling.specs else {
             return Err(Unavailable::MachineTypesUnknown);
@@ -92,7 +100,8 @@
         Ok(impossible(request, &self.scheduler_config, specs))
     }
 
-    /// Answers a job that can never run, after a linearizable read: it may be known already.
+    /// Answers the submission of a job that can never run. Does a linearizable read first, since the
+    /// job may have been accepted earlier.
     async fn answer_impossible(&self, id: &JobId, reason: &str) -> Result<Response, UserError> {
         if !self.read_index().await {
             return Err(Unavailable::StateUnknown.into());
@@ -103,15 +112,18 @@
         }
     }
 
-    /// Answers a job that could never be written down, now or later.
-    async fn answer_too_long(self: &Rc<Self>, request: &JobRequest) -> Result<Response, UserError> {
+    /// Answers the submission of a job whose record exceeds the value size of the store.
+    async fn answer_record_too_long(
+        self: &Rc<Self>,
+        request: &JobRequest,
+    ) -> Result<Response, UserError> {
         if !self.read_index().await {
             return Err(Unavailable::StateUnknown.into());
         }
         if self.is_known(&request.id) {
             return self.answer_known(&request.id).await;
         }
-        let field = if request.dependencies.len() < MANY_DEPENDENCIES {
+        let field = if request.dependencies.len() < MANY_DEPENDENCIES_MIN {
             "body"
         } else {
             "waits_on"
@@ -131,8 +143,8 @@
         }
     }
 
-    /// Has the owner of the job's partition run the admission test: here, through the store, or
-    /// by mesh.
+    /// Has the owner of the job's partition run the admission test: this controller, or another one that
+    /// is asked through the store or over the mesh.
     async fn admit_by_owner(
         self: &Rc<Self>,
         request: JobRequest,
@@ -152,7 +164,8 @@
         })
     }
 
-    /// Forwards a submission to another controller by mesh.
+    /// Forwards a submission to another controller over the mesh, or proposes the job through the store if
+    /// the connection is refused.
     async fn forward_to(self: &Rc<Self>, owner: &Member, request: JobRequest) -> MeshResponse {
         let Some(address) = self.address_of(owner) else {
             return MeshResponse::Unavailable;
@@ -163,7 +176,7 @@
             .await;
         match response {
             Ok(decision) => decision,
-            // Refused at once, as beyond a packet filter.
+            // The connection was refused at once, for example by a packet filter.
             Err(error) if error.is_unsent() && self.uses_reachability(&self.state.borrow()) => {
                 self.propose(request).await
             }
@@ -171,7 +184,7 @@
         }
     }
 
-    /// Answers a submission that was decided on.
+    /// Maps the decision on a submission to the response.
     async fn answer_decision(
         self: &Rc<Self>,
         id: &JobId,
@@ -179,9 +192,9 @@
     ) -> Result<Response, UserError> {
         match decision {
             MeshResponse::Accepted => {
-                // A job that it depends on may be cancelled, and so is this one.
-                let ended = self.job_view(id).filter(|job| job.terminal);
-                let phase = ended.map_or(JobPhase::Pending, |job| job.phase);
+                // If a dependency is cancelled, the new job is cancelled as well.
+                let final_view = self.job_view(id).filter(|job| job.is_terminal);
+                let phase = final_view.map_or(JobPhase::Pending, |job| job.phase);
                 Ok(job_response(201, id, phase))
             }
             MeshResponse::Known => self.answer_known(id).await,
--- a/crates/jasperhill-controller/tests/settings.rs
+++ b/crates/jasperhill-controller/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The platform's settings: what is read, what is refused and how it is named.
+//! Parsing and validation of the platform's settings file, and the fields that errors name.
 
 use jasperhill_controller::Settings;
 use jasperhill_wire::Micros;
 use proptest::prelude::*;
 
-const GOOD: &str = r#"
+const VALID_FILE: &str = r#"
 member = "c-0"
 site = "a"
 bind = "127.0.0.1:8080"
@@ -54,19 +54,22 @@
 "#;
 
 #[test]
-fn a_whole_file_is_read() {
-    let settings = Settings::parse(GOOD).unwrap();
+fn parses_complete_file() {
+    let settings = Settings::parse(VALID_FILE).unwrap();
     assert_eq!(settings.lease, Micros::from_secs(30));
     assert_eq!(settings.members().len(), 2);
-    // The sooner of two, whichever comes last.
-    assert_eq!(settings.waited_for[&"quick".into()], Micros::from_secs(2));
-    // A cancellation that is not seen must end what runs in time.
+    // Of two start objectives for a class the shorter applies, regardless of their order.
+    assert_eq!(
+        settings.start_objectives[&"quick".into()],
+        Micros::from_secs(2)
+    );
+    // If a cancellation is missed, lease renewals must stop early enough for the tasks to end in time.
     assert!(settings.cache_age_max() + settings.lease < settings.cancel);
     assert!(settings.session() < settings.lease);
 }
 
 #[test]
-fn what_is_wrong_is_named_in_one_line() {
+fn error_names_invalid_field_in_one_line() {
     for (old, new, field) in [
         (
             "lease_s = 30.0",
@@ -90,34 +93,43 @@
         ("rps = 100.0", "rps = inf", "params.state.rps"),
         ("[services]", "[service]", "services"),
     ] {
-        let text = GOOD.replacen(old, new, 1);
+        let text = VALID_FILE.replacen(old, new, 1);
         let error = Settings::parse(&text).expect_err(field).to_string();
         assert!(error.starts_with(field), "{field}: {error}");
         assert!(!error.contains('\n'));
     }
 }
 
-/// The coming limits of the state service: what is absent stays, the smaller one counts, and each
-/// is checked like the present one.
+/// Future limits of the state service: an absent limit keeps the current value, the smaller of the current and
+/// the future value applies, and future values are validated like current ones.
 #[test]
-fn the_smaller_of_the_present_and_the_coming_limits_counts() {
-    let with = |next: &str| {
-        let text = GOOD.replacen("[params.cloud]", &format!("{next}\n[params.cloud]"), 1);
+fn smaller_of_current_and_future_limits_applies() {
+    let parse_with_next = |next_table: &str| {
+        let text = VALID_FILE.replacen(
+            "[params.cloud]",
+            &format!("{next_table}\n[params.cloud]"),
+            1,
+        );
         Settings::parse(&text)
     };
-    let plain = with("").unwrap();
-    let some = with("[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 28.0\nmore = 1").unwrap();
-    assert_eq!((some.value_bytes, some.txn_ops), (2_048, plain.txn_ops));
+    let without_next = parse_with_next("").unwrap();
+    let smaller =
+        parse_with_next("[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 28.0\nmore = 1").unwrap();
+    assert_eq!(
+        (smaller.value_bytes, smaller.txn_ops),
+        (2_048, without_next.txn_ops)
+    );
     assert_eq!(
-        (some.state_write_rps, some.state_rps),
-        (28.0, plain.state_rps)
+        (smaller.state_write_rps, smaller.state_rps),
+        (28.0, without_next.state_rps)
     );
-    let larger = with("[params.state.next]\nvalue_kb = 64.0\ntxn_ops = 99\nrps = 9e3").unwrap();
+    let larger =
+        parse_with_next("[params.state.next]\nvalue_kb = 64.0\ntxn_ops = 99\nrps = 9e3").unwrap();
     assert_eq!(
         (larger.value_bytes, larger.txn_ops),
-        (plain.value_bytes, plain.txn_ops)
+        (without_next.value_bytes, without_next.txn_ops)
     );
-    assert_eq!(larger.state_rps, plain.state_rps);
+    assert_eq!(larger.state_rps, without_next.state_rps);
     for (field, value) in [
         ("value_kb", "1.0"),
         ("value_kb", "nan"),
@@ -126,10 +138,11 @@
         ("write_rps", "0.0"),
         ("rps", "\"x\""),
     ] {
-        let error = with(&format!("[params.state.next]\n{field} = {value}")).expect_err(field);
+        let error =
+            parse_with_next(&format!("[params.state.next]\n{field} = {value}")).expect_err(field);
         let error = error.to_string();
-        let at = format!("params.state.next.{field}");
-        assert!(error.starts_with(&at) && !error.contains('\n'), "{error}");
+        let path = format!("params.state.next.{field}");
+        assert!(error.starts_with(&path) && !error.contains('\n'), "{error}");
     }
 }
 
@@ -139,11 +152,12 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
+    /// Replaces one byte of a valid file by random text: parsing must not panic, and an error must be one line.
     #[test]
-    fn mangled_files_are_read_or_refused_in_one_line(at in 0usize..1_000, junk in "[ -~]{0,8}") {
-        let mut text = GOOD.to_owned();
-        let at = at % text.len();
-        text.replace_range(at..at + 1, &junk);
+    fn mangled_file_is_parsed_or_rejected_with_one_line_error(position in 0usize..1_000, junk in "[ -~]{0,8}") {
+        let mut text = VALID_FILE.to_owned();
+        let position = position % text.len();
+        text.replace_range(position..position + 1, &junk);
         if let Err(error) = Settings::parse(&text) {
             prop_assert!(!error.to_string().contains('\n'));
         }
--- a/crates/jasperhill-controller/tests/token_bucket.rs
+++ b/crates/jasperhill-controller/tests/token_bucket.rs
@@ -1,10 +1,10 @@
-//! The token bucket's long-run rate.
+//! The long-run rate that a token bucket permits.
 
 use jasperhill_controller::token_bucket::TokenBucket;
 use jasperhill_wire::Micros;
 
 #[test]
-fn a_bucket_never_lets_more_through_than_its_rate_and_burst() {
+fn long_run_rate_is_limited_by_rate_and_burst() {
     let mut bucket = TokenBucket::new(10.0, 5.0, Micros::ZERO);
     let (mut now, mut taken) = (Micros::ZERO, 0);
     while now < Micros::from_secs(10) {
--- a/crates/jasperhill-controller/tests/watch_cache.rs
+++ b/crates/jasperhill-controller/tests/watch_cache.rs
@@ -1,4 +1,5 @@
-//! The watch cache of the host records: blocks change as wholes, hosts one by one.
+//! The watch cache: host records, which are stored in blocks and versioned per host, and the cancellation of jobs
+//! whose dependencies were cancelled.
 
 use jasperhill_controller::watch_cache::{Change, Input, OwnChange, WatchCache};
 use jasperhill_wire::{
@@ -10,18 +11,19 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-fn record(bump: u64) -> HostRecord {
+fn host_record(rewrites: u64) -> HostRecord {
     HostRecord {
         assignment: HostAssignment::Partition(0),
         address: "10.1.0.1:9000".to_owned(),
         machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
-        rewrites: bump,
+        rewrites,
     }
 }
 
-/// Edits of hosts 0 to 5: set to a new record, or remove. Host `n` lives in block `n % 2`.
+/// Generates edits of hosts 0 to 5 as (host, whether to set a new record or remove it). Host `n` is stored in block
+/// `n % 2`.
 fn edits() -> impl Strategy<Value = Vec<(u32, bool)>> {
     proptest::collection::vec((0u32..6, any::<bool>()), 1..40)
 }
@@ -32,10 +34,10 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// A host's version is the revision of its own last change, whatever its neighbours do;
-    /// a listing gives the same records and never a lower version.
+    /// The version of a host must be the revision of the host's own last change, even if other hosts in the same
+    /// block change later. A listing must give the same records and no lower version.
     #[test]
-    fn a_host_is_as_young_as_its_own_last_change(edits in edits()) {
+    fn host_version_is_revision_of_its_own_last_change(edits in edits()) {
         let mut cache = WatchCache::default();
         cache.apply(Input::Listed { items: vec![], first: Revision(0), last: Revision(0) });
         let mut model: BTreeMap<HostId, (u32, u64, HostRecord)> = BTreeMap::new();
@@ -45,11 +47,11 @@
             let hosts = hosts.map(|(id, (_, _, r))| (id.clone(), r.clone())).collect();
             serde_json::to_value(HostBlock { hosts }).unwrap()
         };
-        for (i, (n, set)) in edits.iter().enumerate() {
+        for (i, (n, is_set)) in edits.iter().enumerate() {
             let (revision, block) = (i as u64 + 1, n % 2);
             let id = HostId::new(&format!("n-{n}"));
-            if *set {
-                model.insert(id, (block, revision, record(revision)));
+            if *is_set {
+                model.insert(id, (block, revision, host_record(revision)));
             } else {
                 model.remove(&id);
             }
@@ -64,31 +66,33 @@
                 }],
             });
         }
-        let seen: Vec<_> = cache.hosts.iter().map(|(id, k)| (id.clone(), k.block, k.version.0)).collect();
-        let meant: Vec<_> = model.iter().map(|(id, (b, v, _))| (id.clone(), *b, *v)).collect();
-        prop_assert_eq!(seen, meant);
+        let actual: Vec<_> = cache.hosts.iter().map(|(id, entry)| (id.clone(), entry.block, entry.version.0)).collect();
+        let expected: Vec<_> = model.iter().map(|(id, (b, v, _))| (id.clone(), *b, *v)).collect();
+        prop_assert_eq!(actual, expected);
         let mut listed = WatchCache::default();
         let last = Revision(edits.len() as u64);
         let items = blocks.iter().map(|(n, v)| KeyValue {
             key: block_key(*n), value: value(&model, *n), version: Revision(*v), lease: None,
         }).collect();
         listed.apply(Input::Listed { items, first: last, last });
-        for (id, kept) in &cache.hosts {
-            prop_assert_eq!(&listed.hosts[id].value, &kept.value);
-            prop_assert!(listed.hosts[id].version >= kept.version);
+        for (id, entry) in &cache.hosts {
+            prop_assert_eq!(&listed.hosts[id].value, &entry.value);
+            prop_assert!(listed.hosts[id].version >= entry.version);
         }
         prop_assert_eq!(listed.hosts.len(), cache.hosts.len());
     }
 }
 
-fn block(hosts: &[u32]) -> Value {
+/// Encodes a block that holds these hosts.
+fn block_value(hosts: &[u32]) -> Value {
     let hosts = hosts
         .iter()
-        .map(|n| (HostId::new(&format!("n-{n}")), record(0)));
+        .map(|n| (HostId::new(&format!("n-{n}")), host_record(0)));
     let hosts = hosts.collect();
     serde_json::to_value(HostBlock { hosts }).unwrap()
 }
 
+/// Builds an item of a listing.
 fn item(key: String, value: Value, version: u64) -> KeyValue {
     KeyValue {
         key,
@@ -98,7 +102,8 @@
     }
 }
 
-fn put(key: String, value: Value, version: u64) -> WatchEvent {
+/// Builds a put event of a watch.
+fn put_event(key: String, value: Value, version: u64) -> WatchEvent {
     WatchEvent::Put {
         key,
         value,
@@ -106,123 +111,134 @@
     }
 }
 
-/// A cache of one block with three hosts, at revision 5.
-fn three_in_one() -> WatchCache {
+/// Returns a cache at revision 5 whose only block, number 0, holds hosts 1 to 3.
+fn cache_with_three_hosts() -> WatchCache {
     let mut cache = WatchCache::default();
     cache.apply(Input::Listed {
-        items: vec![item(block_key(0), block(&[1, 2, 3]), 5)],
+        items: vec![item(block_key(0), block_value(&[1, 2, 3]), 5)],
         first: Revision(5),
         last: Revision(5),
     });
     cache
 }
 
-fn blocks(cache: &WatchCache) -> Vec<(&str, u32)> {
+/// Returns the block of each host.
+fn host_blocks(cache: &WatchCache) -> Vec<(&str, u32)> {
     let hosts = cache.hosts.iter();
-    hosts.map(|(id, k)| (id.as_str(), k.block)).collect()
+    hosts
+        .map(|(id, entry)| (id.as_str(), entry.block))
+        .collect()
 }
 
-/// Whether a host was ever taken for gone: its owner would start its tasks elsewhere.
-fn gone(cache: &WatchCache, changes: &[Change]) -> bool {
+/// Returns whether a host was reported as removed. The host's owner would then start its tasks on other hosts.
+fn reports_removed_host(cache: &WatchCache, changes: &[Change]) -> bool {
     changes
         .iter()
-        .any(|c| matches!(c, Change::Host(id) if !cache.hosts.contains_key(id)))
+        .any(|change| matches!(change, Change::Host(id) if !cache.hosts.contains_key(id)))
 }
 
-/// What the version before makes of blocks, one after the other: a host that its block no longer
-/// names is gone at once. Conclusions are drawn after a whole answer of a watch, but after each change
-/// of an own write and each listing.
+/// A model of how the previous version handles blocks: a host that its block no longer names is removed
+/// immediately. That version acts on removals after a whole watch response, but also after each single change of
+/// its own writes and after each listing.
 #[derive(Default)]
-struct Before(BTreeMap<u32, Vec<u32>>);
+struct PreviousVersionCache(BTreeMap<u32, Vec<u32>>);
 
-impl Before {
+impl PreviousVersionCache {
     fn put(&mut self, n: u32, hosts: &[u32]) {
         self.0
             .values_mut()
-            .for_each(|b| b.retain(|h| !hosts.contains(h)));
+            .for_each(|block| block.retain(|host| !hosts.contains(host)));
         self.0.insert(n, hosts.to_vec());
     }
-    fn knows(&self, host: u32) -> bool {
-        self.0.values().any(|b| b.contains(&host))
+    fn contains(&self, host: u32) -> bool {
+        self.0.values().any(|block| block.contains(&host))
     }
 }
 
-/// Why no block is split before every member is new: the version before loses no host to a move that
-/// a watch tells, in either order, but to its own it would, and to a listing that misses it.
+/// Shows why blocks must not be split until all members run the current version. The previous version loses no
+/// host to a move that it sees in a watch response, in either order. It would lose hosts to a move of its own, since
+/// the host is missing between the two changes, and to a listing that misses the move.
 #[test]
-fn the_version_before_would_lose_hosts_to_moves_of_its_own_and_to_listings() {
+fn previous_version_loses_hosts_in_own_moves_and_listings() {
     let start = || {
-        let mut before = Before::default();
-        before.put(0, &[1, 2, 3]);
-        before
+        let mut cache = PreviousVersionCache::default();
+        cache.put(0, &[1, 2, 3]);
+        cache
     };
-    for turned in [false, true] {
-        let mut halves: Vec<(u32, &[u32])> = vec![(0, &[1]), (3, &[2, 3])];
-        if turned {
-            halves.reverse();
+    for is_reversed in [false, true] {
+        let mut changes: Vec<(u32, &[u32])> = vec![(0, &[1]), (3, &[2, 3])];
+        if is_reversed {
+            changes.reverse();
         }
-        let (mut watch, mut seen) = (start(), Vec::new());
-        for (n, hosts) in &halves {
+        let (mut watch, mut is_present) = (start(), Vec::new());
+        for (n, hosts) in &changes {
             watch.put(*n, hosts);
-            seen.push(watch.knows(2));
+            is_present.push(watch.contains(2));
         }
-        // After the whole answer it is there; in between it was not, in one of the orders.
-        assert!(watch.knows(2));
-        assert_eq!(seen[0], turned);
+        // The host is present after both changes. Between them it is missing in one of the two orders.
+        assert!(watch.contains(2));
+        assert_eq!(is_present[0], is_reversed);
     }
     let mut listing = start();
     listing.put(0, &[1]);
     assert!(
-        !listing.knows(2),
+        !listing.contains(2),
         "the page with its new block was read before the move"
     );
 }
 
-/// The two halves of a move come in either order, from the watch and from the own write: the
-/// hosts are never gone, and are in their new block afterwards.
+/// A move between blocks arrives as two changes in either order, from the watch or from this controller's own
+/// write. The moved hosts must never be reported as removed, and must be in their new block afterwards.
 #[test]
-fn a_host_moves_between_blocks_without_being_gone() {
-    let halves = || [(block_key(0), block(&[1])), (block_key(3), block(&[2, 3]))];
-    for turned in [false, true] {
-        let order = |mut h: [(String, Value); 2]| {
-            if turned {
-                h.reverse();
+fn host_is_not_removed_while_moving_between_blocks() {
+    let block_changes = || {
+        [
+            (block_key(0), block_value(&[1])),
+            (block_key(3), block_value(&[2, 3])),
+        ]
+    };
+    for is_reversed in [false, true] {
+        let ordered = |mut changes: [(String, Value); 2]| {
+            if is_reversed {
+                changes.reverse();
             }
-            h
+            changes
         };
-        let mut cache = three_in_one();
+        let mut cache = cache_with_three_hosts();
         let changes = cache.apply(Input::WatchEvents {
             after: Revision(5),
             revision: Revision(6),
-            events: order(halves()).map(|(k, v)| put(k, v, 6)).to_vec(),
+            events: ordered(block_changes())
+                .map(|(key, value)| put_event(key, value, 6))
+                .to_vec(),
         });
-        assert!(!gone(&cache, &changes));
-        assert_eq!(blocks(&cache), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
-        let mut own = three_in_one();
-        let changes = own.apply(Input::OwnWrite {
-            changes: Vec::from(order(halves()).map(|(key, value)| OwnChange {
+        assert!(!reports_removed_host(&cache, &changes));
+        assert_eq!(host_blocks(&cache), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
+        let mut own_write_cache = cache_with_three_hosts();
+        let changes = own_write_cache.apply(Input::OwnWrite {
+            changes: Vec::from(ordered(block_changes()).map(|(key, value)| OwnChange {
                 key,
                 record: Some(value),
             })),
             version: Revision(6),
         });
-        assert!(!gone(&own, &changes));
-        assert_eq!(blocks(&own), blocks(&cache));
-        assert_eq!(own.block(0).hosts.len(), 1);
+        assert!(!reports_removed_host(&own_write_cache, &changes));
+        assert_eq!(host_blocks(&own_write_cache), host_blocks(&cache));
+        assert_eq!(own_write_cache.block(0).hosts.len(), 1);
     }
 }
 
-/// A listing may show one block before a move and the other one after it: a host that stands on
-/// neither page is not gone, and one that stands on both is in one block.
+/// The pages of a listing may show one block from before a move and the other block from after it. A host on neither
+/// page must not be reported as removed, and a host on both pages must be in only one block.
 #[test]
-fn a_listing_that_misses_a_move_loses_no_host() {
+fn listing_that_misses_move_removes_no_host() {
     for (pages, versions) in [
-        // The new block was read before, the old one after the move, and the other way round.
-        ([block(&[1]), block(&[])], [6, 4]),
-        ([block(&[1, 2, 3]), block(&[2, 3])], [5, 6]),
+        // First the new block read before the move and the old block after it, then the reverse.
+        ([block_value(&[1]), block_value(&[])], [6, 4]),
+        ([block_value(&[1, 2, 3]), block_value(&[2, 3])], [5, 6]),
     ] {
         let [old, new] = pages;
-        let mut cache = three_in_one();
+        let mut cache = cache_with_three_hosts();
         let mut items = vec![item(block_key(0), old, versions[0])];
         if versions[1] > 4 {
             items.push(item(block_key(3), new, versions[1]));
@@ -232,24 +248,24 @@
             first: Revision(5),
             last: Revision(6),
         });
-        assert!(!gone(&cache, &changes) && cache.hosts.len() == 3);
-        // What is between two blocks is written into neither.
+        assert!(!reports_removed_host(&cache, &changes) && cache.hosts.len() == 3);
+        // A host that is between two blocks must not be written into either.
         assert!(cache.block(0).hosts.len() + cache.block(3).hosts.len() <= 3);
         let changes = cache.apply(Input::WatchEvents {
             after: Revision(5),
             revision: Revision(6),
             events: vec![
-                put(block_key(0), block(&[1]), 6),
-                put(block_key(3), block(&[2, 3]), 6),
+                put_event(block_key(0), block_value(&[1]), 6),
+                put_event(block_key(3), block_value(&[2, 3]), 6),
             ],
         });
-        assert!(!gone(&cache, &changes));
-        assert_eq!(blocks(&cache), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
+        assert!(!reports_removed_host(&cache, &changes));
+        assert_eq!(host_blocks(&cache), [("n-1", 0), ("n-2", 3), ("n-3", 3)]);
     }
-    // One that really goes is gone once the cache is whole.
-    let mut cache = three_in_one();
+    // A host that was really deleted is reported as removed once the cache is complete.
+    let mut cache = cache_with_three_hosts();
     cache.apply(Input::Listed {
-        items: vec![item(block_key(0), block(&[1, 2]), 6)],
+        items: vec![item(block_key(0), block_value(&[1, 2]), 6)],
         first: Revision(5),
         last: Revision(6),
     });
@@ -257,29 +273,30 @@
     let changes = cache.apply(Input::WatchEvents {
         after: Revision(5),
         revision: Revision(6),
-        events: vec![put(block_key(0), block(&[1, 2]), 6)],
+        events: vec![put_event(block_key(0), block_value(&[1, 2]), 6)],
     });
-    assert!(gone(&cache, &changes) && cache.hosts.len() == 2);
+    assert!(reports_removed_host(&cache, &changes) && cache.hosts.len() == 2);
 }
 
-fn job(id: &str, waits_on: &[&str], version: u64) -> WatchEvent {
+/// Builds the put event of an unfinished job's record.
+fn job_event(id: &str, waits_on: &[&str], version: u64) -> WatchEvent {
     let value = json!({"p":"a","n":0,"t":1_700_000_000_000_000u64,"r":{"u":id,"c":"c","t":"red",
         "k":"array","p":"idle","n":1,"r":{"cpus":1,"gpus":0,"memory":1},"i":"i","g":1.0,"y":null,
         "z":null,"o":false,"s":false,"l":true,"e":5_000_000,"ce":0,"sv":0,"d":null,"w":waits_on}});
-    put(format!("jh/job/{id}"), value, version)
+    put_event(format!("jh/job/{id}"), value, version)
 }
 
-/// What follows from a cancellation is told before anybody has written it, and what was told
-/// stays so whatever is written afterwards.
+/// The cancellation of a job must make the jobs that depend on it final before any controller has written their
+/// records, and their final phase must not change with later writes.
 #[test]
-fn jobs_after_a_cancelled_one_are_cancelled_by_the_records_alone() {
+fn dependents_of_cancelled_job_are_cancelled_without_writes() {
     let mut cache = WatchCache::default();
     cache.apply(Input::Listed {
         items: vec![],
         first: Revision(0),
         last: Revision(0),
     });
-    let over = |p: &str| json!({"p":p,"n":1});
+    let final_record = |phase: &str| json!({"p":phase,"n":1});
     let mut apply = |revision: u64, event: WatchEvent| {
         cache.apply(Input::WatchEvents {
             after: Revision(revision - 1),
@@ -290,14 +307,14 @@
         [phase("job-1"), phase("job-2"), phase("job-3")]
     };
     let cancelled = Some(RecordPhase::Cancelled);
-    // The last one's record comes first.
-    assert_eq!(apply(1, job("job-3", &["job-2"], 1)), [None; 3]);
-    assert_eq!(apply(2, job("job-1", &[], 2)), [None; 3]);
-    let event = put("jh/job/job-1".to_owned(), over("c"), 3);
+    // The record of the last job in the chain arrives first.
+    assert_eq!(apply(1, job_event("job-3", &["job-2"], 1)), [None; 3]);
+    assert_eq!(apply(2, job_event("job-1", &[], 2)), [None; 3]);
+    let event = put_event("jh/job/job-1".to_owned(), final_record("c"), 3);
     assert_eq!(apply(3, event), [cancelled, None, None]);
-    assert_eq!(apply(4, job("job-2", &["job-1"], 4)), [cancelled; 3]);
-    // A controller that knew nothing of it.
-    let event = put("jh/job/job-2".to_owned(), over("d"), 5);
+    assert_eq!(apply(4, job_event("job-2", &["job-1"], 4)), [cancelled; 3]);
+    // A controller that did not know of the cancellation writes the job as done.
+    let event = put_event("jh/job/job-2".to_owned(), final_record("d"), 5);
     assert_eq!(apply(5, event), [cancelled; 3]);
     assert_eq!(cache.active_jobs().count(), 0);
 }
