--- a/crates/jasperhill-controller/src/clock.rs
+++ b/crates/jasperhill-controller/src/clock.rs
@@ -1,6 +1,6 @@
-//! The clocks of a controller: a steady (monotonic) clock for durations, and the time of day for deadlines
-//! that must mean the same to all controllers. Has no mutable state; tests can replace the source of the
-//! time of day.
+//! The clocks of a controller: a steady (monotonic) clock for durations, and the time of day for
+//! deadlines that must mean the same to all controllers. Has no mutable state; tests can replace
+//! the source of the time of day.
 
 use jasperhill_wire::Micros;
 use std::{rc::Rc, time::Duration};
@@ -15,8 +15,8 @@
     wall: Rc<dyn Fn() -> Micros>,
 }
 
-/// The steady time at the start of the process. Durations up to this long can be subtracted from any steady
-/// time without reaching zero.
+/// The steady time at the start of the process. Durations up to this long can be subtracted from
+/// any steady time without reaching zero.
 const STEADY_START: Micros = Micros::from_secs(3_600);
 
 impl Clock {
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -10,7 +10,8 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// A connection class counts as being at its limit if one of its connections was refused within this time.
+/// A connection class counts as being at its limit if one of its connections was refused within
+/// this time.
 const REFUSAL_WINDOW: Duration = Duration::from_secs(5);
 /// Interval at which the budget is resized.
 const RESIZE_INTERVAL: Duration = Duration::from_secs(1);
@@ -30,8 +31,8 @@
         classes.into_iter().map(Class::as_str).collect()
     }
 
-    /// Resizes the connection budget to the number of known machines and logs its use, for as long as the
-    /// controller runs.
+    /// Resizes the connection budget to the number of known machines and logs its use, for as long
+    /// as the controller runs.
     pub async fn connection_budget_loop(self: Rc<Self>) {
         let (mut logged_classes, mut usage_logged_at) = (Vec::new(), self.now());
         loop {
@@ -111,8 +112,8 @@
         limiter.reset_wait_times();
     }
 
-    /// Logs the class or team with the smallest share of started jobs, among those in the owned partitions
-    /// that have jobs waiting for too long.
+    /// Logs the class or team with the smallest share of started jobs, among those in the owned
+    /// partitions that have jobs waiting for too long.
     fn log_starvation(&self) {
         let state = self.state.borrow();
         let partitions = state.scheduling.partitions.values();
--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -1,5 +1,5 @@
-//! The entry point of a controller: starts the loops and dispatches incoming requests. Used by the daemon
-//! and by the simulated cluster of the testkit.
+//! The entry point of a controller: starts the loops and dispatches incoming requests. Used by the
+//! daemon and by the simulated cluster of the testkit.
 
 use crate::{
     clock::Clock,
--- a/crates/jasperhill-controller/src/membership.rs
+++ b/crates/jasperhill-controller/src/membership.rs
@@ -22,8 +22,8 @@
 }
 
 impl MembershipState {
-    /// Creates the state of a process that has just started. `now`: steady time; `wall`: time of day of the
-    /// process's start.
+    /// Creates the state of a process that has just started. `now`: steady time; `wall`: time of
+    /// day of the process's start.
     pub fn new(settings: &Settings, now: Micros, wall: Micros) -> Self {
         let own_member = &settings.member;
         let peers = settings
@@ -47,12 +47,14 @@
 pub(crate) struct IsolationState {
     /// Whether this controller counts as isolated.
     pub isolated: bool,
-    /// The time since which the links show the isolation, by the steady clock; `None` if they don't. Once the
-    /// isolation has lasted for some seconds, this time is kept until the link to the store is up.
+    /// The time since which the links show the isolation, by the steady clock; `None` if they
+    /// don't. Once the isolation has lasted for some seconds, this time is kept until the link to
+    /// the store is up.
     pub since: Option<Micros>,
 }
 
-/// Extracts the start time and the number of quick restarts of a member's process from its session record.
+/// Extracts the start time and the number of quick restarts of a member's process from its session
+/// record.
 pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
     ProcessRun {
         started: record.process_started,
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -1,6 +1,6 @@
-//! The mesh: messages between controllers, encoded as CBOR over HTTP. An unreachable peer is not an error.
-//! The module owns no state, except that it updates [`crate::membership::IsolationState`] while some
-//! members run a version without reachability reports.
+//! The mesh: messages between controllers, encoded as CBOR over HTTP. An unreachable peer is not an
+//! error. The module owns no state, except that it updates [`crate::membership::IsolationState`]
+//! while some members run a version without reachability reports.
 
 use crate::{
     provisioner::state::{SpareCapacity, UnmetDemand},
@@ -23,7 +23,8 @@
 const ISOLATION_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout of asking one peer whether it reaches the store.
 const ISOLATION_CALL_TIMEOUT: Micros = Micros::from_secs(1);
-/// Number of consecutive evaluations that must show isolation before this controller counts as isolated.
+/// Number of consecutive evaluations that must show isolation before this controller counts as
+/// isolated.
 const ISOLATION_ROUNDS: u32 = 2;
 
 /// Wraps the response to a worker's heartbeat into a mesh response, for the controller that relays it.
@@ -43,10 +44,11 @@
             && !state.stalls.is_store_silent(now)
     }
 
-    /// Evaluates isolation while some members do not support reachability reports yet. Asks the peers while
-    /// the state service does not answer this controller: if it answers the peers, they serve users better;
-    /// if it answers nobody, no other controller would be better. Requires [`ISOLATION_ROUNDS`] consecutive
-    /// results, since the peers may notice an outage slightly later.
+    /// Evaluates isolation while some members do not support reachability reports yet. Asks the
+    /// peers while the state service does not answer this controller: if it answers the peers, they
+    /// serve users better; if it answers nobody, no other controller would be better. Requires
+    /// [`ISOLATION_ROUNDS`] consecutive results, since the peers may notice an outage slightly
+    /// later.
     pub async fn legacy_isolation_loop(self: Rc<Self>) {
         let mut isolated_rounds = 0u32;
         loop {
@@ -61,8 +63,8 @@
         }
     }
 
-    /// Returns whether only this controller seems to be cut off from the store: a peer reaches the store, or
-    /// there are peers and none of them answers.
+    /// Returns whether only this controller seems to be cut off from the store: a peer reaches the
+    /// store, or there are peers and none of them answers.
     async fn is_isolated_from_store(&self) -> bool {
         let mut is_isolated = !self.settings.peers.is_empty();
         for peer in &self.settings.peers {
@@ -89,11 +91,12 @@
         self.try_mesh_call(to, request, timeout).await.ok()
     }
 
-    /// Sends a message to another controller, and records the outcome as an observation of the link.
+    /// Sends a message to another controller, and records the outcome as an observation of the
+    /// link.
     ///
     /// # Errors
-    /// [`ClientError::NotSent`] if the peer certainly did not act on the message; after other errors it may
-    /// have.
+    /// [`ClientError::NotSent`] if the peer certainly did not act on the message; after other
+    /// errors it may have.
     pub async fn try_mesh_call(
         &self,
         to: SocketAddr,
@@ -121,8 +124,8 @@
         })
     }
 
-    /// Handles an HTTP request from another controller: decodes the message, dispatches it and encodes the
-    /// response.
+    /// Handles an HTTP request from another controller: decodes the message, dispatches it and
+    /// encodes the response.
     pub async fn serve_mesh(self: Rc<Self>, request: Request) -> Response {
         if request.method != Method::Post || request.path() != MESH_PATH {
             return Response::new(404, Vec::new());
@@ -170,7 +173,7 @@
                 thousandths,
             } => {
                 if partition < self.settings.size {
-                    let demand = UnmetDemand {
+                    let unmet_demand = UnmetDemand {
                         hosts: f64::from(thousandths) / 1e3,
                         at: self.now(),
                     };
@@ -178,7 +181,7 @@
                         .borrow_mut()
                         .provisioning
                         .unmet_demand
-                        .insert(partition, demand);
+                        .insert(partition, unmet_demand);
                 }
                 MeshResponse::Acknowledged
             }
--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -15,8 +15,8 @@
 use jasperhill_wire::{JobId, Micros, user::JobRequest};
 use std::rc::Rc;
 
-/// Maximum number of jobs whose time of becoming ready is stored. The waiting time of further jobs counts
-/// from their submission.
+/// Maximum number of jobs whose time of becoming ready is stored. The waiting time of further jobs
+/// counts from their submission.
 const RELEASE_TIMES_MAX: usize = 20_000;
 
 /// The set of loops to wake once all changes have been propagated.
@@ -118,8 +118,8 @@
                 LoopsToWake::default()
             }
             Change::Role(_) => {
-                // Wakes heartbeats that wait for the partition's owner, so that they are routed to the new
-                // owner.
+                // Wakes heartbeats that wait for the partition's owner, so that they are routed to
+                // the new owner.
                 self.wake.ownership_changed.notify_waiters();
                 LoopsToWake::ROLES
             }
@@ -167,8 +167,8 @@
         LoopsToWake::scheduler_if(self.apply_job_change(state, &id, now))
     }
 
-    /// Handles a changed proposal. For a proposal of this controller, wakes the requests that wait for the
-    /// decision; one of another controller is queued for evaluation.
+    /// Handles a changed proposal. For a proposal of this controller, wakes the requests that wait
+    /// for the decision; one of another controller is queued for evaluation.
     fn handle_proposal_change(&self, state: &mut State, id: JobId) {
         if state.proposals.open.contains(&id) {
             self.wake.proposals.notify_waiters();
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Records a job that has become ready in the demand forecast. Counts only jobs of classes with a start
-    /// objective that have no finished tasks and no failed attempts.
+    /// Adds a job that has become ready to the demand forecast. Counts only jobs of classes with a
+    /// start objective, and only if the job has no finished tasks and no failed attempts.
     fn record_arrival(&self, state: &mut State, id: &JobId, now: Micros) {
         let Some(specs) = &state.scheduling.specs else {
             return;
@@ -248,8 +248,8 @@
     }
 }
 
-/// Loads the machine types from the watch cache once all their parts are known. Returns the roles loop as
-/// the loop to wake when the types have been loaded.
+/// Loads the machine types from the watch cache once all their parts are known. Returns the roles
+/// loop as the loop to wake when the types have been loaded.
 fn load_specs(state: &mut State) -> LoopsToWake {
     if state.scheduling.specs.is_none()
         && let Some(types) = state.cache.types()
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the scheduler: applies store changes to the partitions, runs a scheduling pass after changes and
-//! every second, and sends the resulting commands and writes. Owns [`state::SchedulingState`]; the
-//! scheduling decisions are made by `jasperhill_scheduler`.
+//! Runs the scheduler: applies store changes to the partitions, runs a scheduling pass after
+//! changes and every second, and sends the resulting commands and writes. Owns
+//! [`state::SchedulingState`]; the scheduling decisions are made by `jasperhill_scheduler`.
 
 mod cache_changes;
 pub mod state;
@@ -22,7 +22,8 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// Minimum delay between the first change and the scheduling pass, in which further changes are batched.
+/// Minimum delay between the first change and the scheduling pass, in which further changes are
+/// batched.
 const BATCH_DELAY_MIN: Duration = Duration::from_millis(10);
 /// Addition to the batching delay per waiting job.
 const BATCH_DELAY_PER_JOB: Duration = Duration::from_micros(60);
@@ -35,8 +36,8 @@
 const TICK_INTERVAL: Micros = Micros::from_secs(1);
 
 impl Shared {
-    /// Returns the dependency status of a job according to the dependency graph, with times by the steady
-    /// clock.
+    /// Returns the dependency status of a job according to the dependency graph, with times by the
+    /// steady clock.
     pub fn dependency_status(&self, state: &State, job: &ActiveJob) -> DependencyStatus {
         let id = &job.request.id;
         let urgency = state.cache.dependencies.inherited_urgency(id);
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Updates the partitions after a change of a job's record or dependency status. Returns whether the
-    /// change could affect a scheduling pass.
+    /// Updates the partitions after a change of a job's record or dependency status. Returns
+    /// whether the change could affect a scheduling pass.
     fn apply_job_change(&self, state: &mut State, id: &JobId, now: Micros) -> bool {
         if let Some((phase, _)) = state.cache.final_phase(id) {
             let termination = match phase {
@@ -104,9 +105,10 @@
         }
     }
 
-    /// Returns the batching delay before the next pass, which grows with the backlog. The cost of a pass is
-    /// proportional to the number of waiting jobs, so that a pass for every change is too expensive with a
-    /// long backlog; and with a long backlog no job has to start within milliseconds.
+    /// Returns the batching delay before the next pass, which grows with the backlog. The cost of a
+    /// pass is proportional to the number of waiting jobs, so that a pass for every change is too
+    /// expensive with a long backlog; and with a long backlog no job has to start within
+    /// milliseconds.
     fn batch_delay(&self) -> Duration {
         let state = self.state.borrow();
         let backlog: usize = state
@@ -119,8 +121,8 @@
         BATCH_DELAY_MIN + extra_delay.min(BATCH_DELAY_EXTRA_MAX)
     }
 
-    /// Runs a scheduling pass after changes, and at least every [`TICK_INTERVAL`] for conditions that change
-    /// only with time.
+    /// Runs a scheduling pass after changes, and at least every [`TICK_INTERVAL`] for conditions
+    /// that change only with time.
     pub async fn pass_loop(self: Rc<Self>) {
         let mut last_tick = self.now();
         loop {
@@ -144,9 +146,9 @@
         }
     }
 
-    /// Runs one scheduling pass over all owned partitions and queues the resulting commands and writes.
-    /// Does nothing without authority. `is_tick`: whether [`TICK_INTERVAL`] has passed since the last pass
-    /// with `is_tick`; such a pass covers partitions without changes too.
+    /// Runs one scheduling pass over all owned partitions and queues the resulting commands and
+    /// writes. Does nothing without authority. `is_tick`: whether [`TICK_INTERVAL`] has passed
+    /// since the last pass with `is_tick`; such a pass covers partitions without changes too.
     pub fn scheduling_pass(self: Rc<Self>, is_tick: bool) {
         let now = self.now();
         let mut hosts_to_command = Vec::new();
--- a/crates/jasperhill-controller/src/scheduling/state.rs
+++ b/crates/jasperhill-controller/src/scheduling/state.rs
@@ -1,5 +1,6 @@
-//! The state of this controller's scheduler. It is modified by `scheduling` (scheduling passes and watch
-//! cache changes), by `roles` (loading and dropping partitions) and by `users` (rejected jobs).
+//! The state of this controller's scheduler. It is modified by `scheduling` (scheduling passes and
+//! watch cache changes), by `roles` (loading and dropping partitions) and by `users` (rejected
+//! jobs).
 
 use jasperhill_scheduler::{Partition, config::Specs};
 use jasperhill_wire::{JobId, Micros};
--- a/crates/jasperhill-controller/src/settings/check.rs
+++ b/crates/jasperhill-controller/src/settings/check.rs
@@ -23,7 +23,8 @@
 const NAME_BYTES_MAX: usize = 150;
 /// Minimum of the store's value size limit, in kilobytes.
 const VALUE_KB_MIN: f64 = 2.0;
-/// Maximum value size that this controller uses, in kilobytes. Longer values would only slow down writes.
+/// Maximum value size that this controller uses, in kilobytes. Longer values would only slow down
+/// writes.
 const VALUE_KB_MAX: f64 = 64.0;
 /// Bytes per kilobyte.
 const BYTES_PER_KB: f64 = 1_024.0;
@@ -157,8 +158,9 @@
         .collect()
 }
 
-/// Computes the freshness bounds from the lease and cancellation times. Fails if `cancel_s` is too short:
-/// tasks on hosts that can't be reached could then outlive the time in which a cancellation must complete.
+/// Computes the freshness bounds from the lease and cancellation times. Fails if `cancel_s` is too
+/// short: tasks on hosts that can't be reached could then outlive the time in which a cancellation
+/// must complete.
 fn freshness_bounds(terms: LeaseTerms, lease_s: f64) -> Result<FreshnessBounds, SettingsError> {
     terms.bounds().or_else(|too_short| {
         let least = too_short.least.as_secs_f64();
@@ -167,8 +169,8 @@
     })
 }
 
-/// Returns the start objectives (`kind = "wait"`): the time within which jobs of each class should start.
-/// Of several objectives for a class the shortest applies, regardless of their order.
+/// Returns the start objectives (`kind = "wait"`): the time within which jobs of each class should
+/// start. Of several objectives for a class the shortest applies, regardless of their order.
 fn start_objectives(objectives: &[file::Objective]) -> BTreeMap<Name, Micros> {
     let mut start_within: BTreeMap<Name, Micros> = BTreeMap::new();
     for objective in objectives.iter().filter(|o| o.kind == "wait") {
@@ -196,8 +198,8 @@
 }
 
 impl StateLimits {
-    /// Returns the smaller of the current and the future value of each limit, so that requests and stored
-    /// values conform to both.
+    /// Returns the smaller of the current and the future value of each limit, so that requests and
+    /// stored values conform to both.
     fn effective(service: &file::StateService) -> Result<Self, SettingsError> {
         let current = Self {
             rps: service.rps,
--- a/crates/jasperhill-controller/src/settings/file.rs
+++ b/crates/jasperhill-controller/src/settings/file.rs
@@ -1,5 +1,5 @@
-//! The platform's settings file as deserialized, before validation. The platform determines the names of
-//! the fields.
+//! The platform's settings file as deserialized, before validation. The platform determines the
+//! names of the fields.
 
 use super::error::{SettingsError, invalid_field};
 use serde::Deserialize;
@@ -106,8 +106,8 @@
 pub(super) struct Workers {
     /// Heartbeat interval, in seconds.
     pub report_s: f64,
-    /// Lease time, in seconds: a worker ends its tasks this long after it sent the last heartbeat that was
-    /// answered.
+    /// Lease time, in seconds: a worker ends its tasks this long after it sent the last heartbeat
+    /// that was answered.
     pub lease_s: f64,
     /// How long the tasks of a gang wait for each other to start, in seconds.
     pub gang_wait_s: f64,
@@ -171,7 +171,7 @@
 ///
 /// # Errors
 /// If the text is not TOML, or a field is missing or has the wrong type.
-pub(super) fn read(text: &str) -> Result<File, SettingsError> {
+pub(super) fn deserialize(text: &str) -> Result<File, SettingsError> {
     let table: toml::Table = text.parse().or_else(|error: toml::de::Error| {
         let message = error.message().replace('\n', " ");
         invalid_field("file", format!("not TOML: {message}"))
--- a/crates/jasperhill-controller/src/settings/mod.rs
+++ b/crates/jasperhill-controller/src/settings/mod.rs
@@ -49,7 +49,8 @@
 const SESSION_MIN: Micros = Micros::from_secs(2);
 /// Maximum session time.
 const SESSION_MAX: Micros = Micros::from_secs(600);
-/// Delegation time as a fraction of a worker's lease, unless the cancellation time requires a shorter one.
+/// Delegation time as a fraction of a worker's lease, unless the cancellation time requires a
+/// shorter one.
 const DELEGATION_LEASE_FRACTION: f64 = 0.6;
 /// Maximum delegation time as a fraction of the difference between cancellation time and lease time;
 /// [`DELEGATION_MARGIN`] is subtracted from the product.
@@ -84,13 +85,14 @@
     pub teams: Vec<TeamLimits>,
     /// Heartbeat interval of workers.
     pub heartbeat_interval: Micros,
-    /// Lease time: a worker ends its tasks this long after it sent the last heartbeat that was answered.
+    /// Lease time: a worker ends its tasks this long after it sent the last heartbeat that was
+    /// answered.
     pub lease: Micros,
     /// How long workers let the tasks of a gang wait for each other to start. Workers enforce this time
     /// themselves; the scheduler only passes it through.
     pub gang_wait: Micros,
-    /// How long workers let a gang continue without one of its tasks. Workers enforce this time themselves;
-    /// the scheduler only passes it through.
+    /// How long workers let a gang continue without one of its tasks. Workers enforce this time
+    /// themselves; the scheduler only passes it through.
     pub gang_peer: Micros,
     /// Time after the response to a cancellation within which the job's tasks must have ended.
     pub cancel: Micros,
@@ -123,7 +125,7 @@
     /// If the file is not TOML, or a field is missing or has a value that is not allowed; the
     /// error names the field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        check::validate(&file::read(text)?)
+        check::validate(&file::deserialize(text)?)
     }
 
     /// Returns the settings that the scheduler uses.
@@ -140,21 +142,22 @@
         }
     }
 
-    /// Returns the maximum age of the watch cache at which this controller has authority. If the controller
-    /// misses a cancellation, lease renewals must stop early enough for the tasks to end within `cancel_s`.
+    /// Returns the maximum age of the watch cache at which this controller has authority. If the
+    /// controller misses a cancellation, lease renewals must stop early enough for the tasks to end
+    /// within `cancel_s`.
     pub fn cache_age_max(&self) -> Micros {
         self.bounds.owner()
     }
 
-    /// Returns the number of consecutive quick process exits after which a controller leaves its roles to
-    /// others; 0: never.
+    /// Returns the number of consecutive quick process exits after which a controller leaves its
+    /// roles to others; 0: never.
     pub fn crash_loop_threshold(&self) -> u32 {
         let configured = self.operator.crash_loop_threshold;
         configured.unwrap_or(DEFAULT_CRASH_LOOP_THRESHOLD)
     }
 
-    /// Returns the session time: long enough to survive short outages of the state service, short enough for
-    /// a takeover before the workers' leases expire.
+    /// Returns the session time: long enough to survive short outages of the state service, short
+    /// enough for a takeover before the workers' leases expire.
     pub fn session(&self) -> Micros {
         let derived = self
             .lease
@@ -164,9 +167,10 @@
         session.clamp(SESSION_MIN, SESSION_MAX)
     }
 
-    /// Returns how long a delegate may answer heartbeats on behalf of an owner, counted from the delegate's
-    /// request. Long enough to cover several intervals between requests, and short enough that cancelled tasks end in time
-    /// even if the delegate loses contact with their host as well.
+    /// Returns how long a delegate may answer heartbeats on behalf of an owner, counted from the
+    /// delegate's request. Long enough to cover several intervals between requests, and short
+    /// enough that cancelled tasks end in time even if the delegate loses contact with their host
+    /// as well.
     pub fn delegation_time(&self) -> Micros {
         let slack = (self.cancel - self.lease).scale(DELEGATION_SLACK_FRACTION) - DELEGATION_MARGIN;
         self.lease.scale(DELEGATION_LEASE_FRACTION).min(slack)
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -1,6 +1,6 @@
-//! The context that all modules of a controller share: settings, clocks, transport, mutable state and
-//! wakeups. The state is in one `RefCell` that is never borrowed across an await. Each part of the state
-//! is modified only by its own module.
+//! The context that all modules of a controller share: settings, clocks, transport, mutable state
+//! and wakeups. The state is in one `RefCell` that is never borrowed across an await. Each part of
+//! the state is modified only by its own module.
 
 use crate::{clock::Clock, settings::Settings, stall_detector, state::State, transport::Transport};
 use jasperhill_http::{ClientError, Request, Response};
@@ -119,7 +119,8 @@
         self.partition_by_team.get(team).copied()
     }
 
-    /// Returns the mesh address of another controller; `None` if the settings do not name the controller.
+    /// Returns the mesh address of another controller; `None` if the settings do not name the
+    /// controller.
     pub fn address_of(&self, member: &Member) -> Option<SocketAddr> {
         let peer = self
             .settings
--- a/crates/jasperhill-controller/src/stall_detector.rs
+++ b/crates/jasperhill-controller/src/stall_detector.rs
@@ -1,5 +1,5 @@
-//! Detects stalls of this process, and a state service that does not answer this process. Both are inferred
-//! only from events within this process. Performs no I/O; every change goes through
+//! Detects stalls of this process, and a state service that does not answer this process. Both are
+//! inferred only from events within this process. Performs no I/O; every change goes through
 //! [`StallDetector::apply`], which `Shared::note_activity` and the session renewal call.
 
 use jasperhill_wire::Micros;
@@ -10,8 +10,8 @@
 const STALL_DURATION_MIN: Micros = Micros::from_millis(2_500);
 /// Requests that are taken up within this time after a stall were queued during the stall.
 const STALE_REQUEST_PERIOD: Micros = Micros::from_millis(20);
-/// Time for which session renewals must go unanswered before the state service counts as silent. Shorter
-/// failures can be accidental.
+/// Time for which session renewals must go unanswered before the state service counts as silent.
+/// Shorter failures can be accidental.
 const STORE_SILENCE_MIN: Micros = Micros::from_secs(2);
 
 /// An observed event.
@@ -35,8 +35,8 @@
     last_activity: Micros,
     /// Time at which the last stall ended; `None` if there was no stall.
     resumed_at: Option<Micros>,
-    /// Time at which the first of the consecutive unanswered renewals was sent; `None` if the last renewal
-    /// was answered.
+    /// Time at which the first of the consecutive unanswered renewals was sent; `None` if the last
+    /// renewal was answered.
     first_unanswered_sent_at: Option<Micros>,
 }
 
@@ -50,15 +50,16 @@
         }
     }
 
-    /// Applies an event; the only function that changes the state. Returns the duration of a stall that has
-    /// just ended, or `None`.
+    /// Applies an event; the only function that changes the state. Returns the duration of a stall
+    /// that has just ended, or `None`.
     pub fn apply(&mut self, input: Input, now: Micros) -> Option<Micros> {
         match input {
             Input::Activity => {
                 let gap = now - std::mem::replace(&mut self.last_activity, now);
                 if gap > STALL_DURATION_MIN {
                     self.resumed_at = Some(now);
-                    // Renewals that went unanswered during the stall say nothing about the state service.
+                    // Renewals that went unanswered during the stall say nothing about the state
+                    // service.
                     self.first_unanswered_sent_at = None;
                     return Some(gap);
                 }
@@ -71,8 +72,8 @@
         None
     }
 
-    /// Returns whether requests that are taken up now were queued during a stall, so that their senders have
-    /// given up on them.
+    /// Returns whether requests that are taken up now were queued during a stall, so that their
+    /// senders have given up on them.
     pub fn is_stale(&self, now: Micros) -> bool {
         self.resumed_at
             .is_some_and(|resumed_at| now - resumed_at < STALE_REQUEST_PERIOD)
--- a/crates/jasperhill-controller/src/state.rs
+++ b/crates/jasperhill-controller/src/state.rs
@@ -1,5 +1,5 @@
-//! The mutable state of a controller. Each module defines its part of the state next to its invariants; this
-//! module only combines the parts. `Shared` holds the state in a `RefCell`.
+//! The mutable state of a controller. Each module defines its part of the state next to its
+//! invariants; this module only combines the parts. `Shared` holds the state in a `RefCell`.
 
 use crate::{
     clock::Clock,
--- a/crates/jasperhill-controller/src/token_bucket.rs
+++ b/crates/jasperhill-controller/src/token_bucket.rs
@@ -1,10 +1,10 @@
-//! Token buckets, which keep this controller's requests within its share of a service's rate limits. They
-//! read no clock: the caller passes the time.
+//! Token buckets, which keep this controller's requests within its share of a service's rate
+//! limits. They read no clock: the caller passes the time.
 
 use jasperhill_wire::Micros;
 
-/// Margin added to a computed wait. Without it, rounding could make the wait slightly too short and cause
-/// a second wait.
+/// Margin added to a computed wait. Without it, rounding could make the wait slightly too short and
+/// cause a second wait.
 const WAIT_MARGIN: Micros = Micros::from_millis(1);
 
 /// A token bucket whose level may become negative.
@@ -21,8 +21,8 @@
 }
 
 impl TokenBucket {
-    /// Creates a full bucket with a refill rate of `rate` tokens per second and a capacity of `burst` tokens,
-    /// which is raised to 1 if lower.
+    /// Creates a full bucket with a refill rate of `rate` tokens per second and a capacity of
+    /// `burst` tokens, which is raised to 1 if lower.
     pub fn new(rate: f64, burst: f64, now: Micros) -> Self {
         let burst = burst.max(1.0);
         Self {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Takes `tokens` even if the level becomes negative, down to minus the capacity. For requests that must
-    /// not wait.
+    /// Takes `tokens` even if the level becomes negative, down to minus the capacity. For requests
+    /// that must not wait.
     pub fn take_into_debt(&mut self, tokens: f64, now: Micros) {
         self.refill(now);
         self.level = (self.level - tokens).max(-self.burst);
@@ -78,8 +78,8 @@
         self.burst
     }
 
-    /// Returns the time until the bucket holds `tokens` (or is full, if that is less); `None` if it does
-    /// already.
+    /// Returns the time until the bucket holds `tokens` (or is full, if that is less); `None` if it
+    /// does already.
     pub fn wait_for(&mut self, tokens: f64, now: Micros) -> Option<Micros> {
         self.refill(now);
         let missing = tokens.min(self.burst) - self.level;
--- a/crates/jasperhill-controller/src/transport.rs
+++ b/crates/jasperhill-controller/src/transport.rs
@@ -1,5 +1,6 @@
-//! Outgoing requests. [`Transport`] is implemented by [`HttpTransport`], and by the simulated network of
-//! tests. Owns the connection pool; `jasperhill_connections` does the accounting of sockets.
+//! Outgoing requests. [`Transport`] is implemented by [`HttpTransport`], and by the simulated
+//! network of tests. Owns the connection pool; `jasperhill_connections` does the accounting of
+//! sockets.
 
 use crate::{clock::to_duration, settings::Settings};
 use jasperhill_connections::{Class, PlanInputs};
@@ -32,15 +33,15 @@
         peers: settings.peers.len(),
         machines: 0,
     };
-    // A worker sends its next heartbeat after at most 1.25 intervals, and waits for the response before it
-    // turns to another controller.
+    // A worker sends its next heartbeat after at most 1.25 intervals, and waits for the response
+    // before it turns to another controller.
     let heartbeat_overdue_after =
         to_duration(settings.heartbeat_interval.scale(1.25)) + WORKER_RESPONSE_TIMEOUT;
     ConnectionTracker::new(inputs, heartbeat_overdue_after)
 }
 
-/// Returns the class of an incoming connection from a user, a worker or the load balancer, by the path of
-/// its request.
+/// Returns the class of an incoming connection from a user, a worker or the load balancer, by the
+/// path of its request.
 pub fn class_of(request: &Request) -> Class {
     match request.path() {
         "/hello" => Class::Heartbeats,
--- a/crates/jasperhill-controller/src/users/admission.rs
+++ b/crates/jasperhill-controller/src/users/admission.rs
@@ -20,7 +20,7 @@
 const SPARE_CAPACITY_VALIDITY: Micros = Micros::from_secs(10);
 /// Factor by which the boot time of a machine type is lengthened when the leader has not reported
 /// a boot time recently.
-const BOOT_TIME_MARGIN: f64 = 1.3;
+const BOOT_TIME_FACTOR: f64 = 1.3;
 
 /// The result of an admission test.
 struct AdmissionOutcome {
@@ -115,7 +115,7 @@
             Some(spare) if now - spare.at < SPARE_CAPACITY_VALIDITY => {
                 (spare.machines.div_ceil(self.settings.size), spare.boot_time)
             }
-            _ => (1, longest_boot.scale(BOOT_TIME_MARGIN)),
+            _ => (1, longest_boot.scale(BOOT_TIME_FACTOR)),
         }
     }
 }
--- a/crates/jasperhill-controller/src/users/cancellation.rs
+++ b/crates/jasperhill-controller/src/users/cancellation.rs
@@ -18,8 +18,8 @@
 };
 use std::rc::Rc;
 
-/// Maximum number of read and write attempts for one cancellation. A write conflicts if the owner
-/// records results of the job at the same time.
+/// Maximum number of read and write attempts for one cancellation. Some writes conflict if the
+/// owner records results of the job at the same time.
 const ATTEMPTS_MAX: usize = 4;
 /// Timeout of one write. Users wait five seconds for a response.
 const WRITE_TIMEOUT: Micros = Micros::from_millis(1_500);
--- a/crates/jasperhill-controller/src/users/dependencies.rs
+++ b/crates/jasperhill-controller/src/users/dependencies.rs
@@ -115,8 +115,8 @@
             Some(at) => *at,
             None => self.clock.steady(job.submitted),
         };
-        // Only the partition's owner knows the job's progress. Other controllers assume that the job has
-        // been running since it became ready.
+        // Only the partition's owner knows the job's progress. Other controllers assume that the
+        // job has been running since it became ready.
         match owned_partition.and_then(|partition| partition.jobs.get(id)) {
             Some(job) if job.running.is_empty() => estimate,
             _ => remaining(estimate, now - ready_since),
--- a/crates/jasperhill-controller/src/users/submission.rs
+++ b/crates/jasperhill-controller/src/users/submission.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Has the owner of the job's partition run the admission test: this controller, or another one that
-    /// is asked through the store or over the mesh.
+    /// Has the owner of the job's partition run the admission test: this controller, or another one
+    /// that is asked through the store or over the mesh.
     async fn admit_by_owner(
         self: &Rc<Self>,
         request: JobRequest,
@@ -164,8 +164,8 @@
         })
     }
 
-    /// Forwards a submission to another controller over the mesh, or proposes the job through the store if
-    /// the connection is refused.
+    /// Forwards a submission to another controller over the mesh. If the request can't be sent and
+    /// all members support reachability reports, proposes the job through the store instead.
     async fn forward_to(self: &Rc<Self>, owner: &Member, request: JobRequest) -> MeshResponse {
         let Some(address) = self.address_of(owner) else {
             return MeshResponse::Unavailable;
--- a/crates/jasperhill-controller/tests/settings.rs
+++ b/crates/jasperhill-controller/tests/settings.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Future limits of the state service: an absent limit keeps the current value, the smaller of the current and
-/// the future value applies, and future values are validated like current ones.
+/// Future limits of the state service: an absent limit keeps the current value, the smaller of the
+/// current and the future value applies, and future values are validated like current ones.
 #[test]
 fn smaller_of_current_and_future_limits_applies() {
     let parse_with_next = |next_table: &str| {
@@ -113,23 +113,23 @@
         Settings::parse(&text)
     };
     let without_next = parse_with_next("").unwrap();
-    let smaller =
+    let with_smaller =
         parse_with_next("[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 28.0\nmore = 1").unwrap();
     assert_eq!(
-        (smaller.value_bytes, smaller.txn_ops),
+        (with_smaller.value_bytes, with_smaller.txn_ops),
         (2_048, without_next.txn_ops)
     );
     assert_eq!(
-        (smaller.state_write_rps, smaller.state_rps),
+        (with_smaller.state_write_rps, with_smaller.state_rps),
         (28.0, without_next.state_rps)
     );
-    let larger =
+    let with_larger =
         parse_with_next("[params.state.next]\nvalue_kb = 64.0\ntxn_ops = 99\nrps = 9e3").unwrap();
     assert_eq!(
-        (larger.value_bytes, larger.txn_ops),
+        (with_larger.value_bytes, with_larger.txn_ops),
         (without_next.value_bytes, without_next.txn_ops)
     );
-    assert_eq!(larger.state_rps, without_next.state_rps);
+    assert_eq!(with_larger.state_rps, without_next.state_rps);
     for (field, value) in [
         ("value_kb", "1.0"),
         ("value_kb", "nan"),
@@ -152,7 +152,8 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Replaces one byte of a valid file by random text: parsing must not panic, and an error must be one line.
+    /// Replaces one byte of a valid file by random text: parsing must not panic, and an error must
+    /// be one line.
     #[test]
     fn mangled_file_is_parsed_or_rejected_with_one_line_error(position in 0usize..1_000, junk in "[ -~]{0,8}") {
         let mut text = VALID_FILE.to_owned();
--- a/crates/jasperhill-controller/tests/stall_detector.rs
+++ b/crates/jasperhill-controller/tests/stall_detector.rs
@@ -3,8 +3,8 @@
 use jasperhill_controller::stall_detector::{Input, StallDetector};
 use jasperhill_wire::Micros;
 
-/// A stall must be reported once, requests taken up right after the stall must be stale, and renewals that went
-/// unanswered during the stall must not count against the state service.
+/// A stall must be reported once, requests taken up right after the stall must be stale, and
+/// renewals that went unanswered during the stall must not count against the state service.
 #[test]
 fn stall_is_reported_once_and_makes_queued_requests_stale() {
     let millis = Micros::from_millis;
--- a/crates/jasperhill-controller/tests/watch_cache.rs
+++ b/crates/jasperhill-controller/tests/watch_cache.rs
@@ -1,5 +1,5 @@
-//! The watch cache: host records, which are stored in blocks and versioned per host, and the cancellation of jobs
-//! whose dependencies were cancelled.
+//! The watch cache: host records, which are stored in blocks and versioned per host, and the
+//! cancellation of jobs whose dependencies were cancelled.
 
 use jasperhill_controller::watch_cache::{Change, Input, OwnChange, WatchCache};
 use jasperhill_wire::{
@@ -22,8 +22,8 @@
     }
 }
 
-/// Generates edits of hosts 0 to 5 as (host, whether to set a new record or remove it). Host `n` is stored in block
-/// `n % 2`.
+/// Generates edits of hosts 0 to 5 as (host, whether to set a new record or remove it). Host `n` is
+/// stored in block `n % 2`.
 fn edits() -> impl Strategy<Value = Vec<(u32, bool)>> {
     proptest::collection::vec((0u32..6, any::<bool>()), 1..40)
 }
@@ -34,8 +34,9 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// The version of a host must be the revision of the host's own last change, even if other hosts in the same
-    /// block change later. A listing must give the same records and no lower version.
+    /// The version of a host must be the revision of the host's own last change, even if other
+    /// hosts in the same block change later. A listing must give the same records and no lower
+    /// version.
     #[test]
     fn host_version_is_revision_of_its_own_last_change(edits in edits()) {
         let mut cache = WatchCache::default();
@@ -130,16 +131,17 @@
         .collect()
 }
 
-/// Returns whether a host was reported as removed. The host's owner would then start its tasks on other hosts.
+/// Returns whether a host was reported as removed. The host's owner would then start its tasks on
+/// other hosts.
 fn reports_removed_host(cache: &WatchCache, changes: &[Change]) -> bool {
     changes
         .iter()
         .any(|change| matches!(change, Change::Host(id) if !cache.hosts.contains_key(id)))
 }
 
-/// A model of how the previous version handles blocks: a host that its block no longer names is removed
-/// immediately. That version acts on removals after a whole watch response, but also after each single change of
-/// its own writes and after each listing.
+/// A model of how the previous version handles blocks: a host that its block no longer names is
+/// removed immediately. That version acts on removals after a whole watch response, but also after
+/// each single change of its own writes and after each listing.
 #[derive(Default)]
 struct PreviousVersionCache(BTreeMap<u32, Vec<u32>>);
 
@@ -155,9 +157,10 @@
     }
 }
 
-/// Shows why blocks must not be split until all members run the current version. The previous version loses no
-/// host to a move that it sees in a watch response, in either order. It would lose hosts to a move of its own, since
-/// the host is missing between the two changes, and to a listing that misses the move.
+/// Shows why blocks must not be split until all members run the current version. The previous
+/// version loses no host to a move that it sees in a watch response, in either order. It would lose
+/// hosts to a move of its own, since the host is missing between the two changes, and to a listing
+/// that misses the move.
 #[test]
 fn previous_version_loses_hosts_in_own_moves_and_listings() {
     let start = || {
@@ -187,8 +190,9 @@
     );
 }
 
-/// A move between blocks arrives as two changes in either order, from the watch or from this controller's own
-/// write. The moved hosts must never be reported as removed, and must be in their new block afterwards.
+/// A move between blocks arrives as two changes in either order, from the watch or from this
+/// controller's own write. The moved hosts must never be reported as removed, and must be in their
+/// new block afterwards.
 #[test]
 fn host_is_not_removed_while_moving_between_blocks() {
     let block_changes = || {
@@ -228,8 +232,9 @@
     }
 }
 
-/// The pages of a listing may show one block from before a move and the other block from after it. A host on neither
-/// page must not be reported as removed, and a host on both pages must be in only one block.
+/// The pages of a listing may show one block from before a move and the other block from after it.
+/// A host on neither page must not be reported as removed, and a host on both pages must be in only
+/// one block.
 #[test]
 fn listing_that_misses_move_removes_no_host() {
     for (pages, versions) in [
@@ -286,8 +291,8 @@
     put_event(format!("jh/job/{id}"), value, version)
 }
 
-/// The cancellation of a job must make the jobs that depend on it final before any controller has written their
-/// records, and their final phase must not change with later writes.
+/// The cancellation of a job must make the jobs that depend on it final before any controller has
+/// written their records, and their final phase must not change with later writes.
 #[test]
 fn dependents_of_cancelled_job_are_cancelled_without_writes() {
     let mut cache = WatchCache::default();
