--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -49,7 +49,7 @@
     }
 
     /// Adds the loops of another set to this set.
-    fn add(&mut self, other: Self) {
+    fn merge(&mut self, other: Self) {
         self.roles |= other.roles;
         self.scheduler |= other.scheduler;
     }
@@ -72,7 +72,7 @@
         }
         let mut loops_to_wake = LoopsToWake::default();
         for change in changes {
-            loops_to_wake.add(self.propagate_change(&mut state, change, was_synced, now));
+            loops_to_wake.merge(self.propagate_change(&mut state, change, was_synced, now));
         }
         if became_synced {
             self.restore_forecast(&mut state, now);
@@ -107,7 +107,11 @@
                 LoopsToWake::SCHEDULER
             }
             Change::Session(member) => {
-                let lease = state.cache.sessions.get(&member).map(|k| k.value.lease);
+                let lease = state
+                    .cache
+                    .sessions
+                    .get(&member)
+                    .map(|entry| entry.value.lease);
                 let session = roles::Input::Session(&member, lease);
                 state.membership.roles.apply(session, now);
                 self.update_feature_gate(state);
@@ -216,12 +220,12 @@
         for (at, request) in arrivals {
             if state.provisioning.forecast.counts(at)
                 && self.settings.start_objectives.contains_key(&request.class)
-                && let Some(p) = self.partition_of(&request.team)
+                && let Some(partition_id) = self.partition_of(&request.team)
             {
                 state
                     .provisioning
                     .forecast
-                    .record(p, &request, &specs, at.min(now));
+                    .record(partition_id, &request, &specs, at.min(now));
             }
         }
     }
@@ -241,9 +245,9 @@
             && job.finished.is_empty()
             && job.failed_attempts == 0
             && forecast.counts(now)
-            && let Some(p) = self.partition_of(&job.request.team)
+            && let Some(partition_id) = self.partition_of(&job.request.team)
         {
-            forecast.record(p, &job.request, specs, now);
+            forecast.record(partition_id, &job.request, specs, now);
         }
     }
 }
--- a/crates/jasperhill-controller/src/settings/check.rs
+++ b/crates/jasperhill-controller/src/settings/check.rs
@@ -163,8 +163,8 @@
 /// must complete.
 fn freshness_bounds(terms: LeaseTerms, lease_s: f64) -> Result<FreshnessBounds, SettingsError> {
     terms.bounds().or_else(|too_short| {
-        let least = too_short.least.as_secs_f64();
-        let reason = format!("must be at least {least:.2} with a lease_s of {lease_s}");
+        let minimum_s = too_short.least.as_secs_f64();
+        let reason = format!("must be at least {minimum_s:.2} with a lease_s of {lease_s}");
         invalid_field("params.workers.cancel_s", reason)
     })
 }
@@ -173,7 +173,10 @@
 /// start. Of several objectives for a class the shortest applies, regardless of their order.
 fn start_objectives(objectives: &[file::Objective]) -> BTreeMap<Name, Micros> {
     let mut start_within: BTreeMap<Name, Micros> = BTreeMap::new();
-    for objective in objectives.iter().filter(|o| o.kind == "wait") {
+    for objective in objectives
+        .iter()
+        .filter(|objective| objective.kind == "wait")
+    {
         let Some(class) = objective.class.as_deref().map(Name::from) else {
             continue;
         };
@@ -187,9 +190,9 @@
 
 /// The limits of the state service.
 struct StateLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     rps: f64,
-    /// Writes per second.
+    /// Maximum number of writes per second.
     write_rps: f64,
     /// Maximum value size in kilobytes.
     value_kb: f64,
@@ -207,14 +210,14 @@
             value_kb: service.value_kb,
             txn_ops: service.txn_ops,
         };
-        current.check("params.state")?;
+        current.validate("params.state")?;
         let next = Self {
             rps: service.next.rps.unwrap_or(current.rps),
             write_rps: service.next.write_rps.unwrap_or(current.write_rps),
             value_kb: service.next.value_kb.unwrap_or(current.value_kb),
             txn_ops: service.next.txn_ops.unwrap_or(current.txn_ops),
         };
-        next.check("params.state.next")?;
+        next.validate("params.state.next")?;
         Ok(Self {
             rps: current.rps.min(next.rps),
             write_rps: current.write_rps.min(next.write_rps),
@@ -223,8 +226,8 @@
         })
     }
 
-    /// Checks the limits. `table`: path of their table in the file, for errors.
-    fn check(&self, table: &str) -> Result<(), SettingsError> {
+    /// Validates the limits. `table`: path of their table in the file, for errors.
+    fn validate(&self, table: &str) -> Result<(), SettingsError> {
         check_positive(&format!("{table}.rps"), self.rps)?;
         check_positive(&format!("{table}.write_rps"), self.write_rps)?;
         let field = format!("{table}.value_kb");
--- a/crates/jasperhill-controller/src/settings/mod.rs
+++ b/crates/jasperhill-controller/src/settings/mod.rs
@@ -159,11 +159,11 @@
     /// Returns the session time: long enough to survive short outages of the state service, short
     /// enough for a takeover before the workers' leases expire.
     pub fn session(&self) -> Micros {
-        let derived = self
+        let derived_session = self
             .lease
             .scale(SESSION_LEASE_FRACTION)
             .min(self.cache_age_max());
-        let session = self.operator.session.unwrap_or(derived);
+        let session = self.operator.session.unwrap_or(derived_session);
         session.clamp(SESSION_MIN, SESSION_MAX)
     }
 
@@ -179,9 +179,9 @@
     /// Returns all controllers, sorted by name. The order is the same on every controller, since a
     /// partition's preferred controller is determined by its index in the list.
     pub fn members(&self) -> Vec<Member> {
-        let mut all: Vec<Member> = self.peers.iter().map(|p| p.member.clone()).collect();
-        all.push(self.member.clone());
-        all.sort();
-        all
+        let mut members: Vec<Member> = self.peers.iter().map(|p| p.member.clone()).collect();
+        members.push(self.member.clone());
+        members.sort();
+        members
     }
 }
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -92,7 +92,7 @@
         if let Some(stall) = state.stalls.apply(stall_detector::Input::Activity, now) {
             tracing::warn!(for_s = stall.as_secs_f64(), "process stalled");
         }
-        state.stalls.is_stale(now)
+        state.stalls.is_request_stale(now)
     }
 
     /// Sends a request and waits for the response until `timeout` has passed.
--- a/crates/jasperhill-controller/src/stall_detector.rs
+++ b/crates/jasperhill-controller/src/stall_detector.rs
@@ -74,7 +74,7 @@
 
     /// Returns whether requests that are taken up now were queued during a stall, so that their
     /// senders have given up on them.
-    pub fn is_stale(&self, now: Micros) -> bool {
+    pub fn is_request_stale(&self, now: Micros) -> bool {
         self.resumed_at
             .is_some_and(|resumed_at| now - resumed_at < STALE_REQUEST_PERIOD)
     }
--- a/crates/jasperhill-controller/src/token_bucket.rs
+++ b/crates/jasperhill-controller/src/token_bucket.rs
@@ -82,8 +82,8 @@
     /// does already.
     pub fn wait_for(&mut self, tokens: f64, now: Micros) -> Option<Micros> {
         self.refill(now);
-        let missing = tokens.min(self.burst) - self.level;
-        (missing > 0.0).then(|| self.accrual_time(missing))
+        let missing_tokens = tokens.min(self.burst) - self.level;
+        (missing_tokens > 0.0).then(|| self.accrual_time(missing_tokens))
     }
 
     /// Returns the current number of tokens; negative while in debt.
--- a/crates/jasperhill-controller/src/users/admission.rs
+++ b/crates/jasperhill-controller/src/users/admission.rs
@@ -9,7 +9,7 @@
 
 /// `Retry-After` of a rejected job, in seconds. Capacity changes constantly as tasks end and
 /// machines boot.
-const REJECTED_RETRY_S: u32 = 3;
+const REJECTED_RETRY_AFTER_S: u32 = 3;
 /// Number of rejected jobs above which the older ones are forgotten.
 const REJECTED_JOBS_MAX: usize = 2_000;
 /// How long a rejected job is kept after its last submission when there are more than
@@ -51,7 +51,7 @@
                 } else {
                     tracing::debug!(job = %request.id, "job rejected by the admission test");
                     MeshResponse::Rejected {
-                        retry_after_s: REJECTED_RETRY_S,
+                        retry_after_s: REJECTED_RETRY_AFTER_S,
                     }
                 }
             }
--- a/crates/jasperhill-controller/src/users/cancellation.rs
+++ b/crates/jasperhill-controller/src/users/cancellation.rs
@@ -20,7 +20,7 @@
 
 /// Maximum number of read and write attempts for one cancellation. Some writes conflict if the
 /// owner records results of the job at the same time.
-const ATTEMPTS_MAX: usize = 4;
+const CANCEL_ATTEMPTS_MAX: usize = 4;
 /// Timeout of one write. Users wait five seconds for a response.
 const WRITE_TIMEOUT: Micros = Micros::from_millis(1_500);
 
@@ -46,7 +46,7 @@
     /// can't be read or the cancellation could not be written.
     pub(super) async fn cancel_job(self: &Rc<Self>, id: &str) -> Result<Response, UserError> {
         let id = JobId::parse(id).ok_or(UserError::NoSuchJob)?;
-        for _ in 0..ATTEMPTS_MAX {
+        for _ in 0..CANCEL_ATTEMPTS_MAX {
             let (version, record) = match self.cancellation_target(&id) {
                 CancellationTarget::Ended(phase) => {
                     return Ok(job_response(200, &id, user_phase(phase)));
--- a/crates/jasperhill-controller/src/users/dependencies.rs
+++ b/crates/jasperhill-controller/src/users/dependencies.rs
@@ -35,11 +35,11 @@
         &self,
         request: &JobRequest,
     ) -> Result<DependencyCheck, UserError> {
-        let supported = {
+        let is_supported = {
             let state = self.state.borrow();
             state.membership.features.supports(DEPENDENCIES)
         };
-        if !supported {
+        if !is_supported {
             // A controller of an earlier version ignores dependencies and would start the job at once.
             return Err(Unavailable::EarlierVersion.into());
         }
@@ -104,7 +104,7 @@
         let id = &job.request.id;
         let owned_partition = self
             .partition_of(&job.request.team)
-            .and_then(|p| state.scheduling.partitions.get(&p));
+            .and_then(|partition_id| state.scheduling.partitions.get(&partition_id));
         let estimate = owned_partition.map_or(job.request.estimate, |partition| {
             partition.estimate(&job.request)
         });
--- a/crates/jasperhill-controller/src/users/job_creation.rs
+++ b/crates/jasperhill-controller/src/users/job_creation.rs
@@ -30,7 +30,7 @@
 impl Shared {
     /// Returns whether a job that the request depends on is cancelled, so that the new job can never
     /// start.
-    pub(super) fn is_cancelled_upstream(&self, request: &JobRequest) -> bool {
+    pub(super) fn has_cancelled_dependency(&self, request: &JobRequest) -> bool {
         let state = self.state.borrow();
         request.dependencies.iter().any(|id| {
             let phase = state.cache.final_phase(id).map(|(phase, _)| phase);
@@ -41,7 +41,7 @@
     /// Builds the record of a new job. Returns `None` if it would not fit into a value of the store
     /// together with [`RESULTS_RESERVE_BYTES`].
     pub(super) fn new_job_record(&self, request: &JobRequest) -> Option<JobRecord> {
-        let record = if self.is_cancelled_upstream(request) {
+        let record = if self.has_cancelled_dependency(request) {
             JobRecord::terminal(RecordPhase::Cancelled, 0)
         } else {
             JobRecord {
--- a/crates/jasperhill-controller/src/users/query.rs
+++ b/crates/jasperhill-controller/src/users/query.rs
@@ -35,7 +35,7 @@
         if let Some(view) = self.job_view(&id).filter(|view| view.is_terminal) {
             return Ok(status_response(&id, view));
         }
-        let owner = self.other_owner(&id);
+        let owner = self.remote_owner(&id);
         let counts = async {
             match owner {
                 Some(owner) => self.task_counts_from(owner, &id).await,
@@ -61,7 +61,7 @@
 
     /// Returns the controller that owns the partition of an unfinished job; `None` if the owner is this
     /// controller or unknown.
-    fn other_owner(&self, id: &JobId) -> Option<Member> {
+    fn remote_owner(&self, id: &JobId) -> Option<Member> {
         let state = self.state.borrow();
         let Some(JobEntry::Active(active)) = state.cache.job(id) else {
             return None;
--- a/crates/jasperhill-controller/src/users/readiness.rs
+++ b/crates/jasperhill-controller/src/users/readiness.rs
@@ -29,8 +29,8 @@
     /// Returns whether this controller is ready to serve users.
     fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        // The reachability of the store alone is no condition: in an outage that affects all
-        // controllers, leaving the load balancer would only delay the recovery.
+        // An unreachable store alone does not make a controller unready: in an outage that affects
+        // all controllers, leaving the load balancer would only delay the recovery.
         state.cache.is_synced()
             && state.scheduling.specs.is_some()
             && !state.isolation.isolated
--- a/crates/jasperhill-controller/src/users/response.rs
+++ b/crates/jasperhill-controller/src/users/response.rs
@@ -7,7 +7,7 @@
 };
 
 /// `Retry-After` of a request on which the controller can't decide, in seconds.
-const UNAVAILABLE_RETRY_S: u32 = 1;
+const UNAVAILABLE_RETRY_AFTER_S: u32 = 1;
 
 /// The reason why a controller can't decide on a request now. Another controller may be able to, or
 /// this one shortly.
@@ -97,7 +97,7 @@
             Self::Rejected { retry_after_s } => response.retry_after(retry_after_s),
             Self::Unavailable(reason) => {
                 tracing::debug!(%reason, "request not decided; client told to retry");
-                response.retry_after(UNAVAILABLE_RETRY_S)
+                response.retry_after(UNAVAILABLE_RETRY_AFTER_S)
             }
             Self::NoSuchPath | Self::NoSuchJob | Self::Malformed(_) | Self::Unprocessable(_) => {
                 response
--- a/crates/jasperhill-controller/src/users/submission.rs
+++ b/crates/jasperhill-controller/src/users/submission.rs
@@ -56,7 +56,7 @@
         if self.new_job_record(&request).is_none() {
             return self.answer_record_too_long(&request).await;
         }
-        let decision = if request.deadline.is_none() || self.is_cancelled_upstream(&request) {
+        let decision = if request.deadline.is_none() || self.has_cancelled_dependency(&request) {
             self.create_job(&request, None).await
         } else {
             self.admit_by_owner(request).await?
@@ -132,7 +132,7 @@
         Err(UserError::Unprocessable(text))
     }
 
-    /// Answers a repeated submission.
+    /// Answers a repeated submission with the job's current phase, after a linearizable read.
     async fn answer_known(self: &Rc<Self>, id: &JobId) -> Result<Response, UserError> {
         if !self.read_index().await {
             return Err(Unavailable::StateUnknown.into());
--- a/crates/jasperhill-controller/tests/stall_detector.rs
+++ b/crates/jasperhill-controller/tests/stall_detector.rs
@@ -24,7 +24,9 @@
     assert!(!detector.is_store_silent(millis(5_900)) && detector.is_store_silent(millis(6_000)));
     let stall = detector.apply(Input::Activity, millis(34_000));
     assert_eq!(stall, Some(millis(30_000)));
-    assert!(detector.is_stale(millis(34_010)) && !detector.is_stale(millis(34_020)));
+    assert!(
+        detector.is_request_stale(millis(34_010)) && !detector.is_request_stale(millis(34_020))
+    );
     assert!(!detector.is_store_silent(millis(34_010)));
     assert_eq!(detector.apply(Input::Activity, millis(34_010)), None);
 }
--- a/crates/jasperhill-controller/tests/watch_cache.rs
+++ b/crates/jasperhill-controller/tests/watch_cache.rs
@@ -70,17 +70,17 @@
         let actual: Vec<_> = cache.hosts.iter().map(|(id, entry)| (id.clone(), entry.block, entry.version.0)).collect();
         let expected: Vec<_> = model.iter().map(|(id, (b, v, _))| (id.clone(), *b, *v)).collect();
         prop_assert_eq!(actual, expected);
-        let mut listed = WatchCache::default();
+        let mut listed_cache = WatchCache::default();
         let last = Revision(edits.len() as u64);
         let items = blocks.iter().map(|(n, v)| KeyValue {
             key: block_key(*n), value: value(&model, *n), version: Revision(*v), lease: None,
         }).collect();
-        listed.apply(Input::Listed { items, first: last, last });
+        listed_cache.apply(Input::Listed { items, first: last, last });
         for (id, entry) in &cache.hosts {
-            prop_assert_eq!(&listed.hosts[id].value, &entry.value);
-            prop_assert!(listed.hosts[id].version >= entry.version);
+            prop_assert_eq!(&listed_cache.hosts[id].value, &entry.value);
+            prop_assert!(listed_cache.hosts[id].version >= entry.version);
         }
-        prop_assert_eq!(listed.hosts.len(), cache.hosts.len());
+        prop_assert_eq!(listed_cache.hosts.len(), cache.hosts.len());
     }
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// Builds an item of a listing.
-fn item(key: String, value: Value, version: u64) -> KeyValue {
+fn listing_item(key: String, value: Value, version: u64) -> KeyValue {
     KeyValue {
         key,
         value,
@@ -116,7 +116,7 @@
 fn cache_with_three_hosts() -> WatchCache {
     let mut cache = WatchCache::default();
     cache.apply(Input::Listed {
-        items: vec![item(block_key(0), block_value(&[1, 2, 3]), 5)],
+        items: vec![listing_item(block_key(0), block_value(&[1, 2, 3]), 5)],
         first: Revision(5),
         last: Revision(5),
     });
@@ -163,7 +163,7 @@
 /// that misses the move.
 #[test]
 fn previous_version_loses_hosts_in_own_moves_and_listings() {
-    let start = || {
+    let cache_with_one_block = || {
         let mut cache = PreviousVersionCache::default();
         cache.put(0, &[1, 2, 3]);
         cache
@@ -173,7 +173,7 @@
         if is_reversed {
             changes.reverse();
         }
-        let (mut watch, mut is_present) = (start(), Vec::new());
+        let (mut watch, mut is_present) = (cache_with_one_block(), Vec::new());
         for (n, hosts) in &changes {
             watch.put(*n, hosts);
             is_present.push(watch.contains(2));
@@ -182,7 +182,7 @@
         assert!(watch.contains(2));
         assert_eq!(is_present[0], is_reversed);
     }
-    let mut listing = start();
+    let mut listing = cache_with_one_block();
     listing.put(0, &[1]);
     assert!(
         !listing.contains(2),
@@ -244,9 +244,9 @@
     ] {
         let [old, new] = pages;
         let mut cache = cache_with_three_hosts();
-        let mut items = vec![item(block_key(0), old, versions[0])];
+        let mut items = vec![listing_item(block_key(0), old, versions[0])];
         if versions[1] > 4 {
-            items.push(item(block_key(3), new, versions[1]));
+            items.push(listing_item(block_key(3), new, versions[1]));
         }
         let changes = cache.apply(Input::Listed {
             items,
@@ -270,7 +270,7 @@
     // A host that was really deleted is reported as removed once the cache is complete.
     let mut cache = cache_with_three_hosts();
     cache.apply(Input::Listed {
-        items: vec![item(block_key(0), block_value(&[1, 2]), 6)],
+        items: vec![listing_item(block_key(0), block_value(&[1, 2]), 6)],
         first: Revision(5),
         last: Revision(6),
     });
