--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -30,12 +30,12 @@
 
 impl LoopsToWake {
     /// Only the loop that acquires and hands over roles.
-    const ROLES: Self = Self {
+    const ROLES_LOOP: Self = Self {
         roles: true,
         scheduler: false,
     };
     /// Only the scheduling loop.
-    const SCHEDULER: Self = Self {
+    const SCHEDULING_LOOP: Self = Self {
         roles: false,
         scheduler: true,
     };
@@ -104,7 +104,7 @@
             Change::Host(id) => {
                 self.apply_host_change(state, &id, now);
                 self.wake.hosts_changed.notify_waiters();
-                LoopsToWake::SCHEDULER
+                LoopsToWake::SCHEDULING_LOOP
             }
             Change::Session(member) => {
                 let lease = state
@@ -115,7 +115,7 @@
                 let session = roles::Input::Session(&member, lease);
                 state.membership.roles.apply(session, now);
                 self.update_feature_gate(state);
-                LoopsToWake::ROLES
+                LoopsToWake::ROLES_LOOP
             }
             Change::FeatureLevel(_) => {
                 self.update_feature_gate(state);
@@ -125,7 +125,7 @@
                 // Wakes heartbeats that wait for the partition's owner, so that they are routed to
                 // the new owner.
                 self.wake.ownership_changed.notify_waiters();
-                LoopsToWake::ROLES
+                LoopsToWake::ROLES_LOOP
             }
             Change::DelegationRequest(delegate) => {
                 state.delegation.changed_requests.insert(delegate);
@@ -140,7 +140,7 @@
                 self.wake.grants_changed.notify_waiters();
                 LoopsToWake::default()
             }
-            Change::Types => load_specs(state),
+            Change::Types => load_machine_types(state),
         }
     }
 
@@ -254,12 +254,12 @@
 
 /// Loads the machine types from the watch cache once all their parts are known. Returns the roles
 /// loop as the loop to wake when the types have been loaded.
-fn load_specs(state: &mut State) -> LoopsToWake {
+fn load_machine_types(state: &mut State) -> LoopsToWake {
     if state.scheduling.specs.is_none()
         && let Some(types) = state.cache.types()
     {
         state.scheduling.specs = Some(Rc::new(specs(&types.types)));
-        return LoopsToWake::ROLES;
+        return LoopsToWake::ROLES_LOOP;
     }
     LoopsToWake::default()
 }
--- a/crates/jasperhill-controller/src/users/submission.rs
+++ b/crates/jasperhill-controller/src/users/submission.rs
@@ -18,8 +18,9 @@
 
 /// Timeout of the admission test of another controller. Users wait five seconds for a response.
 const ADMISSION_TIMEOUT: Micros = Micros::from_millis(1_800);
-/// Number of dependencies from which on they are named as the reason that a job's record is too long.
-const MANY_DEPENDENCIES_MIN: usize = 8;
+/// Minimum number of dependencies for which an oversized job record is attributed to `waits_on`
+/// instead of the request body as a whole.
+const OVERSIZE_DEPENDENCIES_MIN: usize = 8;
 
 impl Shared {
     /// Handles a submission, which is idempotent by the job's id.
@@ -123,7 +124,7 @@
         if self.is_known(&request.id) {
             return self.answer_known(&request.id).await;
         }
-        let field = if request.dependencies.len() < MANY_DEPENDENCIES_MIN {
+        let field = if request.dependencies.len() < OVERSIZE_DEPENDENCIES_MIN {
             "body"
         } else {
             "waits_on"
