--- a/crates/jasperhill-http/src/client.rs
+++ b/crates/jasperhill-http/src/client.rs
@@ -1,5 +1,7 @@
-//! The HTTP client: pooled keep-alive connections by address, and errors that say whether the request
-//! can have been executed.
+//! The HTTP client: sends requests on pooled keep-alive connections.
+//!
+//! [`Client`] keeps a pool of idle connections per address. The connection budget of the process admits
+//! every connection. A [`ClientError`] says whether the request may have been executed.
 
 use crate::{
     connections::{ConnectionPermit, ConnectionTracker},
@@ -20,112 +22,123 @@
     time::{Instant, timeout_at},
 };
 
-/// The most bytes of the body of a response; longer ones are not read. Guards against a watch that
-/// is far behind and would take many times its length in memory at once.
+/// Default limit on the body of a response, in bytes. The client does not read a longer body. Guards
+/// against a watch that is far behind: decoding its response would need many times the length of the
+/// body in memory at once.
 pub const RESPONSE_BODY_MAX: usize = 3 * 1024 * 1024;
 
-/// Responses with a lower status code are interim.
+/// The lowest status code of a final response; lower codes are interim responses.
 const FINAL_STATUS_MIN: u16 = 200;
-/// How often idle connections are checked for expiry.
+/// The minimum time between two checks for expired idle connections.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Limits of a client.
+/// Time and size limits of a [`Client`].
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// The time to establish a connection.
-    pub connect: Duration,
-    /// The time after which an idle connection is not used again.
-    pub idle: Duration,
-    /// The most idle connections to one address.
+    /// The maximum time to establish a connection.
+    pub connect_timeout: Duration,
+    /// The idle time after which a connection is not reused.
+    pub idle_timeout: Duration,
+    /// The maximum number of idle connections kept per address.
     pub idle_per_address: usize,
-    /// The most bytes of the body of a response.
-    pub body: usize,
+    /// The maximum length of a response body, in bytes.
+    pub body_max_bytes: usize,
 }
 
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(1_500),
-            idle: Duration::from_secs(20),
+            connect_timeout: Duration::from_millis(1_500),
+            idle_timeout: Duration::from_secs(20),
             idle_per_address: 4,
-            body: RESPONSE_BODY_MAX,
+            body_max_bytes: RESPONSE_BODY_MAX,
         }
     }
 }
 
-/// Why a request has no response; says whether it can have been executed.
+/// The reason why a request has no response. Each variant says whether the request may have been
+/// executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// No connection was established: the request has not been executed and will not be.
-    #[error("not connected")]
+    /// No connection was established: the request was not executed and will not be.
+    #[error("connection not established, request not sent")]
     NotSent,
-    /// The connection budget refused a connection: the request was not sent, and nothing is known
-    /// about the peer.
-    #[error("no socket free")]
+    /// The connection budget of this process refused the connection: the request was not sent, and
+    /// the error says nothing about the state of the peer.
+    #[error("connection budget exhausted, request not sent")]
     NoSocket,
-    /// The request may have been executed, or may still be.
-    #[error("no answer")]
+    /// The request was sent, at least in part, without a valid response in time: it may have been
+    /// executed or may still be executed.
+    #[error("no response, request may have been executed")]
     NoAnswer,
-    /// The request was executed, and the response is longer than [`ClientLimits::body`].
-    #[error("an answer that is too long")]
+    /// The request was executed, but the response body is longer than
+    /// [`ClientLimits::body_max_bytes`] or has a malformed chunk.
+    #[error("response body too long")]
     TooLong,
 }
 
 impl ClientError {
-    /// Whether the request has certainly not been executed and will not be.
+    /// Returns true if the request was certainly not executed and will not be.
     pub fn is_unsent(self) -> bool {
         matches!(self, Self::NotSent | Self::NoSocket)
     }
 }
 
-/// An idle connection.
+/// A pooled connection without a request in flight.
 struct IdleConnection {
     stream: TcpStream,
+    /// The admission of the connection by the connection budget.
     permit: ConnectionPermit,
-    since: Instant,
+    /// The time at which the last request finished.
+    idle_since: Instant,
 }
 
-/// The idle connections of a client, by address.
+/// The pool of idle connections of a client.
 #[derive(Default)]
 struct Pool {
+    /// The idle connections by address; an address without idle connections has no entry.
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
-    last_sweep: Cell<Option<Instant>>,
+    /// The time of the last check for expired connections; `None` before the first check.
+    last_expiry_check: Cell<Option<Instant>>,
 }
 
 impl Pool {
-    /// Closes an idle connection that the budget evicts.
+    /// Closes the idle connection `id` to `address` after the connection budget evicted it.
     fn close(&self, address: SocketAddr, id: ConnectionId) {
         let closed = {
             let mut idle = self.idle.borrow_mut();
             let Some(list) = idle.get_mut(&address) else {
                 return;
             };
-            let position = list.iter().position(|idle| idle.permit.id() == id);
+            let position = list
+                .iter()
+                .position(|connection| connection.permit.id() == id);
             let closed = position.map(|index| list.swap_remove(index));
             if list.is_empty() {
                 idle.remove(&address);
             }
             closed
         };
-        // Dropping the permit changes the budget, which must not happen while the pool is borrowed.
+        // Dropping the permit changes the connection budget, which must not happen while the pool is
+        // borrowed.
         drop(closed);
     }
 
-    /// Closes connections that have been idle for too long, at most once in
-    /// [`EXPIRY_CHECK_INTERVAL`]. Guards against connections to hosts that receive no requests any
-    /// more.
+    /// Closes connections that have been idle for [`ClientLimits::idle_timeout`]. Does nothing if the
+    /// last check was less than [`EXPIRY_CHECK_INTERVAL`] ago. Without this check, connections to hosts
+    /// that no longer receive requests would stay open.
     fn close_expired(&self, limits: &ClientLimits) {
         let now = Instant::now();
-        let is_recent = |t: Instant| now - t < EXPIRY_CHECK_INTERVAL;
-        if self.last_sweep.get().is_some_and(is_recent) {
+        let is_recent = |check: Instant| now - check < EXPIRY_CHECK_INTERVAL;
+        if self.last_expiry_check.get().is_some_and(is_recent) {
             return;
         }
-        self.last_sweep.set(Some(now));
+        self.last_expiry_check.set(Some(now));
         let mut expired = Vec::new();
         self.idle.borrow_mut().retain(|_, list| {
-            for n in (0..list.len()).rev() {
-                if now - list[n].since >= limits.idle {
-                    expired.push(list.swap_remove(n));
+            for index in (0..list.len()).rev() {
+                if now - list[index].idle_since >= limits.idle_timeout {
+                    expired.push(list.swap_remove(index));
                 }
             }
             !list.is_empty()
@@ -133,16 +146,18 @@
     }
 }
 
-/// An HTTP client with a pool of idle connections. The controller has one for all its peers.
+/// An HTTP client with a pool of idle connections. A controller uses one client for all addresses.
 pub struct Client {
     limits: ClientLimits,
     connections: ConnectionTracker,
+    /// Returns the class of connections to an address.
     class_of: Rc<dyn Fn(SocketAddr) -> Class>,
     pool: Rc<Pool>,
 }
 
 impl Client {
-    /// Creates a client. `class_of` gives the class of connections to an address.
+    /// Creates a client without connections. `class_of` returns the class of connections to an
+    /// address.
     pub fn new(
         limits: ClientLimits,
         connections: ConnectionTracker,
@@ -156,42 +171,44 @@
         }
     }
 
-    /// Takes a usable idle connection from the pool.
+    /// Removes a usable idle connection from the pool and returns it; `None` if there is none. Closes
+    /// the unusable connections that it finds.
     fn take_idle(
         &self,
         address: SocketAddr,
         class: Class,
     ) -> Option<(TcpStream, ConnectionPermit)> {
-        let mut probe = [0u8; 1];
+        let mut probe_buffer = [0u8; 1];
         loop {
-            let found = {
+            let connection = {
                 let mut idle = self.pool.idle.borrow_mut();
                 let list = idle.get_mut(&address)?;
-                let found = list.pop();
+                let connection = list.pop();
                 if list.is_empty() {
                     idle.remove(&address);
                 }
-                found?
+                connection?
             };
-            // A connection that the peer closed, or on which it sent unsolicited bytes, is not used
-            // again. Guards against requests to an earlier incarnation of a process.
-            let is_usable = match found.stream.try_read(&mut probe) {
+            // A connection that the peer has closed, or on which it sent unsolicited bytes, is not
+            // reused. Guards against sending a request to a process that has since been restarted.
+            let is_usable = match connection.stream.try_read(&mut probe_buffer) {
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                    found.since.elapsed() < self.limits.idle
+                    connection.idle_since.elapsed() < self.limits.idle_timeout
                 }
                 _ => false,
             };
-            if is_usable && found.permit.start_request(class) {
-                return Some((found.stream, found.permit));
+            if is_usable && connection.permit.start_request(class) {
+                return Some((connection.stream, connection.permit));
             }
         }
     }
 
-    /// Returns a connection to the pool, unless the pool of the address is full or the budget
-    /// wants it closed.
-    fn keep(&self, address: SocketAddr, stream: TcpStream, permit: ConnectionPermit) {
-        let open = |pool: &Pool| pool.idle.borrow().get(&address).map_or(0, Vec::len);
-        if open(&self.pool) >= self.limits.idle_per_address {
+    /// Returns a connection to the pool. Closes the connection instead if the address already has
+    /// [`ClientLimits::idle_per_address`] idle connections, or if the connection budget does not keep
+    /// it alive.
+    fn return_to_pool(&self, address: SocketAddr, stream: TcpStream, permit: ConnectionPermit) {
+        let idle_count = |pool: &Pool| pool.idle.borrow().get(&address).map_or(0, Vec::len);
+        if idle_count(&self.pool) >= self.limits.idle_per_address {
             return;
         }
         let (pool, id) = (Rc::downgrade(&self.pool), permit.id());
@@ -201,38 +218,39 @@
             }
         };
         if permit.finish_request(close) {
-            let since = Instant::now();
+            let idle_since = Instant::now();
             let connection = IdleConnection {
                 stream,
                 permit,
-                since,
+                idle_since,
             };
-            let mut all = self.pool.idle.borrow_mut();
-            all.entry(address).or_default().push(connection);
+            let mut idle = self.pool.idle.borrow_mut();
+            idle.entry(address).or_default().push(connection);
         }
     }
 
-    /// Sends one request and waits for its response, at most `limit` in total.
+    /// Sends one request and waits for its response. Takes at most `timeout` in total, which includes
+    /// the time to connect.
     ///
     /// # Errors
     ///
-    /// [`ClientError`], which says whether the request can have been executed.
+    /// Returns a [`ClientError`], which says whether the request may have been executed.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: &Request,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, ClientError> {
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         self.pool.close_expired(&self.limits);
         let class = (self.class_of)(address);
         let (mut stream, permit) = match self.take_idle(address, class) {
-            Some(found) => found,
+            Some(connection) => connection,
             None => {
                 let Some(permit) = self.connections.open(class) else {
                     return Err(ClientError::NoSocket);
                 };
-                let connect_deadline = deadline.min(Instant::now() + self.limits.connect);
+                let connect_deadline = deadline.min(Instant::now() + self.limits.connect_timeout);
                 match timeout_at(connect_deadline, TcpStream::connect(address)).await {
                     Ok(Ok(stream)) => {
                         let _ = stream.set_nodelay(true);
@@ -243,9 +261,9 @@
             }
         };
         match timeout_at(deadline, self.exchange(&mut stream, address, request)).await {
-            Ok(Ok((response, keep))) => {
-                if keep {
-                    self.keep(address, stream, permit);
+            Ok(Ok((response, keep_alive))) => {
+                if keep_alive {
+                    self.return_to_pool(address, stream, permit);
                 }
                 Ok(response)
             }
@@ -256,60 +274,65 @@
         }
     }
 
-    /// Sends a request on a connection and reads the response; true with it if the connection can
-    /// be kept alive.
+    /// Sends a request on a connection and reads the response. The returned flag is true if the
+    /// connection can be kept alive.
+    ///
+    /// # Errors
+    ///
+    /// Returns `FileTooLarge` if the response body is too long or has a malformed chunk, `InvalidData`
+    /// if the head is malformed, and the error of the connection otherwise.
     async fn exchange(
         &self,
         stream: &mut TcpStream,
         address: SocketAddr,
         request: &Request,
     ) -> std::io::Result<(Response, bool)> {
-        let mut out = format!(
+        let mut request_bytes = format!(
             "{} {} HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             request.method.as_str(),
             request.target,
             request.body.len()
         )
         .into_bytes();
-        out.extend_from_slice(&request.body);
-        stream.write_all(&out).await?;
+        request_bytes.extend_from_slice(&request.body);
+        stream.write_all(&request_bytes).await?;
         let mut buffer = Vec::with_capacity(1024);
-        let bad = |_: HeadError| std::io::Error::from(std::io::ErrorKind::InvalidData);
-        let (head, used) = loop {
+        let invalid_data = |_: HeadError| std::io::Error::from(std::io::ErrorKind::InvalidData);
+        let (head, head_length) = loop {
             if stream.read_buf(&mut buffer).await? == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
-            match parse_response(&buffer).map_err(bad)? {
-                // An interim response precedes the final one.
-                Some((head, used)) if head.status < FINAL_STATUS_MIN => {
-                    buffer.drain(..used);
-                    if let Some(found) = parse_response(&buffer).map_err(bad)? {
-                        break found;
+            match parse_response(&buffer).map_err(invalid_data)? {
+                // An interim response such as `100 Continue` precedes the final response.
+                Some((head, head_length)) if head.status < FINAL_STATUS_MIN => {
+                    buffer.drain(..head_length);
+                    if let Some(parsed) = parse_response(&buffer).map_err(invalid_data)? {
+                        break parsed;
                     }
                 }
-                Some(found) => break found,
+                Some(parsed) => break parsed,
                 None => {}
             }
         };
-        buffer.drain(..used);
+        buffer.drain(..head_length);
         let too_long = || std::io::Error::from(std::io::ErrorKind::FileTooLarge);
         let body = match head.framing {
-            Framing::Length(n) if n > self.limits.body => return Err(too_long()),
-            Framing::Length(n) => {
-                while buffer.len() < n {
+            Framing::Length(len) if len > self.limits.body_max_bytes => return Err(too_long()),
+            Framing::Length(len) => {
+                while buffer.len() < len {
                     if stream.read_buf(&mut buffer).await? == 0 {
                         return Err(std::io::ErrorKind::UnexpectedEof.into());
                     }
                 }
-                buffer.truncate(n);
+                buffer.truncate(len);
                 buffer
             }
-            Framing::Chunked => read_chunked(stream, &mut buffer, self.limits.body)
+            Framing::Chunked => read_chunked(stream, &mut buffer, self.limits.body_max_bytes)
                 .await?
                 .map_err(|_| too_long())?,
             Framing::UntilClose => {
                 while stream.read_buf(&mut buffer).await? != 0 {
-                    if buffer.len() > self.limits.body {
+                    if buffer.len() > self.limits.body_max_bytes {
                         return Err(too_long());
                     }
                 }
--- a/crates/jasperhill-http/src/head.rs
+++ b/crates/jasperhill-http/src/head.rs
@@ -1,26 +1,28 @@
-//! Requests, responses, and the parsing of their heads. Pure and stateless: the client and the
-//! server read the bytes and pass them here.
+//! HTTP messages: [`Request`], [`Response`], and the parsing of their heads.
+//!
+//! Pure and stateless: the client and the server do the I/O and pass the received bytes to
+//! [`parse_request`] and [`parse_response`].
 
-/// The most bytes of a head; longer ones are refused.
-pub const HEAD_MAX: usize = 8 * 1024;
-/// The most headers of a head (count); a head with more is refused as malformed.
-const HEADERS_MAX: usize = 48;
+/// The maximum length of a head, in bytes. A longer head is refused.
+pub const HEAD_MAX_BYTES: usize = 8 * 1024;
+/// The maximum number of headers in a head. A head with more headers is refused as too long.
+const HEADER_COUNT_MAX: usize = 48;
 
-/// The method of a request.
+/// The method of an HTTP request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// `GET`.
+    /// The `GET` method.
     Get,
-    /// `POST`.
+    /// The `POST` method.
     Post,
-    /// `DELETE`.
+    /// The `DELETE` method.
     Delete,
-    /// Any other method; none is supported.
+    /// Any other method; the server does not support it.
     Other,
 }
 
 impl Method {
-    /// The method as sent on the wire.
+    /// Returns the method as sent on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
@@ -31,19 +33,19 @@
     }
 }
 
-/// A request with its body.
+/// An HTTP request with its body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its method.
+    /// The method of the request.
     pub method: Method,
-    /// Path with query, as sent.
+    /// The request target as sent: the path with the query.
     pub target: String,
-    /// The body, at most [`crate::BODY_MAX`] bytes when received.
+    /// The body; at most [`crate::REQUEST_BODY_MAX_BYTES`] bytes in a received request.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// Creates a request.
+    /// Creates a request from its method, its target (path with query) and its body.
     pub fn new(method: Method, target: impl Into<String>, body: Vec<u8>) -> Self {
         Self {
             method,
@@ -52,31 +54,31 @@
         }
     }
 
-    /// The path of the target, without the query.
+    /// Returns the path of the target, without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 }
 
-/// A response with its body.
+/// An HTTP response with its body.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The response body.
     pub body: Vec<u8>,
-    /// The `Retry-After` header, in seconds.
+    /// The value of the `Retry-After` header, in seconds; `None` to omit the header.
     pub retry_after: Option<u32>,
-    /// The `Allow` header: the supported methods.
+    /// The value of the `Allow` header, the supported methods; `None` to omit the header.
     pub allow: Option<&'static str>,
-    /// Whether the body is CBOR; else it is JSON.
+    /// Whether the body is encoded as CBOR; otherwise it is JSON.
     pub cbor: bool,
-    /// Whether the connection is closed after this response.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
 }
 
 impl Response {
-    /// Creates a JSON response that keeps the connection alive.
+    /// Creates a JSON response that permits the connection to stay open.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -88,33 +90,34 @@
         }
     }
 
-    /// Adds a `Retry-After` header.
+    /// Sets the `Retry-After` header, in seconds.
     pub fn retry_after(mut self, seconds: u32) -> Self {
         self.retry_after = Some(seconds);
         self
     }
 
-    /// Adds an `Allow` header.
+    /// Sets the `Allow` header to the supported methods.
     pub fn allow(mut self, methods: &'static str) -> Self {
         self.allow = Some(methods);
         self
     }
 
-    /// Closes the connection after this response.
+    /// Marks the connection to be closed after this response.
     pub fn close(mut self) -> Self {
         self.close = true;
         self
     }
 
-    /// The response as sent on the wire; says `Connection: close` unless `keep_alive`.
+    /// Encodes the response as sent on the wire. Adds `Connection: close` if `keep_alive` is false or
+    /// the response closes the connection.
     pub fn encode(&self, keep_alive: bool) -> Vec<u8> {
-        let mut out = Vec::with_capacity(160 + self.body.len());
+        let mut bytes = Vec::with_capacity(160 + self.body.len());
         let content_type = if self.cbor {
             "application/cbor"
         } else {
             "application/json"
         };
-        out.extend_from_slice(
+        bytes.extend_from_slice(
             format!(
                 "HTTP/1.1 {} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
                 self.status,
@@ -124,21 +127,21 @@
             .as_bytes(),
         );
         if let Some(seconds) = self.retry_after {
-            out.extend_from_slice(format!("Retry-After: {seconds}\r\n").as_bytes());
+            bytes.extend_from_slice(format!("Retry-After: {seconds}\r\n").as_bytes());
         }
         if let Some(methods) = self.allow {
-            out.extend_from_slice(format!("Allow: {methods}\r\n").as_bytes());
+            bytes.extend_from_slice(format!("Allow: {methods}\r\n").as_bytes());
         }
         if !keep_alive || self.close {
-            out.extend_from_slice(b"Connection: close\r\n");
+            bytes.extend_from_slice(b"Connection: close\r\n");
         }
-        out.extend_from_slice(b"\r\n");
-        out.extend_from_slice(&self.body);
-        out
+        bytes.extend_from_slice(b"\r\n");
+        bytes.extend_from_slice(&self.body);
+        bytes
     }
 }
 
-/// The reason phrase of a status code.
+/// Returns the reason phrase of a status code; `Status` if the code is not known.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -159,69 +162,78 @@
     }
 }
 
-/// How a body is delimited.
+/// The way in which the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By `Content-Length`, in bytes.
+    /// The body has the length of the `Content-Length` header, in bytes.
     Length(usize),
-    /// By `Transfer-Encoding: chunked`.
+    /// The body is sent with `Transfer-Encoding: chunked`.
     Chunked,
-    /// By the end of the connection; responses only.
+    /// The body ends when the connection is closed; only in responses.
     UntilClose,
 }
 
-/// The head of a request.
+/// The parsed head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// The method of the request.
     pub method: Method,
-    /// Path with query, as sent.
+    /// The request target as sent: the path with the query.
     pub target: String,
-    /// How the body is delimited.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the client keeps the connection open.
+    /// Whether the client keeps the connection open after the response.
     pub keep_alive: bool,
     /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// The head of a response.
+/// The parsed head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status code; 0 if there is none.
+    /// The HTTP status code; 0 if the head has none.
     pub status: u16,
-    /// How the body is delimited.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the server keeps the connection open.
+    /// Whether the server keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
-/// Why a head is refused.
+/// The reason why a head is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It is not HTTP/1, has too many headers, or contradicts itself about the body.
+    /// The head is not valid HTTP/1, or its framing headers are invalid or contradict each other.
     #[error("malformed head")]
     Malformed,
-    /// It is longer than [`HEAD_MAX`] bytes.
+    /// The head is longer than [`HEAD_MAX_BYTES`] or has too many headers.
     #[error("head too long")]
     TooLong,
 }
 
-/// The headers that requests and responses have in common.
+/// The headers of a request or a response that concern the body and the connection.
 struct CommonHeaders {
+    /// The framing of the body; `None` if no header specifies one.
     framing: Option<Framing>,
+    /// Whether the sender keeps the connection open.
     keep_alive: bool,
+    /// Whether the sender waits for `100 Continue` before it sends the body.
     expects_continue: bool,
 }
 
-/// Reads the headers that concern the body and the connection; `version` is the minor version.
+/// Parses the headers that concern the body and the connection. `minor_version` is 1 for HTTP/1.1,
+/// which keeps connections alive by default.
+///
+/// # Errors
+///
+/// Returns [`HeadError::Malformed`] for a value that is not UTF-8, an invalid or repeated framing
+/// header with a different value, or a transfer encoding other than `chunked`.
 fn parse_common_headers(
     headers: &[httparse::Header<'_>],
-    version: u8,
+    minor_version: u8,
 ) -> Result<CommonHeaders, HeadError> {
-    let mut out = CommonHeaders {
+    let mut common = CommonHeaders {
         framing: None,
-        keep_alive: version == 1,
+        keep_alive: minor_version == 1,
         expects_continue: false,
     };
     for header in headers {
@@ -233,44 +245,47 @@
                 return Err(HeadError::Malformed);
             }
             let length = value.parse().unwrap_or(usize::MAX);
-            match out.framing {
-                None => out.framing = Some(Framing::Length(length)),
-                Some(Framing::Length(same)) if same == length => {}
-                // Two different framings: the classic way to smuggle a request.
+            match common.framing {
+                None => common.framing = Some(Framing::Length(length)),
+                Some(Framing::Length(previous)) if previous == length => {}
+                // Two different framings would permit request smuggling.
                 Some(_) => return Err(HeadError::Malformed),
             }
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            if !value.eq_ignore_ascii_case("chunked") || out.framing.is_some() {
+            if !value.eq_ignore_ascii_case("chunked") || common.framing.is_some() {
                 return Err(HeadError::Malformed);
             }
-            out.framing = Some(Framing::Chunked);
+            common.framing = Some(Framing::Chunked);
         } else if header.name.eq_ignore_ascii_case("connection") {
-            for word in value.split(',') {
-                if word.trim().eq_ignore_ascii_case("close") {
-                    out.keep_alive = false;
-                } else if word.trim().eq_ignore_ascii_case("keep-alive") {
-                    out.keep_alive = true;
+            for option in value.split(',') {
+                if option.trim().eq_ignore_ascii_case("close") {
+                    common.keep_alive = false;
+                } else if option.trim().eq_ignore_ascii_case("keep-alive") {
+                    common.keep_alive = true;
                 }
             }
         } else if header.name.eq_ignore_ascii_case("expect") {
-            out.expects_continue = value.eq_ignore_ascii_case("100-continue");
+            common.expects_continue = value.eq_ignore_ascii_case("100-continue");
         }
     }
-    Ok(out)
+    Ok(common)
 }
 
-/// Parses the head of a request, and returns it with its length in bytes; `None` if more bytes are
-/// needed. The server calls it after each read.
+/// Parses the head of a request and returns it with its length in bytes; returns `None` if more bytes
+/// are needed. The server calls this function after each read.
 ///
 /// # Errors
 ///
-/// [`HeadError`] if the head is malformed or longer than [`HEAD_MAX`] bytes.
+/// Returns a [`HeadError`] if the head is malformed, is longer than [`HEAD_MAX_BYTES`], or has too
+/// many headers.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut headers = [httparse::EMPTY_HEADER; HEADER_COUNT_MAX];
     let mut parsed = httparse::Request::new(&mut headers);
     let length = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() >= HEAD_MAX => return Err(HeadError::TooLong),
+        Ok(httparse::Status::Partial) if bytes.len() >= HEAD_MAX_BYTES => {
+            return Err(HeadError::TooLong);
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(HeadError::TooLong),
         Err(_) => return Err(HeadError::Malformed),
@@ -292,18 +307,21 @@
     Ok(Some((head, length)))
 }
 
-/// Parses the head of a response, and returns it with its length in bytes; `None` if more bytes are
-/// needed. The client calls it after each read.
+/// Parses the head of a response and returns it with its length in bytes; returns `None` if more bytes
+/// are needed. The client calls this function after each read.
 ///
 /// # Errors
 ///
-/// [`HeadError`] if the head is malformed or longer than [`HEAD_MAX`] bytes.
+/// Returns a [`HeadError`] if the head is malformed, is longer than [`HEAD_MAX_BYTES`], or has too
+/// many headers.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, HeadError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut headers = [httparse::EMPTY_HEADER; HEADER_COUNT_MAX];
     let mut parsed = httparse::Response::new(&mut headers);
     let length = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() >= HEAD_MAX => return Err(HeadError::TooLong),
+        Ok(httparse::Status::Partial) if bytes.len() >= HEAD_MAX_BYTES => {
+            return Err(HeadError::TooLong);
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(HeadError::Malformed),
     };
--- a/crates/jasperhill-http/src/lib.rs
+++ b/crates/jasperhill-http/src/lib.rs
@@ -1,7 +1,8 @@
-//! A small HTTP/1.1 server and client over `httparse`, with every size and time bounded. Each
-//! connection is admitted by the connection budget of the process.
+//! A small HTTP/1.1 server and client over `httparse`. All sizes and times are bounded, and the
+//! connection budget of the process admits each connection.
 //!
-//! The controller uses it for users, workers and other controllers.
+//! The controller serves users, workers and other controllers with [`serve`], and sends its own
+//! requests with [`Client`].
 
 pub mod client;
 pub mod connections;
@@ -13,5 +14,5 @@
 pub use head::{Method, Request, Response};
 pub use server::{Endpoint, ServerLimits, serve};
 
-/// The most bytes of the body of a request; longer ones are refused.
-pub const BODY_MAX: usize = 64 * 1024;
+/// The maximum length of a request body, in bytes. The server refuses a request with a longer body.
+pub const REQUEST_BODY_MAX_BYTES: usize = 64 * 1024;
--- a/crates/jasperhill-http/src/server.rs
+++ b/crates/jasperhill-http/src/server.rs
@@ -1,9 +1,15 @@
-//! The HTTP server: connections, heads, bodies and times are bounded.
+//! The HTTP server: accepts connections, reads requests and writes the handler's responses.
+//!
+//! [`serve`] runs one listener; [`Endpoint`] classifies its connections for the connection budget. The
+//! number of connections, the length of heads and bodies, and the times to read a request and to write a
+//! response are bounded.
 
 use crate::{
-    BODY_MAX,
+    REQUEST_BODY_MAX_BYTES,
     connections::{ConnectionPermit, ConnectionTracker},
-    head::{Framing, HEAD_MAX, HeadError, Method, Request, RequestHead, Response, parse_request},
+    head::{
+        Framing, HEAD_MAX_BYTES, HeadError, Method, Request, RequestHead, Response, parse_request,
+    },
 };
 use jasperhill_connections::Class;
 use std::{future::Future, rc::Rc, time::Duration};
@@ -14,53 +20,54 @@
     time::{Instant, timeout, timeout_at},
 };
 
-/// The pause after a failed `accept`, short beside the time of a request.
+/// The pause after a failed `accept`; short compared to the duration of a request.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// How long a refused client may go on sending before its connection is closed.
-const LINGER_MAX: Duration = Duration::from_millis(500);
-/// The most bytes of the line that starts a chunk.
-const CHUNK_LINE_MAX: usize = 256;
+/// How long a refused client may continue to send before its connection is closed.
+const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The maximum length of the line with the size of a chunk, in bytes.
+const CHUNK_LINE_MAX_BYTES: usize = 256;
 
 /// Time limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// From the first byte of a request to its last.
-    pub request: Duration,
-    /// From the start of a connection to its first request.
-    pub first_request: Duration,
-    /// Between requests, except on connections of workers.
-    pub idle: Duration,
-    /// Between requests of a worker, which sends heartbeats more often than this.
-    pub idle_worker: Duration,
-    /// For writing a response.
-    pub write: Duration,
+    /// The maximum time from the first byte of a request to the last.
+    pub request_timeout: Duration,
+    /// The maximum time from accepting a connection to the first byte of its first request.
+    pub first_request_timeout: Duration,
+    /// The maximum time between two requests on a connection, except on connections of workers.
+    pub idle_timeout: Duration,
+    /// The maximum time between two requests on a connection of a worker. Workers send heartbeats more
+    /// often than this.
+    pub worker_idle_timeout: Duration,
+    /// The maximum time to write a response.
+    pub write_timeout: Duration,
 }
 
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
-            request: Duration::from_secs(5),
-            first_request: Duration::from_secs(10),
-            idle: Duration::from_secs(60),
-            idle_worker: Duration::from_secs(60),
-            write: Duration::from_secs(5),
+            request_timeout: Duration::from_secs(5),
+            first_request_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
+            worker_idle_timeout: Duration::from_secs(60),
+            write_timeout: Duration::from_secs(5),
         }
     }
 }
 
-/// What a listener serves, for the connection budget.
+/// The classification of a listener's connections for the connection budget.
 #[derive(Clone)]
 pub struct Endpoint {
-    /// The connections of the process.
+    /// The tracker that admits the connections of the process.
     pub connections: ConnectionTracker,
-    /// The class of a connection by its latest request.
+    /// Returns the class of a connection from its latest request.
     pub class_of: fn(&Request) -> Class,
     /// The class of a connection before its first request.
     pub initial_class: Class,
 }
 
-/// Accepts connections for as long as it is polled, and answers their requests by `handler`. Must
-/// run in a `LocalSet`: each connection is a local task.
+/// Accepts connections for as long as the future is polled, and answers their requests with `handler`.
+/// Must run in a `LocalSet`: each connection is a local task.
 pub async fn serve<H, F>(
     listener: TcpListener,
     endpoint: Endpoint,
@@ -74,13 +81,14 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // Usually out of file descriptors: the pause lets others finish without spinning.
-                tracing::debug!(%error, "accept failed");
+                // The usual cause is a lack of file descriptors. The pause lets open connections finish
+                // and avoids a busy loop.
+                tracing::debug!(%error, "accept failed, retrying after a pause");
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
-        // Closed at once without capacity: the client tries another controller.
+        // Without capacity the connection is closed at once: the client then tries another controller.
         let Some(permit) = endpoint.connections.open(endpoint.initial_class) else {
             continue;
         };
@@ -91,28 +99,34 @@
     }
 }
 
-/// A response with an error, which closes the connection.
-fn error(status: u16, reason: &str) -> Response {
+/// Returns the response that refuses a request: a JSON body with the error `reason`, after which the
+/// connection is closed.
+fn refusal(status: u16, reason: &str) -> Response {
     Response::new(status, format!("{{\"error\":\"{reason}\"}}").into_bytes()).close()
 }
 
-/// The outcome of waiting for a request.
+/// The outcome of waiting for the next request on a connection.
 enum Incoming {
-    /// A request; true if the connection can be kept alive after it.
+    /// A complete request. The flag is true if the connection can be kept alive after the response.
     Request(Request, bool),
-    /// Not a valid request: the response to send before closing.
+    /// An invalid or incomplete request, with the response to send before the connection is closed.
     Refused(Response),
-    /// The connection ended, was idle for too long, or was evicted.
+    /// The client closed the connection, or the connection was idle for too long or was evicted.
     Closed,
 }
 
-/// Marks a connection as idle; false if it must be closed.
+/// Reports a connection as idle to the connection budget; returns false if the connection must be
+/// closed. `evicted` is notified if the connection is evicted later.
 fn mark_idle(permit: &ConnectionPermit, evicted: &Rc<Notify>) -> bool {
     let evicted = evicted.clone();
     permit.finish_request(move || evicted.notify_one())
 }
 
-/// Serves one connection until it is closed.
+/// Serves the requests of one connection until the connection is closed.
+///
+/// # Errors
+///
+/// Returns the error of the connection.
 async fn serve_connection<H, F>(
     mut stream: TcpStream,
     permit: ConnectionPermit,
@@ -127,7 +141,7 @@
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     let evicted = Rc::new(Notify::new());
-    let mut idle_timeout = limits.first_request;
+    let mut idle_timeout = limits.first_request_timeout;
     if !mark_idle(&permit, &evicted) {
         return Ok(());
     }
@@ -135,35 +149,40 @@
         match read_request(&mut stream, &mut buffer, &evicted, idle_timeout, limits).await? {
             Incoming::Closed => return Ok(()),
             Incoming::Refused(response) => {
-                let _ = timeout(limits.write, stream.write_all(&response.encode(false))).await;
-                linger(&mut stream).await;
+                let _ = timeout(
+                    limits.write_timeout,
+                    stream.write_all(&response.encode(false)),
+                )
+                .await;
+                lingering_close(&mut stream).await;
                 return Ok(());
             }
             Incoming::Request(request, keep_alive) => {
                 let class = class_of(&request);
                 idle_timeout = match class {
-                    Class::Heartbeats => limits.idle_worker,
-                    _ => limits.idle,
+                    Class::Heartbeats => limits.worker_idle_timeout,
+                    _ => limits.idle_timeout,
                 };
                 let response = if permit.start_request(class) {
                     handler(request).await
                 } else {
-                    // Guards against users that wait in vain without capacity: they are refused at
-                    // once.
-                    error(503, "no room").retry_after(1)
+                    // Without capacity a request is refused at once, so that the user does not wait in
+                    // vain.
+                    refusal(503, "no room").retry_after(1)
                 };
-                // Where possible, a connection is closed with a response that announces it.
+                // Where possible, the last response on a connection announces that the connection is
+                // closed.
                 let keep_alive = keep_alive && !response.close && mark_idle(&permit, &evicted);
                 let bytes = response.encode(keep_alive);
-                match timeout(limits.write, stream.write_all(&bytes)).await {
-                    Ok(done) => done?,
+                match timeout(limits.write_timeout, stream.write_all(&bytes)).await {
+                    Ok(result) => result?,
                     Err(_) => return Ok(()),
                 }
                 if !keep_alive {
                     let _ = stream.shutdown().await;
                     return Ok(());
                 }
-                if buffer.capacity() > 4 * HEAD_MAX && buffer.is_empty() {
+                if buffer.capacity() > 4 * HEAD_MAX_BYTES && buffer.is_empty() {
                     buffer = Vec::new();
                 }
             }
@@ -171,16 +190,17 @@
     }
 }
 
-/// Lets the refusal reach a client that is still sending: closing with unread bytes would
-/// reset the connection. Bounded in bytes and time.
-async fn linger(stream: &mut TcpStream) {
+/// Discards what a refused client is still sending before its connection is closed, so that the
+/// response reaches the client: closing a socket with unread bytes would reset the connection. Limited
+/// to 4 times [`REQUEST_BODY_MAX_BYTES`] and [`LINGERING_CLOSE_TIMEOUT`].
+async fn lingering_close(stream: &mut TcpStream) {
     let _ = stream.shutdown().await;
-    let mut left = 4 * BODY_MAX;
-    let mut sink = [0u8; 4096];
-    let _ = timeout(LINGER_MAX, async {
-        while left > 0 {
-            match stream.read(&mut sink).await {
-                Ok(n) if n > 0 => left = left.saturating_sub(n),
+    let mut remaining_bytes = 4 * REQUEST_BODY_MAX_BYTES;
+    let mut discarded = [0u8; 4096];
+    let _ = timeout(LINGERING_CLOSE_TIMEOUT, async {
+        while remaining_bytes > 0 {
+            match stream.read(&mut discarded).await {
+                Ok(n) if n > 0 => remaining_bytes = remaining_bytes.saturating_sub(n),
                 _ => return,
             }
         }
@@ -188,7 +208,13 @@
     .await;
 }
 
-/// Waits for the next request and reads it.
+/// Waits for the next request and reads it. Gives up if the first byte does not arrive within
+/// `idle_timeout`, if the connection is evicted, or if the request takes longer than
+/// [`ServerLimits::request_timeout`].
+///
+/// # Errors
+///
+/// Returns the error of the connection.
 async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -200,38 +226,45 @@
     if buffer.is_empty() {
         tokio::select! {
             read = timeout(idle_timeout, stream.read_buf(buffer)) => match read {
-                Ok(Ok(n)) if n > 0 => deadline = Some(Instant::now() + limits.request),
+                Ok(Ok(n)) if n > 0 => deadline = Some(Instant::now() + limits.request_timeout),
                 _ => return Ok(Incoming::Closed),
             },
             () = evicted.notified() => return Ok(Incoming::Closed),
         }
     }
-    let deadline = deadline.unwrap_or_else(|| Instant::now() + limits.request);
+    let deadline = deadline.unwrap_or_else(|| Instant::now() + limits.request_timeout);
     match timeout_at(deadline, receive_request(stream, buffer)).await {
         Ok(result) => result,
-        Err(_) => Ok(Incoming::Refused(error(408, "too slow"))),
+        Err(_) => Ok(Incoming::Refused(refusal(408, "too slow"))),
     }
 }
 
-/// Reads a request, of which some bytes may be in the buffer.
+/// Reads a request. `buffer` may already contain the first bytes of the request, and holds the bytes
+/// that follow it on return.
+///
+/// # Errors
+///
+/// Returns the error of the connection.
 async fn receive_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> std::io::Result<Incoming> {
-    let (head, used) = loop {
+    let (head, head_length) = loop {
         match parse_request(buffer) {
-            Ok(Some(found)) => break found,
+            Ok(Some(parsed)) => break parsed,
             Ok(None) => {}
             Err(HeadError::Malformed) => {
-                return Ok(Incoming::Refused(error(400, "malformed head")));
+                return Ok(Incoming::Refused(refusal(400, "malformed head")));
+            }
+            Err(HeadError::TooLong) => {
+                return Ok(Incoming::Refused(refusal(431, "head too long")));
             }
-            Err(HeadError::TooLong) => return Ok(Incoming::Refused(error(431, "head too long"))),
         }
         if stream.read_buf(buffer).await? == 0 {
             return Ok(Incoming::Closed);
         }
     };
-    buffer.drain(..used);
+    buffer.drain(..head_length);
     let RequestHead {
         method,
         target,
@@ -239,28 +272,28 @@
         keep_alive,
         expects_continue,
     } = head;
-    if matches!(framing, Framing::Length(n) if n > BODY_MAX) {
-        return Ok(Incoming::Refused(error(400, "body: longer than 64 KiB")));
+    if matches!(framing, Framing::Length(length) if length > REQUEST_BODY_MAX_BYTES) {
+        return Ok(Incoming::Refused(refusal(400, "body: longer than 64 KiB")));
     }
     if expects_continue && framing != Framing::Length(0) {
         stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
     let body = match framing {
-        Framing::Length(n) => {
-            while buffer.len() < n {
+        Framing::Length(length) => {
+            while buffer.len() < length {
                 if stream.read_buf(buffer).await? == 0 {
                     return Ok(Incoming::Closed);
                 }
             }
-            buffer.drain(..n).collect()
+            buffer.drain(..length).collect()
         }
-        Framing::Chunked => match read_chunked(stream, buffer, BODY_MAX).await? {
+        Framing::Chunked => match read_chunked(stream, buffer, REQUEST_BODY_MAX_BYTES).await? {
             Ok(body) => body,
             Err(ChunkError::TooLong) => {
-                return Ok(Incoming::Refused(error(400, "body: longer than 64 KiB")));
+                return Ok(Incoming::Refused(refusal(400, "body: longer than 64 KiB")));
             }
             Err(ChunkError::Malformed) => {
-                return Ok(Incoming::Refused(error(400, "body: malformed chunk")));
+                return Ok(Incoming::Refused(refusal(400, "body: malformed chunk")));
             }
         },
         Framing::UntilClose => Vec::new(),
@@ -276,61 +309,69 @@
     ))
 }
 
-/// Why a chunked body is refused.
+/// The reason why a chunked body is refused.
 pub(crate) enum ChunkError {
-    /// It is longer than allowed.
+    /// The body is longer than the limit.
     TooLong,
-    /// A chunk is malformed.
+    /// A chunk size line or the trailer section is malformed or too long.
     Malformed,
 }
 
-/// Reads a chunked body of at most `max` bytes to its end, trailers included.
+/// Reads a chunked body of at most `max_bytes` bytes, and discards its trailers. `buffer` may already
+/// contain the first bytes of the body, and holds the bytes that follow it on return.
 ///
 /// # Errors
 ///
-/// The outer error is that of the connection, the inner one that of the body.
+/// The outer error is an error of the connection, the inner error an invalid body.
 pub(crate) async fn read_chunked(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    max: usize,
+    max_bytes: usize,
 ) -> std::io::Result<Result<Vec<u8>, ChunkError>> {
     let mut body = Vec::new();
     loop {
-        let (skip, size) = loop {
+        let (line_length, chunk_size) = loop {
             match httparse::parse_chunk_size(buffer) {
-                Ok(httparse::Status::Complete(found)) => break found,
-                Ok(httparse::Status::Partial) if buffer.len() < CHUNK_LINE_MAX => {}
+                Ok(httparse::Status::Complete(parsed)) => break parsed,
+                Ok(httparse::Status::Partial) if buffer.len() < CHUNK_LINE_MAX_BYTES => {}
                 _ => return Ok(Err(ChunkError::Malformed)),
             }
             read_more(stream, buffer).await?;
         };
-        buffer.drain(..skip);
-        if size == 0 {
+        buffer.drain(..line_length);
+        if chunk_size == 0 {
             loop {
-                if let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") {
-                    buffer.drain(..end + 2);
-                    if end == 0 {
+                if let Some(line_length) = buffer.windows(2).position(|pair| pair == b"\r\n") {
+                    buffer.drain(..line_length + 2);
+                    if line_length == 0 {
                         return Ok(Ok(body));
                     }
-                } else if buffer.len() > HEAD_MAX {
+                } else if buffer.len() > HEAD_MAX_BYTES {
                     return Ok(Err(ChunkError::Malformed));
                 } else {
                     read_more(stream, buffer).await?;
                 }
             }
         }
-        let Some(size) = usize::try_from(size).ok().filter(|s| body.len() + s <= max) else {
+        let Some(chunk_size) = usize::try_from(chunk_size)
+            .ok()
+            .filter(|size| body.len() + size <= max_bytes)
+        else {
             return Ok(Err(ChunkError::TooLong));
         };
-        while buffer.len() < size + 2 {
+        while buffer.len() < chunk_size + 2 {
             read_more(stream, buffer).await?;
         }
-        body.extend(buffer.drain(..size));
+        body.extend(buffer.drain(..chunk_size));
         buffer.drain(..2);
     }
 }
 
-/// Reads more bytes into the buffer; the end of the connection is an error.
+/// Appends bytes from the connection to `buffer`.
+///
+/// # Errors
+///
+/// Returns `UnexpectedEof` at the end of the connection, or the error of the connection.
 async fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<()> {
     if stream.read_buf(buffer).await? == 0 {
         return Err(std::io::ErrorKind::UnexpectedEof.into());
--- a/crates/jasperhill/src/check.rs
+++ b/crates/jasperhill/src/check.rs
@@ -1,12 +1,12 @@
-//! The subcommand `check`: prints the settings as the controller understands them. The
-//! output is a fixed format.
+//! The `check` subcommand: prints the settings as the controller interprets them. The output format is
+//! fixed.
 
 use jasperhill_controller::Settings;
 use jasperhill_wire::Micros;
 
-/// Prints the settings as understood, one topic a line, to standard output.
+/// Prints the settings to standard output, one topic per line.
 pub fn print_settings(settings: &Settings) {
-    let secs = |duration: Micros| duration.as_secs_f64();
+    let seconds = |duration: Micros| duration.as_secs_f64();
     println!(
         "member {} in {}, users and workers at {}, mesh at {}",
         settings.member, settings.site, settings.bind, settings.mesh
@@ -30,20 +30,20 @@
     }
     println!(
         "workers report every {} s, lease {} s, cancellations within {} s",
-        secs(settings.heartbeat_interval),
-        secs(settings.lease),
-        secs(settings.cancel)
+        seconds(settings.heartbeat_interval),
+        seconds(settings.lease),
+        seconds(settings.cancel)
     );
     println!(
         "session {} s, mirror at most {} s old",
-        secs(settings.session()),
-        secs(settings.cache_age_max())
+        seconds(settings.session()),
+        seconds(settings.cache_age_max())
     );
     let tuning = &settings.operator.tuning;
     println!(
         "uncertainty factor {}, headroom {}, idle machines kept {} s",
         tuning.uncertainty,
         tuning.headroom,
-        secs(tuning.idle_keep)
+        seconds(tuning.idle_keep)
     );
 }
--- a/crates/jasperhill/src/cli.rs
+++ b/crates/jasperhill/src/cli.rs
@@ -1,4 +1,7 @@
-//! The command line: subcommands, and the settings files that they read.
+//! The command line: the subcommands and the settings files that they read.
+//!
+//! The doc comments of [`Cli`], the variants of [`Command`] and the fields of [`SettingsFiles`] are the
+//! text of `--help`.
 
 use crate::operator_settings;
 use clap::{Args, Parser, Subcommand};
@@ -9,7 +12,7 @@
 #[derive(Parser)]
 #[command(version, about)]
 pub struct Cli {
-    /// What to do.
+    /// The subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -35,7 +38,7 @@
 }
 
 impl Command {
-    /// The settings files that the subcommand reads.
+    /// Returns the settings files that the subcommand reads.
     pub fn settings_files(&self) -> &SettingsFiles {
         match self {
             Self::Serve(files) | Self::Check(files) => files,
@@ -44,11 +47,12 @@
 }
 
 impl SettingsFiles {
-    /// Reads and checks the settings.
+    /// Reads the settings files and checks the settings.
     ///
     /// # Errors
     ///
-    /// A file cannot be read (the error names its path), or a setting is missing or invalid.
+    /// Returns an error if a file cannot be read (the error names its path), or if a setting is missing
+    /// or invalid (the error names the setting).
     pub fn read(&self) -> Result<Settings, SettingsError> {
         let mut settings = Settings::parse(&read_file(&self.config)?)?;
         if let Some(path) = &self.operator {
@@ -58,6 +62,11 @@
     }
 }
 
+/// Returns the content of a settings file.
+///
+/// # Errors
+///
+/// Returns an error that names the path if the file cannot be read.
 fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|error| SettingsError {
         field: path.display().to_string(),
--- a/crates/jasperhill/src/listen/tests.rs
+++ b/crates/jasperhill/src/listen/tests.rs
@@ -1,25 +1,26 @@
-//! Retries of binding an address.
+//! Retries of binding a listening socket.
 
 use super::*;
 
-/// A predecessor that has not quite exited holds the port for a while.
+/// After a quick restart, the previous process may not have exited completely and still holds the port.
+/// Binding the address is retried until the port is free. Other bind errors are not retried.
 #[test]
-fn an_address_in_use_is_retried() {
+fn retries_address_in_use_but_not_unavailable_address() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     runtime.block_on(async {
-        let predecessor = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let address = predecessor.local_addr().unwrap();
-        let predecessor_exits = async {
+        let previous_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = previous_listener.local_addr().unwrap();
+        let release_port = async {
             tokio::time::sleep(BIND_RETRY_PAUSE * 3).await;
-            drop(predecessor);
+            drop(previous_listener);
         };
-        let (bound, ()) = tokio::join!(listen(address, 16), predecessor_exits);
-        assert_eq!(bound.unwrap().local_addr().unwrap(), address);
-        // An address that cannot be bound at all is not retried.
-        let foreign: SocketAddr = "192.0.2.1:1".parse().unwrap();
-        assert!(listen(foreign, 16).await.is_err());
+        let (listener, ()) = tokio::join!(listen(address, 16), release_port);
+        assert_eq!(listener.unwrap().local_addr().unwrap(), address);
+        // An address that belongs to no local interface gives an error at once.
+        let non_local_address: SocketAddr = "192.0.2.1:1".parse().unwrap();
+        assert!(listen(non_local_address, 16).await.is_err());
     });
 }
--- a/crates/jasperhill/src/logging.rs
+++ b/crates/jasperhill/src/logging.rs
@@ -1,4 +1,5 @@
-//! Logging: the level from the environment, and the subscriber of the process.
+//! Logging: reads the log level from the environment and installs the `tracing` subscriber of the
+//! process.
 
 use jasperhill_controller::SettingsError;
 use tracing::level_filters::LevelFilter;
@@ -6,12 +7,13 @@
 /// The environment variable with the log level.
 const LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// The log level of the environment; `info` if it is unset or empty.
+/// Returns the log level from [`LEVEL_VARIABLE`]; `info` if the variable is unset, empty or not valid
+/// Unicode.
 ///
 /// # Errors
 ///
-/// The variable has a value that is no level.
-pub fn level() -> Result<LevelFilter, SettingsError> {
+/// Returns an error that names the variable if its value is not a log level.
+pub fn level_from_env() -> Result<LevelFilter, SettingsError> {
     match std::env::var(LEVEL_VARIABLE).as_deref() {
         Err(_) | Ok("") | Ok("info") => Ok(LevelFilter::INFO),
         Ok("error") => Ok(LevelFilter::ERROR),
@@ -24,9 +26,13 @@
     }
 }
 
-/// Installs the subscriber, which writes to standard error without colours and times.
-/// Called once, before the controller starts.
-pub fn install(level: LevelFilter) {
+/// Installs the global subscriber, which writes to standard error without colours and timestamps.
+///
+/// # Panics
+///
+/// Panics if a global subscriber is already installed: call this function once, before the controller
+/// starts.
+pub fn install_subscriber(level: LevelFilter) {
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(level)
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -1,5 +1,5 @@
-//! The binary: reads the settings, sets up logging, and runs one controller or checks its settings.
-//! Errors are mapped to exit codes here and nowhere else.
+//! The `jasperhill` binary: reads the settings, sets up logging, and runs one controller or prints its
+//! settings. This module alone maps errors to exit codes.
 
 mod check;
 mod cli;
@@ -13,21 +13,24 @@
 use jasperhill_controller::SettingsError;
 use std::process::ExitCode;
 
-/// Exit code: an address cannot be bound, or the runtime cannot start.
+/// The exit code if an address cannot be bound or the runtime cannot start.
 const EXIT_START: u8 = 1;
-/// Exit code: the settings cannot be used.
+/// The exit code if the settings are invalid.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Why the process ends.
+/// The reason why the process exits with an error.
 #[derive(Debug, thiserror::Error)]
 enum Error {
+    /// The settings files or the environment contain an invalid setting.
     #[error(transparent)]
     Settings(#[from] SettingsError),
+    /// An address cannot be bound, or the runtime cannot start.
     #[error(transparent)]
     Start(#[from] std::io::Error),
 }
 
 impl Error {
+    /// Returns the exit code of the process for this error.
     fn exit_code(&self) -> ExitCode {
         match self {
             Self::Settings(_) => ExitCode::from(EXIT_SETTINGS),
@@ -37,7 +40,7 @@
 }
 
 fn main() -> ExitCode {
-    match execute(&Cli::parse().command) {
+    match run_command(&Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("jasperhill: {error}");
@@ -46,13 +49,18 @@
     }
 }
 
-fn execute(command: &Command) -> Result<(), Error> {
+/// Reads the settings and runs one subcommand.
+///
+/// # Errors
+///
+/// Returns an error if the settings are invalid or the controller cannot start.
+fn run_command(command: &Command) -> Result<(), Error> {
     let settings = command.settings_files().read()?;
-    let level = logging::level()?;
+    let log_level = logging::level_from_env()?;
     match command {
         Command::Check(_) => check::print_settings(&settings),
         Command::Serve(_) => {
-            logging::install(level);
+            logging::install_subscriber(log_level);
             serve::run(settings)?;
         }
     }
--- a/crates/jasperhill/src/operator_settings.rs
+++ b/crates/jasperhill/src/operator_settings.rs
@@ -1,24 +1,26 @@
-//! The operators' settings file: protobuf text format, checked against the schema in
-//! `proto/operator.proto` and against the range of each field. Stateless.
+//! The parser of the operators' settings file, which is in protobuf text format.
+//!
+//! [`parse`] checks the file against the schema in `proto/operator.proto` and each field against its
+//! range. Stateless.
 
 use jasperhill_controller::{OperatorSettings, SettingsError};
 use jasperhill_wire::Micros;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
-/// The name of the schema, for the compiler.
-const SCHEMA_FILE: &str = "operator.proto";
-/// The text of the schema.
+/// The file name under which the protobuf compiler opens the schema.
+const SCHEMA_FILE_NAME: &str = "operator.proto";
+/// The source text of the protobuf schema.
 const SCHEMA_SOURCE: &str = include_str!("../proto/operator.proto");
 
-/// The full name of the message that a settings file contains.
+/// The full protobuf name of the message type that a settings file contains.
 const MESSAGE_NAME: &str = "jasperhill.Operator";
 
-/// Resolves the schema from the binary instead of the file system.
+/// A protobuf file resolver that opens the schema embedded in the binary instead of a file on disk.
 struct EmbeddedSchema;
 
 impl protox::file::FileResolver for EmbeddedSchema {
     fn open_file(&self, name: &str) -> Result<protox::file::File, protox::Error> {
-        if name == SCHEMA_FILE {
+        if name == SCHEMA_FILE_NAME {
             protox::file::File::from_source(name, SCHEMA_SOURCE)
         } else {
             Err(protox::Error::file_not_found(name))
@@ -26,7 +28,7 @@
     }
 }
 
-/// An error in one field; the reason is put on one line.
+/// Returns a settings error for one field. Line breaks in the reason are replaced by spaces.
 fn settings_error(field: &str, reason: impl std::fmt::Display) -> SettingsError {
     SettingsError {
         field: field.to_owned(),
@@ -34,24 +36,29 @@
     }
 }
 
-/// The schema of a settings file.
+/// Compiles the schema and returns the descriptor of the settings message.
+///
+/// # Errors
+///
+/// Returns an error for the field `schema` if the embedded schema is invalid.
 fn message_descriptor() -> Result<MessageDescriptor, SettingsError> {
     let mut compiler = protox::Compiler::with_file_resolver(EmbeddedSchema);
     compiler
-        .open_file(SCHEMA_FILE)
+        .open_file(SCHEMA_FILE_NAME)
         .map_err(|e| settings_error("schema", e))?;
-    let pool = DescriptorPool::from_file_descriptor_set(compiler.file_descriptor_set())
+    let descriptor_pool = DescriptorPool::from_file_descriptor_set(compiler.file_descriptor_set())
         .map_err(|e| settings_error("schema", e))?;
-    pool.get_message_by_name(MESSAGE_NAME)
+    descriptor_pool
+        .get_message_by_name(MESSAGE_NAME)
         .ok_or_else(|| settings_error("schema", "incomplete"))
 }
 
-/// The value of a numeric field if it is set.
+/// Returns the value of a numeric field; `None` if the field is not set.
 ///
 /// # Errors
 ///
-/// An error that names the field if its value is not a finite number from `min` to `max`.
-fn number(
+/// Returns an error that names the field if its value is not a finite number from `min` to `max`.
+fn number_in_range(
     message: &DynamicMessage,
     field: &str,
     min: f64,
@@ -70,15 +77,15 @@
     }
 }
 
-/// Parses the operators' settings; fields that are not set keep their defaults.
+/// Parses the operators' settings. Fields that are not set keep their defaults.
 ///
 /// # Errors
 ///
-/// The first syntax error, unknown field or value out of range, on one line.
+/// Returns the first syntax error, unknown field or value out of range, as an error on one line.
 pub fn parse(text: &str) -> Result<OperatorSettings, SettingsError> {
     let message = DynamicMessage::parse_text_format(message_descriptor()?, text)
         .map_err(|e| settings_error("operator settings", e))?;
-    let number = |field, min, max| number(&message, field, min, max);
+    let number = |field, min, max| number_in_range(&message, field, min, max);
     let mut settings = OperatorSettings::default();
     let tuning = &mut settings.tuning;
     if let Some(factor) = number("uncertainty_factor", 0.0, 100.0)? {
--- a/crates/jasperhill/src/operator_settings/tests.rs
+++ b/crates/jasperhill/src/operator_settings/tests.rs
@@ -1,10 +1,10 @@
-//! Settings files: their meaning, their errors, and that no text makes the parser panic.
+//! Parsing of the operators' settings file: field values, errors, and arbitrary text.
 
 use super::*;
 use proptest::prelude::*;
 
 #[test]
-fn values_are_read_and_the_rest_stays_default() {
+fn set_fields_are_read_and_absent_fields_keep_defaults() {
     let settings =
         parse("headroom: 0.5\nsession_s: 8 floor_machines: 6 restless_after: 0").unwrap();
     assert_eq!(settings.crash_loop_threshold, Some(0));
@@ -15,9 +15,10 @@
     assert_eq!(parse("").unwrap(), OperatorSettings::default());
 }
 
-/// A file with everything that commit 6144652 understood: names and meanings stay.
+/// Settings files written for an earlier version must keep their meaning. This file sets every field that
+/// commit 6144652 supported.
 #[test]
-fn a_file_of_an_earlier_version_means_what_it_did() {
+fn file_of_earlier_version_gives_same_settings() {
     let settings = parse(
         "uncertainty_factor: 1.5 headroom: 0.25 idle_keep_s: 12.5 session_s: 9\n\
          floor_machines: 6 restless_after: 4 least_share: 0.5",
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_named() {
+fn error_names_out_of_range_or_unknown_field() {
     assert_eq!(parse("least_share: 2").unwrap_err().field, "least_share");
     assert_eq!(parse("headroom: -1").unwrap_err().field, "headroom");
     assert_eq!(
@@ -56,7 +57,7 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn any_text_is_read_or_refused_in_one_line(text in "[a-z_:0-9. \\n{}\"-]{0,60}") {
+    fn arbitrary_text_is_parsed_or_refused_with_single_line_error(text in "[a-z_:0-9. \\n{}\"-]{0,60}") {
         if let Err(error) = parse(&text) {
             prop_assert!(!error.to_string().contains('\n'));
         }
--- a/crates/jasperhill/src/serve.rs
+++ b/crates/jasperhill/src/serve.rs
@@ -1,5 +1,7 @@
-//! The subcommand `serve`: listens for users, workers and other controllers, and runs the controller
-//! on a single-threaded runtime.
+//! The `serve` subcommand: runs one controller on a single-threaded runtime.
+//!
+//! One listener accepts users and workers, a second one accepts other controllers. Both share the
+//! connection budget of the process.
 
 use crate::listen::listen;
 use jasperhill_connections::Class;
@@ -8,39 +10,46 @@
 use std::{rc::Rc, time::Duration};
 use tokio::task::LocalSet;
 
-/// The backlog of a listener is this fraction of the platform's connection limit.
+/// The platform's connection limit is divided by this number to get the backlog of a listener.
 const BACKLOG_DIVISOR: usize = 17;
-/// The least and the largest backlog (connections).
+/// The minimum backlog of the listener for users and workers, in connections.
 const BACKLOG_MIN: usize = 16;
+/// The maximum backlog of a listener, in connections.
 const BACKLOG_MAX: usize = 256;
-/// The listener for controllers has this fraction of the backlog: there are few of them.
+/// The backlog of the listener for other controllers is smaller by this factor, because there are few
+/// controllers.
 const PEER_BACKLOG_DIVISOR: u32 = 4;
-/// A connection of a worker is closed after this many heartbeat intervals without a request.
-const WORKER_IDLE_INTERVALS: f64 = 2.5;
+/// The number of heartbeat intervals without a request after which a worker's connection is closed.
+const WORKER_IDLE_HEARTBEAT_INTERVALS: f64 = 2.5;
 
-/// Runs a controller until the process is ended.
+/// Runs a controller until the process is terminated.
 ///
 /// # Errors
 ///
-/// The runtime cannot start, or an address cannot be bound.
+/// Returns an error if the runtime cannot start or an address cannot be bound.
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(LocalSet::new().run_until(async move {
-        // Guards against a process that stalls while all workers connect: connections that wait to
-        // be accepted count against the platform's limit, but not in the connection budget.
+        // The backlog is bounded in case the process stalls while all workers connect: connections that
+        // wait to be accepted count against the platform's connection limit, but not in the connection
+        // budget.
         let backlog = (settings.max_connections / BACKLOG_DIVISOR).clamp(BACKLOG_MIN, BACKLOG_MAX);
         let backlog = backlog as u32;
         let user_listener = listen(settings.bind, backlog).await?;
         let peer_listener = listen(settings.mesh, backlog / PEER_BACKLOG_DIVISOR).await?;
         tracing::info!(member = %settings.member, bind = %settings.bind, "jasperhill serves");
         let connections = transport::new_connection_tracker(&settings);
-        // A worker sends a heartbeat after an interval and a quarter at the latest; after twice that
-        // it has moved to another controller, and a partition may hide that it closed its end.
+        // A worker sends its next heartbeat within 1.25 heartbeat intervals. After twice that time the
+        // worker has moved to another controller, and a network partition may hide that the worker
+        // closed the connection.
         let limits = ServerLimits {
-            idle_worker: Duration::from_micros(
-                settings.heartbeat_interval.scale(WORKER_IDLE_INTERVALS).0,
+            worker_idle_timeout: Duration::from_micros(
+                settings
+                    .heartbeat_interval
+                    .scale(WORKER_IDLE_HEARTBEAT_INTERVALS)
+                    .0,
             ),
             ..ServerLimits::default()
         };
