--- a/crates/jasperhill-http/src/client.rs
+++ b/crates/jasperhill-http/src/client.rs
@@ -23,8 +23,8 @@
 };
 
 /// Default limit on the body of a response, in bytes. The client does not read a longer body. Guards
-/// against a watch that is far behind: decoding its response would need many times the length of the
-/// body in memory at once.
+/// against the response to a watch that is far behind, which would need many times its length in memory
+/// at once.
 pub const RESPONSE_BODY_MAX: usize = 3 * 1024 * 1024;
 
 /// The lowest status code of a final response; lower codes are interim responses.
@@ -67,7 +67,7 @@
     /// the error says nothing about the state of the peer.
     #[error("connection budget exhausted, request not sent")]
     NoSocket,
-    /// The request was sent, at least in part, without a valid response in time: it may have been
+    /// A connection was established, but no valid response arrived in time: the request may have been
     /// executed or may still be executed.
     #[error("no response, request may have been executed")]
     NoAnswer,
--- a/crates/jasperhill-http/tests/loopback.rs
+++ b/crates/jasperhill-http/tests/loopback.rs
@@ -213,8 +213,8 @@
     });
 }
 
-/// When the connection budget is used up, connections of users are closed with `Connection: close` in
-/// the response, so that the connections of workers are still kept open.
+/// Idle connections of users are given up for connections of workers. While there is no capacity, a user
+/// still gets a response, which announces the end of the connection with `Connection: close`.
 #[test]
 fn worker_connections_are_kept_open_when_users_fill_the_budget() {
     with_server(40, ServerLimits::default(), |address| async move {
--- a/crates/jasperhill/src/main.rs
+++ b/crates/jasperhill/src/main.rs
@@ -1,5 +1,5 @@
-//! The `jasperhill` binary: reads the settings, sets up logging, and runs one controller or prints its
-//! settings. This module alone maps errors to exit codes.
+//! The `jasperhill` binary: reads the settings, sets up logging, and runs one controller or checks and
+//! prints its settings. This module alone maps errors to exit codes.
 
 mod check;
 mod cli;
