--- a/crates/jasperhill-testkit/src/connections.rs
+++ b/crates/jasperhill-testkit/src/connections.rs
@@ -1,6 +1,10 @@
-//! Connections as the platform counts them: each that a controller's process has open is a socket
-//! of it, idle or not, and beyond the limit no new one comes about. A process's own account of them
-//! is asked as its server and client ask it.
+//! Connections of the simulated controllers, counted twice.
+//!
+//! The platform limits the sockets of a process with a [`SocketLimit`]: every open connection, idle or
+//! not, holds one [`Socket`], and beyond the limit no new connection can be opened. The process's own
+//! [`ConnectionTracker`] is called the way the real server and client call it.
+//! [`InboundConnection`] and [`OutboundConnections`] hold a socket and a permit of the tracker for every
+//! open connection.
 
 use jasperhill_connections::Class;
 use jasperhill_controller::transport::class_of;
@@ -14,18 +18,22 @@
 };
 use tokio::time::Instant;
 
-/// What the platform sees of one life of a process.
+/// The platform's limit on the sockets of one process, from its start to its end.
 pub struct SocketLimit {
     limit: usize,
+    /// Sockets that are open now.
     open: Cell<usize>,
+    /// Most sockets that were open at the same time.
     pub peak: Cell<usize>,
+    /// Number of sockets refused because of the limit.
     pub refused: Cell<usize>,
 }
 
-/// One open socket.
+/// Open socket, closed on drop.
 pub struct Socket(Rc<SocketLimit>);
 
 impl SocketLimit {
+    /// Returns a limit with no open sockets.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             limit,
@@ -35,14 +43,15 @@
         })
     }
 
-    fn socket(self: &Rc<Self>) -> Option<Socket> {
-        let n = self.open.get() + 1;
-        if n > self.limit {
+    /// Opens a socket; `None` if the limit is reached.
+    fn open_socket(self: &Rc<Self>) -> Option<Socket> {
+        let open = self.open.get() + 1;
+        if open > self.limit {
             self.refused.set(self.refused.get() + 1);
             return None;
         }
-        self.open.set(n);
-        self.peak.set(self.peak.get().max(n));
+        self.open.set(open);
+        self.peak.set(self.peak.get().max(open));
         Some(Socket(self.clone()))
     }
 }
@@ -53,88 +62,101 @@
     }
 }
 
-type Ends = (Socket, ConnectionPermit);
-/// Idle ones by address, and since when.
-type Idle = HashMap<SocketAddr, Vec<(Ends, Instant)>>;
+/// Open connection: the platform's socket and the permit of the process's own tracker.
+type OpenConnection = (Socket, ConnectionPermit);
+/// Idle connections by address, each with the time at which it became idle.
+type IdleConnections = HashMap<SocketAddr, Vec<(OpenConnection, Instant)>>;
 
-/// A connection of a user or worker into a controller. Open as long as both sides hold it.
+/// Connection of a user, worker or the balancer to a controller. It is closed when the controller's
+/// tracker closes it or its last holder drops it.
 pub struct InboundConnection {
+    /// The controller.
     pub node: usize,
+    /// Generation of the controller's process; the connection ends with the process.
     pub life: u64,
-    ends: RefCell<Option<Ends>>,
+    /// `None` once closed.
+    open: RefCell<Option<OpenConnection>>,
 }
 
 impl InboundConnection {
-    /// Accepted, if there is room by the platform's and by the process's own account.
+    /// Opens a connection; `None` if the platform has no socket left or the process's own tracker gives
+    /// no permit.
     pub fn open(
         node: usize,
         life: u64,
         platform: &Rc<SocketLimit>,
-        own: &ConnectionTracker,
+        tracker: &ConnectionTracker,
     ) -> Option<Rc<Self>> {
-        let socket = platform.socket()?;
-        let ticket = own.open(Class::Accepted)?;
-        let ends = RefCell::new(Some((socket, ticket)));
-        let line = Rc::new(Self { node, life, ends });
-        line.rests().then_some(line)
+        let socket = platform.open_socket()?;
+        let permit = tracker.open(Class::Accepted)?;
+        let open = RefCell::new(Some((socket, permit)));
+        let connection = Rc::new(Self { node, life, open });
+        connection.rests().then_some(connection)
     }
 
+    /// Returns whether the connection is open.
     pub fn is_open(&self) -> bool {
-        self.ends.borrow().is_some()
+        self.open.borrow().is_some()
     }
 
-    /// A request has come; false if there is no room to carry it out.
+    /// Tells the tracker that a request has arrived. Returns false if its class has no capacity left, and
+    /// the request must be refused.
     pub fn begins(&self, request: &Request) -> bool {
         let class = class_of(request);
-        let ends = self.ends.borrow();
-        ends.as_ref()
-            .is_none_or(|(_, ticket)| ticket.start_request(class))
+        let open = self.open.borrow();
+        open.as_ref()
+            .is_none_or(|(_, permit)| permit.start_request(class))
     }
 
-    /// Its answer has gone; false if the connection closes with it.
+    /// Tells the tracker that the response has been sent, and the connection is idle. Returns false if the
+    /// connection is closed as a result. The tracker may also close it later, while it is idle.
     pub fn rests(self: &Rc<Self>) -> bool {
-        let line = Rc::downgrade(self);
+        let connection = Rc::downgrade(self);
         let close = move || {
-            if let Some(line) = line.upgrade() {
-                line.close();
+            if let Some(connection) = connection.upgrade() {
+                connection.close();
             }
         };
-        let stays = self
-            .ends
+        let stays_open = self
+            .open
             .borrow()
             .as_ref()
-            .is_some_and(|(_, t)| t.finish_request(close));
-        if !stays {
+            .is_some_and(|(_, permit)| permit.finish_request(close));
+        if !stays_open {
             self.close();
         }
-        stays
+        stays_open
     }
 
     fn close(&self) {
-        let ends = self.ends.borrow_mut().take();
-        drop(ends);
+        let open = self.open.borrow_mut().take();
+        drop(open);
     }
 }
 
-/// Connections of a controller to others, kept for a while.
+/// Pool of a controller's connections to other services, which keeps idle ones for reuse.
 pub struct OutboundConnections {
     platform: Rc<SocketLimit>,
+    /// The process's own tracker.
     pub own: ConnectionTracker,
-    idle: Rc<RefCell<Idle>>,
+    idle: Rc<RefCell<IdleConnections>>,
 }
 
-const IDLE: Duration = Duration::from_secs(20);
-const IDLE_PER_ADDRESS: usize = 4;
+/// How long an idle connection is kept.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Most idle connections kept to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 4;
 
-/// Why there is no connection.
+/// Reason why no connection could be opened.
 pub enum NoConnection {
-    /// By the process's own account.
+    /// The process's own tracker gave no permit.
     Own,
-    /// The platform gave none.
+    /// The platform's limit on sockets was reached.
     Platform,
 }
 
 impl OutboundConnections {
+    /// Returns an empty pool.
     pub fn new(platform: Rc<SocketLimit>, own: ConnectionTracker) -> Self {
         Self {
             platform,
@@ -143,37 +165,48 @@
         }
     }
 
-    pub fn take(&self, to: SocketAddr, class: Class) -> Result<Ends, NoConnection> {
-        self.idle.borrow_mut().retain(|_, list| {
-            list.retain(|(_, since)| since.elapsed() < IDLE);
-            !list.is_empty()
+    /// Takes an idle connection to an address, or opens a new one.
+    ///
+    /// # Errors
+    ///
+    /// Returns what refused a new connection: the tracker, which is asked first, or the platform.
+    pub fn take(&self, to: SocketAddr, class: Class) -> Result<OpenConnection, NoConnection> {
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|(_, idle_since)| idle_since.elapsed() < IDLE_TIMEOUT);
+            !connections.is_empty()
         });
-        let found = self.idle.borrow_mut().get_mut(&to).and_then(Vec::pop);
-        if let Some((ends, _)) = found
-            && ends.1.start_request(class)
+        let idle = self.idle.borrow_mut().get_mut(&to).and_then(Vec::pop);
+        if let Some((connection, _)) = idle
+            && connection.1.start_request(class)
         {
-            return Ok(ends);
+            return Ok(connection);
         }
-        let ticket = self.own.open(class).ok_or(NoConnection::Own)?;
-        let socket = self.platform.socket().ok_or(NoConnection::Platform)?;
-        Ok((socket, ticket))
+        let permit = self.own.open(class).ok_or(NoConnection::Own)?;
+        let socket = self.platform.open_socket().ok_or(NoConnection::Platform)?;
+        Ok((socket, permit))
     }
 
-    pub fn keep(&self, to: SocketAddr, ends: Ends) {
-        let (idle, key) = (Rc::downgrade(&self.idle), ends.1.id());
+    /// Returns a connection to the pool after a response. Closes it if the pool holds enough connections
+    /// to this address, or the tracker does not let it stay open.
+    pub fn keep(&self, to: SocketAddr, connection: OpenConnection) {
+        let (idle, id) = (Rc::downgrade(&self.idle), connection.1.id());
         let close = move || {
             if let Some(idle) = idle.upgrade() {
-                let gone = idle.borrow_mut().get_mut(&to).and_then(|list| {
-                    let n = list.iter().position(|((_, t), _)| t.id() == key)?;
-                    Some(list.swap_remove(n))
+                let closed = idle.borrow_mut().get_mut(&to).and_then(|connections| {
+                    let n = connections
+                        .iter()
+                        .position(|((_, permit), _)| permit.id() == id)?;
+                    Some(connections.swap_remove(n))
                 });
-                drop(gone);
+                drop(closed);
             }
         };
-        let held = self.idle.borrow().get(&to).map_or(0, Vec::len);
-        if held < IDLE_PER_ADDRESS && ends.1.finish_request(close) {
+        let idle_count = self.idle.borrow().get(&to).map_or(0, Vec::len);
+        if idle_count < MAX_IDLE_PER_ADDRESS && connection.1.finish_request(close) {
             let mut idle = self.idle.borrow_mut();
-            idle.entry(to).or_default().push((ends, Instant::now()));
+            idle.entry(to)
+                .or_default()
+                .push((connection, Instant::now()));
         }
     }
 }
--- a/crates/jasperhill-testkit/src/faults.rs
+++ b/crates/jasperhill-testkit/src/faults.rs
@@ -1,39 +1,48 @@
-//! Troubles: who can't reach whom, what is down, and what is delivered late.
+//! Faults that a scenario injects into the simulated cluster.
+//!
+//! [`Fault`] describes a fault as it stands in a scenario. [`ActiveFaults`] holds the faults that are
+//! in effect, is asked by the simulated network, services and workers on every message, and counts in
+//! [`FaultCounts`] how often the faults took effect. Its random numbers come from its own generator, so that
+//! drawing them doesn't change any other random choice of the run.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Sender or receiver of requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
+    /// Controller with this index.
     Node(usize),
+    /// State service.
     State,
+    /// Cloud.
     Cloud,
-    /// The workers of a zone.
+    /// All workers of a zone.
     Zone(String),
 }
 
-/// What becomes of requests on a link, from the one who asks to the one who answers.
+/// Fault of a link in one direction, from the sender of requests to the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Held back, and delivered afterwards although nobody waits any more.
+    /// Requests are held back and delivered when the fault ends, after their senders have given up.
     Held,
-    /// Connections end: some requests are executed, no answer comes.
+    /// Connections are reset: half of the requests are executed, and none is answered.
     Reset,
-    /// No connection comes about.
+    /// Connections can't be opened, so no request is executed.
     Refused,
-    /// Requests arrive, their answers don't.
+    /// Requests are executed, but their answers are lost.
     NoAnswers,
-    /// Requests get lost; answers to those before arrive.
+    /// Requests are lost; answers to requests sent before the fault still arrive.
     NoRequests,
-    /// Each way takes this many milliseconds longer.
+    /// Requests and answers each take this many milliseconds longer.
     Slow(u64),
-    /// So many of a hundred get lost.
+    /// This percentage of requests is lost, and of answers as well.
     Lossy(u64),
 }
 
 impl LinkFault {
-    /// Each that makes a link useless.
+    /// All faults during which no request on the link is answered.
     pub const CUTTING: [Self; 5] = [
         Self::Held,
         Self::Reset,
@@ -43,68 +52,80 @@
     ];
 }
 
+/// Fault of a scenario. A `Duration` without a description of its own is how long the fault lasts.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// Requests from one place to another, in this direction alone.
+    /// Requests from the first endpoint to the second are affected; the other direction is not.
     Link(Endpoint, Endpoint, LinkFault, Duration),
-    /// The controller ends and is back after this long.
+    /// The controller crashes and is restarted after this long.
     Crash(usize, Duration),
-    /// Whoever leads the fleet by the store ends and is back after this long.
+    /// The controller that is the leader according to the state service crashes and is restarted after
+    /// this long.
     CrashLeader(Duration),
-    /// The controller ends so many times: each life lasts so long, and the next one begins so soon.
+    /// The controller crashes several times in a row.
     CrashLoop {
+        /// Index of the controller.
         node: usize,
+        /// Number of crashes.
         times: usize,
+        /// Time from a restart to the next crash.
         life: Duration,
+        /// Time from a crash to the restart.
         back: Duration,
     },
-    /// No packets between two places; some are held back and delivered afterwards.
+    /// Two endpoints are partitioned from each other in both directions; some requests are held back and
+    /// delivered after the partition.
     Cut(Endpoint, Endpoint, Duration),
+    /// The state service answers every request with 503; open watches stay open.
     StateOutage(Duration),
-    /// One controller alone is answered 503.
+    /// The state service answers this controller's requests with 503, and serves the others.
     Refused(usize, Duration),
+    /// The cloud answers every request with 503.
     CloudOutage(Duration),
-    /// A machine stops with all that is on it.
+    /// A machine drawn at random fails permanently, together with its tasks.
     MachineLoss,
-    /// A controller is ended and comes back with the new version.
+    /// The controller is stopped and started with the new version after this long.
     Upgrade(usize, Duration),
-    /// The state service has its coming limits from now on.
+    /// The state service enforces its announced stricter limits from now on.
     LimitsFall,
-    /// The controller stands still while its clocks run on: nothing goes out or comes in, and
-    /// what was decided before goes out afterwards.
+    /// The controller's process pauses while its clocks run on: no request or answer is sent or received,
+    /// and requests decided on before the pause are sent after it.
     Stall(usize, Duration),
-    /// Machines rented meanwhile come up at once, late, or never.
+    /// Machines rented meanwhile boot at once, late, or never.
     BadBoots(Duration),
-    /// So many of a hundred transactions of any controller get no answer and are carried out 2 to 12
-    /// seconds later, after newer ones.
+    /// This percentage of all controllers' transactions gets no answer and is executed 2 to 12 seconds
+    /// later, after newer transactions.
     LateWrites(u64, Duration),
-    /// Of so many of a hundred reports a copy comes again, 2 seconds to two leases later, at any
-    /// controller.
+    /// This percentage of heartbeats is delivered a second time, 2 seconds to two lease durations later,
+    /// to any controller.
     LateHeartbeats(u64, Duration),
-    /// So many of a hundred workers are not reached: their reports arrive, answers and direct
+    /// This percentage of workers receives nothing: their heartbeats arrive, but answers and direct
     /// commands are lost.
     NotReceiving(u64, Duration),
-    /// So many of a hundred workers reach no controller, while direct commands reach them.
+    /// This percentage of workers can't send heartbeats to any controller, while direct commands reach
+    /// them.
     NotSending(u64, Duration),
-    /// So many machines stand still, with all that is on them, and go on.
+    /// This many machines hang, together with their tasks, and resume afterwards.
     Hang(usize, Duration),
-    /// Users call off so many jobs that run and have long to go, within a fifth of a second; up to
-    /// eight of their machines then hang that long.
+    /// Users cancel this many running jobs that are far from complete, within 200 ms; up to eight of the
+    /// jobs' machines then hang for the duration.
     CancelNow(usize, Duration),
-    /// So many of a hundred jobs that end are called off, asked about and submitted again at the
-    /// moment of the end.
+    /// This percentage of jobs is cancelled, queried and submitted again at the moment at which the job
+    /// completes.
     CancelAtEnd(u64, Duration),
-    /// Users repeat submissions of unfinished jobs, cancel what is over, and send jobs that can't run
-    /// or lack a field.
+    /// Users repeat submissions of unfinished jobs, cancel jobs that have ended, and submit jobs that can
+    /// never run or lack a field.
     InvalidRequests(Duration),
-    /// So many of a hundred direct commands, or their answers, are held up for 2 to 90 seconds.
+    /// This percentage of direct commands is affected: the command, or only its answer, is delayed by 2 to
+    /// 90 seconds.
     DelayedCommands(u64, Duration),
-    /// Records of hosts can't be written, as when a block has outgrown what a value may hold.
+    /// The state service refuses writes of host records as too large, as happens when a block of records
+    /// outgrows the limit on a value.
     NoHostWrites(Duration),
 }
 
 impl Fault {
-    /// How long it takes until nothing of it is left but its consequences.
+    /// Returns how long the fault itself lasts; its consequences may last longer.
     pub fn lasts(&self) -> Duration {
         match self {
             Self::Link(.., time)
@@ -135,150 +156,194 @@
     }
 }
 
+/// Faults in effect. Every fault is stored with the time at which it ends.
 #[derive(Default)]
 pub struct ActiveFaults {
-    cuts: Vec<(Endpoint, Endpoint, Instant)>,
+    /// Pairs of endpoints partitioned from each other in both directions.
+    partitions: Vec<(Endpoint, Endpoint, Instant)>,
+    /// Link faults, from sender to receiver.
     links: Vec<(Endpoint, Endpoint, LinkFault, Instant)>,
+    /// Controllers that the state service refuses.
     refused: Vec<(usize, Instant)>,
+    /// End of the state service's outage.
     pub state_until: Option<Instant>,
+    /// End of the cloud's outage.
     pub cloud_until: Option<Instant>,
+    /// End of abnormal boot times.
     pub bad_boots_until: Option<Instant>,
-    frozen: Vec<(usize, Instant)>,
-    /// What some part of the messages meets, until when.
-    pub late_writes: Fraction,
-    pub late_reports: Fraction,
-    pub held_orders: Fraction,
+    /// Controllers whose process is paused.
+    stalled: Vec<(usize, Instant)>,
+    /// Percentage of transactions that are delayed.
+    pub late_writes: ActivePercentage,
+    /// Percentage of heartbeats that are delivered again later.
+    pub late_reports: ActivePercentage,
+    /// Percentage of direct commands that are delayed, or whose answers are.
+    pub held_orders: ActivePercentage,
+    /// End of the refusal of host record writes.
     pub no_host_writes_until: Option<Instant>,
-    /// Workers that hear nothing, that reach nobody, and that stand still.
-    deaf: Vec<(String, Instant)>,
-    mute: Vec<(String, Instant, Instant)>,
+    /// Workers that receive no answers or direct commands.
+    not_receiving: Vec<(String, Instant)>,
+    /// Workers that can't send heartbeats: name, start and end.
+    not_sending: Vec<(String, Instant, Instant)>,
+    /// Workers whose machine hangs.
     hung: Vec<(String, Instant)>,
-    pub cancel_at_end: Fraction,
-    /// How often each of these was met with.
+    /// Percentage of completing jobs that are cancelled at that moment.
+    pub cancel_at_end: ActivePercentage,
+    /// How often each fault took effect.
     pub met: FaultCounts,
-    /// Luck of its own: what is drawn here changes nothing that is drawn elsewhere.
+    /// Generator of its own: numbers drawn from it change no other random choice of the run. `None` until
+    /// it is seeded or first used.
     rng: Option<StdRng>,
 }
 
-/// So many of a hundred, until then.
+/// Percentage of messages or jobs that a fault affects, and the time at which the fault ends; `None` if it
+/// never began.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fraction(Option<(u64, Instant)>);
+pub struct ActivePercentage(Option<(u64, Instant)>);
 
-impl Fraction {
+impl ActivePercentage {
+    /// Starts the fault for this percentage, in place of an earlier one.
     pub fn begin(&mut self, percent: u64, until: Instant) {
         self.0 = Some((percent, until));
     }
-    fn now(&self, now: Instant) -> u64 {
+    /// Returns the percentage in effect, 0 if the fault has ended.
+    fn percent_at(&self, now: Instant) -> u64 {
         self.0.filter(|(_, t)| now < *t).map_or(0, |(p, _)| p)
     }
 }
 
-/// A test that never met what it is about would prove nothing.
+/// How often faults took effect. Tests assert on these counts, because a test whose fault never occurred
+/// would prove nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultCounts {
-    /// Transactions carried out late.
+    /// Delayed transactions that were executed.
     pub late_writes: usize,
-    /// Of those, after a newer one of the same controller, and such as changed something then.
+    /// Delayed transactions that were executed after a newer transaction of the same controller.
     pub overtaken: usize,
+    /// Transactions counted in `overtaken` that were committed nevertheless.
     pub effective: usize,
+    /// Second copies of heartbeats that were delivered late.
     pub late_reports: usize,
-    /// Answers and commands that deaf machines did not hear.
+    /// Heartbeat answers and direct commands lost on workers that receive nothing.
     pub unheard: usize,
+    /// Direct commands that were delayed, or whose answers were.
     pub held_orders: usize,
-    /// Of those, carried out by the worker when they came.
+    /// Delayed direct commands that the worker accepted when they arrived. Includes commands delayed
+    /// because the machine hung.
     pub held_done: usize,
-    /// Reports of mute machines for which no connection came about, and direct commands that they
-    /// carried out meanwhile.
+    /// Heartbeats that workers unable to send could not open a connection for.
     pub mute_reports: usize,
+    /// Requests with direct commands that workers unable to send accepted.
     pub mute_orders: usize,
-    /// Starts on machines that had been mute for some reports.
+    /// Tasks that direct commands added on workers that had been unable to send for several heartbeats.
     pub mute_starts: usize,
-    /// Late copies of reports of machines that were gone, and such machines that got a record.
+    /// Late copies of heartbeats from machines that no longer existed and had no host record.
     pub late_of_gone: usize,
+    /// Copies counted in `late_of_gone` after which the machine had a host record again.
     pub taken_on_gone: usize,
-    /// Machines that stood still with tasks, and such as went on within their lease.
+    /// Machines that hung.
     pub hung: usize,
+    /// Machines that still had tasks when they resumed from a hang, and had kept their lease.
     pub went_on: usize,
-    /// Jobs called off while they ran, and at the moment of their end; of those, such as were done.
+    /// Jobs cancelled while they ran, by `Fault::CancelNow`.
     pub called_off: usize,
+    /// Jobs cancelled at the moment of their completion, by `Fault::CancelAtEnd`.
     pub at_end: usize,
+    /// Jobs counted in `at_end` that were reported as done.
     pub at_end_done: usize,
-    /// Odd requests that got a verdict.
+    /// Repeated or invalid requests of `Fault::InvalidRequests` that were answered as they should be.
     pub odd: usize,
-    /// Reports answered 200 by a controller that the state service refuses.
+    /// Heartbeats answered with 200 by a controller that the state service refuses.
     pub answered_refused: usize,
 }
 
 impl ActiveFaults {
-    /// Draws from its own luck whether this message is among so many of a hundred.
-    fn is_hit(&mut self, percent: u64) -> bool {
+    /// Returns true with this probability, in percent. Draws no number if it is 0.
+    fn draw_percent(&mut self, percent: u64) -> bool {
         percent > 0 && self.draw(100) < percent
     }
+    /// Returns a random number below `n`.
     pub fn draw(&mut self, n: u64) -> u64 {
-        let luck = self.rng.get_or_insert_with(|| StdRng::seed_from_u64(1));
-        luck.random_range(0..n)
+        let rng = self.rng.get_or_insert_with(|| StdRng::seed_from_u64(1));
+        rng.random_range(0..n)
     }
+    /// Seeds the generator.
     pub fn seed(&mut self, seed: u64) {
         self.rng = Some(StdRng::seed_from_u64(seed));
     }
-    /// How late a transaction, an order or a copy of a report is, if it is.
+    /// Returns the delay of a transaction; `None` if it is not delayed.
     pub fn late_write(&mut self, now: Instant) -> Option<Duration> {
-        let percent = self.late_writes.now(now);
-        self.is_hit(percent)
+        let percent = self.late_writes.percent_at(now);
+        self.draw_percent(percent)
             .then(|| Duration::from_millis(2_000 + self.draw(10_000)))
     }
+    /// Returns the delay after which a heartbeat is delivered again; `None` if it is not.
     pub fn late_report(&mut self, now: Instant, lease: Duration) -> Option<Duration> {
-        let percent = self.late_reports.now(now);
-        let most = 2 * lease.as_millis() as u64 - 2_000;
-        self.is_hit(percent)
-            .then(|| Duration::from_millis(2_000 + self.draw(most)))
+        let percent = self.late_reports.percent_at(now);
+        let range_ms = 2 * lease.as_millis() as u64 - 2_000;
+        self.draw_percent(percent)
+            .then(|| Duration::from_millis(2_000 + self.draw(range_ms)))
     }
-    /// With whether it is the answer that is held up.
+    /// Returns the delay of a direct command and whether only its answer is delayed; `None` if neither is.
     pub fn held_order(&mut self, now: Instant) -> Option<(Duration, bool)> {
-        let percent = self.held_orders.now(now);
-        self.is_hit(percent).then(|| {
-            let by = Duration::from_millis(2_000 + self.draw(88_000));
-            (by, self.draw(3) == 0)
+        let percent = self.held_orders.percent_at(now);
+        self.draw_percent(percent).then(|| {
+            let delay = Duration::from_millis(2_000 + self.draw(88_000));
+            (delay, self.draw(3) == 0)
         })
     }
+    /// Makes a worker receive nothing until this time.
     pub fn deafen(&mut self, worker: String, until: Instant) {
-        self.deaf.push((worker, until));
+        self.not_receiving.push((worker, until));
     }
+    /// Returns whether a worker receives nothing.
     pub fn is_deaf(&self, worker: &str, now: Instant) -> bool {
-        self.deaf.iter().any(|(w, t)| w == worker && now < *t)
+        self.not_receiving
+            .iter()
+            .any(|(w, t)| w == worker && now < *t)
     }
 
+    /// Makes a worker unable to send heartbeats until this time.
     pub fn silence(&mut self, worker: String, now: Instant, until: Instant) {
-        self.mute.push((worker, now, until));
+        self.not_sending.push((worker, now, until));
     }
+    /// Returns whether a worker is unable to send heartbeats.
     pub fn is_mute(&self, worker: &str, now: Instant) -> bool {
         self.mute_for(worker, now).is_some()
     }
-    /// How long a machine has been mute.
+    /// Returns how long a worker has been unable to send heartbeats; `None` if it can send.
     pub fn mute_for(&self, worker: &str, now: Instant) -> Option<Duration> {
-        let mute = self.mute.iter().filter(|(w, _, t)| w == worker && now < *t);
-        mute.map(|(_, from, _)| now - *from).max()
+        let active = self
+            .not_sending
+            .iter()
+            .filter(|(w, _, t)| w == worker && now < *t);
+        active.map(|(_, from, _)| now - *from).max()
     }
+    /// Makes a worker's machine hang until this time.
     pub fn hang(&mut self, worker: String, until: Instant) {
         self.hung.push((worker, until));
     }
-    /// Until when a machine stands still.
+    /// Returns the time at which a machine resumes; `None` if it does not hang.
     pub fn hangs_until(&self, worker: &str, now: Instant) -> Option<Instant> {
-        let still = self.hung.iter().filter(|(w, t)| w == worker && now < *t);
-        still.map(|(_, t)| *t).max()
+        let active = self.hung.iter().filter(|(w, t)| w == worker && now < *t);
+        active.map(|(_, t)| *t).max()
     }
+    /// Returns whether a job that completes now is cancelled at this moment; draws a random number.
     pub fn at_end(&mut self, now: Instant) -> bool {
-        let percent = self.cancel_at_end.now(now);
-        self.is_hit(percent)
+        let percent = self.cancel_at_end.percent_at(now);
+        self.draw_percent(percent)
     }
 
+    /// Partitions two endpoints from each other until this time.
     pub fn cut(&mut self, a: Endpoint, b: Endpoint, until: Instant) {
-        self.cuts.push((a, b, until));
+        self.partitions.push((a, b, until));
     }
-    pub fn link(&mut self, from: Endpoint, to: Endpoint, kind: LinkFault, until: Instant) {
-        self.links.push((from, to, kind, until));
+    /// Makes a link faulty in one direction until this time.
+    pub fn link(&mut self, from: Endpoint, to: Endpoint, fault: LinkFault, until: Instant) {
+        self.links.push((from, to, fault, until));
     }
-    /// What becomes of requests from one place to another, and until when.
+    /// Returns the fault of a link in this direction and the time at which it ends; of several, the one
+    /// that ends last.
     pub fn on_link(
         &self,
         from: &Endpoint,
@@ -288,35 +353,38 @@
         self.links
             .iter()
             .filter(|(a, b, _, until)| now < *until && a == from && b == to)
-            .map(|(_, _, kind, until)| (*kind, *until))
+            .map(|(_, _, fault, until)| (*fault, *until))
             .max_by_key(|(_, until)| *until)
     }
-    /// Nothing speaks against requests from one place to another.
+    /// Returns whether there is neither a link fault nor a partition in this direction.
     pub fn is_whole(&self, from: &Endpoint, to: &Endpoint, now: Instant) -> bool {
         self.on_link(from, to, now).is_none() && self.cut_until(from, to, now).is_none()
     }
+    /// Makes the state service refuse a controller until this time.
     pub fn refuse(&mut self, node: usize, until: Instant) {
         self.refused.push((node, until));
     }
+    /// Pauses a controller's process until this time.
     pub fn freeze(&mut self, node: usize, until: Instant) {
-        self.frozen.push((node, until));
+        self.stalled.push((node, until));
     }
-    /// Until when a controller stands still.
+    /// Returns the time at which a controller's process resumes; `None` if it is not paused.
     pub fn frozen_until(&self, node: usize, now: Instant) -> Option<Instant> {
-        self.frozen
+        self.stalled
             .iter()
             .filter(|(n, until)| *n == node && now < *until)
             .map(|(_, until)| *until)
             .max()
     }
-    /// Until when these two can't reach each other.
+    /// Returns the time at which the partition between two endpoints ends; `None` if there is none.
     pub fn cut_until(&self, a: &Endpoint, b: &Endpoint, now: Instant) -> Option<Instant> {
-        self.cuts
+        self.partitions
             .iter()
             .filter(|(x, y, until)| now < *until && ((x == a && y == b) || (x == b && y == a)))
             .map(|(.., until)| *until)
             .max()
     }
+    /// Returns whether the state service refuses a controller.
     pub fn is_refused(&self, node: usize, now: Instant) -> bool {
         self.refused
             .iter()
--- a/crates/jasperhill-testkit/src/invariants.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -1,4 +1,9 @@
-//! The protocol's rules, asserted at every step.
+//! Checks of the protocol's rules during a simulated run.
+//!
+//! [`InvariantChecker`] observes the workers and the answers that users get, and checks the rules at
+//! every tick and every answer. A broken rule is recorded as a text that begins with the rule's name,
+//! such as `ran_twice` or `forgotten`; the run goes on. The checker also counts what happened, so that a
+//! test can assert that a run exercised what it is about.
 
 use crate::worker::{Worker, WorkerObserver};
 use jasperhill_wire::{
@@ -11,151 +16,171 @@
 };
 use tokio::time::Instant;
 
+/// Checker of the protocol's rules, with the history that the rules refer to.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// What broke, first to last.
+    /// Violations in the order in which they were found; at most 50.
     pub broken: Vec<String>,
-    done: BTreeSet<TaskId>,
-    /// When a user was told that the job is cancelled.
+    /// Tasks that have completed.
+    completed_tasks: BTreeSet<TaskId>,
+    /// Time at which a user was first told that the job is cancelled.
     pub cancelled: BTreeMap<String, Instant>,
-    /// Jobs of pipelines that were called done, and cancelled without having been asked.
+    /// Number of pipeline jobs whose users were told that they are done.
     pub staged: usize,
+    /// Number of jobs that were cancelled without a request of their own, because a job they depend on was
+    /// cancelled.
     pub swept: usize,
-    /// Jobs of tasks that end far apart that were called done; starts after a result.
+    /// Number of `uneven` jobs, whose tasks end far apart, whose users were told that they are done.
     pub uneven: usize,
+    /// Number of task starts after the task had already completed.
     pub again: usize,
-    /// Bad lists of jobs to wait for were all refused.
+    /// Whether all invalid dependency lists have been refused.
     pub picked: bool,
     /// Jobs whose users have asked to cancel them.
     pub asked: BTreeSet<String>,
-    /// Starts of this tick, to be judged against all machines.
-    starts: Vec<(String, TaskId, u64)>,
+    /// Starts since the last check: host, task and attempt.
+    new_starts: Vec<(String, TaskId, u64)>,
+    /// Number of task starts.
     pub started: usize,
-    /// Jobs of which some task has started, and when first.
+    /// Time of the first start of a task of each job.
     pub begun: BTreeMap<String, Instant>,
-    /// What became of the jobs whose users were told that they are cancelled.
+    /// Jobs whose users were told that they are cancelled, by id.
     pub cancels: BTreeMap<String, CancelledJob>,
-    /// When a question about each job was last answered, of those that are asked about.
-    answered: BTreeMap<String, Instant>,
-    /// The questions of the last while, and whether they were answered.
-    asked_lately: VecDeque<(Instant, bool)>,
-    /// From then on no trouble excuses silence about a job.
+    /// Time of the last answered query about each job that users query.
+    last_answered: BTreeMap<String, Instant>,
+    /// Queries of the last [`QUERY_SILENCE_LIMIT`] about jobs not known to have ended: time, and whether
+    /// the query was answered.
+    recent_queries: VecDeque<(Instant, bool)>,
+    /// Time after which no fault excuses unanswered queries or waiting jobs; `None` if there is none.
     pub calm_from: Option<Instant>,
-    /// The longest that questions about a job went unanswered, in all and once it was calm.
+    /// Longest time for which all queries about some job went unanswered.
     pub longest_silence: Duration,
+    /// Longest time after `calm_from` for which all queries about some job went unanswered.
     pub longest_silence_in_calm: Duration,
+    /// Most tasks that were started and had not exited at the same time.
     pub most_at_once: usize,
+    /// Number of tasks killed because their worker's lease expired.
     pub killed: usize,
-    /// Submissions that got no verdict.
+    /// Number of submissions that were answered with 503 or not at all.
     pub undecided: usize,
-    /// Of those, in zones that some controller reached all along, as it did the state service.
+    /// Number of tasks killed by an expired lease in a zone that, since before the lease began, had
+    /// always been reached by a controller that also reached the state service.
     pub killed_in_reach: usize,
-    /// When no controller last reached both a zone's workers and the state service.
+    /// Last time at which no controller reached both the state service and the zone's workers, by zone.
     pub out_of_reach: BTreeMap<String, Instant>,
-    /// What a user was first told of how a job ended, and when.
-    told: BTreeMap<String, (String, Instant)>,
-    /// Jobs of which a task has ended since this was last asked.
-    ended: BTreeSet<JobId>,
-    /// Starts of tasks whose users had been told before that the job is cancelled, and the latest
-    /// after that.
+    /// First final phase that a user was told of each job, and the time.
+    final_phases: BTreeMap<String, (String, Instant)>,
+    /// Jobs of which a task has completed since the last call of `just_ended`.
+    jobs_with_completions: BTreeSet<JobId>,
+    /// Number of task starts after the job's user was told that the job is cancelled.
     pub started_after: usize,
+    /// Longest time from telling a user that the job is cancelled to a start of one of the job's tasks.
     pub latest_start: Duration,
-    /// Since when jobs wait beside room that fits, and the longest that one did.
-    waits: BTreeMap<String, Instant>,
+    /// Time since which each waiting job has been waiting although hosts have capacity for it.
+    waiting_since: BTreeMap<String, Instant>,
+    /// Longest time that a job waited although hosts had capacity for it.
     pub longest_wait: Duration,
 }
 
-/// Once the troubles are over, no job waits that long beside room that fits.
-const WAIT_MAX: Duration = Duration::from_secs(90);
+/// After the faults, a job that waits this long although hosts have capacity for it breaks the rule
+/// `waited`.
+const MAX_WAIT_WITH_CAPACITY: Duration = Duration::from_secs(90);
 
-/// A cancellation that was confirmed.
+/// Job whose user was told that it is cancelled.
 #[derive(Clone, Debug)]
 pub struct CancelledJob {
+    /// Time at which the user was first told.
     pub at: Instant,
-    /// Who confirmed it.
+    /// Controller that told the user.
     pub node: usize,
-    /// Its tasks that were not over at that moment.
+    /// Number of the job's tasks on workers that had not exited at that time.
     pub alive: usize,
-    /// When one of its tasks was last seen that was not over, in whatever state.
+    /// Last time at which a task of the job that had not exited was on a worker; `None` if there was
+    /// none.
     pub last_seen: Option<Instant>,
 }
 
-/// A job about which every question fails for so long, while others are answered, is forgotten;
-/// and so long, however others fare, once the troubles are over.
-const FORGOTTEN: Duration = Duration::from_secs(90);
-const FORGOTTEN_IN_CALM: Duration = Duration::from_secs(75);
+/// A job breaks the rule `forgotten` if all queries about it fail for this long while most other queries
+/// are answered.
+const QUERY_SILENCE_LIMIT: Duration = Duration::from_secs(90);
+/// A job breaks the rule `forgotten` if all queries about it fail for this long after the faults,
+/// whether or not other queries are answered.
+const QUERY_SILENCE_LIMIT_IN_CALM: Duration = Duration::from_secs(75);
 
 impl InvariantChecker {
-    /// A question about a job was answered, or not.
-    /// `over`: its user knows already what became of it; what is final is answered in any outage,
-    /// and says nothing of how others fare.
-    pub fn record_query(&mut self, id: &str, answered: bool, over: bool, now: Instant) {
-        if !over {
-            self.asked_lately.push_back((now, answered));
+    /// Records whether a query about a job was answered, and checks the rule `forgotten`.
+    ///
+    /// `is_final` says that the user already knows how the job ended. Such queries are answered even in
+    /// an outage, so they don't count as evidence that other queries are answered.
+    pub fn record_query(&mut self, id: &str, answered: bool, is_final: bool, now: Instant) {
+        if !is_final {
+            self.recent_queries.push_back((now, answered));
         }
         while self
-            .asked_lately
+            .recent_queries
             .front()
-            .is_some_and(|(t, _)| now - *t > FORGOTTEN)
+            .is_some_and(|(t, _)| now - *t > QUERY_SILENCE_LIMIT)
         {
-            self.asked_lately.pop_front();
+            self.recent_queries.pop_front();
         }
-        if answered || !self.answered.contains_key(id) {
-            self.answered.insert(id.to_owned(), now);
+        if answered || !self.last_answered.contains_key(id) {
+            self.last_answered.insert(id.to_owned(), now);
             return;
         }
-        let last = self.answered[id];
+        let last = self.last_answered[id];
         let silence = now - last;
         self.longest_silence = self.longest_silence.max(silence);
-        let calm = self
+        let calm_silence = self
             .calm_from
             .map(|t| now.saturating_duration_since(t.max(last)));
-        if let Some(calm) = calm {
-            self.longest_silence_in_calm = self.longest_silence_in_calm.max(calm);
+        if let Some(calm_silence) = calm_silence {
+            self.longest_silence_in_calm = self.longest_silence_in_calm.max(calm_silence);
         }
-        let others = self.asked_lately.iter().filter(|(_, ok)| *ok).count();
-        let most = others * 2 > self.asked_lately.len();
-        if silence >= FORGOTTEN && most {
+        let answered_queries = self.recent_queries.iter().filter(|(_, ok)| *ok).count();
+        let most_answered = answered_queries * 2 > self.recent_queries.len();
+        if silence >= QUERY_SILENCE_LIMIT && most_answered {
             self.record_violation(format!(
-                "forgotten: {id}: no answer for {silence:?}, others are answered"
+                "forgotten: {id}: no answer for {silence:?} while most queries are answered"
             ));
-        } else if calm.is_some_and(|t| t >= FORGOTTEN_IN_CALM) {
+        } else if calm_silence.is_some_and(|t| t >= QUERY_SILENCE_LIMIT_IN_CALM) {
             self.record_violation(format!(
-                "forgotten: {id}: no answer for {calm:?} after the troubles"
+                "forgotten: {id}: no answer for {calm_silence:?} after the faults"
             ));
         }
     }
-    /// A user who asked at `sent` was told that a job is in this phase: never anything else after
-    /// what is final.
+    /// Records the phase that a user was told in answer to a query sent at `sent`, and checks the rule
+    /// `went_back`: once a user was told a final phase, a later query must not be answered with another
+    /// one, and no query with another final one.
     pub fn told(&mut self, id: &str, phase: &str, sent: Instant, now: Instant) {
         let is_final = |phase: &str| matches!(phase, "done" | "aborted");
-        match self.told.get(id) {
+        match self.final_phases.get(id) {
             Some((was, at)) if was != phase && (*at <= sent || is_final(phase)) => {
                 let was = was.clone();
                 self.record_violation(format!("went_back: {id} was {was}, is {phase}"));
             }
             None if is_final(phase) => {
-                self.told.insert(id.to_owned(), (phase.to_owned(), now));
+                self.final_phases
+                    .insert(id.to_owned(), (phase.to_owned(), now));
             }
             _ => {}
         }
     }
-    /// How a job ended, as its user was told.
+    /// Returns the final phase that the job's user was told; `None` if there was none yet.
     pub fn final_phase(&self, id: &str) -> Option<&str> {
-        self.told.get(id).map(|(phase, _)| phase.as_str())
+        self.final_phases.get(id).map(|(phase, _)| phase.as_str())
     }
-    /// Jobs whose last task has just ended.
+    /// Returns the jobs whose last task has completed since the last call.
     pub(crate) fn just_ended(&mut self, jobs: &BTreeMap<String, JobRequest>) -> Vec<String> {
-        let ended = std::mem::take(&mut self.ended);
-        let whole = ended
+        let candidates = std::mem::take(&mut self.jobs_with_completions);
+        let completed = candidates
             .iter()
             .filter_map(|id| jobs.get(id.as_str()))
             .filter(|j| self.all_done(j));
-        whole.map(|j| j.id.to_string()).collect()
+        completed.map(|j| j.id.to_string()).collect()
     }
 
-    /// A job that waits although a machine that fits has room and its team is under its limit: since
-    /// when, once the troubles are over.
+    /// Checks the rule `waited` once the faults are over: no job may wait for long although hosts that it
+    /// is allowed on have capacity for it and its team is below its GPU limit.
     pub(crate) fn check_waiting_jobs(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -167,27 +192,30 @@
         if self.calm_from.is_none_or(|calm| now < calm) {
             return;
         }
-        // What is told to start counts as room that is taken: its image may be on the way.
-        let (mut used, mut there) = (BTreeMap::<&str, u64>::new(), BTreeSet::<&str>::new());
-        let mut rooms = Vec::new();
+        // Tasks that have not started also take up capacity: they may still be fetching their image.
+        let (mut gpus_by_team, mut placed_jobs) =
+            (BTreeMap::<&str, u64>::new(), BTreeSet::<&str>::new());
+        let mut free_capacity = Vec::new();
         for worker in workers.values() {
-            let (mut gpus, mut cpus) = crate::worker::CAPACITY;
-            for ((task, _), _) in worker.tasks.iter().filter(|(_, t)| !t.is_over()) {
+            let (mut gpus, mut cpus) = crate::worker::MACHINE_CAPACITY;
+            for ((task, _), _) in worker.tasks.iter().filter(|(_, t)| !t.is_exited()) {
                 let Some(job) = jobs.get(task.job.as_str()) else {
                     continue;
                 };
-                there.insert(job.id.as_str());
-                *used.entry(job.team.as_str()).or_default() += job.each.gpus;
+                placed_jobs.insert(job.id.as_str());
+                *gpus_by_team.entry(job.team.as_str()).or_default() += job.each.gpus;
                 gpus = gpus.saturating_sub(job.each.gpus);
                 cpus = cpus.saturating_sub(job.each.cpus);
             }
-            rooms.push((worker, gpus, cpus));
+            free_capacity.push((worker, gpus, cpus));
         }
-        let over = |id: &JobId| self.told.contains_key(id.as_str());
-        let waits: Vec<&JobRequest> = accepted
+        let has_final_phase = |id: &JobId| self.final_phases.contains_key(id.as_str());
+        let startable_jobs: Vec<&JobRequest> = accepted
             .keys()
             .filter_map(|id| jobs.get(id))
-            .filter(|j| !there.contains(j.id.as_str()) && !self.all_done(j) && !over(&j.id))
+            .filter(|j| {
+                !placed_jobs.contains(j.id.as_str()) && !self.all_done(j) && !has_final_phase(&j.id)
+            })
             .filter(|j| !self.asked.contains(j.id.as_str()) && j.class.as_str() != "broken")
             .filter(|j| {
                 j.dependencies
@@ -195,24 +223,24 @@
                     .all(|n| jobs.get(n.as_str()).is_some_and(|n| self.all_done(n)))
             })
             .filter(|j| {
-                let at_once = match j.shape {
+                let least_tasks = match j.shape {
                     Shape::Array => 1,
                     _ => u64::from(j.tasks),
                 };
-                let free = limits.get(j.team.as_str()).map_or(u64::MAX, |most| {
-                    most.saturating_sub(used.get(j.team.as_str()).copied().unwrap_or(0))
+                let free_gpus = limits.get(j.team.as_str()).map_or(u64::MAX, |limit| {
+                    limit.saturating_sub(gpus_by_team.get(j.team.as_str()).copied().unwrap_or(0))
                 });
-                if at_once * j.each.gpus > free {
+                if least_tasks * j.each.gpus > free_gpus {
                     return false;
                 }
-                let mut zones = BTreeMap::<&str, u64>::new();
-                for (w, gpus, cpus) in &rooms {
-                    if j.allows_host(&"box".into(), &w.zone.as_str().into(), w.spot) {
+                let mut tasks_by_zone = BTreeMap::<&str, u64>::new();
+                for (worker, gpus, cpus) in &free_capacity {
+                    if j.allows_host(&"box".into(), &worker.zone.as_str().into(), worker.spot) {
                         let by_cpus = cpus.checked_div(j.each.cpus).unwrap_or(u64::MAX);
                         let by_gpus = gpus.checked_div(j.each.gpus).unwrap_or(u64::MAX);
-                        let n = by_cpus.min(by_gpus).min(at_once);
-                        let here = zones.entry(w.zone.as_str()).or_default();
-                        *here += n;
+                        let n = by_cpus.min(by_gpus).min(least_tasks);
+                        let in_zone = tasks_by_zone.entry(worker.zone.as_str()).or_default();
+                        *in_zone += n;
                     }
                 }
                 let cap = match j.shape {
@@ -220,30 +248,33 @@
                     _ => u64::from(j.zone_cap()),
                 };
                 if j.one_zone {
-                    zones.values().any(|n| (*n).min(cap) >= at_once)
+                    tasks_by_zone.values().any(|n| (*n).min(cap) >= least_tasks)
                 } else {
-                    zones.values().map(|n| (*n).min(cap)).sum::<u64>() >= at_once
+                    tasks_by_zone.values().map(|n| (*n).min(cap)).sum::<u64>() >= least_tasks
                 }
             })
             .collect();
-        let mut since = BTreeMap::new();
-        let mut late = Vec::new();
-        for job in waits {
+        let mut waiting_since = BTreeMap::new();
+        let mut violations = Vec::new();
+        for job in startable_jobs {
             let id = job.id.to_string();
-            let from = *self.waits.get(&id).unwrap_or(&now);
+            let from = *self.waiting_since.get(&id).unwrap_or(&now);
             self.longest_wait = self.longest_wait.max(now - from);
-            if now - from >= WAIT_MAX {
-                late.push(format!("waited: {id} {:?} beside room", now - from));
+            if now - from >= MAX_WAIT_WITH_CAPACITY {
+                violations.push(format!(
+                    "waited: {id} for {:?} although hosts have capacity",
+                    now - from
+                ));
             }
-            since.insert(id, from);
+            waiting_since.insert(id, from);
         }
-        self.waits = since;
-        for what in late {
-            self.record_violation(what);
+        self.waiting_since = waiting_since;
+        for violation in violations {
+            self.record_violation(violation);
         }
     }
 
-    /// A user was told that the job is cancelled.
+    /// Records that a controller told a user that the job is cancelled. Only the first time counts.
     pub(crate) fn confirmed(
         &mut self,
         id: &str,
@@ -252,7 +283,7 @@
         now: Instant,
     ) {
         let tasks = workers.values().flat_map(|w| &w.tasks);
-        let alive = tasks.filter(|((task, _), t)| task.job.as_str() == id && !t.is_over());
+        let alive = tasks.filter(|((task, _), t)| task.job.as_str() == id && !t.is_exited());
         let cancelled = CancelledJob {
             at: now,
             node,
@@ -261,15 +292,21 @@
         };
         self.cancels.entry(id.to_owned()).or_insert(cancelled);
     }
+    /// Returns whether all tasks of a job have completed.
     pub fn all_done(&self, job: &JobRequest) -> bool {
-        (0..job.tasks).all(|i| self.done.contains(&TaskId::new(&job.id, i)))
+        (0..job.tasks).all(|i| self.completed_tasks.contains(&TaskId::new(&job.id, i)))
     }
-    pub fn record_violation(&mut self, what: String) {
+    /// Records a violation; drops it if there are 50 already.
+    pub fn record_violation(&mut self, violation: String) {
         if self.broken.len() < 50 {
-            self.broken.push(what);
+            self.broken.push(violation);
         }
     }
-    /// Judges this tick's starts and what is on all machines.
+    /// Checks the starts since the last call and the started tasks on all workers.
+    ///
+    /// The rules are `ran_twice`, `ran_cancelled`, `too_early`, `wrong_place` and `quota`. `limits` holds
+    /// the teams' GPU limits in millionths. `cancel` is how long tasks of a cancelled job may still start
+    /// or run after its user was told.
     pub fn check(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -278,96 +315,108 @@
         cancel: Duration,
         now: Instant,
     ) {
-        let mut on: Vec<(&Worker, &TaskId, &JobRequest)> = Vec::new();
+        let mut started_tasks: Vec<(&Worker, &TaskId, &JobRequest)> = Vec::new();
         for worker in workers.values() {
             for ((task, _), t) in &worker.tasks {
-                if !t.is_over()
+                if !t.is_exited()
                     && let Some(cancelled) = self.cancels.get_mut(task.job.as_str())
                 {
                     cancelled.last_seen = Some(now);
                 }
-                if t.is_on()
+                if t.is_started()
                     && let Some(job) = jobs.get(task.job.as_str())
                 {
-                    on.push((worker, task, job));
+                    started_tasks.push((worker, task, job));
                 }
             }
         }
-        self.most_at_once = self.most_at_once.max(on.len());
-        for (host, task, attempt) in std::mem::take(&mut self.starts) {
-            let Some(here) = workers.get(&host) else {
+        self.most_at_once = self.most_at_once.max(started_tasks.len());
+        for (host, task, attempt) in std::mem::take(&mut self.new_starts) {
+            let Some(worker) = workers.get(&host) else {
                 continue;
             };
             let Some(job) = jobs.get(task.job.as_str()) else {
                 continue;
             };
-            if on.iter().any(|(w, t, _)| *t == &task && w.id != host) {
-                self.record_violation(format!("ran_twice: {task} try {attempt} starts on {host}"));
+            if started_tasks
+                .iter()
+                .any(|(w, t, _)| *t == &task && w.id != host)
+            {
+                self.record_violation(format!(
+                    "ran_twice: {task} attempt {attempt} starts on {host}"
+                ));
             }
-            if let Some(told) = self.cancelled.get(job.id.as_str()) {
-                let after = now - *told;
+            if let Some(told_at) = self.cancelled.get(job.id.as_str()) {
+                let elapsed = now - *told_at;
                 self.started_after += 1;
-                self.latest_start = self.latest_start.max(after);
-                if after > cancel {
+                self.latest_start = self.latest_start.max(elapsed);
+                if elapsed > cancel {
                     self.record_violation(format!("ran_cancelled: {task} starts on {host}"));
                 }
             }
-            let done = |n: &JobId| jobs.get(n.as_str()).is_some_and(|j| self.all_done(j));
-            if let Some(need) = job.dependencies.iter().find(|n| !done(n)) {
-                self.record_violation(format!("too_early: {task} starts before {need} is done"));
+            let is_done = |n: &JobId| jobs.get(n.as_str()).is_some_and(|j| self.all_done(j));
+            if let Some(dependency) = job.dependencies.iter().find(|n| !is_done(n)) {
+                self.record_violation(format!(
+                    "too_early: {task} starts before {dependency} is done"
+                ));
             }
-            let siblings: Vec<&&Worker> = on
+            let sibling_workers: Vec<&&Worker> = started_tasks
                 .iter()
                 .filter(|(_, t, _)| t.job == task.job)
                 .map(|(w, ..)| w)
                 .collect();
-            let same = siblings.iter().filter(|w| w.zone == here.zone).count();
-            let wrong = !job.allows_host(&"box".into(), &here.zone.as_str().into(), here.spot)
-                || (job.one_zone && same < siblings.len())
-                || (job.spread && same as u32 > job.zone_cap());
-            if wrong {
-                self.record_violation(format!("wrong_place: {task} on {host} in {}", here.zone));
+            let in_same_zone = sibling_workers
+                .iter()
+                .filter(|w| w.zone == worker.zone)
+                .count();
+            let is_wrong_place =
+                !job.allows_host(&"box".into(), &worker.zone.as_str().into(), worker.spot)
+                    || (job.one_zone && in_same_zone < sibling_workers.len())
+                    || (job.spread && in_same_zone as u32 > job.zone_cap());
+            if is_wrong_place {
+                self.record_violation(format!("wrong_place: {task} on {host} in {}", worker.zone));
             }
         }
-        let mut used: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut late = Vec::new();
-        for (worker, task, job) in &on {
-            *used.entry(job.team.as_str()).or_default() += job.each.gpus;
+        let mut gpus_by_team: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut violations = Vec::new();
+        for (worker, task, job) in &started_tasks {
+            *gpus_by_team.entry(job.team.as_str()).or_default() += job.each.gpus;
             if self
                 .cancelled
                 .get(job.id.as_str())
                 .is_some_and(|t| now - *t > cancel)
             {
-                late.push(format!("ran_cancelled: {task} is on {}", worker.id));
+                violations.push(format!("ran_cancelled: {task} is on {}", worker.id));
             }
         }
-        for (team, gpus) in used {
-            if limits.get(team).is_some_and(|most| gpus > *most) {
-                late.push(format!("quota: {team} uses {gpus}"));
+        for (team, gpus) in gpus_by_team {
+            if limits.get(team).is_some_and(|limit| gpus > *limit) {
+                violations.push(format!("quota: {team} uses {gpus} millionths of a GPU"));
             }
         }
-        for what in late {
-            self.record_violation(what);
+        for violation in violations {
+            self.record_violation(violation);
         }
     }
 }
 
 impl WorkerObserver for InvariantChecker {
     fn has_result(&self, task: &TaskId) -> bool {
-        self.done.contains(task)
+        self.completed_tasks.contains(task)
     }
     fn finished(&mut self, task: &TaskId) {
-        if self.done.insert(task.clone()) {
-            self.ended.insert(task.job.clone());
+        if self.completed_tasks.insert(task.clone()) {
+            self.jobs_with_completions.insert(task.job.clone());
         }
     }
 
     fn started(&mut self, worker: &Worker, task: &TaskId, attempt: u64) {
         self.started += 1;
-        self.again += usize::from(self.done.contains(task));
+        self.again += usize::from(self.completed_tasks.contains(task));
         let first = self.begun.entry(task.job.to_string());
         first.or_insert_with(Instant::now);
-        self.starts.push((worker.id.clone(), task.clone(), attempt));
+        self.new_starts
+            .push((worker.id.clone(), task.clone(), attempt));
     }
 
     fn lease_expired(&mut self, zone: &str, killed: usize, lease: Duration, now: Instant) {
--- a/crates/jasperhill-testkit/src/outcome.rs
+++ b/crates/jasperhill-testkit/src/outcome.rs
@@ -1,79 +1,97 @@
-//! What came of a simulated day.
+//! Results of a simulated run, on which tests assert.
 
 use crate::faults::FaultCounts;
 use std::collections::BTreeMap;
 
-/// What came of it.
+/// Result of a simulated run.
 #[derive(Debug)]
 pub struct Outcome {
+    /// Violations of the protocol's rules, in the order in which they were found.
     pub broken: Vec<String>,
+    /// Number of jobs accepted.
     pub accepted: usize,
+    /// Number of jobs whose users were told that they are done.
     pub finished: usize,
+    /// Number of task starts.
     pub started: usize,
+    /// Most tasks that were started and had not exited at the same time.
     pub most_at_once: usize,
-    /// Tasks that were killed because their machine's lease ran out.
+    /// Number of tasks killed because their worker's lease expired.
     pub killed: usize,
-    /// Of those, in zones that some controller reached all along, as it did the state service.
+    /// Number of tasks killed by an expired lease in a zone that had all the time been reached by a
+    /// controller that also reached the state service.
     pub killed_in_reach: usize,
-    /// Submissions that got no verdict, and jobs put before their owners through the store.
+    /// Number of submissions that were answered with 503 or not at all.
     pub undecided: usize,
+    /// Number of jobs proposed to their owners through the state service.
     pub proposals: usize,
-    /// When roles got another owner, from the start: the second, the role and who.
+    /// Changes of a role's owner: seconds since the start, key of the role, new owner.
     pub role_moves: Vec<(f64, String, String)>,
-    /// At the end: roles without a live owner, and workers whom nobody answers.
+    /// Roles without a live owner at the end.
     pub unowned: Vec<String>,
+    /// Workers that no controller answers at the end.
     pub unanswered: Vec<String>,
-    /// At the end: records of machines that are not there.
+    /// Host records at the end of machines that don't exist.
     pub stale_host_records: Vec<String>,
-    /// Writes that were larger than the state service takes, and the longest value at the end.
+    /// Number of transactions that the state service refused because they exceeded a size limit.
     pub too_large: usize,
+    /// Length of the longest value in the state service at the end, in bytes of JSON.
     pub longest: usize,
-    /// Jobs of pipelines that were called done, and cancelled with one before them.
+    /// Number of pipeline jobs whose users were told that they are done.
     pub staged: usize,
+    /// Number of jobs that were cancelled because a job they depend on was.
     pub swept: usize,
+    /// Whether all invalid dependency lists were refused.
     pub picked: bool,
-    /// The most sockets that a process had at once, and how many the platform refused it.
+    /// Most sockets that a controller process had open at the same time.
     pub sockets: usize,
+    /// Number of sockets refused to controller processes by the platform's limit.
     pub refused_sockets: usize,
-    /// Of the jobs accepted a while before the end, and not cancelled, the part that has begun: the
-    /// class and the team for which it is least.
+    /// Class with the smallest share of jobs that have begun, and the share. Counts jobs accepted a while
+    /// before the end and not cancelled.
     pub least_class: (String, f64),
+    /// Team with the smallest share of jobs that have begun, and the share, counted as for the classes.
     pub least_team: (String, f64),
-    /// The same for every class and team.
+    /// Share of jobs that have begun, for every class and every team.
     pub served: BTreeMap<String, f64>,
-    /// Of each class's largest jobs, the part that began within four minutes: the least class.
+    /// Class with the smallest share of its largest jobs that began within four minutes, and the share.
     pub least_largest: (String, f64),
-    /// The cancellations that were confirmed, by when.
+    /// Confirmed cancellations.
     pub cancels: Vec<ConfirmedCancellation>,
-    /// The longest that questions about a job went unanswered, in seconds: in all, and after the
-    /// troubles.
+    /// Longest time in seconds for which all queries about some job went unanswered: in the whole run, and
+    /// after the faults.
     pub longest_silence: (f64, f64),
-    /// Jobs of tasks that end far apart whose users were told that they are done, and tasks of all
-    /// jobs that were started again after their results.
+    /// Number of `uneven` jobs, whose tasks end far apart, whose users were told that they are done.
     pub uneven: usize,
+    /// Number of task starts, of all jobs, after the task had already completed.
     pub again: usize,
-    /// Jobs bound to a zone of which a task has begun.
+    /// Number of jobs restricted to one zone of which a task has started.
     pub bound: usize,
-    /// Starts after their users were told that the job is cancelled, and the latest, in seconds.
+    /// Number of task starts after the job's user was told that the job is cancelled.
     pub started_after: usize,
+    /// Longest time in seconds from telling a user that the job is cancelled to a start of one of the
+    /// job's tasks.
     pub latest_start: f64,
-    /// The longest that a job waited beside room that fits, after the troubles, in seconds.
+    /// Longest time in seconds after the faults that a job waited although hosts had capacity for it.
     pub longest_wait: f64,
-    /// What the troubles met with.
+    /// How often the injected faults took effect.
     pub fault_counts: FaultCounts,
-    /// Changes and requests that the state service counted in its busiest second.
+    /// Most requests that the state service counted in any one-second window. A transaction counts as one
+    /// request.
     pub state_peak: usize,
 }
 
-/// A confirmed cancellation; times in seconds.
+/// Cancellation that a user was told of.
 #[derive(Clone, Debug)]
 pub struct ConfirmedCancellation {
+    /// Id of the job.
     pub job: String,
-    /// From the start of the day.
+    /// Seconds from the start of the run to the first confirmation.
     pub at: f64,
+    /// Controller that confirmed the cancellation.
     pub node: usize,
-    /// Its tasks that were not over then.
+    /// Number of the job's tasks that had not exited at the confirmation.
     pub alive: usize,
-    /// After the confirmation, until the last of them.
+    /// Seconds from the confirmation until the last of the job's tasks had exited; 0 if none was left.
     pub after: f64,
 }
--- a/crates/jasperhill-testkit/src/state.rs
+++ b/crates/jasperhill-testkit/src/state.rs
@@ -1,4 +1,9 @@
-//! A stand-in for the state service: keys, transactions, leases, watches.
+//! In-memory simulation of the state service that controllers store their data in.
+//!
+//! [`StateService`] holds keys with versions, executes guarded transactions, keeps leases with the
+//! keys attached to them, and answers listings and watches. Every committed change raises the
+//! revision, and the most recent changes are kept so that watches can be answered from them.
+//! Optional [`Limits`] bound the size and the rate of transactions.
 
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_wire::{
@@ -15,68 +20,86 @@
 };
 use tokio::time::Instant;
 
+/// Value stored under a key.
 struct Entry {
     value: Value,
+    /// Revision of the last write.
     version: Revision,
+    /// Lease whose end deletes the key; `None` if the key is permanent.
     lease: Option<u64>,
 }
 
-/// What the service takes: bytes of a value, changes of a transaction, changes a second.
+/// Limits that the service enforces on transactions.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
+    /// Longest value that a change may write, in bytes of JSON.
     pub value_bytes: usize,
+    /// Most changes of a transaction. A transaction may have four times as many guards.
     pub txn_ops: usize,
+    /// Changes per second, over all clients; also the size of the burst.
     pub write_rps: f64,
 }
 
+/// Simulated state service with counters for the checks at the end of a run.
 #[derive(Default)]
 pub struct StateService {
-    /// `None`: whatever comes.
+    /// Limits on transactions; `None` means unlimited.
     pub limits: Option<Limits>,
-    /// Changes that are still allowed now, and as of when.
-    level: Option<(f64, Instant)>,
-    /// Answers of 400 for what is too large.
+    /// Token bucket of the write rate: changes left, and the time of the last refill. `None` before
+    /// the first limited transaction.
+    write_tokens: Option<(f64, Instant)>,
+    /// Number of transactions refused with 400 because they exceeded a size limit.
     pub too_large: usize,
-    /// Jobs that were put before their owners.
+    /// Number of new keys below `jh/want/`: jobs proposed to their owners through the store.
     pub wants: usize,
-    /// When roles got another owner: the key, and who.
+    /// Changes of a role's owner: time, key of the role (`jh/leader` or `jh/part/…`), new owner.
     pub moves: Vec<(Instant, String, String)>,
     keys: BTreeMap<String, Entry>,
     revision: u64,
+    /// Most recent changes with their keys, oldest first; at most [`MAX_HISTORY_EVENTS`].
     history: VecDeque<(String, WatchEvent)>,
+    /// Live leases: expiry time and time to live.
     leases: BTreeMap<u64, (Instant, Duration)>,
-    next_lease: u64,
-    /// Requests of this second, and of the busiest one.
-    second: Option<(Instant, usize)>,
-    busiest: usize,
+    last_lease: u64,
+    /// Start of the one-second window that requests are counted in, and the count.
+    request_window: Option<(Instant, usize)>,
+    /// Most requests counted in any one-second window.
+    peak_requests: usize,
 }
 
-/// Kept short, so that watches fall behind now and then and the listing is tried as well.
-const HISTORY: usize = 400;
+/// Short enough that watches fall behind now and then, which exercises their fallback to a listing.
+const MAX_HISTORY_EVENTS: usize = 400;
 
-fn json(status: u16, body: &impl serde::Serialize) -> Response {
+/// Returns a response with a JSON body.
+fn json_response(status: u16, body: &impl serde::Serialize) -> Response {
     Response::new(status, serde_json::to_vec(body).unwrap())
 }
 
-fn query<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+/// Returns the value of a parameter in the query string of a request target.
+fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query
         .split('&')
         .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// What a request leads to.
+/// Result of serving a request.
 pub enum Served {
+    /// The response, available at once.
     Answer(Response),
-    /// A watch that blocks until a change or this moment.
+    /// Long poll: the caller waits for a change of a matching key, or until the deadline.
     Block {
+        /// Prefix of the watched keys.
         prefix: String,
+        /// Revision after which changes count.
         after: u64,
+        /// Deadline of the wait.
         until: Instant,
     },
 }
 
 impl StateService {
+    /// Returns an empty service.
     pub fn new(limits: Option<Limits>) -> Self {
         Self {
             limits,
@@ -84,48 +107,51 @@
         }
     }
 
+    /// Appends a change to the history and drops the oldest one beyond its maximum.
     fn record(&mut self, event: WatchEvent, key: String) {
         self.history.push_back((key, event));
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY_EVENTS {
             self.history.pop_front();
         }
     }
 
-    /// Ends leases whose time is up.
+    /// Ends the leases that have expired, which deletes the keys attached to them.
     pub fn expire(&mut self, now: Instant) {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (until, _))| now > *until)
             .map(|(l, _)| *l)
             .collect();
-        for lease in over {
-            self.end(lease);
+        for lease in expired {
+            self.end_lease(lease);
         }
     }
 
-    /// After an outage all leases have their full time again.
+    /// Extends every lease to its full time to live; called at the end of an outage.
     pub fn refill(&mut self, now: Instant) {
         for (until, ttl) in self.leases.values_mut() {
             *until = now + *ttl;
         }
     }
 
-    fn end(&mut self, lease: u64) -> bool {
+    /// Ends a lease and deletes the keys attached to it in one revision. Returns false if there is no
+    /// such lease.
+    fn end_lease(&mut self, lease: u64) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
         }
-        let tied: Vec<String> = self
+        let attached_keys: Vec<String> = self
             .keys
             .iter()
             .filter(|(_, e)| e.lease == Some(lease))
             .map(|(k, _)| k.clone())
             .collect();
-        if !tied.is_empty() {
+        if !attached_keys.is_empty() {
             self.revision += 1;
         }
         let version = Revision(self.revision);
-        for key in tied {
+        for key in attached_keys {
             self.keys.remove(&key);
             self.record(
                 WatchEvent::Delete {
@@ -138,6 +164,8 @@
         true
     }
 
+    /// Returns the changes after a revision of keys with this prefix; `None` if there are none in the
+    /// history.
     pub fn watch(&self, prefix: &str, after: u64) -> Option<Response> {
         let events: Vec<WatchEvent> = self
             .history
@@ -146,7 +174,7 @@
             .map(|(_, e)| e.clone())
             .collect();
         (!events.is_empty()).then(|| {
-            json(
+            json_response(
                 200,
                 &WatchResponse {
                     revision: Revision(self.revision),
@@ -156,8 +184,9 @@
         })
     }
 
+    /// Returns the response of a watch that timed out without changes.
     pub fn nothing_new(&self) -> Response {
-        json(
+        json_response(
             200,
             &WatchResponse {
                 revision: Revision(self.revision),
@@ -166,13 +195,12 @@
         )
     }
 
-    /// The longest value that is kept.
-    /// What a key holds, as a field of its value.
+    /// Returns a field of the value stored under a key; `None` if the key does not exist.
     pub fn field(&self, key: &str, field: &str) -> Option<Value> {
         Some(self.keys.get(key)?.value[field].clone())
     }
 
-    /// The machines that have records.
+    /// Returns the names of all machines in the host records (`jh/hosts/…`).
     pub fn recorded(&self) -> Vec<String> {
         let blocks = self.keys.iter().filter(|(k, _)| k.starts_with("jh/hosts/"));
         blocks
@@ -181,41 +209,52 @@
             .collect()
     }
 
+    /// Returns the length of the longest stored value, in bytes of JSON.
     pub fn longest(&self) -> usize {
         let lengths = self.keys.values().map(|e| e.value.to_string().len());
         lengths.max().unwrap_or(0)
     }
 
-    /// The most requests of any second.
+    /// Returns the most requests counted in any one-second window.
     pub fn busiest(&self) -> usize {
-        self.busiest
+        self.peak_requests
     }
 
+    /// Executes a request.
+    ///
+    /// # Panics
+    ///
+    /// Panics on a request that is not part of the service's protocol.
     pub fn serve(&mut self, request: &Request, now: Instant) -> Served {
         self.expire(now);
-        let (began, n) = self.second.get_or_insert((now, 0));
-        if now - *began >= Duration::from_secs(1) {
-            (*began, *n) = (now, 0);
+        let (window_start, requests) = self.request_window.get_or_insert((now, 0));
+        if now - *window_start >= Duration::from_secs(1) {
+            (*window_start, *requests) = (now, 0);
         }
-        *n += 1;
-        self.busiest = self.busiest.max(*n);
+        *requests += 1;
+        self.peak_requests = self.peak_requests.max(*requests);
         let path = request.path();
         Served::Answer(match (request.method, path) {
             (Method::Post, "/txn") => self.txn(&request.body, now),
             (Method::Get, "/watch") => {
-                let prefix = query(&request.target, "prefix").unwrap_or("").to_owned();
-                let after: u64 = query(&request.target, "after").unwrap().parse().unwrap();
-                let block: u64 =
-                    query(&request.target, "block_ms").map_or(0, |b| b.parse().unwrap());
+                let prefix = query_parameter(&request.target, "prefix")
+                    .unwrap_or("")
+                    .to_owned();
+                let after: u64 = query_parameter(&request.target, "after")
+                    .unwrap()
+                    .parse()
+                    .unwrap();
+                let block_ms: u64 =
+                    query_parameter(&request.target, "block_ms").map_or(0, |b| b.parse().unwrap());
                 let oldest = self.history.front().map_or(0, |(_, e)| e.version().0);
-                if self.history.len() >= HISTORY && after < oldest {
+                if self.history.len() >= MAX_HISTORY_EVENTS && after < oldest {
                     Response::new(410, b"{}".to_vec())
-                } else if let Some(news) = self.watch(&prefix, after) {
-                    news
-                } else if block == 0 {
+                } else if let Some(changes) = self.watch(&prefix, after) {
+                    changes
+                } else if block_ms == 0 {
                     self.nothing_new()
                 } else {
-                    let until = now + Duration::from_millis(block);
+                    let until = now + Duration::from_millis(block_ms);
                     return Served::Block {
                         prefix,
                         after,
@@ -224,9 +263,12 @@
                 }
             }
             (Method::Get, "/store") => {
-                let prefix = query(&request.target, "prefix").unwrap_or("");
-                let after = query(&request.target, "after").unwrap_or("");
-                let page: usize = query(&request.target, "page").unwrap().parse().unwrap();
+                let prefix = query_parameter(&request.target, "prefix").unwrap_or("");
+                let after = query_parameter(&request.target, "after").unwrap_or("");
+                let page: usize = query_parameter(&request.target, "page")
+                    .unwrap()
+                    .parse()
+                    .unwrap();
                 let mut items: Vec<KeyValue> = self
                     .keys
                     .iter()
@@ -241,7 +283,7 @@
                     .collect();
                 let more = items.len() > page;
                 items.truncate(page);
-                json(
+                json_response(
                     200,
                     &Listing {
                         items,
@@ -253,21 +295,22 @@
             (Method::Post, "/leases") => {
                 let body: Value = serde_json::from_slice(&request.body).unwrap();
                 let ttl = Duration::from_millis(body["ttl_ms"].as_u64().unwrap());
-                self.next_lease += 1;
-                self.leases.insert(self.next_lease, (now + ttl, ttl));
-                json(
+                self.last_lease += 1;
+                self.leases.insert(self.last_lease, (now + ttl, ttl));
+                json_response(
                     200,
                     &LeaseResponse {
-                        lease: self.next_lease,
+                        lease: self.last_lease,
                     },
                 )
             }
-            (method, path) => self.lease(method, path, now),
+            (method, path) => self.renew_or_end_lease(method, path, now),
         })
     }
 
-    fn lease(&mut self, method: Method, path: &str, now: Instant) -> Response {
-        let rest = path.strip_prefix("/leases/").expect("a known path");
+    /// Renews or ends the lease named in the path: 200, or 404 if there is no such lease.
+    fn renew_or_end_lease(&mut self, method: Method, path: &str, now: Instant) -> Response {
+        let rest = path.strip_prefix("/leases/").expect("path below /leases/");
         let (id, renew) = match rest.strip_suffix("/renew") {
             Some(id) => (id, true),
             None => (rest, false),
@@ -280,7 +323,7 @@
                 .is_some()
         } else {
             assert_eq!(method, Method::Delete);
-            self.end(id)
+            self.end_lease(id)
         };
         Response::new(
             if known { 200 } else { 404 },
@@ -288,8 +331,9 @@
         )
     }
 
-    /// What is wrong with a transaction by the limits, if there are any.
-    fn over(&mut self, txn: &Transaction, now: Instant) -> Option<Response> {
+    /// Returns the refusal of a transaction that exceeds the limits: 400 for its size, 429 for the
+    /// write rate. A refused transaction takes no write tokens.
+    fn check_limits(&mut self, txn: &Transaction, now: Instant) -> Option<Response> {
         let limits = self.limits?;
         let bytes = |c: &Change| match c {
             Change::Put { value, .. } => value.to_string().len(),
@@ -302,15 +346,17 @@
             self.too_large += 1;
             return Some(Response::new(400, b"{\"error\":\"too large\"}".to_vec()));
         }
-        let (level, at) = self.level.unwrap_or((limits.write_rps, now));
-        let since = now.duration_since(at).as_secs_f64();
-        let level = (level + since * limits.write_rps).min(limits.write_rps);
-        let left = level - txn.changes.len() as f64;
-        self.level = Some((if left < 0.0 { level } else { left }, now));
+        let (tokens, refilled_at) = self.write_tokens.unwrap_or((limits.write_rps, now));
+        let elapsed_s = now.duration_since(refilled_at).as_secs_f64();
+        let tokens = (tokens + elapsed_s * limits.write_rps).min(limits.write_rps);
+        let left = tokens - txn.changes.len() as f64;
+        self.write_tokens = Some((if left < 0.0 { tokens } else { left }, now));
         (left < 0.0).then(|| Response::new(429, b"{}".to_vec()))
     }
 
-    fn note_move(&mut self, key: &str, value: &Value, now: Instant) {
+    /// Counts a job proposed through the store, and records a role's change of owner. Must be called
+    /// before the write takes effect.
+    fn record_proposal_or_role_change(&mut self, key: &str, value: &Value, now: Instant) {
         if key.starts_with("jh/want/") && !self.keys.contains_key(key) {
             self.wants += 1;
         }
@@ -321,10 +367,12 @@
         }
     }
 
+    /// Executes a transaction: 200 if it was committed, 409 with the keys of the failed guards, or a
+    /// refusal by the limits or for an unknown lease.
     fn txn(&mut self, body: &[u8], now: Instant) -> Response {
-        assert!(body.len() <= 64 * 1024, "a transaction over 64 KiB");
+        assert!(body.len() <= 64 * 1024, "transaction body exceeds 64 KiB");
         let txn: Transaction = serde_json::from_slice(body).unwrap();
-        if let Some(refusal) = self.over(&txn, now) {
+        if let Some(refusal) = self.check_limits(&txn, now) {
             return refusal;
         }
         let failed: Vec<String> = txn
@@ -334,7 +382,7 @@
             .map(|g| g.key.clone())
             .collect();
         if !failed.is_empty() {
-            return json(
+            return json_response(
                 409,
                 &TransactionResponse {
                     revision: Revision(self.revision),
@@ -358,7 +406,7 @@
         for change in txn.changes {
             match change {
                 Change::Put { key, value, lease } => {
-                    self.note_move(&key, &value, now);
+                    self.record_proposal_or_role_change(&key, &value, now);
                     self.keys.insert(
                         key.clone(),
                         Entry {
@@ -389,7 +437,7 @@
                 }
             }
         }
-        json(
+        json_response(
             200,
             &TransactionResponse {
                 revision: version,
--- a/crates/jasperhill-testkit/src/worker.rs
+++ b/crates/jasperhill-testkit/src/worker.rs
@@ -1,4 +1,9 @@
-//! Stand-ins for workers: leases, tokens, orders, tasks that fetch, wait, run and end.
+//! Simulated worker agents.
+//!
+//! A [`Worker`] is the agent on one machine: it composes heartbeats, executes commands, checks the
+//! fencing token and its incarnation, and kills its tasks when its lease expires. Its tasks fetch
+//! their image, wait for the other members of their gang, run and exit as time passes. A
+//! [`WorkerObserver`] is told of starts, completions and expired leases.
 
 use jasperhill_wire::{Attempt, TaskId, user::JobRequest, user::Shape};
 use serde_json::{Value, json};
@@ -8,69 +13,100 @@
 };
 use tokio::time::Instant;
 
+/// Phase of a task on its worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
+    /// Fetching the image until this time.
     Fetching(Instant),
+    /// Waiting since this time for the other tasks of its gang.
     Waiting(Instant),
-    Running { until: Option<Instant> },
+    /// Running.
+    Running {
+        /// Time of completion; `None` for a service, which does not complete.
+        until: Option<Instant>,
+    },
+    /// Exited, with the cause as heartbeats report it.
     Exited(&'static str),
 }
 
+/// Task that a worker was told to run.
 #[derive(Clone, Debug)]
 pub struct Task {
+    /// Attempt of the task, as given in the command.
     pub attempt: Attempt,
+    /// Present phase.
     pub phase: Phase,
 }
 
 impl Task {
-    pub fn is_over(&self) -> bool {
+    /// Returns whether the task has exited.
+    pub fn is_exited(&self) -> bool {
         matches!(self.phase, Phase::Exited(_))
     }
-    /// On its machine in the sense of the rules.
-    pub fn is_on(&self) -> bool {
+    /// Returns whether the task has been started and has not exited, which is what the protocol's rules
+    /// count as being on a machine.
+    pub fn is_started(&self) -> bool {
         matches!(self.phase, Phase::Waiting(_) | Phase::Running { .. })
     }
 }
 
+/// Agent on one machine.
 #[derive(Debug)]
 pub struct Worker {
+    /// Name of the machine.
     pub id: String,
+    /// Zone of the machine.
     pub zone: String,
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
+    /// Number of the agent's session; rises each time its lease expires.
     pub incarnation: u64,
+    /// Number of the last heartbeat.
     pub sequence: u64,
+    /// Highest fencing token seen. Commands with a lower one are refused.
     pub token: u64,
+    /// Tasks by id and attempt, including exited ones that have not been cleared.
     pub tasks: BTreeMap<(TaskId, u64), Task>,
+    /// Images on the machine's disk.
     pub images: BTreeSet<String>,
+    /// Start of the lease: the time at which the last heartbeat with a valid answer was sent, or at which
+    /// the incarnation began.
     pub lease_from: Instant,
+    /// Controller that heartbeats are sent to.
     pub node: usize,
+    /// Whether something has changed since the last heartbeat.
     pub changed: bool,
 }
 
-/// Who is told what becomes of tasks.
+/// Receiver of the events on workers.
 pub trait WorkerObserver {
-    /// The task has a result already.
+    /// Returns whether the task has already completed on some worker.
     fn has_result(&self, task: &TaskId) -> bool;
-    /// A task has started on this worker.
+    /// Called when a task has started on this worker.
     fn started(&mut self, worker: &Worker, task: &TaskId, attempt: u64);
-    /// A task has completed.
+    /// Called when a task has completed.
     fn finished(&mut self, task: &TaskId);
-    /// The lease of a worker in this zone has expired, which killed so many tasks.
+    /// Called when the lease of a worker in this zone has expired. `killed` is the number of started
+    /// tasks that this killed.
     fn lease_expired(&mut self, zone: &str, killed: usize, lease: Duration, now: Instant);
 }
 
-/// What a machine has, in millionths: GPUs and CPUs.
-pub const CAPACITY: (u64, u64) = (
-    (crate::cloud::GPUS * 1e6) as u64,
-    (crate::cloud::CPUS * 1e6) as u64,
+/// GPUs and CPUs of a machine, in millionths.
+pub const MACHINE_CAPACITY: (u64, u64) = (
+    (crate::cloud::MACHINE_GPUS * 1e6) as u64,
+    (crate::cloud::MACHINE_CPUS * 1e6) as u64,
 );
 
+/// Time limits that apply on workers.
 pub struct WorkerTimes {
+    /// Duration of a lease.
     pub lease: Duration,
+    /// How long a task waits for the rest of its gang before it exits as incomplete.
     pub gang_wait: Duration,
 }
 
 impl Worker {
+    /// Returns a worker without tasks, whose lease starts now.
     pub fn new(id: &str, zone: &str, spot: bool, node: usize, now: Instant) -> Self {
         Self {
             id: id.to_owned(),
@@ -87,6 +123,7 @@
         }
     }
 
+    /// Returns the body of the next heartbeat and advances the sequence number.
     pub fn heartbeat(&mut self) -> Value {
         self.sequence += 1;
         let shards: Vec<Value> = self
@@ -112,7 +149,8 @@
             "epoch":self.token,"warning_s":null,"shards":shards})
     }
 
-    /// Orders from a `/do`: refused with a lower token or another session.
+    /// Executes the commands of a `/do` request and returns a status and a heartbeat. Refuses them with
+    /// 409 if their token is lower than the worker's or they are meant for another incarnation.
     pub fn on_direct_commands(
         &mut self,
         body: &Value,
@@ -131,6 +169,7 @@
         (200, self.heartbeat())
     }
 
+    /// Raises the fencing token; a lower or equal one has no effect.
     fn raise_token(&mut self, token: u64) {
         if token > self.token {
             self.token = token;
@@ -138,7 +177,9 @@
         }
     }
 
-    /// The answer to a report: dropped with a lower token or after the session has ended.
+    /// Handles the answer to a heartbeat that was sent at `sent` in the incarnation `tenure`: renews the
+    /// lease and executes the commands. Ignores an answer with a lower token, or one to an earlier
+    /// incarnation.
     pub fn on_heartbeat_answer(
         &mut self,
         body: &Value,
@@ -156,18 +197,20 @@
         self.execute(body["orders"].as_array().unwrap(), jobs, now);
     }
 
-    fn execute(&mut self, orders: &[Value], jobs: &BTreeMap<String, JobRequest>, now: Instant) {
-        for order in orders {
-            let task = TaskId::parse(order["shard"].as_str().unwrap()).unwrap();
-            let attempt = order["try"].as_u64().unwrap();
+    /// Executes `run`, `halt` and `clear` commands. Commands for tasks that are already in the requested
+    /// state have no effect.
+    fn execute(&mut self, commands: &[Value], jobs: &BTreeMap<String, JobRequest>, now: Instant) {
+        for command in commands {
+            let task = TaskId::parse(command["shard"].as_str().unwrap()).unwrap();
+            let attempt = command["try"].as_u64().unwrap();
             let key = (task.clone(), attempt);
-            match order["verb"].as_str().unwrap() {
+            match command["verb"].as_str().unwrap() {
                 "run" => {
                     if self.tasks.contains_key(&key) {
                         continue;
                     }
                     let Some(job) = jobs.get(task.job.as_str()) else {
-                        self.put(key, Phase::Exited("no_such"));
+                        self.insert_task(key, Phase::Exited("no_such"));
                         continue;
                     };
                     let busy = self
@@ -182,7 +225,8 @@
                         .fold((0, 0), |(g, c), j| (g + j.each.gpus, c + j.each.cpus));
                     let phase = if busy {
                         Phase::Exited("busy")
-                    } else if gpus + job.each.gpus > CAPACITY.0 || cpus + job.each.cpus > CAPACITY.1
+                    } else if gpus + job.each.gpus > MACHINE_CAPACITY.0
+                        || cpus + job.each.cpus > MACHINE_CAPACITY.1
                     {
                         Phase::Exited("no_room")
                     } else if self.images.contains(job.image.as_str()) {
@@ -190,7 +234,7 @@
                     } else {
                         Phase::Fetching(now + Duration::from_secs_f64(job.image_gb))
                     };
-                    self.put(key, phase);
+                    self.insert_task(key, phase);
                 }
                 "halt" => {
                     if let Some(t) = self.tasks.get_mut(&key)
@@ -209,19 +253,20 @@
                         self.tasks.remove(&key);
                     }
                 }
-                other => panic!("an unknown order {other}"),
+                other => panic!("unknown command verb {other:?}"),
             }
         }
     }
 
-    fn put(&mut self, key: (TaskId, u64), phase: Phase) {
+    /// Adds a task in this phase, or replaces the one with the same key.
+    fn insert_task(&mut self, key: (TaskId, u64), phase: Phase) {
         let attempt = Attempt(key.1);
         self.tasks.insert(key, Task { attempt, phase });
         self.changed = true;
     }
 
-    /// Lets time pass on a machine that stands still: it may go on within its lease, and no longer.
-    /// Its tasks go no further meanwhile.
+    /// Advances time by `step` on a machine that hangs. Fetching and running tasks make no progress, but
+    /// the lease runs on: a machine that hangs for longer loses its tasks.
     pub fn hang(
         &mut self,
         step: Duration,
@@ -238,7 +283,7 @@
         }
     }
 
-    /// If the lease has run out, its tasks are killed, and the next session begins.
+    /// Kills all tasks and begins the next incarnation if the lease has expired.
     fn expire_lease(
         &mut self,
         now: Instant,
@@ -246,8 +291,8 @@
         observer: &mut impl WorkerObserver,
     ) {
         if now - self.lease_from > times.lease {
-            let lost = self.tasks.values().filter(|t| t.is_on()).count();
-            observer.lease_expired(&self.zone, lost, times.lease, now);
+            let killed = self.tasks.values().filter(|t| t.is_started()).count();
+            observer.lease_expired(&self.zone, killed, times.lease, now);
             self.tasks.clear();
             self.incarnation += 1;
             self.lease_from = now;
@@ -255,7 +300,10 @@
         }
     }
 
-    /// Lets time pass: leases, fetches, waits, ends.
+    /// Advances the lease and the phases of all tasks to the present.
+    ///
+    /// Two job classes behave differently: tasks of `broken` jobs exit with an error after the fetch, and
+    /// each task of an `uneven` job runs longer than the one before.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -269,8 +317,8 @@
             let Some(job) = jobs.get(task.job.as_str()) else {
                 continue;
             };
-            let before = t.phase.clone();
-            match before {
+            let phase_before = t.phase.clone();
+            match phase_before {
                 Phase::Fetching(until) if now >= until => {
                     self.images.insert(job.image.as_str().to_owned());
                     if job.class.as_str() == "broken" {
@@ -280,7 +328,7 @@
                     }
                     started.push((task.clone(), *attempt));
                     t.phase = if observer.has_result(task) {
-                        // The result is kept.
+                        // The task completed elsewhere, and its stored result is reused.
                         Phase::Exited("done")
                     } else if job.shape == Shape::Gang {
                         Phase::Waiting(now)
@@ -297,7 +345,8 @@
                 Phase::Waiting(since) if now - since > times.gang_wait => {
                     t.phase = Phase::Exited("incomplete");
                 }
-                // Gangs complete together, if they do: see `gangs`.
+                // The tasks of a gang complete together, which a single worker can't decide: the cluster
+                // completes them.
                 Phase::Running { until: Some(until) }
                     if now >= until && job.shape != Shape::Gang =>
                 {
@@ -306,7 +355,7 @@
                 }
                 _ => {}
             }
-            self.changed |= t.phase != before;
+            self.changed |= t.phase != phase_before;
         }
         for (task, attempt) in started {
             observer.started(self, &task, attempt);
