--- a/crates/jasperhill-testkit/src/invariants.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -63,8 +63,8 @@
     pub killed: usize,
     /// Number of submissions that were answered with 503 or not at all.
     pub undecided: usize,
-    /// Number of tasks killed by an expired lease in a zone that, since before the lease began, had
-    /// always been reached by a controller that also reached the state service.
+    /// Number of tasks killed by an expired lease although, for the last one and a quarter lease
+    /// durations, some controller had reached both the zone's workers and the state service.
     pub killed_in_reach: usize,
     /// Last time at which no controller reached both the state service and the zone's workers, by zone.
     pub out_of_reach: BTreeMap<String, Instant>,
@@ -149,8 +149,8 @@
         }
     }
     /// Records the phase that a user was told in answer to a query sent at `sent`, and checks the rule
-    /// `went_back`: once a user was told a final phase, a later query must not be answered with another
-    /// one, and no query with another final one.
+    /// `went_back`: once a user was told a final phase, no query sent after that may be answered with
+    /// another phase, and no query at all with another final phase.
     pub fn told(&mut self, id: &str, phase: &str, sent: Instant, now: Instant) {
         let is_final = |phase: &str| matches!(phase, "done" | "aborted");
         match self.final_phases.get(id) {
--- a/crates/jasperhill-testkit/src/outcome.rs
+++ b/crates/jasperhill-testkit/src/outcome.rs
@@ -18,8 +18,8 @@
     pub most_at_once: usize,
     /// Number of tasks killed because their worker's lease expired.
     pub killed: usize,
-    /// Number of tasks killed by an expired lease in a zone that had all the time been reached by a
-    /// controller that also reached the state service.
+    /// Number of tasks killed by an expired lease although, for the last one and a quarter lease
+    /// durations, some controller had reached both the zone's workers and the state service.
     pub killed_in_reach: usize,
     /// Number of submissions that were answered with 503 or not at all.
     pub undecided: usize,
--- a/crates/jasperhill-testkit/src/users/jobs.rs
+++ b/crates/jasperhill-testkit/src/users/jobs.rs
@@ -1,31 +1,34 @@
-//! The jobs that users submit.
+//! Job requests that simulated users submit, as JSON bodies.
+//!
+//! Every kind of job has a class of its own, which the workers, users and checks recognise, and a range
+//! of job numbers of its own, so that ids don't collide.
 
 use crate::{cluster::SimulatedCluster, scenario::Scale};
 use serde_json::{Value, json};
 
-/// A job of some kind, by the world's luck.
-pub fn random_job(world: &SimulatedCluster, number: usize) -> Value {
-    let pick = |n: u64| world.draw(n);
-    // Tasks of a job, by its kind.
-    let most: [u64; 4] = match world.scale {
+/// Returns a service, a gang or one of two kinds of array, drawn from the cluster's random numbers.
+pub fn random_job(cluster: &SimulatedCluster, number: usize) -> Value {
+    let pick = |n: u64| cluster.draw(n);
+    // Most tasks of a job, by kind: service, gang, `batch` array, `loose` array.
+    let max_tasks: [u64; 4] = match cluster.scale {
         Scale::Small => [2, 2, 6, 4],
         Scale::Large | Scale::Fleet => [12, 5, 250, 60],
     };
-    let size = |kind: usize| {
-        let n = 1 + pick(most[kind]);
+    let task_count = |kind: usize| {
+        let n = 1 + pick(max_tasks[kind]);
         // Gangs come in powers of two, up to 16.
-        if kind == 1 && world.scale != Scale::Small {
+        if kind == 1 && cluster.scale != Scale::Small {
             1 << (n - 1)
         } else {
             n
         }
     };
-    let (class, shape, urgency, tasks, gpus, spot, mut due) = match pick(4) {
+    let (class, shape, urgency, tasks, gpus, spot, mut due_s) = match pick(4) {
         0 => (
             "service",
             "daemon",
             "prod",
-            size(0),
+            task_count(0),
             1.0,
             false,
             Value::Null,
@@ -34,7 +37,7 @@
             "gang",
             "ensemble",
             "urgent",
-            size(1),
+            task_count(1),
             2.0,
             false,
             Value::Null,
@@ -43,33 +46,42 @@
             "batch",
             "array",
             "standard",
-            size(2),
+            task_count(2),
             1.0,
             true,
             json!(60.0 + pick(120) as f64),
         ),
-        _ => ("loose", "array", "idle", size(3), 1.0, true, Value::Null),
+        _ => (
+            "loose",
+            "array",
+            "idle",
+            task_count(3),
+            1.0,
+            true,
+            Value::Null,
+        ),
     };
-    let mut estimate = if shape == "daemon" {
+    let mut expected_s = if shape == "daemon" {
         0.0
     } else {
         8.0 + pick(30) as f64
     };
-    if world.plan.long_tasks.is_some() {
-        // Longer than the day.
-        estimate *= 60.0;
-        due = Value::Null;
+    if cluster.plan.long_tasks.is_some() {
+        // Longer than the run, with no deadline to miss.
+        expected_s *= 60.0;
+        due_s = Value::Null;
     }
     json!({
         "uid": format!("job-{number:06}"), "jobclass": class, "tenant": format!("team-{}", pick(4)),
         "shape": shape, "urgency": urgency, "shards": tasks, "vcpus": 4.0, "accelerators": gpus,
         "memory_gb": 20.0, "bundle": format!("img-{}", pick(4)), "size_gb": 2.0 + pick(4) as f64,
         "hosttypes": null, "hall": null, "together": shape == "ensemble" && pick(2) == 0,
-        "apart": shape == "daemon", "reclaimable": spot, "expected_s": estimate,
-        "snapshot_every_s": 0.0, "snapshot_s": 0.0, "due_s": due,
+        "apart": shape == "daemon", "reclaimable": spot, "expected_s": expected_s,
+        "snapshot_every_s": 0.0, "snapshot_s": 0.0, "due_s": due_s,
     })
 }
 
+/// Returns a preemptible `idle` array without GPUs. `run_s` is the expected run time of a task.
 pub(super) fn array(
     id: String,
     class: &str,
@@ -87,7 +99,7 @@
     })
 }
 
-/// An array of two or three tasks, each of which lasts longer than the one before.
+/// Returns an array of two or three tasks, each of which runs longer than the one before.
 pub fn uneven_array(number: usize) -> Value {
     let (id, team) = (650_000 + number, number % 4);
     let tasks = 2 + number as u32 % 2;
@@ -101,16 +113,18 @@
     )
 }
 
+/// Returns the id of the job that [`zone_bound_job`] makes for this number.
 pub fn bound_id(number: usize) -> String {
     format!("job-{:06}", 660_000 + number)
 }
 
-/// A job of any shape that is bound to one zone: a named one, or one for all of its tasks.
+/// Returns a job of any shape whose tasks must all run in one zone: a zone that the request names, or
+/// any single one.
 pub fn zone_bound_job(number: usize) -> Value {
     let team = format!("team-{}", number % 4);
     let tasks = 1 + number as u32 % 3;
-    let run = 10.0 + (number % 5) as f64 * 6.0;
-    let mut job = array(bound_id(number), "bound", &team, tasks, 3.0, run);
+    let run_s = 10.0 + (number % 5) as f64 * 6.0;
+    let mut job = array(bound_id(number), "bound", &team, tasks, 3.0, run_s);
     job["accelerators"] = json!(1.0);
     match number % 5 {
         0 => {}
@@ -119,7 +133,7 @@
             job["shape"] = json!("daemon");
             job["expected_s"] = json!(0.0);
         }
-        // At most half of an array at a time.
+        // Spread: at most half of an array runs at a time.
         3 => job["apart"] = json!(true),
         _ => job["urgency"] = json!("urgent"),
     }
@@ -131,7 +145,7 @@
     job
 }
 
-/// An array that fails on every machine.
+/// Returns an array whose tasks fail on every machine.
 pub fn failing_array(number: usize) -> Value {
     let team = format!("team-{}", number % 4);
     array(
@@ -144,7 +158,7 @@
     )
 }
 
-/// One of very many urgent jobs.
+/// Returns one job of a flood: very many urgent jobs submitted within a short time.
 pub fn flood_job(number: usize, team: usize) -> Value {
     let id = format!("job-{:06}", 400_000 + number);
     let mut job = array(id, "flood", &format!("team-{team}"), 40, 4.0, 20.0);
@@ -153,25 +167,26 @@
     job
 }
 
-/// A guest's huge array of short, tiny tasks.
+/// Returns an array of 4,000 short, small tasks of the team `guest`.
 pub fn huge_array() -> Value {
     array("job-600000".to_owned(), "tiny", "guest", 4_000, 0.25, 3.0)
 }
 
-/// The jobs of a pipeline: one, two after it, a gang after these, a last one with a deadline.
-pub fn dependent_jobs(world: &SimulatedCluster, number: usize) -> Vec<Value> {
-    let needs: [&[usize]; 5] = [&[], &[0], &[0], &[1, 2], &[3, 0]];
+/// Returns the five jobs of a pipeline: the first one, two that depend on it, a gang that depends on
+/// both, and a last one with a deadline that depends on the gang and the first one.
+pub fn dependent_jobs(cluster: &SimulatedCluster, number: usize) -> Vec<Value> {
+    let dependencies: [&[usize]; 5] = [&[], &[0], &[0], &[1, 2], &[3, 0]];
     let id = |stage: usize| format!("job-{:06}", 700_000 + number * 10 + stage);
     let stage = |n: usize| {
-        let team = format!("team-{}", world.draw(4));
-        let tasks = 1 + world.draw(4) as u32;
+        let team = format!("team-{}", cluster.draw(4));
+        let tasks = 1 + cluster.draw(4) as u32;
         let mut job = array(
             id(n),
             "stage",
             &team,
             tasks,
             1.0,
-            4.0 + world.draw(8) as f64,
+            4.0 + cluster.draw(8) as f64,
         );
         if n == 3 {
             job["shape"] = json!("ensemble");
@@ -180,15 +195,16 @@
             job["urgency"] = json!("urgent");
             job["due_s"] = json!(150.0);
         }
-        let needs: Vec<String> = needs[n].iter().map(|m| id(*m)).collect();
-        job["waits_on"] = json!(needs);
+        let dependency_ids: Vec<String> = dependencies[n].iter().map(|m| id(*m)).collect();
+        job["waits_on"] = json!(dependency_ids);
         job
     };
-    (0..needs.len()).map(stage).collect()
+    (0..dependencies.len()).map(stage).collect()
 }
 
-/// What can never run, or lacks something, with the answer that it gets and the field that this
-/// names.
+/// Returns an invalid request (a job that can never run, or one that lacks a field), with the status
+/// that it must be answered with and a word that the answer must contain: the name of the field at
+/// fault, or `missing`.
 pub(super) fn invalid_job(number: usize) -> (Value, u16, &'static str) {
     let team = format!("team-{}", number % 4);
     let id = format!("job-{:06}", 820_000 + number);
@@ -197,8 +213,8 @@
     gang["shape"] = json!("ensemble");
     gang["apart"] = json!(true);
     let fields: Vec<String> = body.as_object().unwrap().keys().cloned().collect();
-    let needed = |f: &&String| !["hosttypes", "hall", "due_s", "uid"].contains(&f.as_str());
-    let needed: Vec<&String> = fields.iter().filter(needed).collect();
+    let is_required = |f: &&String| !["hosttypes", "hall", "due_s", "uid"].contains(&f.as_str());
+    let required: Vec<&String> = fields.iter().filter(is_required).collect();
     match number % 8 {
         0 => {
             body["accelerators"] = json!(1_000.0);
@@ -229,7 +245,7 @@
             (body, 400, "shards")
         }
         _ => {
-            let field = needed[number / 8 % needed.len()].clone();
+            let field = required[number / 8 % required.len()].clone();
             body.as_object_mut().unwrap().remove(&field);
             (body, 400, "missing")
         }
--- a/crates/jasperhill-testkit/src/users/mod.rs
+++ b/crates/jasperhill-testkit/src/users/mod.rs
@@ -1,4 +1,8 @@
-//! A stand-in for users: submits, polls, cancels, submits again, and checks every answer.
+//! Simulated users of the public API.
+//!
+//! Users submit jobs, query, cancel and resubmit them, and send invalid requests. Every answer is
+//! passed to the checker of the protocol's rules; answers that no rule allows are recorded as
+//! violations.
 
 mod jobs;
 
@@ -15,127 +19,131 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// One user's life with a pipeline: each job is submitted as soon as those before it are accepted.
-pub async fn run_dependent_jobs(world: Rc<SimulatedCluster>, stages: Vec<Value>) {
+/// Submits the jobs of a pipeline, each as soon as the one before it has been accepted, and watches every
+/// accepted job. Stops at the first job that is not accepted.
+pub async fn run_dependent_jobs(cluster: Rc<SimulatedCluster>, stages: Vec<Value>) {
     for body in stages {
-        if !submit(&world, &body).await {
+        if !submit(&cluster, &body).await {
             return;
         }
-        tokio::task::spawn_local(watch_job(world.clone(), body));
+        tokio::task::spawn_local(watch_job(cluster.clone(), body));
     }
 }
 
-/// One user's life with one job.
-pub async fn run_user(world: Rc<SimulatedCluster>, body: Value) {
-    if submit(&world, &body).await {
-        watch_job(world, body).await;
+/// Submits a job and, once it is accepted, watches it until the end of the run.
+pub async fn run_user(cluster: Rc<SimulatedCluster>, body: Value) {
+    if submit(&cluster, &body).await {
+        watch_job(cluster, body).await;
     }
 }
 
-/// Submits until the job is accepted; false if that does not come about.
-async fn submit(world: &Rc<SimulatedCluster>, body: &Value) -> bool {
+/// Submits a job until it is accepted. Returns false if it is refused, or not accepted within a minute.
+async fn submit(cluster: &Rc<SimulatedCluster>, body: &Value) -> bool {
     let request = JobRequest::parse(body.to_string().as_bytes()).unwrap();
     let id = request.id.to_string();
     {
-        let mut inner = world.inner.borrow_mut();
+        let mut inner = cluster.inner.borrow_mut();
         inner.jobs.insert(id.clone(), request);
         inner.bodies.insert(id.clone(), body.clone());
     }
     let submit = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
-    let began = Instant::now();
-    let mut line = None;
+    let started = Instant::now();
+    let mut connection = None;
     loop {
-        match world.user_request(&submit, &mut line).await {
+        match cluster.user_request(&submit, &mut connection).await {
             Some((200 | 201, _)) => break,
             Some((400 | 422, text)) => {
-                // Nothing that is made here is wrong.
-                world.record_violation(format!("refused: {id} {text}"));
+                // All requests submitted by this function are valid.
+                cluster.record_violation(format!("refused: {id} {text}"));
                 return false;
             }
-            _ if began.elapsed() > Duration::from_secs(60) => return false,
+            _ if started.elapsed() > Duration::from_secs(60) => return false,
             Some((503, _)) | None => {
-                world.inner.borrow_mut().rules.undecided += 1;
+                cluster.inner.borrow_mut().rules.undecided += 1;
                 sleep(Duration::from_secs(2)).await;
             }
             _ => sleep(Duration::from_secs(2)).await,
         }
     }
-    let mut inner = world.inner.borrow_mut();
+    let mut inner = cluster.inner.borrow_mut();
     inner.accepted += 1;
     inner.accepted_at.insert(id, Instant::now());
     drop(inner);
     true
 }
 
-/// Polls a job, cancels it now and then, submits it again, and minds the answers.
-async fn watch_job(world: Rc<SimulatedCluster>, body: Value) {
+/// Queries a job at intervals, resubmits it now and then, cancels it at a drawn time if at all, and checks
+/// every answer.
+async fn watch_job(cluster: Rc<SimulatedCluster>, body: Value) {
     let id = body["uid"].as_str().unwrap().to_owned();
     let submit = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
     let class = body["jobclass"].as_str().unwrap_or_default();
     let cancel_at = match class {
         "tiny" | "uneven" => None,
         "broken" => Some(Instant::now() + Duration::from_secs(120)),
-        "stage" => {
-            (world.draw(10) == 0).then(|| Instant::now() + Duration::from_secs(2 + world.draw(30)))
-        }
-        _ => (world.draw(3) == 0 || body["shape"] == "daemon")
-            .then(|| Instant::now() + Duration::from_secs(5 + world.draw(80))),
+        "stage" => (cluster.draw(10) == 0)
+            .then(|| Instant::now() + Duration::from_secs(2 + cluster.draw(30))),
+        _ => (cluster.draw(3) == 0 || body["shape"] == "daemon")
+            .then(|| Instant::now() + Duration::from_secs(5 + cluster.draw(80))),
     };
-    let cancel_at = match world.plan.long_tasks {
-        Some((from, to)) if class != "uneven" && world.draw(3) > 0 => {
-            let within = Duration::from_millis(world.draw((to - from) * 1_000));
-            Some(world.origin + Duration::from_secs(from) + within)
+    let cancel_at = match cluster.plan.long_tasks {
+        Some((from_s, to_s)) if class != "uneven" && cluster.draw(3) > 0 => {
+            let offset = Duration::from_millis(cluster.draw((to_s - from_s) * 1_000));
+            Some(cluster.origin + Duration::from_secs(from_s) + offset)
         }
         Some(_) => None,
         None => cancel_at,
     };
-    let (mut asked_to_cancel, mut over, mut line) = (false, false, None);
-    let mut in_vain = false;
+    let (mut asked_to_cancel, mut is_final, mut connection) = (false, false, None);
+    let mut cancel_failed = false;
     loop {
-        sleep(Duration::from_millis(3_000 + world.draw(4_000))).await;
+        sleep(Duration::from_millis(3_000 + cluster.draw(4_000))).await;
         if !asked_to_cancel && cancel_at.is_some_and(|t| Instant::now() >= t) {
             asked_to_cancel = true;
-            world.inner.borrow_mut().rules.asked.insert(id.clone());
+            cluster.inner.borrow_mut().rules.asked.insert(id.clone());
         }
-        let again = world.draw(12) == 0;
-        // Whoever can't cancel asks in between how it stands.
-        let cancelling = asked_to_cancel && !over && !in_vain;
-        let ask = if cancelling {
+        let resubmit = cluster.draw(12) == 0;
+        // A query follows every failed attempt to cancel.
+        let cancelling = asked_to_cancel && !is_final && !cancel_failed;
+        let request = if cancelling {
             Request::new(Method::Post, format!("/v1/jobs/{id}/abort"), Vec::new())
-        } else if again {
+        } else if resubmit {
             submit.clone()
         } else {
             Request::new(Method::Get, format!("/v1/jobs/{id}"), Vec::new())
         };
         let sent = Instant::now();
-        let answer = world.user_request_with_responder(&ask, &mut line).await;
+        let answer = cluster
+            .user_request_with_responder(&request, &mut connection)
+            .await;
         let answered = matches!(answer, Some((_, 200 | 201, _)));
-        in_vain = cancelling && !answered;
-        check_answer(&world, &id, answer, sent);
-        let inner = world.inner.borrow();
-        over = inner.rules.final_phase(&id).is_some();
+        cancel_failed = cancelling && !answered;
+        check_answer(&cluster, &id, answer, sent);
+        let inner = cluster.inner.borrow();
+        is_final = inner.rules.final_phase(&id).is_some();
         asked_to_cancel |= inner.rules.asked.contains(&id);
     }
 }
 
-/// Minds an answer about an accepted job to a question sent at that moment.
+/// Checks the answer to a request about an accepted job. `sent` is the time at which the request was sent;
+/// `answer` holds the controller, status and body, or `None` if there was no answer.
 fn check_answer(
-    world: &Rc<SimulatedCluster>,
+    cluster: &Rc<SimulatedCluster>,
     id: &str,
     answer: Option<(usize, u16, String)>,
     sent: Instant,
 ) {
     let now = Instant::now();
     let answered = matches!(answer, Some((_, 200 | 201, _)));
-    let mut guarded = world.inner.borrow_mut();
-    let inner = &mut *guarded;
+    let mut guard = cluster.inner.borrow_mut();
+    let inner = &mut *guard;
     let rules = &mut inner.rules;
-    let over = rules.final_phase(id).is_some();
-    rules.record_query(id, answered, over, now);
+    let was_final = rules.final_phase(id).is_some();
+    rules.record_query(id, answered, was_final, now);
     let (node, text) = match answer {
         Some((node, 200, text)) => (node, text),
         Some((_, status @ (201 | 400 | 404 | 422), _)) => {
-            rules.record_violation(format!("forgotten: {id} {status}"));
+            rules.record_violation(format!("forgotten: {id} answered with status {status}"));
             return;
         }
         _ => return,
@@ -147,9 +155,11 @@
     match phase {
         "done" => {
             if !rules.all_done(job) {
-                rules.record_violation(format!("not_done: {id}"));
+                rules.record_violation(format!(
+                    "not_done: {id} is reported done before all its tasks are"
+                ));
             }
-            if !over {
+            if !was_final {
                 inner.finished += 1;
                 rules.staged += usize::from(job.class.as_str() == "stage");
                 rules.uneven += usize::from(job.class.as_str() == "uneven");
@@ -157,44 +167,47 @@
         }
         "aborted" => {
             let asked = rules.asked.contains(id);
-            drop(guarded);
-            let before = world.inner.borrow().upstream_jobs(id);
-            let mut guarded = world.inner.borrow_mut();
-            let inner = &mut *guarded;
+            drop(guard);
+            let upstream = cluster.inner.borrow().upstream_jobs(id);
+            let mut guard = cluster.inner.borrow_mut();
+            let inner = &mut *guard;
             let rules = &mut inner.rules;
-            if !asked && !before.iter().any(|b| rules.asked.contains(b.as_str())) {
-                rules.record_violation(format!("went_back: {id} cancelled by nobody"));
+            if !asked && !upstream.iter().any(|u| rules.asked.contains(u.as_str())) {
+                rules.record_violation(format!("went_back: {id} is cancelled without a request"));
             }
-            if !over && !asked {
+            if !was_final && !asked {
                 rules.swept += 1;
             }
             rules.cancelled.entry(id.to_owned()).or_insert(now);
             rules.confirmed(id, node, &inner.workers, now);
         }
         _ => {
-            drop(guarded);
+            drop(guard);
             let orphaned = {
-                let inner = world.inner.borrow();
-                let told = &inner.rules.cancelled;
-                let over = |b: &String| told.get(b).is_some_and(|t| t.elapsed() > CANCEL);
-                inner.upstream_jobs(id).iter().any(over)
+                let inner = cluster.inner.borrow();
+                let cancelled_at = &inner.rules.cancelled;
+                let is_long_cancelled =
+                    |u: &String| cancelled_at.get(u).is_some_and(|t| t.elapsed() > CANCEL);
+                inner.upstream_jobs(id).iter().any(is_long_cancelled)
             };
             if orphaned {
-                world.record_violation(format!("orphaned: {id} is still {phase}"));
+                cluster.record_violation(format!(
+                    "orphaned: {id} is still {phase} after a job it depends on was cancelled"
+                ));
             }
         }
     }
 }
 
-/// Calls a job off, and asks again until it is told what became of it.
-pub async fn cancel(world: &Rc<SimulatedCluster>, id: &str) {
-    world.inner.borrow_mut().rules.asked.insert(id.to_owned());
+/// Cancels a job: sends the request until it is answered with 200.
+pub async fn cancel(cluster: &Rc<SimulatedCluster>, id: &str) {
+    cluster.inner.borrow_mut().rules.asked.insert(id.to_owned());
     let abort = Request::new(Method::Post, format!("/v1/jobs/{id}/abort"), Vec::new());
     loop {
         let sent = Instant::now();
-        let answer = world.user_request_with_responder(&abort, &mut None).await;
+        let answer = cluster.user_request_with_responder(&abort, &mut None).await;
         let answered = matches!(answer, Some((_, 200, _)));
-        check_answer(world, id, answer, sent);
+        check_answer(cluster, id, answer, sent);
         if answered {
             return;
         }
@@ -202,105 +215,111 @@
     }
 }
 
-/// A job whose last task has just ended is called off, asked about and submitted again, at once.
-pub fn cancel_at_end(world: &Rc<SimulatedCluster>, id: String) {
+/// Queries, resubmits and cancels a job whose last task has just completed, all within a second. Does
+/// nothing if the job was not accepted or its user has asked to cancel it.
+pub fn cancel_at_end(cluster: &Rc<SimulatedCluster>, id: String) {
     let body = {
-        let inner = world.inner.borrow();
-        let asked = inner.rules.asked.contains(&id) || !inner.accepted_at.contains_key(&id);
-        inner.bodies.get(&id).filter(|_| !asked).cloned()
+        let inner = cluster.inner.borrow();
+        let is_excluded = inner.rules.asked.contains(&id) || !inner.accepted_at.contains_key(&id);
+        inner.bodies.get(&id).filter(|_| !is_excluded).cloned()
     };
     let Some(body) = body else { return };
-    world.inner.borrow_mut().faults.met.at_end += 1;
+    cluster.inner.borrow_mut().faults.met.at_end += 1;
     for request in [
         Request::new(Method::Get, format!("/v1/jobs/{id}"), Vec::new()),
         Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes()),
     ] {
-        let (world, id) = (world.clone(), id.clone());
+        let (cluster, id) = (cluster.clone(), id.clone());
         tokio::task::spawn_local(async move {
             for _ in 0..3 {
-                sleep(Duration::from_millis(world.draw(150))).await;
+                sleep(Duration::from_millis(cluster.draw(150))).await;
                 let sent = Instant::now();
-                let answer = world.user_request_with_responder(&request, &mut None).await;
-                check_answer(&world, &id, answer, sent);
+                let answer = cluster
+                    .user_request_with_responder(&request, &mut None)
+                    .await;
+                check_answer(&cluster, &id, answer, sent);
             }
         });
     }
-    let world = world.clone();
+    let cluster = cluster.clone();
     tokio::task::spawn_local(async move {
-        sleep(Duration::from_millis(world.draw(700))).await;
-        cancel(&world, &id).await;
-        let mut inner = world.inner.borrow_mut();
-        let done = inner.rules.final_phase(&id) == Some("done");
-        inner.faults.met.at_end_done += usize::from(done);
+        sleep(Duration::from_millis(cluster.draw(700))).await;
+        cancel(&cluster, &id).await;
+        let mut inner = cluster.inner.borrow_mut();
+        let is_done = inner.rules.final_phase(&id) == Some("done");
+        inner.faults.met.at_end_done += usize::from(is_done);
     });
 }
 
-/// Users who repeat submissions of unfinished jobs, some of them in part, cancel what is over, and send what can't run or
-/// lacks a field.
-pub async fn send_invalid_requests(world: Rc<SimulatedCluster>, until: Instant) {
+/// Repeats submissions of unfinished jobs, some of them without one field, cancels jobs that have ended,
+/// and submits jobs that can never run or lack a field, until the given time.
+pub async fn send_invalid_requests(cluster: Rc<SimulatedCluster>, until: Instant) {
     for number in 0.. {
-        sleep(Duration::from_millis(200 + world.draw(500))).await;
+        sleep(Duration::from_millis(200 + cluster.draw(500))).await;
         if Instant::now() >= until {
             return;
         }
-        let known = {
-            let inner = world.inner.borrow();
-            let all: Vec<String> = inner.accepted_at.keys().cloned().collect();
+        let accepted_id = {
+            let inner = cluster.inner.borrow();
+            let ids: Vec<String> = inner.accepted_at.keys().cloned().collect();
             drop(inner);
-            (!all.is_empty()).then(|| all[world.draw(all.len() as u64) as usize].clone())
+            (!ids.is_empty()).then(|| ids[cluster.draw(ids.len() as u64) as usize].clone())
         };
-        if let Some(id) = known.filter(|_| number % 2 == 0) {
-            let (over, body) = {
-                let inner = world.inner.borrow();
-                let over = inner.rules.final_phase(&id).is_some();
-                (over, inner.bodies[&id].clone())
+        if let Some(id) = accepted_id.filter(|_| number % 2 == 0) {
+            let (is_final, body) = {
+                let inner = cluster.inner.borrow();
+                let is_final = inner.rules.final_phase(&id).is_some();
+                (is_final, inner.bodies[&id].clone())
             };
             let mut body = body;
             if number % 8 == 0 {
-                // A repeat that says less than the first time: the job is known all the same.
+                // An accepted job must be recognised by its id even if the repeated request lacks a field.
                 body.as_object_mut().unwrap().remove("bundle");
             }
-            let request = if over {
+            let request = if is_final {
                 Request::new(Method::Post, format!("/v1/jobs/{id}/abort"), Vec::new())
             } else {
                 Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes())
             };
             let sent = Instant::now();
-            let answer = world.user_request_with_responder(&request, &mut None).await;
-            let verdict = matches!(answer, Some((_, 200, _)));
-            check_answer(&world, &id, answer, sent);
-            world.inner.borrow_mut().faults.met.odd += usize::from(verdict);
+            let answer = cluster
+                .user_request_with_responder(&request, &mut None)
+                .await;
+            let is_answered = matches!(answer, Some((_, 200, _)));
+            check_answer(&cluster, &id, answer, sent);
+            cluster.inner.borrow_mut().faults.met.odd += usize::from(is_answered);
             continue;
         }
-        let (body, status, named) = invalid_job(number / 2);
+        let (body, status, expected_text) = invalid_job(number / 2);
         let request = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
-        match world.user_request(&request, &mut None).await {
-            Some((got, text)) if got == status && text.contains(named) => {
-                world.inner.borrow_mut().faults.met.odd += 1;
+        match cluster.user_request(&request, &mut None).await {
+            Some((got, text)) if got == status && text.contains(expected_text) => {
+                cluster.inner.borrow_mut().faults.met.odd += 1;
             }
-            // It can't decide yet.
+            // No decision was possible, for example during an outage.
             None | Some((503, _)) => {}
-            other => world.record_violation(format!("odd: {body} got {other:?}")),
+            other => cluster.record_violation(format!("odd: {body} was answered with {other:?}")),
         }
     }
 }
 
-/// Submits what no list of jobs to wait for may be, and names jobs that nobody has submitted or
-/// that never end: each is refused with the field's name, and never accepted.
-pub async fn send_bad_dependencies(world: Rc<SimulatedCluster>) {
-    let body = |n: usize, waits: Value| {
+/// Submits jobs with invalid dependency lists: malformed or too long ones, ones that repeat a job, and
+/// ones that name a job that was never submitted, the job itself, or a service, which never ends. Each
+/// must be refused with the name of the field. Empty lists must be accepted.
+pub async fn send_bad_dependencies(cluster: Rc<SimulatedCluster>) {
+    let body = |n: usize, dependencies: Value| {
         let mut body = array(format!("job-{n:06}"), "picky", "team-0", 1, 1.0, 2.0);
-        body["waits_on"] = waits;
+        body["waits_on"] = dependencies;
         body
     };
     let mut service = body(810_000, Value::Null);
     service["shape"] = json!("daemon");
     service["urgency"] = json!("prod");
-    if !submit(&world, &service).await {
+    if !submit(&cluster, &service).await {
         return;
     }
-    let long: Vec<String> = (0..4_000).map(|n| format!("job-{n:06}")).collect();
-    let bad = [
+    let too_long: Vec<String> = (0..4_000).map(|n| format!("job-{n:06}")).collect();
+    let invalid_lists = [
         (400, json!("job-000001")),
         (400, json!([1])),
         (400, json!({"job-000001": true})),
@@ -309,39 +328,44 @@
         (422, json!(["job-899999"])),
         (422, json!(["job-810006"])),
         (422, json!(["job-810000", "job-810000"])),
-        (422, json!(long)),
+        (422, json!(too_long)),
     ];
-    for (n, (status, waits)) in bad.into_iter().enumerate() {
-        let body = body(810_001 + n, waits);
-        let ask = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
+    for (n, (status, dependencies)) in invalid_lists.into_iter().enumerate() {
+        let body = body(810_001 + n, dependencies);
+        let request = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
         loop {
-            match world.user_request(&ask, &mut None).await {
+            match cluster.user_request(&request, &mut None).await {
                 Some((got, text)) if got == status && text.contains("waits_on") => break,
                 None | Some((503, _)) => sleep(Duration::from_secs(1)).await,
                 other => {
-                    world.record_violation(format!("picky: {} got {other:?}", body["uid"]));
+                    cluster.record_violation(format!(
+                        "picky: {} was answered with {other:?}",
+                        body["uid"]
+                    ));
                     break;
                 }
             }
         }
     }
-    // What is null, missing, empty or done already needs nothing.
-    for (n, waits) in [json!(null), json!([])].into_iter().enumerate() {
-        let body = body(811_000 + n, waits);
-        if submit(&world, &body).await {
-            tokio::task::spawn_local(watch_job(world.clone(), body));
+    // A list that is null or empty means that the job depends on no other one.
+    for (n, dependencies) in [json!(null), json!([])].into_iter().enumerate() {
+        let body = body(811_000 + n, dependencies);
+        if submit(&cluster, &body).await {
+            tokio::task::spawn_local(watch_job(cluster.clone(), body));
         }
     }
-    world.inner.borrow_mut().rules.picked = true;
+    cluster.inner.borrow_mut().rules.picked = true;
 }
 
-/// Asks about jobs that nobody has submitted.
-pub async fn ask_for_unknown_jobs(world: Rc<SimulatedCluster>) {
+/// Queries jobs that were never submitted; an answer of 200 is a violation.
+pub async fn ask_for_unknown_jobs(cluster: Rc<SimulatedCluster>) {
     for number in 900_000.. {
         sleep(Duration::from_secs(3)).await;
-        let ask = Request::new(Method::Get, format!("/v1/jobs/job-{number}"), Vec::new());
-        if let Some((200, text)) = world.user_request(&ask, &mut None).await {
-            world.record_violation(format!("invented: {text}"));
+        let request = Request::new(Method::Get, format!("/v1/jobs/job-{number}"), Vec::new());
+        if let Some((200, text)) = cluster.user_request(&request, &mut None).await {
+            cluster.record_violation(format!(
+                "invented: answer about a job that was never submitted: {text}"
+            ));
         }
     }
 }
