--- a/crates/jasperhill-testkit/src/cloud.rs
+++ b/crates/jasperhill-testkit/src/cloud.rs
@@ -43,9 +43,10 @@
     rental_responses: BTreeMap<String, Value>,
     /// Number of the machine that was added last.
     last_number: usize,
-    /// Half the age of the oldest snapshot that a listing can be answered from.
+    /// Mean age of the snapshot that a listing is answered from; the oldest one is twice as old.
     pub list_lag: Duration,
-    /// Whether boot times of new machines are abnormal: one second, 90 seconds, or longer than any run.
+    /// Whether boot times of new machines are abnormal: one second, 90 seconds, or longer than any
+    /// run.
     pub bad_boots: bool,
 }
 
@@ -97,8 +98,9 @@
         }
     }
 
-    /// Executes a request. The second part of the result names the machines that the request released:
-    /// they end together with all tasks on them. `pick(n)` returns a random number below `n`.
+    /// Executes a request. The second part of the result names the machines that the request
+    /// released: they end together with all tasks on them. `pick(n)` returns a random number below
+    /// `n`.
     ///
     /// # Panics
     ///
--- a/crates/jasperhill-testkit/src/connections.rs
+++ b/crates/jasperhill-testkit/src/connections.rs
@@ -1,10 +1,10 @@
 //! Connections of the simulated controllers, counted twice.
 //!
-//! The platform limits the sockets of a process with a [`SocketLimit`]: every open connection, idle or
-//! not, holds one [`Socket`], and beyond the limit no new connection can be opened. The process's own
-//! [`ConnectionTracker`] is called the way the real server and client call it.
-//! [`InboundConnection`] and [`OutboundConnections`] hold a socket and a permit of the tracker for every
-//! open connection.
+//! The platform limits the sockets of a process with a [`SocketLimit`]: every open connection, idle
+//! or not, holds one [`Socket`], and beyond the limit no new connection can be opened. The
+//! process's own [`ConnectionTracker`] is called the way the real server and client call it.
+//! [`InboundConnection`] and [`OutboundConnections`] hold a socket and a permit of the tracker for
+//! every open connection.
 
 use jasperhill_connections::Class;
 use jasperhill_controller::transport::class_of;
@@ -79,8 +79,8 @@
 }
 
 impl InboundConnection {
-    /// Opens a connection; `None` if the platform has no socket left or the process's own tracker gives
-    /// no permit.
+    /// Opens a connection; `None` if the platform has no socket left or the process's own tracker
+    /// gives no permit.
     pub fn open(
         node: usize,
         life: u64,
@@ -99,8 +99,8 @@
         self.open.borrow().is_some()
     }
 
-    /// Tells the tracker that a request has arrived. Returns false if its class has no capacity left, and
-    /// the request must be refused.
+    /// Tells the tracker that a request has arrived. Returns false if its class has no capacity
+    /// left, and the request must be refused.
     pub fn begins(&self, request: &Request) -> bool {
         let class = class_of(request);
         let open = self.open.borrow();
@@ -108,8 +108,9 @@
             .is_none_or(|(_, permit)| permit.start_request(class))
     }
 
-    /// Tells the tracker that the response has been sent, and the connection is idle. Returns false if the
-    /// connection is closed as a result. The tracker may also close it later, while it is idle.
+    /// Tells the tracker that the response has been sent, and the connection is idle. Returns false
+    /// if the connection is closed as a result. The tracker may also close it later, while it is
+    /// idle.
     pub fn rests(self: &Rc<Self>) -> bool {
         let connection = Rc::downgrade(self);
         let close = move || {
@@ -165,11 +166,8 @@
         }
     }
 
-    /// Takes an idle connection to an address, or opens a new one.
-    ///
-    /// # Errors
-    ///
-    /// Returns what refused a new connection: the tracker, which is asked first, or the platform.
+    /// Takes an idle connection to an address, or opens a new one. Returns an error that says what
+    /// refused the new connection: the tracker, which is asked first, or the platform.
     pub fn take(&self, to: SocketAddr, class: Class) -> Result<OpenConnection, NoConnection> {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|(_, idle_since)| idle_since.elapsed() < IDLE_TIMEOUT);
@@ -186,8 +184,8 @@
         Ok((socket, permit))
     }
 
-    /// Returns a connection to the pool after a response. Closes it if the pool holds enough connections
-    /// to this address, or the tracker does not let it stay open.
+    /// Returns a connection to the pool after a response. Closes it if the pool holds enough
+    /// connections to this address, or the tracker does not let it stay open.
     pub fn keep(&self, to: SocketAddr, connection: OpenConnection) {
         let (idle, id) = (Rc::downgrade(&self.idle), connection.1.id());
         let close = move || {
--- a/crates/jasperhill-testkit/src/faults.rs
+++ b/crates/jasperhill-testkit/src/faults.rs
@@ -1,9 +1,9 @@
 //! Faults that a scenario injects into the simulated cluster.
 //!
-//! [`Fault`] describes a fault as it stands in a scenario. [`ActiveFaults`] holds the faults that are
-//! in effect, is asked by the simulated network, services and workers on every message, and counts in
-//! [`FaultCounts`] how often the faults took effect. Its random numbers come from its own generator, so that
-//! drawing them doesn't change any other random choice of the run.
+//! [`Fault`] describes a fault as it stands in a scenario. [`ActiveFaults`] holds the faults that
+//! are in effect, is asked by the simulated network, services and workers on every message, and
+//! counts in [`FaultCounts`] how often the faults took effect. Its random numbers come from its own
+//! generator, so that drawing them doesn't change any other random choice of the run.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::time::Duration;
@@ -59,8 +59,8 @@
     Link(Endpoint, Endpoint, LinkFault, Duration),
     /// The controller crashes and is restarted after this long.
     Crash(usize, Duration),
-    /// The controller that is the leader according to the state service crashes and is restarted after
-    /// this long.
+    /// The controller that is the leader according to the state service crashes and is restarted
+    /// after this long.
     CrashLeader(Duration),
     /// The controller crashes several times in a row.
     CrashLoop {
@@ -73,8 +73,8 @@
         /// Time from a crash to the restart.
         back: Duration,
     },
-    /// Two endpoints are partitioned from each other in both directions; some requests are held back and
-    /// delivered after the partition.
+    /// Two endpoints are partitioned from each other in both directions; some requests are held
+    /// back and delivered after the partition.
     Cut(Endpoint, Endpoint, Duration),
     /// The state service answers every request with 503; open watches stay open.
     StateOutage(Duration),
@@ -88,39 +88,39 @@
     Upgrade(usize, Duration),
     /// The state service enforces its announced stricter limits from now on.
     LimitsFall,
-    /// The controller's process pauses while its clocks run on: no request or answer is sent or received,
-    /// and requests decided on before the pause are sent after it.
+    /// The controller's process pauses while its clocks run on: no request or answer is sent or
+    /// received, and requests decided on before the pause are sent after it.
     Stall(usize, Duration),
     /// Machines rented meanwhile boot at once, late, or never.
     BadBoots(Duration),
-    /// This percentage of all controllers' transactions gets no answer and is executed 2 to 12 seconds
-    /// later, after newer transactions.
+    /// This percentage of all controllers' transactions gets no answer and is executed 2 to 12
+    /// seconds later, after newer transactions.
     LateWrites(u64, Duration),
-    /// This percentage of heartbeats is delivered a second time, 2 seconds to two lease durations later,
-    /// to any controller.
+    /// This percentage of heartbeats is delivered a second time, 2 seconds to two lease durations
+    /// later, to any controller.
     LateHeartbeats(u64, Duration),
     /// This percentage of workers receives nothing: their heartbeats arrive, but answers and direct
     /// commands are lost.
     NotReceiving(u64, Duration),
-    /// This percentage of workers can't send heartbeats to any controller, while direct commands reach
-    /// them.
+    /// This percentage of workers can't send heartbeats to any controller, while direct commands
+    /// reach them.
     NotSending(u64, Duration),
     /// This many machines hang, together with their tasks, and resume afterwards.
     Hang(usize, Duration),
-    /// Users cancel this many running jobs that are far from complete, within 200 ms; up to eight of the
-    /// jobs' machines then hang for the duration.
+    /// Users cancel this many running jobs that are far from complete, within 200 ms; up to eight
+    /// of the jobs' machines then hang for the duration.
     CancelNow(usize, Duration),
-    /// This percentage of jobs is cancelled, queried and submitted again at the moment at which the job
-    /// completes.
+    /// This percentage of jobs is cancelled, queried and submitted again at the moment at which the
+    /// job completes.
     CancelAtEnd(u64, Duration),
-    /// Users repeat submissions of unfinished jobs, cancel jobs that have ended, and submit jobs that can
-    /// never run or lack a field.
+    /// Users repeat submissions of unfinished jobs, cancel jobs that have ended, and submit jobs
+    /// that can never run or lack a field.
     InvalidRequests(Duration),
-    /// This percentage of direct commands is affected: the command, or only its answer, is delayed by 2 to
-    /// 90 seconds.
+    /// This percentage of direct commands is affected: the command, or only its answer, is delayed
+    /// by 2 to 90 seconds.
     DelayedCommands(u64, Duration),
-    /// The state service refuses writes of host records as too large, as happens when a block of records
-    /// outgrows the limit on a value.
+    /// The state service refuses writes of host records as too large, as happens when a block of
+    /// records outgrows the limit on a value.
     NoHostWrites(Duration),
 }
 
@@ -191,13 +191,13 @@
     pub cancel_at_end: ActivePercentage,
     /// How often each fault took effect.
     pub met: FaultCounts,
-    /// Generator of its own: numbers drawn from it change no other random choice of the run. `None` until
-    /// it is seeded or first used.
+    /// Generator of its own: numbers drawn from it change no other random choice of the run. `None`
+    /// until it is seeded or first used.
     rng: Option<StdRng>,
 }
 
-/// Percentage of messages or jobs that a fault affects, and the time at which the fault ends; `None` if it
-/// never began.
+/// Percentage of messages or jobs that a fault affects, and the time at which the fault ends;
+/// `None` if it never began.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ActivePercentage(Option<(u64, Instant)>);
 
@@ -212,8 +212,8 @@
     }
 }
 
-/// How often faults took effect. Tests assert on these counts, because a test whose fault never occurred
-/// would prove nothing.
+/// How often faults took effect. Tests assert on these counts, because a test whose fault never
+/// occurred would prove nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultCounts {
     /// Delayed transactions that were executed.
@@ -228,14 +228,15 @@
     pub unheard: usize,
     /// Direct commands that were delayed, or whose answers were.
     pub held_orders: usize,
-    /// Delayed direct commands that the worker accepted when they arrived. Includes commands delayed
-    /// because the machine hung.
+    /// Delayed direct commands that the worker accepted when they arrived. Includes commands
+    /// delayed because the machine hung.
     pub held_done: usize,
-    /// Heartbeats that workers unable to send could not open a connection for.
+    /// Heartbeats for which a worker that is unable to send could not open a connection.
     pub mute_reports: usize,
-    /// Requests with direct commands that workers unable to send accepted.
+    /// Direct command requests accepted by workers that are unable to send heartbeats.
     pub mute_orders: usize,
-    /// Tasks that direct commands added on workers that had been unable to send for several heartbeats.
+    /// Tasks that direct commands added on workers that had been unable to send heartbeats for
+    /// longer than several heartbeat intervals.
     pub mute_starts: usize,
     /// Late copies of heartbeats from machines that no longer existed and had no host record.
     pub late_of_gone: usize,
@@ -251,7 +252,8 @@
     pub at_end: usize,
     /// Jobs counted in `at_end` that were reported as done.
     pub at_end_done: usize,
-    /// Repeated or invalid requests of `Fault::InvalidRequests` that were answered as they should be.
+    /// Repeated or invalid requests of `Fault::InvalidRequests` that were answered as they should
+    /// be.
     pub odd: usize,
     /// Heartbeats answered with 200 by a controller that the state service refuses.
     pub answered_refused: usize,
@@ -284,7 +286,8 @@
         self.draw_percent(percent)
             .then(|| Duration::from_millis(2_000 + self.draw(range_ms)))
     }
-    /// Returns the delay of a direct command and whether only its answer is delayed; `None` if neither is.
+    /// Returns the delay of a direct command and whether only its answer is delayed; `None` if
+    /// neither is.
     pub fn held_order(&mut self, now: Instant) -> Option<(Duration, bool)> {
         let percent = self.held_orders.percent_at(now);
         self.draw_percent(percent).then(|| {
@@ -342,8 +345,8 @@
     pub fn link(&mut self, from: Endpoint, to: Endpoint, fault: LinkFault, until: Instant) {
         self.links.push((from, to, fault, until));
     }
-    /// Returns the fault of a link in this direction and the time at which it ends; of several, the one
-    /// that ends last.
+    /// Returns the fault of a link in this direction and the time at which it ends; of several, the
+    /// one that ends last.
     pub fn on_link(
         &self,
         from: &Endpoint,
--- a/crates/jasperhill-testkit/src/invariants.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -1,9 +1,9 @@
 //! Checks of the protocol's rules during a simulated run.
 //!
-//! [`InvariantChecker`] observes the workers and the answers that users get, and checks the rules at
-//! every tick and every answer. A broken rule is recorded as a text that begins with the rule's name,
-//! such as `ran_twice` or `forgotten`; the run goes on. The checker also counts what happened, so that a
-//! test can assert that a run exercised what it is about.
+//! [`InvariantChecker`] observes the workers and the answers that users get, and checks the rules
+//! at every tick and every answer. A broken rule is recorded as a text that begins with the rule's
+//! name, such as `ran_twice` or `forgotten`; the run goes on. The checker also counts what
+//! happened, so that a test can assert that a run exercised what it is about.
 
 use crate::worker::{Worker, WorkerObserver};
 use jasperhill_wire::{
@@ -27,10 +27,11 @@
     pub cancelled: BTreeMap<String, Instant>,
     /// Number of pipeline jobs whose users were told that they are done.
     pub staged: usize,
-    /// Number of jobs that were cancelled without a request of their own, because a job they depend on was
-    /// cancelled.
+    /// Number of jobs that were cancelled without a request of their own, because a job they depend
+    /// on was cancelled.
     pub swept: usize,
-    /// Number of `uneven` jobs, whose tasks end far apart, whose users were told that they are done.
+    /// Number of jobs of the class `uneven`, the tasks of which end far apart, that were reported as
+    /// done to their users.
     pub uneven: usize,
     /// Number of task starts after the task had already completed.
     pub again: usize,
@@ -38,7 +39,8 @@
     pub picked: bool,
     /// Jobs whose users have asked to cancel them.
     pub asked: BTreeSet<String>,
-    /// Starts since the last check: host, task and attempt.
+    /// Starts since the last check (host, task and attempt), kept until then because each start is
+    /// checked against the tasks on all workers.
     new_starts: Vec<(String, TaskId, u64)>,
     /// Number of task starts.
     pub started: usize,
@@ -48,10 +50,11 @@
     pub cancels: BTreeMap<String, CancelledJob>,
     /// Time of the last answered query about each job that users query.
     last_answered: BTreeMap<String, Instant>,
-    /// Queries of the last [`QUERY_SILENCE_LIMIT`] about jobs not known to have ended: time, and whether
-    /// the query was answered.
+    /// Queries of the last [`QUERY_SILENCE_LIMIT`] about jobs not known to have ended: time, and
+    /// whether the query was answered.
     recent_queries: VecDeque<(Instant, bool)>,
-    /// Time after which no fault excuses unanswered queries or waiting jobs; `None` if there is none.
+    /// Time after which no fault excuses unanswered queries or waiting jobs; `None` if there is
+    /// none.
     pub calm_from: Option<Instant>,
     /// Longest time for which all queries about some job went unanswered.
     pub longest_silence: Duration,
@@ -61,12 +64,13 @@
     pub most_at_once: usize,
     /// Number of tasks killed because their worker's lease expired.
     pub killed: usize,
-    /// Number of submissions that were answered with 503 or not at all.
+    /// Number of submission attempts that were answered with 503 or not at all.
     pub undecided: usize,
     /// Number of tasks killed by an expired lease although, for the last one and a quarter lease
     /// durations, some controller had reached both the zone's workers and the state service.
     pub killed_in_reach: usize,
-    /// Last time at which no controller reached both the state service and the zone's workers, by zone.
+    /// Last time at which no controller reached both the state service and the zone's workers, by
+    /// zone.
     pub out_of_reach: BTreeMap<String, Instant>,
     /// First final phase that a user was told of each job, and the time.
     final_phases: BTreeMap<String, (String, Instant)>,
@@ -74,7 +78,8 @@
     jobs_with_completions: BTreeSet<JobId>,
     /// Number of task starts after the job's user was told that the job is cancelled.
     pub started_after: usize,
-    /// Longest time from telling a user that the job is cancelled to a start of one of the job's tasks.
+    /// Longest time from telling a user that the job is cancelled to a start of one of the job's
+    /// tasks.
     pub latest_start: Duration,
     /// Time since which each waiting job has been waiting although hosts have capacity for it.
     waiting_since: BTreeMap<String, Instant>,
@@ -95,13 +100,13 @@
     pub node: usize,
     /// Number of the job's tasks on workers that had not exited at that time.
     pub alive: usize,
-    /// Last time at which a task of the job that had not exited was on a worker; `None` if there was
-    /// none.
+    /// Last time at which a task of the job was on a worker in any phase but `Exited`; `None` if
+    /// there was none.
     pub last_seen: Option<Instant>,
 }
 
-/// A job breaks the rule `forgotten` if all queries about it fail for this long while most other queries
-/// are answered.
+/// A job breaks the rule `forgotten` if all queries about it fail for this long while most other
+/// queries are answered.
 const QUERY_SILENCE_LIMIT: Duration = Duration::from_secs(90);
 /// A job breaks the rule `forgotten` if all queries about it fail for this long after the faults,
 /// whether or not other queries are answered.
@@ -110,8 +115,8 @@
 impl InvariantChecker {
     /// Records whether a query about a job was answered, and checks the rule `forgotten`.
     ///
-    /// `is_final` says that the user already knows how the job ended. Such queries are answered even in
-    /// an outage, so they don't count as evidence that other queries are answered.
+    /// `is_final` says that the user already knows how the job ended. Such queries are answered
+    /// even in an outage, so they don't count as evidence that other queries are answered.
     pub fn record_query(&mut self, id: &str, answered: bool, is_final: bool, now: Instant) {
         if !is_final {
             self.recent_queries.push_back((now, answered));
@@ -148,9 +153,9 @@
             ));
         }
     }
-    /// Records the phase that a user was told in answer to a query sent at `sent`, and checks the rule
-    /// `went_back`: once a user was told a final phase, no query sent after that may be answered with
-    /// another phase, and no query at all with another final phase.
+    /// Records the phase that a user was told in answer to a query sent at `sent`, and checks the
+    /// rule `went_back`: once a user was told a final phase, no query sent after that may be
+    /// answered with another phase, and no query at all with another final phase.
     pub fn told(&mut self, id: &str, phase: &str, sent: Instant, now: Instant) {
         let is_final = |phase: &str| matches!(phase, "done" | "aborted");
         match self.final_phases.get(id) {
@@ -179,8 +184,8 @@
         completed.map(|j| j.id.to_string()).collect()
     }
 
-    /// Checks the rule `waited` once the faults are over: no job may wait for long although hosts that it
-    /// is allowed on have capacity for it and its team is below its GPU limit.
+    /// Checks the rule `waited` once the faults are over: no job may wait for long although hosts
+    /// that it is allowed on have capacity for it and its team is below its GPU limit.
     pub(crate) fn check_waiting_jobs(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -192,7 +197,8 @@
         if self.calm_from.is_none_or(|calm| now < calm) {
             return;
         }
-        // Tasks that have not started also take up capacity: they may still be fetching their image.
+        // Tasks that have not started also take up capacity: they may still be fetching their
+        // image.
         let (mut gpus_by_team, mut placed_jobs) =
             (BTreeMap::<&str, u64>::new(), BTreeSet::<&str>::new());
         let mut free_capacity = Vec::new();
@@ -304,9 +310,9 @@
     }
     /// Checks the starts since the last call and the started tasks on all workers.
     ///
-    /// The rules are `ran_twice`, `ran_cancelled`, `too_early`, `wrong_place` and `quota`. `limits` holds
-    /// the teams' GPU limits in millionths. `cancel` is how long tasks of a cancelled job may still start
-    /// or run after its user was told.
+    /// The rules are `ran_twice`, `ran_cancelled`, `too_early`, `wrong_place` and `quota`. `limits`
+    /// holds the teams' GPU limits in millionths. `cancel` is how long tasks of a cancelled job may
+    /// still start or run after its user was told.
     pub fn check(
         &mut self,
         workers: &BTreeMap<String, Worker>,
--- a/crates/jasperhill-testkit/src/outcome.rs
+++ b/crates/jasperhill-testkit/src/outcome.rs
@@ -21,7 +21,7 @@
     /// Number of tasks killed by an expired lease although, for the last one and a quarter lease
     /// durations, some controller had reached both the zone's workers and the state service.
     pub killed_in_reach: usize,
-    /// Number of submissions that were answered with 503 or not at all.
+    /// Number of submission attempts that were answered with 503 or not at all.
     pub undecided: usize,
     /// Number of jobs proposed to their owners through the state service.
     pub proposals: usize,
@@ -47,21 +47,24 @@
     pub sockets: usize,
     /// Number of sockets refused to controller processes by the platform's limit.
     pub refused_sockets: usize,
-    /// Class with the smallest share of jobs that have begun, and the share. Counts jobs accepted a while
-    /// before the end and not cancelled.
+    /// Class with the smallest share of jobs that have begun, and the share. Counts jobs accepted a
+    /// while before the end and not cancelled.
     pub least_class: (String, f64),
-    /// Team with the smallest share of jobs that have begun, and the share, counted as for the classes.
+    /// Team with the smallest share of jobs that have begun, and the share, counted as for the
+    /// classes.
     pub least_team: (String, f64),
     /// Share of jobs that have begun, for every class and every team.
     pub served: BTreeMap<String, f64>,
-    /// Class with the smallest share of its largest jobs that began within four minutes, and the share.
+    /// Class with the smallest share of its largest jobs that began within four minutes, and the
+    /// share.
     pub least_largest: (String, f64),
     /// Confirmed cancellations.
     pub cancels: Vec<ConfirmedCancellation>,
-    /// Longest time in seconds for which all queries about some job went unanswered: in the whole run, and
-    /// after the faults.
+    /// Longest time in seconds for which all queries about some job went unanswered: in the whole
+    /// run, and after the faults.
     pub longest_silence: (f64, f64),
-    /// Number of `uneven` jobs, whose tasks end far apart, whose users were told that they are done.
+    /// Number of jobs of the class `uneven`, the tasks of which end far apart, that were reported as
+    /// done to their users.
     pub uneven: usize,
     /// Number of task starts, of all jobs, after the task had already completed.
     pub again: usize,
@@ -69,15 +72,16 @@
     pub bound: usize,
     /// Number of task starts after the job's user was told that the job is cancelled.
     pub started_after: usize,
-    /// Longest time in seconds from telling a user that the job is cancelled to a start of one of the
-    /// job's tasks.
+    /// Longest time in seconds from telling a user that the job is cancelled to a start of one of
+    /// the job's tasks.
     pub latest_start: f64,
-    /// Longest time in seconds after the faults that a job waited although hosts had capacity for it.
+    /// Longest time in seconds after the faults that a job waited although hosts had capacity for
+    /// it.
     pub longest_wait: f64,
     /// How often the injected faults took effect.
     pub fault_counts: FaultCounts,
-    /// Most requests that the state service counted in any one-second window. A transaction counts as one
-    /// request.
+    /// Most requests that the state service counted in any one-second window. A transaction counts
+    /// as one request.
     pub state_peak: usize,
 }
 
@@ -92,6 +96,7 @@
     pub node: usize,
     /// Number of the job's tasks that had not exited at the confirmation.
     pub alive: usize,
-    /// Seconds from the confirmation until the last of the job's tasks had exited; 0 if none was left.
+    /// Seconds from the confirmation until the last of the job's tasks had exited; 0 if none was
+    /// left.
     pub after: f64,
 }
--- a/crates/jasperhill-testkit/src/state.rs
+++ b/crates/jasperhill-testkit/src/state.rs
@@ -108,7 +108,7 @@
     }
 
     /// Appends a change to the history and drops the oldest one beyond its maximum.
-    fn record(&mut self, event: WatchEvent, key: String) {
+    fn append_to_history(&mut self, event: WatchEvent, key: String) {
         self.history.push_back((key, event));
         if self.history.len() > MAX_HISTORY_EVENTS {
             self.history.pop_front();
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Ends a lease and deletes the keys attached to it in one revision. Returns false if there is no
-    /// such lease.
+    /// Ends a lease and deletes the keys attached to it in one revision. Returns false if there is
+    /// no such lease.
     fn end_lease(&mut self, lease: u64) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
@@ -153,7 +153,7 @@
         let version = Revision(self.revision);
         for key in attached_keys {
             self.keys.remove(&key);
-            self.record(
+            self.append_to_history(
                 WatchEvent::Delete {
                     key: key.clone(),
                     version,
@@ -164,8 +164,8 @@
         true
     }
 
-    /// Returns the changes after a revision of keys with this prefix; `None` if there are none in the
-    /// history.
+    /// Returns the changes after a revision of keys with this prefix; `None` if there are none in
+    /// the history.
     pub fn watch(&self, prefix: &str, after: u64) -> Option<Response> {
         let events: Vec<WatchEvent> = self
             .history
@@ -248,6 +248,8 @@
                     query_parameter(&request.target, "block_ms").map_or(0, |b| b.parse().unwrap());
                 let oldest = self.history.front().map_or(0, |(_, e)| e.version().0);
                 if self.history.len() >= MAX_HISTORY_EVENTS && after < oldest {
+                    // The history no longer holds all changes since `after`: the client has to list
+                    // again.
                     Response::new(410, b"{}".to_vec())
                 } else if let Some(changes) = self.watch(&prefix, after) {
                     changes
@@ -354,8 +356,8 @@
         (left < 0.0).then(|| Response::new(429, b"{}".to_vec()))
     }
 
-    /// Counts a job proposed through the store, and records a role's change of owner. Must be called
-    /// before the write takes effect.
+    /// Counts a job proposed through the store, and records a role's change of owner. Must be
+    /// called before the write takes effect.
     fn record_proposal_or_role_change(&mut self, key: &str, value: &Value, now: Instant) {
         if key.starts_with("jh/want/") && !self.keys.contains_key(key) {
             self.wants += 1;
@@ -367,8 +369,8 @@
         }
     }
 
-    /// Executes a transaction: 200 if it was committed, 409 with the keys of the failed guards, or a
-    /// refusal by the limits or for an unknown lease.
+    /// Executes a transaction: 200 if it was committed, 409 with the keys of the failed guards, or
+    /// a refusal by the limits or for an unknown lease.
     fn txn(&mut self, body: &[u8], now: Instant) -> Response {
         assert!(body.len() <= 64 * 1024, "transaction body exceeds 64 KiB");
         let txn: Transaction = serde_json::from_slice(body).unwrap();
@@ -415,7 +417,7 @@
                             lease,
                         },
                     );
-                    self.record(
+                    self.append_to_history(
                         WatchEvent::Put {
                             key: key.clone(),
                             value,
@@ -426,7 +428,7 @@
                 }
                 Change::Delete { key } => {
                     if self.keys.remove(&key).is_some() {
-                        self.record(
+                        self.append_to_history(
                             WatchEvent::Delete {
                                 key: key.clone(),
                                 version,
--- a/crates/jasperhill-testkit/src/users/jobs.rs
+++ b/crates/jasperhill-testkit/src/users/jobs.rs
@@ -1,7 +1,7 @@
 //! Job requests that simulated users submit, as JSON bodies.
 //!
-//! Every kind of job has a class of its own, which the workers, users and checks recognise, and a range
-//! of job numbers of its own, so that ids don't collide.
+//! Every kind of job has a class of its own, which the workers, users and checks recognise, and a
+//! range of job numbers of its own, so that ids don't collide.
 
 use crate::{cluster::SimulatedCluster, scenario::Scale};
 use serde_json::{Value, json};
@@ -81,7 +81,8 @@
     })
 }
 
-/// Returns a preemptible `idle` array without GPUs. `run_s` is the expected run time of a task.
+/// Returns an `idle` array without GPUs that may run on spot machines. `run_s` is the expected run
+/// time of a task.
 pub(super) fn array(
     id: String,
     class: &str,
@@ -118,8 +119,8 @@
     format!("job-{:06}", 660_000 + number)
 }
 
-/// Returns a job of any shape whose tasks must all run in one zone: a zone that the request names, or
-/// any single one.
+/// Returns a job of any shape whose tasks must all run in one zone: a zone that the request names,
+/// or any single one.
 pub fn zone_bound_job(number: usize) -> Value {
     let team = format!("team-{}", number % 4);
     let tasks = 1 + number as u32 % 3;
@@ -172,8 +173,8 @@
     array("job-600000".to_owned(), "tiny", "guest", 4_000, 0.25, 3.0)
 }
 
-/// Returns the five jobs of a pipeline: the first one, two that depend on it, a gang that depends on
-/// both, and a last one with a deadline that depends on the gang and the first one.
+/// Returns the five jobs of a pipeline: the first one, two that depend on it, a gang that depends
+/// on both, and a last one with a deadline that depends on the gang and the first one.
 pub fn dependent_jobs(cluster: &SimulatedCluster, number: usize) -> Vec<Value> {
     let dependencies: [&[usize]; 5] = [&[], &[0], &[0], &[1, 2], &[3, 0]];
     let id = |stage: usize| format!("job-{:06}", 700_000 + number * 10 + stage);
@@ -202,9 +203,9 @@
     (0..dependencies.len()).map(stage).collect()
 }
 
-/// Returns an invalid request (a job that can never run, or one that lacks a field), with the status
-/// that it must be answered with and a word that the answer must contain: the name of the field at
-/// fault, or `missing`.
+/// Returns an invalid request (a job that can never run, or one that lacks a field), with the
+/// status that it must be answered with and a word that the answer must contain: the name of the
+/// field at fault, or `missing`.
 pub(super) fn invalid_job(number: usize) -> (Value, u16, &'static str) {
     let team = format!("team-{}", number % 4);
     let id = format!("job-{:06}", 820_000 + number);
--- a/crates/jasperhill-testkit/src/users/mod.rs
+++ b/crates/jasperhill-testkit/src/users/mod.rs
@@ -19,8 +19,8 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// Submits the jobs of a pipeline, each as soon as the one before it has been accepted, and watches every
-/// accepted job. Stops at the first job that is not accepted.
+/// Submits the jobs of a pipeline, each as soon as the one before it has been accepted, and watches
+/// every accepted job. Stops at the first job that is not accepted.
 pub async fn run_dependent_jobs(cluster: Rc<SimulatedCluster>, stages: Vec<Value>) {
     for body in stages {
         if !submit(&cluster, &body).await {
@@ -37,7 +37,8 @@
     }
 }
 
-/// Submits a job until it is accepted. Returns false if it is refused, or not accepted within a minute.
+/// Submits a job until it is accepted. Returns false if it is refused, or not accepted within a
+/// minute.
 async fn submit(cluster: &Rc<SimulatedCluster>, body: &Value) -> bool {
     let request = JobRequest::parse(body.to_string().as_bytes()).unwrap();
     let id = request.id.to_string();
@@ -72,8 +73,8 @@
     true
 }
 
-/// Queries a job at intervals, resubmits it now and then, cancels it at a drawn time if at all, and checks
-/// every answer.
+/// Queries a job at intervals, resubmits it now and then, cancels it at a drawn time if at all, and
+/// checks every answer.
 async fn watch_job(cluster: Rc<SimulatedCluster>, body: Value) {
     let id = body["uid"].as_str().unwrap().to_owned();
     let submit = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
@@ -125,8 +126,8 @@
     }
 }
 
-/// Checks the answer to a request about an accepted job. `sent` is the time at which the request was sent;
-/// `answer` holds the controller, status and body, or `None` if there was no answer.
+/// Checks the answer to a request about an accepted job. `sent` is the time at which the request
+/// was sent; `answer` holds the controller, status and body, or `None` if there was no answer.
 fn check_answer(
     cluster: &Rc<SimulatedCluster>,
     id: &str,
@@ -135,8 +136,8 @@
 ) {
     let now = Instant::now();
     let answered = matches!(answer, Some((_, 200 | 201, _)));
-    let mut guard = cluster.inner.borrow_mut();
-    let inner = &mut *guard;
+    let mut inner_borrow = cluster.inner.borrow_mut();
+    let inner = &mut *inner_borrow;
     let rules = &mut inner.rules;
     let was_final = rules.final_phase(id).is_some();
     rules.record_query(id, answered, was_final, now);
@@ -167,10 +168,10 @@
         }
         "aborted" => {
             let asked = rules.asked.contains(id);
-            drop(guard);
+            drop(inner_borrow);
             let upstream = cluster.inner.borrow().upstream_jobs(id);
-            let mut guard = cluster.inner.borrow_mut();
-            let inner = &mut *guard;
+            let mut inner_borrow = cluster.inner.borrow_mut();
+            let inner = &mut *inner_borrow;
             let rules = &mut inner.rules;
             if !asked && !upstream.iter().any(|u| rules.asked.contains(u.as_str())) {
                 rules.record_violation(format!("went_back: {id} is cancelled without a request"));
@@ -182,7 +183,7 @@
             rules.confirmed(id, node, &inner.workers, now);
         }
         _ => {
-            drop(guard);
+            drop(inner_borrow);
             let orphaned = {
                 let inner = cluster.inner.borrow();
                 let cancelled_at = &inner.rules.cancelled;
@@ -215,8 +216,8 @@
     }
 }
 
-/// Queries, resubmits and cancels a job whose last task has just completed, all within a second. Does
-/// nothing if the job was not accepted or its user has asked to cancel it.
+/// Queries, resubmits and cancels a job whose last task has just completed, starting within a
+/// second. Does nothing if the job was not accepted or its user has asked to cancel it.
 pub fn cancel_at_end(cluster: &Rc<SimulatedCluster>, id: String) {
     let body = {
         let inner = cluster.inner.borrow();
@@ -251,8 +252,8 @@
     });
 }
 
-/// Repeats submissions of unfinished jobs, some of them without one field, cancels jobs that have ended,
-/// and submits jobs that can never run or lack a field, until the given time.
+/// Repeats submissions of unfinished jobs, some of them without one field, cancels jobs that have
+/// ended, and submits jobs that can never run or lack a field, until the given time.
 pub async fn send_invalid_requests(cluster: Rc<SimulatedCluster>, until: Instant) {
     for number in 0.. {
         sleep(Duration::from_millis(200 + cluster.draw(500))).await;
@@ -273,7 +274,8 @@
             };
             let mut body = body;
             if number % 8 == 0 {
-                // An accepted job must be recognised by its id even if the repeated request lacks a field.
+                // An accepted job must be recognised by its id even if the repeated request lacks a
+                // field.
                 body.as_object_mut().unwrap().remove("bundle");
             }
             let request = if is_final {
@@ -296,16 +298,16 @@
             Some((got, text)) if got == status && text.contains(expected_text) => {
                 cluster.inner.borrow_mut().faults.met.odd += 1;
             }
-            // No decision was possible, for example during an outage.
+            // The controller could not decide yet.
             None | Some((503, _)) => {}
             other => cluster.record_violation(format!("odd: {body} was answered with {other:?}")),
         }
     }
 }
 
-/// Submits jobs with invalid dependency lists: malformed or too long ones, ones that repeat a job, and
-/// ones that name a job that was never submitted, the job itself, or a service, which never ends. Each
-/// must be refused with the name of the field. Empty lists must be accepted.
+/// Submits jobs with invalid dependency lists: malformed or too long ones, and ones that name a job
+/// that was never submitted or was refused, or a service, which never ends. Each must be refused
+/// with the name of the field, and never be accepted. Empty lists must be accepted.
 pub async fn send_bad_dependencies(cluster: Rc<SimulatedCluster>) {
     let body = |n: usize, dependencies: Value| {
         let mut body = array(format!("job-{n:06}"), "picky", "team-0", 1, 1.0, 2.0);
@@ -347,7 +349,8 @@
             }
         }
     }
-    // A list that is null or empty means that the job depends on no other one.
+    // A list that is null, missing or empty, or names only completed jobs, holds nothing up. Null
+    // and empty lists are tried here.
     for (n, dependencies) in [json!(null), json!([])].into_iter().enumerate() {
         let body = body(811_000 + n, dependencies);
         if submit(&cluster, &body).await {
--- a/crates/jasperhill-testkit/src/worker.rs
+++ b/crates/jasperhill-testkit/src/worker.rs
@@ -43,8 +43,8 @@
     pub fn is_exited(&self) -> bool {
         matches!(self.phase, Phase::Exited(_))
     }
-    /// Returns whether the task has been started and has not exited, which is what the protocol's rules
-    /// count as being on a machine.
+    /// Returns whether the task has been started and has not exited, which is what the protocol's
+    /// rules count as being on a machine.
     pub fn is_started(&self) -> bool {
         matches!(self.phase, Phase::Waiting(_) | Phase::Running { .. })
     }
@@ -69,8 +69,8 @@
     pub tasks: BTreeMap<(TaskId, u64), Task>,
     /// Images on the machine's disk.
     pub images: BTreeSet<String>,
-    /// Start of the lease: the time at which the last heartbeat with a valid answer was sent, or at which
-    /// the incarnation began.
+    /// Start of the lease: the time at which the last heartbeat with a valid answer was sent, or at
+    /// which the incarnation began.
     pub lease_from: Instant,
     /// Controller that heartbeats are sent to.
     pub node: usize,
@@ -86,8 +86,8 @@
     fn started(&mut self, worker: &Worker, task: &TaskId, attempt: u64);
     /// Called when a task has completed.
     fn finished(&mut self, task: &TaskId);
-    /// Called when the lease of a worker in this zone has expired. `killed` is the number of started
-    /// tasks that this killed.
+    /// Called when the lease of a worker in this zone has expired. `killed` is the number of
+    /// started tasks that this killed.
     fn lease_expired(&mut self, zone: &str, killed: usize, lease: Duration, now: Instant);
 }
 
@@ -149,19 +149,20 @@
             "epoch":self.token,"warning_s":null,"shards":shards})
     }
 
-    /// Executes the commands of a `/do` request and returns a status and a heartbeat. Refuses them with
-    /// 409 if their token is lower than the worker's or they are meant for another incarnation.
+    /// Executes the commands of a `/do` request and returns a status and a heartbeat. Refuses them
+    /// with 409 if their token is lower than the worker's or they are meant for another
+    /// incarnation.
     pub fn on_direct_commands(
         &mut self,
         body: &Value,
         jobs: &BTreeMap<String, JobRequest>,
         now: Instant,
     ) -> (u16, Value) {
-        let (token, tenure) = (
+        let (token, incarnation) = (
             body["epoch"].as_u64().unwrap(),
             body["tenure"].as_u64().unwrap(),
         );
-        if token < self.token || tenure != self.incarnation {
+        if token < self.token || incarnation != self.incarnation {
             return (409, self.heartbeat());
         }
         self.raise_token(token);
@@ -177,19 +178,19 @@
         }
     }
 
-    /// Handles the answer to a heartbeat that was sent at `sent` in the incarnation `tenure`: renews the
-    /// lease and executes the commands. Ignores an answer with a lower token, or one to an earlier
-    /// incarnation.
+    /// Handles the answer to a heartbeat that was sent at `sent` in this incarnation:
+    /// renews the lease and executes the commands. Ignores an answer with a lower token, or one to
+    /// an earlier incarnation.
     pub fn on_heartbeat_answer(
         &mut self,
         body: &Value,
         sent: Instant,
-        tenure: u64,
+        incarnation: u64,
         jobs: &BTreeMap<String, JobRequest>,
         now: Instant,
     ) {
         let token = body["epoch"].as_u64().unwrap();
-        if token < self.token || tenure != self.incarnation {
+        if token < self.token || incarnation != self.incarnation {
             return;
         }
         self.raise_token(token);
@@ -197,8 +198,8 @@
         self.execute(body["orders"].as_array().unwrap(), jobs, now);
     }
 
-    /// Executes `run`, `halt` and `clear` commands. Commands for tasks that are already in the requested
-    /// state have no effect.
+    /// Executes `run`, `halt` and `clear` commands. Commands for tasks that are already in the
+    /// requested state have no effect.
     fn execute(&mut self, commands: &[Value], jobs: &BTreeMap<String, JobRequest>, now: Instant) {
         for command in commands {
             let task = TaskId::parse(command["shard"].as_str().unwrap()).unwrap();
@@ -265,8 +266,8 @@
         self.changed = true;
     }
 
-    /// Advances time by `step` on a machine that hangs. Fetching and running tasks make no progress, but
-    /// the lease runs on: a machine that hangs for longer loses its tasks.
+    /// Advances time by `step` on a machine that hangs. Fetching and running tasks make no
+    /// progress, but the lease runs on: a machine that hangs for longer loses its tasks.
     pub fn hang(
         &mut self,
         step: Duration,
@@ -302,8 +303,8 @@
 
     /// Advances the lease and the phases of all tasks to the present.
     ///
-    /// Two job classes behave differently: tasks of `broken` jobs exit with an error after the fetch, and
-    /// each task of an `uneven` job runs longer than the one before.
+    /// Two job classes behave differently: tasks of `broken` jobs exit with an error after the
+    /// fetch, and each task of an `uneven` job runs longer than the one before.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -328,7 +329,7 @@
                     }
                     started.push((task.clone(), *attempt));
                     t.phase = if observer.has_result(task) {
-                        // The task completed elsewhere, and its stored result is reused.
+                        // The task has already completed, and its result is kept.
                         Phase::Exited("done")
                     } else if job.shape == Shape::Gang {
                         Phase::Waiting(now)
@@ -345,8 +346,8 @@
                 Phase::Waiting(since) if now - since > times.gang_wait => {
                     t.phase = Phase::Exited("incomplete");
                 }
-                // The tasks of a gang complete together, which a single worker can't decide: the cluster
-                // completes them.
+                // The tasks of a gang complete together, which a single worker can't decide: the
+                // cluster completes them.
                 Phase::Running { until: Some(until) }
                     if now >= until && job.shape != Shape::Gang =>
                 {
