--- a/crates/jasperhill-testkit/src/cloud.rs
+++ b/crates/jasperhill-testkit/src/cloud.rs
@@ -14,7 +14,7 @@
 /// Rented machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Name, `n-` and a number.
+    /// Name of the machine: `n-` followed by its six-digit number.
     pub id: String,
     /// Zone the machine is in.
     pub zone: String,
@@ -118,8 +118,8 @@
                 "pull_gb_per_s":1.0,"hourly":4.0,"spot_price":2.0,"ready_s":20.0,
                 "halls":self.zones}]}),
             (Method::Get, "/rentals") => {
-                let listed = &self.snapshots[pick(self.snapshots.len() as u64) as usize].1;
-                let hosts: Vec<Value> = listed
+                let snapshot = &self.snapshots[pick(self.snapshots.len() as u64) as usize].1;
+                let hosts: Vec<Value> = snapshot
                     .values()
                     .map(|m| {
                         json!({"uid":m.id,"address":address(&m.id),"hosttype":"box","hall":m.zone,
--- a/crates/jasperhill-testkit/src/invariants.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -242,9 +242,9 @@
                 let mut tasks_by_zone = BTreeMap::<&str, u64>::new();
                 for (worker, gpus, cpus) in &free_capacity {
                     if j.allows_host(&"box".into(), &worker.zone.as_str().into(), worker.spot) {
-                        let by_cpus = cpus.checked_div(j.each.cpus).unwrap_or(u64::MAX);
-                        let by_gpus = gpus.checked_div(j.each.gpus).unwrap_or(u64::MAX);
-                        let n = by_cpus.min(by_gpus).min(least_tasks);
+                        let tasks_by_cpus = cpus.checked_div(j.each.cpus).unwrap_or(u64::MAX);
+                        let tasks_by_gpus = gpus.checked_div(j.each.gpus).unwrap_or(u64::MAX);
+                        let n = tasks_by_cpus.min(tasks_by_gpus).min(least_tasks);
                         let in_zone = tasks_by_zone.entry(worker.zone.as_str()).or_default();
                         *in_zone += n;
                     }
@@ -289,11 +289,12 @@
         now: Instant,
     ) {
         let tasks = workers.values().flat_map(|w| &w.tasks);
-        let alive = tasks.filter(|((task, _), t)| task.job.as_str() == id && !t.is_exited());
+        let unfinished_tasks =
+            tasks.filter(|((task, _), t)| task.job.as_str() == id && !t.is_exited());
         let cancelled = CancelledJob {
             at: now,
             node,
-            alive: alive.count(),
+            alive: unfinished_tasks.count(),
             last_seen: None,
         };
         self.cancels.entry(id.to_owned()).or_insert(cancelled);
--- a/crates/jasperhill-testkit/src/state.rs
+++ b/crates/jasperhill-testkit/src/state.rs
@@ -25,7 +25,8 @@
     value: Value,
     /// Revision of the last write.
     version: Revision,
-    /// Lease whose end deletes the key; `None` if the key is permanent.
+    /// Lease that the key is attached to, and whose end deletes the key; `None` if the key is
+    /// permanent.
     lease: Option<u64>,
 }
 
@@ -312,10 +313,10 @@
 
     /// Renews or ends the lease named in the path: 200, or 404 if there is no such lease.
     fn renew_or_end_lease(&mut self, method: Method, path: &str, now: Instant) -> Response {
-        let rest = path.strip_prefix("/leases/").expect("path below /leases/");
-        let (id, renew) = match rest.strip_suffix("/renew") {
+        let lease_path = path.strip_prefix("/leases/").expect("path below /leases/");
+        let (id, renew) = match lease_path.strip_suffix("/renew") {
             Some(id) => (id, true),
-            None => (rest, false),
+            None => (lease_path, false),
         };
         let id: u64 = id.parse().unwrap();
         let known = if renew {
@@ -351,9 +352,9 @@
         let (tokens, refilled_at) = self.write_tokens.unwrap_or((limits.write_rps, now));
         let elapsed_s = now.duration_since(refilled_at).as_secs_f64();
         let tokens = (tokens + elapsed_s * limits.write_rps).min(limits.write_rps);
-        let left = tokens - txn.changes.len() as f64;
-        self.write_tokens = Some((if left < 0.0 { tokens } else { left }, now));
-        (left < 0.0).then(|| Response::new(429, b"{}".to_vec()))
+        let remaining = tokens - txn.changes.len() as f64;
+        self.write_tokens = Some((if remaining < 0.0 { tokens } else { remaining }, now));
+        (remaining < 0.0).then(|| Response::new(429, b"{}".to_vec()))
     }
 
     /// Counts a job proposed through the store, and records a role's change of owner. Must be
--- a/crates/jasperhill-testkit/src/users/jobs.rs
+++ b/crates/jasperhill-testkit/src/users/jobs.rs
@@ -83,7 +83,7 @@
 
 /// Returns an `idle` array without GPUs that may run on spot machines. `run_s` is the expected run
 /// time of a task.
-pub(super) fn array(
+pub(super) fn array_job(
     id: String,
     class: &str,
     team: &str,
@@ -104,7 +104,7 @@
 pub fn uneven_array(number: usize) -> Value {
     let (id, team) = (650_000 + number, number % 4);
     let tasks = 2 + number as u32 % 2;
-    array(
+    array_job(
         format!("job-{id:06}"),
         "uneven",
         &format!("team-{team}"),
@@ -125,7 +125,7 @@
     let team = format!("team-{}", number % 4);
     let tasks = 1 + number as u32 % 3;
     let run_s = 10.0 + (number % 5) as f64 * 6.0;
-    let mut job = array(bound_id(number), "bound", &team, tasks, 3.0, run_s);
+    let mut job = array_job(bound_id(number), "bound", &team, tasks, 3.0, run_s);
     job["accelerators"] = json!(1.0);
     match number % 5 {
         0 => {}
@@ -149,7 +149,7 @@
 /// Returns an array whose tasks fail on every machine.
 pub fn failing_array(number: usize) -> Value {
     let team = format!("team-{}", number % 4);
-    array(
+    array_job(
         format!("job-{:06}", 500_000 + number),
         "broken",
         &team,
@@ -162,7 +162,7 @@
 /// Returns one job of a flood: very many urgent jobs submitted within a short time.
 pub fn flood_job(number: usize, team: usize) -> Value {
     let id = format!("job-{:06}", 400_000 + number);
-    let mut job = array(id, "flood", &format!("team-{team}"), 40, 4.0, 20.0);
+    let mut job = array_job(id, "flood", &format!("team-{team}"), 40, 4.0, 20.0);
     job["urgency"] = json!("urgent");
     job["accelerators"] = json!(1.0);
     job
@@ -170,7 +170,7 @@
 
 /// Returns an array of 4,000 short, small tasks of the team `guest`.
 pub fn huge_array() -> Value {
-    array("job-600000".to_owned(), "tiny", "guest", 4_000, 0.25, 3.0)
+    array_job("job-600000".to_owned(), "tiny", "guest", 4_000, 0.25, 3.0)
 }
 
 /// Returns the five jobs of a pipeline: the first one, two that depend on it, a gang that depends
@@ -181,7 +181,7 @@
     let stage = |n: usize| {
         let team = format!("team-{}", cluster.draw(4));
         let tasks = 1 + cluster.draw(4) as u32;
-        let mut job = array(
+        let mut job = array_job(
             id(n),
             "stage",
             &team,
@@ -209,7 +209,7 @@
 pub(super) fn invalid_job(number: usize) -> (Value, u16, &'static str) {
     let team = format!("team-{}", number % 4);
     let id = format!("job-{:06}", 820_000 + number);
-    let mut body = array(id, "odd", &team, 3, 1.0, 5.0);
+    let mut body = array_job(id, "odd", &team, 3, 1.0, 5.0);
     let mut gang = body.clone();
     gang["shape"] = json!("ensemble");
     gang["apart"] = json!(true);
--- a/crates/jasperhill-testkit/src/users/mod.rs
+++ b/crates/jasperhill-testkit/src/users/mod.rs
@@ -14,7 +14,7 @@
 use crate::cluster::{CANCEL, SimulatedCluster};
 use jasperhill_http::{Method, Request};
 use jasperhill_wire::user::JobRequest;
-use jobs::{array, invalid_job};
+use jobs::{array_job, invalid_job};
 use serde_json::{Value, json};
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
@@ -310,7 +310,7 @@
 /// with the name of the field, and never be accepted. Empty lists must be accepted.
 pub async fn send_bad_dependencies(cluster: Rc<SimulatedCluster>) {
     let body = |n: usize, dependencies: Value| {
-        let mut body = array(format!("job-{n:06}"), "picky", "team-0", 1, 1.0, 2.0);
+        let mut body = array_job(format!("job-{n:06}"), "picky", "team-0", 1, 1.0, 2.0);
         body["waits_on"] = dependencies;
         body
     };
