--- a/crates/jasperhill-testkit/src/cloud.rs
+++ b/crates/jasperhill-testkit/src/cloud.rs
@@ -28,7 +28,7 @@
     pub up: bool,
 }
 
-/// Simulated cloud.
+/// Simulated cloud service that rents out machines.
 pub struct Cloud {
     /// Names of the zones.
     pub zones: Vec<String>,
--- a/crates/jasperhill-testkit/src/connections.rs
+++ b/crates/jasperhill-testkit/src/connections.rs
@@ -70,7 +70,7 @@
 /// Connection of a user, worker or the balancer to a controller. It is closed when the controller's
 /// tracker closes it or its last holder drops it.
 pub struct InboundConnection {
-    /// The controller.
+    /// Index of the controller that the connection leads to.
     pub node: usize,
     /// Generation of the controller's process; the connection ends with the process.
     pub life: u64,
@@ -138,7 +138,7 @@
 /// Pool of a controller's connections to other services, which keeps idle ones for reuse.
 pub struct OutboundConnections {
     platform: Rc<SocketLimit>,
-    /// The process's own tracker.
+    /// Tracker with which the process itself limits its connections.
     pub own: ConnectionTracker,
     idle: Rc<RefCell<IdleConnections>>,
 }
--- a/crates/jasperhill-testkit/src/faults.rs
+++ b/crates/jasperhill-testkit/src/faults.rs
@@ -14,9 +14,9 @@
 pub enum Endpoint {
     /// Controller with this index.
     Node(usize),
-    /// State service.
+    /// The state service.
     State,
-    /// Cloud.
+    /// The cloud that machines are rented from.
     Cloud,
     /// All workers of a zone.
     Zone(String),
@@ -269,7 +269,7 @@
         let rng = self.rng.get_or_insert_with(|| StdRng::seed_from_u64(1));
         rng.random_range(0..n)
     }
-    /// Seeds the generator.
+    /// Seeds the random number generator of the faults.
     pub fn seed(&mut self, seed: u64) {
         self.rng = Some(StdRng::seed_from_u64(seed));
     }
--- a/crates/jasperhill-testkit/src/invariants.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -159,9 +159,9 @@
     pub fn told(&mut self, id: &str, phase: &str, sent: Instant, now: Instant) {
         let is_final = |phase: &str| matches!(phase, "done" | "aborted");
         match self.final_phases.get(id) {
-            Some((was, at)) if was != phase && (*at <= sent || is_final(phase)) => {
-                let was = was.clone();
-                self.record_violation(format!("went_back: {id} was {was}, is {phase}"));
+            Some((told_phase, at)) if told_phase != phase && (*at <= sent || is_final(phase)) => {
+                let told_phase = told_phase.clone();
+                self.record_violation(format!("went_back: {id} was {told_phase}, is {phase}"));
             }
             None if is_final(phase) => {
                 self.final_phases
--- a/crates/jasperhill-testkit/src/state.rs
+++ b/crates/jasperhill-testkit/src/state.rs
@@ -68,7 +68,8 @@
     peak_requests: usize,
 }
 
-/// Short enough that watches fall behind now and then, which exercises their fallback to a listing.
+/// Most changes kept for watches. Short enough that watches fall behind now and then, which
+/// exercises the fallback to a listing.
 const MAX_HISTORY_EVENTS: usize = 400;
 
 /// Returns a response with a JSON body.
--- a/crates/jasperhill-testkit/src/users/jobs.rs
+++ b/crates/jasperhill-testkit/src/users/jobs.rs
@@ -67,7 +67,7 @@
         8.0 + pick(30) as f64
     };
     if cluster.plan.long_tasks.is_some() {
-        // Longer than the run, with no deadline to miss.
+        // Tasks outlast the run, and the job has no deadline, which it would miss.
         expected_s *= 60.0;
         due_s = Value::Null;
     }
--- a/crates/jasperhill-testkit/src/users/mod.rs
+++ b/crates/jasperhill-testkit/src/users/mod.rs
@@ -298,7 +298,7 @@
             Some((got, text)) if got == status && text.contains(expected_text) => {
                 cluster.inner.borrow_mut().faults.met.odd += 1;
             }
-            // The controller could not decide yet.
+            // The controller could not yet decide whether the job is valid.
             None | Some((503, _)) => {}
             other => cluster.record_violation(format!("odd: {body} was answered with {other:?}")),
         }
--- a/crates/jasperhill-testkit/src/worker.rs
+++ b/crates/jasperhill-testkit/src/worker.rs
@@ -20,12 +20,12 @@
     Fetching(Instant),
     /// Waiting since this time for the other tasks of its gang.
     Waiting(Instant),
-    /// Running.
+    /// Running until it completes or is stopped.
     Running {
-        /// Time of completion; `None` for a service, which does not complete.
+        /// Time at which the task completes; `None` for a service, which does not complete.
         until: Option<Instant>,
     },
-    /// Exited, with the cause as heartbeats report it.
+    /// The task has exited, with the cause as heartbeats report it.
     Exited(&'static str),
 }
 
@@ -34,7 +34,7 @@
 pub struct Task {
     /// Attempt of the task, as given in the command.
     pub attempt: Attempt,
-    /// Present phase.
+    /// Present phase of the task.
     pub phase: Phase,
 }
 
@@ -74,7 +74,8 @@
     pub lease_from: Instant,
     /// Controller that heartbeats are sent to.
     pub node: usize,
-    /// Whether something has changed since the last heartbeat.
+    /// Whether the next heartbeat is due early, because the tasks, the token, the incarnation or the
+    /// controller has changed or the last heartbeat failed.
     pub changed: bool,
 }
 
@@ -99,7 +100,7 @@
 
 /// Time limits that apply on workers.
 pub struct WorkerTimes {
-    /// Duration of a lease.
+    /// Duration of a worker's lease.
     pub lease: Duration,
     /// How long a task waits for the rest of its gang before it exits as incomplete.
     pub gang_wait: Duration,
