--- a/crates/jasperhill-testkit/src/invariants.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -30,8 +30,8 @@
     /// Number of jobs that were cancelled without a request of their own, because a job they depend
     /// on was cancelled.
     pub swept: usize,
-    /// Number of jobs of the class `uneven`, the tasks of which end far apart, that were reported as
-    /// done to their users.
+    /// Number of jobs of the class `uneven`, the tasks of which end far apart, that were reported
+    /// as done to their users.
     pub uneven: usize,
     /// Number of task starts after the task had already completed.
     pub again: usize,
--- a/crates/jasperhill-testkit/src/worker.rs
+++ b/crates/jasperhill-testkit/src/worker.rs
@@ -74,8 +74,8 @@
     pub lease_from: Instant,
     /// Controller that heartbeats are sent to.
     pub node: usize,
-    /// Whether the next heartbeat is due early, because the tasks, the token, the incarnation or the
-    /// controller has changed or the last heartbeat failed.
+    /// Whether the next heartbeat is due early, because the tasks, the token, the incarnation or
+    /// the controller has changed or the last heartbeat failed.
     pub changed: bool,
 }
 
