--- a/crates/jasperhill-testkit/src/cloud.rs
+++ b/crates/jasperhill-testkit/src/cloud.rs
@@ -115,7 +115,8 @@
         let answer = match (request.method, request.path()) {
             (Method::Get, "/machine_types") => json!({"hosttypes":[{
                 "name":"box","vcpus":MACHINE_CPUS,"accelerators":MACHINE_GPUS,
-                "memory_gb":128.0,"local_gb":90.0,"pull_gb_per_s":1.0,"hourly":4.0,"spot_price":2.0,"ready_s":20.0,
+                "memory_gb":128.0,"local_gb":90.0,
+                "pull_gb_per_s":1.0,"hourly":4.0,"spot_price":2.0,"ready_s":20.0,
                 "halls":self.zones}]}),
             (Method::Get, "/rentals") => {
                 let snapshot = &self.snapshots[pick(self.snapshots.len() as u64) as usize].1;
