--- a/crates/jasperhill-testkit/src/behaviour.rs
+++ b/crates/jasperhill-testkit/src/behaviour.rs
@@ -1,35 +1,37 @@
-//! Plays the days on which two versions of the controllers are compared, and compares their
-//! transcripts with the digests of an earlier version.
+//! Comparison of the controllers' behaviour with an earlier version: runs a fixed set of scenarios
+//! and compares the digests of their transcripts with recorded ones.
 
 use crate::{
     days::behaviour_days,
-    runner::{play_all, run_recorded},
+    runner::{run_in_parallel, run_recorded},
     scenario::Scenario,
-    transcript::{CHECKPOINT_EVERY, DayDigest},
+    transcript::{CHECKPOINT_INTERVAL, DayDigest},
 };
 use std::collections::BTreeMap;
 
-/// The digests of some days, by their names.
+/// Digests by scenario name.
 pub type Digests = BTreeMap<String, DayDigest>;
 
-/// A line of a file of digests that can't be read.
+/// A line of a digest file that can't be parsed.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadLine {
+pub struct MalformedLine {
+    /// Number of the line, counted from 1.
     pub number: usize,
 }
 
-/// Reads what [`write_digests`] writes. Empty lines and those that begin with `#` mean nothing.
+/// Parses the format that [`write_digests`] writes. Empty lines and lines that start with `#` are
+/// ignored.
 ///
 /// # Errors
-/// [`BadLine`] names the first line that is not a name, a number of messages, a digest and
-/// checkpoints.
-pub fn read_digests(text: &str) -> Result<Digests, BadLine> {
+/// [`MalformedLine`] names the first line that does not consist of a name, a number of messages, a
+/// digest and checkpoints.
+pub fn read_digests(text: &str) -> Result<Digests, MalformedLine> {
     let mut digests = Digests::new();
     for (n, line) in text.lines().enumerate() {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        let (name, digest) = read_line(line).ok_or(BadLine { number: n + 1 })?;
+        let (name, digest) = read_line(line).ok_or(MalformedLine { number: n + 1 })?;
         digests.insert(name, digest);
     }
     Ok(digests)
@@ -49,7 +51,7 @@
     Some((name, day))
 }
 
-/// One line for each day.
+/// Formats the digests, one line per scenario.
 pub fn write_digests(digests: &Digests) -> String {
     let line = |(name, day): (&String, &DayDigest)| {
         let checkpoints = day.checkpoints.join(",");
@@ -58,19 +60,22 @@
     digests.iter().map(line).collect()
 }
 
-/// Plays all days, side by side.
+/// Runs all scenarios in parallel and returns the digests of their transcripts.
 pub fn play_days() -> Digests {
     let digest = |scenario: &Scenario| run_recorded(scenario.clone()).1.digest();
-    play_all(&behaviour_days(), digest).into_iter().collect()
+    run_in_parallel(&behaviour_days(), digest)
+        .into_iter()
+        .collect()
 }
 
-/// All messages of one day; `None` if there is no such day.
+/// Runs one scenario and returns its messages; `None` if no scenario has this name.
 pub fn messages_of(name: &str) -> Option<Vec<String>> {
     let (_, plan) = behaviour_days().into_iter().find(|(n, _)| n == name)?;
     Some(run_recorded(plan).1.messages().to_vec())
 }
 
-/// What differs between the days played and the same days of an earlier version, a line each.
+/// Returns one line for each scenario whose digest is missing from `earlier` or differs from the
+/// one there.
 pub fn differences(played: &Digests, earlier: &Digests) -> Vec<String> {
     let mut found = Vec::new();
     for (name, day) in played {
@@ -79,7 +84,7 @@
             continue;
         };
         if let Some(first) = day.first_difference(expected) {
-            let last = first + CHECKPOINT_EVERY;
+            let last = first + CHECKPOINT_INTERVAL;
             found.push(format!(
                 "{name}: differs between messages {first} and {last}; {} messages, expected {}",
                 day.messages, expected.messages
--- a/crates/jasperhill-testkit/src/bin/play-scenario.rs
+++ b/crates/jasperhill-testkit/src/bin/play-scenario.rs
@@ -1,5 +1,6 @@
-//! Plays a scenario of a known failure with many seeds, or with a part of it left out, and prints
-//! what came of each. `LOG_LEVEL=debug` logs what the controllers do; it is of use with one seed.
+//! Runs a scenario of a known failure with many seeds, or without one of its conditions, and prints
+//! the outcomes. `LOG_LEVEL=debug` logs the controllers' actions, which is useful with a single
+//! seed.
 
 use clap::{Args, Parser, Subcommand};
 use jasperhill_testkit::{
@@ -135,7 +136,7 @@
     )
 }
 
-/// Logs at the level of the environment, or nothing.
+/// Logs to stderr at the level of `LOG_LEVEL`, or not at all if the variable is unset or invalid.
 fn install_logging() {
     let level = std::env::var("LOG_LEVEL").ok();
     let level = level.and_then(|level| LevelFilter::from_str(&level).ok());
--- a/crates/jasperhill-testkit/src/bin/same-behaviour.rs
+++ b/crates/jasperhill-testkit/src/bin/same-behaviour.rs
@@ -1,4 +1,4 @@
-//! Compares what the controllers send and answer with an earlier version; see
+//! Compares the controllers' requests and answers with those of an earlier version; see
 //! `scripts/same-behaviour`.
 
 use clap::{Parser, Subcommand};
@@ -50,7 +50,7 @@
     };
     let earlier = match read_digests(&text) {
         Ok(digests) => digests,
-        Err(bad) => return fail(&format!("{}: line {}", file.display(), bad.number)),
+        Err(malformed) => return fail(&format!("{}: line {}", file.display(), malformed.number)),
     };
     let played = play_days();
     let found = differences(&played, &earlier);
@@ -70,7 +70,7 @@
     }
 }
 
-/// Something was wrong with what was asked for.
+/// Reports invalid usage or input on stderr and returns exit code 2.
 fn fail(text: &str) -> ExitCode {
     eprintln!("same-behaviour: {text}");
     ExitCode::from(2)
--- a/crates/jasperhill-testkit/src/cluster/agents.rs
+++ b/crates/jasperhill-testkit/src/cluster/agents.rs
@@ -1,6 +1,7 @@
-//! The agents on the machines: heartbeats, and what comes of their answers.
+//! Simulated worker agents: send heartbeats to a controller, apply the answers, and retry or follow
+//! redirects.
 
-use super::{ClusterState, LEASE, NODES, SimulatedCluster};
+use super::{ClusterState, LEASE_DURATION, NODE_COUNT, SimulatedCluster};
 use crate::{
     connections::InboundConnection,
     faults::{Endpoint, LinkFault},
@@ -13,27 +14,28 @@
     time::{Instant, sleep, sleep_until, timeout},
 };
 
-/// The least time between two heartbeats when nothing has changed.
-const HEARTBEAT_LEAST: Duration = Duration::from_millis(1_875);
-/// How long a worker waits for an answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
-/// The pause before a redirected worker tries the controller that was named, and before one that got
-/// no answer tries the next.
-const REDIRECTED_PAUSE: Duration = Duration::from_millis(200);
-const NEXT_CONTROLLER_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum time between two heartbeats while the worker's state has not changed.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_875);
+/// How long a worker waits for an answer before it treats the heartbeat as failed.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before a redirected worker tries the controller that the answer named.
+const REDIRECT_DELAY: Duration = Duration::from_millis(200);
+/// Delay before a worker that got no answer tries the next controller.
+const NEXT_CONTROLLER_DELAY: Duration = Duration::from_secs(1);
 
-/// A heartbeat on its way.
+/// A heartbeat to be sent to a controller.
 struct OutgoingHeartbeat {
     request: Request,
-    /// The controller that it goes to.
+    /// Controller that receives the heartbeat.
     node: usize,
+    /// The worker's session number when the heartbeat was built.
     incarnation: u64,
-    /// The zone that it comes from.
+    /// Zone of the worker.
     from: Endpoint,
 }
 
 impl SimulatedCluster {
-    /// Waits until a machine no longer stands still; whether it did.
+    /// Waits until the machine no longer hangs. Returns whether the machine hung.
     pub(crate) async fn wait_while_hung(&self, id: &str) -> bool {
         let mut hung = false;
         loop {
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Sends heartbeats as the protocol says: regularly, and soon after a change. Ends with the
-    /// machine.
+    /// Sends a worker's heartbeats at the protocol's intervals, and earlier after a change. Returns
+    /// when the machine is gone.
     pub(crate) async fn worker_loop(self: Rc<Self>, id: String) {
         let mut last = Instant::now();
         let mut connection: Option<Rc<InboundConnection>> = None;
         loop {
-            let due = last + HEARTBEAT_LEAST + Duration::from_millis(self.draw(1_250));
+            let due = last + MIN_HEARTBEAT_INTERVAL + Duration::from_millis(self.draw(1_250));
             if !self.wait_until_due(&id, last, due).await {
                 return;
             }
@@ -63,7 +65,7 @@
                 .exchange_heartbeat(&id, &heartbeat, last, &mut connection)
                 .await;
             let (answer, now) = self.receive_answer(&id, answer, last).await;
-            let Some(next) = self.take_answer(&id, &heartbeat, answer, last, now) else {
+            let Some(next) = self.apply_answer(&id, &heartbeat, answer, last, now) else {
                 return;
             };
             if let Some(pause) = next {
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Waits until a heartbeat is due, or something has changed; false if the machine is gone.
+    /// Waits until a heartbeat is due or the worker's state has changed. Returns false if the
+    /// machine is gone.
     async fn wait_until_due(&self, id: &str, last: Instant, due: Instant) -> bool {
         loop {
             sleep(Duration::from_millis(100)).await;
@@ -80,14 +83,14 @@
             let Some(worker) = inner.workers.get(id) else {
                 return false;
             };
-            let soon = worker.changed && last.elapsed() >= Duration::from_millis(500);
-            if soon || Instant::now() >= due {
+            let changed_and_paced = worker.changed && last.elapsed() >= Duration::from_millis(500);
+            if changed_and_paced || Instant::now() >= due {
                 return true;
             }
         }
     }
 
-    /// The heartbeat as it is now; `None` if the machine is gone.
+    /// Builds a heartbeat from the worker's current state. Returns `None` if the machine is gone.
     fn next_heartbeat(&self, id: &str) -> Option<OutgoingHeartbeat> {
         let mut inner = self.inner.borrow_mut();
         let worker = inner.workers.get_mut(id)?;
@@ -101,7 +104,8 @@
         })
     }
 
-    /// Sends a heartbeat, with all that can happen to it on the way.
+    /// Sends a heartbeat, applying the faults that are active on its path. Returns `None` if no
+    /// answer arrives.
     async fn exchange_heartbeat(
         self: &Rc<Self>,
         id: &str,
@@ -113,7 +117,7 @@
         let request = heartbeat.request.clone();
         self.repeat_heartbeat_late(id, node, &request, sent);
         let to = Endpoint::Node(node);
-        let (cut, link, mute) = {
+        let (cut_until, link, mute) = {
             let faults = &self.inner.borrow().faults;
             (
                 faults.cut_until(&to, from, sent),
@@ -125,7 +129,7 @@
             self.abandon_connection(connection.take(), from);
         }
         if mute {
-            // No connection comes about.
+            // A mute worker can't open a connection to any controller.
             self.abandon_connection(connection.take(), from);
             self.inner.borrow_mut().faults.met.mute_reports += 1;
             sleep(Duration::from_millis(500)).await;
@@ -134,22 +138,24 @@
             self.abandon_connection(connection.take(), from);
             self.heartbeat_on_faulty_link(kind, until, node, request)
                 .await
-        } else if let Some(until) = cut {
-            // It is delivered late; nobody waits for the answer.
+        } else if let Some(until) = cut_until {
+            // The heartbeat is delivered after the cut, when the worker no longer waits for the
+            // answer.
             self.abandon_connection(connection.take(), from);
             let cluster = self.clone();
             spawn_local(async move {
                 sleep_until(until).await;
                 cluster.send_to_controller(node, request, &mut None).await;
             });
-            sleep(ANSWER_WITHIN).await;
+            sleep(ANSWER_TIMEOUT).await;
             None
         } else {
             self.send_to_controller(node, request, connection).await
         }
     }
 
-    /// The answer, unless the machine stood still or hears nothing; and when it was received.
+    /// Returns the answer and when it was received. The answer is lost if it arrived too late
+    /// because the machine hung, or if the worker does not receive messages.
     async fn receive_answer(
         &self,
         id: &str,
@@ -157,23 +163,23 @@
         sent: Instant,
     ) -> (Option<Response>, Instant) {
         let answer = match self.wait_while_hung(id).await {
-            // It came while the machine stood still.
-            true if sent.elapsed() > ANSWER_WITHIN => None,
+            // The answer arrived while the machine hung, and has timed out.
+            true if sent.elapsed() > ANSWER_TIMEOUT => None,
             _ => answer,
         };
         let now = Instant::now();
         let deaf = self.inner.borrow().faults.is_deaf(id, now);
         if deaf && answer.is_some() {
             self.inner.borrow_mut().faults.met.unheard += 1;
-            sleep_until(sent + ANSWER_WITHIN).await;
+            sleep_until(sent + ANSWER_TIMEOUT).await;
             return (None, Instant::now());
         }
         (answer, now)
     }
 
-    /// What the worker makes of an answer: `Some(Some(pause))` if it tries again after that. `None`
-    /// if the machine is gone.
-    fn take_answer(
+    /// Applies an answer to the worker. Returns `None` if the machine is gone, and
+    /// `Some(Some(delay))` if the worker is to retry after `delay`.
+    fn apply_answer(
         &self,
         id: &str,
         heartbeat: &OutgoingHeartbeat,
@@ -203,28 +209,30 @@
                     Some(to) if to != node => {
                         worker.node = to;
                         worker.changed = true;
-                        Some(REDIRECTED_PAUSE)
+                        Some(REDIRECT_DELAY)
                     }
-                    _ => Some(NEXT_CONTROLLER_PAUSE),
+                    _ => Some(NEXT_CONTROLLER_DELAY),
                 }
             }
-            _ => Some(NEXT_CONTROLLER_PAUSE),
+            _ => Some(NEXT_CONTROLLER_DELAY),
         })
     }
 
-    /// Tries again after this pause: elsewhere, unless it was redirected.
+    /// Waits for `pause`, then makes a heartbeat due. The worker moves on to the next controller
+    /// unless it was redirected.
     async fn retry_after(&self, id: &str, pause: Duration) {
         sleep(pause).await;
         let mut inner = self.inner.borrow_mut();
         if let Some(worker) = inner.workers.get_mut(id) {
-            if pause == NEXT_CONTROLLER_PAUSE {
-                worker.node = (worker.node + 1) % NODES;
+            if pause == NEXT_CONTROLLER_DELAY {
+                worker.node = (worker.node + 1) % NODE_COUNT;
             }
             worker.changed = true;
         }
     }
 
-    /// A copy of a report may come once more, much later, perhaps elsewhere.
+    /// Schedules a late duplicate of a heartbeat, possibly to another controller, if the
+    /// late-heartbeat fault selects this one.
     pub(crate) fn repeat_heartbeat_late(
         self: &Rc<Self>,
         id: &str,
@@ -232,36 +240,37 @@
         request: &Request,
         now: Instant,
     ) {
-        let (late, node) = {
+        let (delay, node) = {
             let faults = &mut self.inner.borrow_mut().faults;
-            let Some(late) = faults.late_report(now, LEASE) else {
+            let Some(delay) = faults.late_report(now, LEASE_DURATION) else {
                 return;
             };
-            let other = faults.draw(NODES as u64) as usize;
-            (late, if faults.draw(2) == 0 { node } else { other })
+            let other = faults.draw(NODE_COUNT as u64) as usize;
+            (delay, if faults.draw(2) == 0 { node } else { other })
         };
-        let (world, request, id) = (self.clone(), request.clone(), id.to_owned());
+        let (cluster, request, id) = (self.clone(), request.clone(), id.to_owned());
         spawn_local(async move {
-            sleep(late).await;
+            sleep(delay).await;
             let recorded = |inner: &ClusterState| inner.state.recorded().contains(&id);
-            let gone = {
-                let mut inner = world.inner.borrow_mut();
+            let was_gone = {
+                let mut inner = cluster.inner.borrow_mut();
                 inner.faults.met.late_reports += 1;
-                let gone = !inner.workers.contains_key(&id) && !recorded(&inner);
-                inner.faults.met.late_of_gone += usize::from(gone);
-                gone
+                let was_gone = !inner.workers.contains_key(&id) && !recorded(&inner);
+                inner.faults.met.late_of_gone += usize::from(was_gone);
+                was_gone
             };
-            // Nobody waits for the answer.
-            world.send_to_controller(node, request, &mut None).await;
-            if gone {
+            // The answer to the duplicate is discarded.
+            cluster.send_to_controller(node, request, &mut None).await;
+            if was_gone {
                 sleep(Duration::from_secs(3)).await;
-                let mut inner = world.inner.borrow_mut();
+                let mut inner = cluster.inner.borrow_mut();
                 inner.faults.met.taken_on_gone += usize::from(recorded(&inner));
             }
         });
     }
 
-    /// A report on a link that does not do what it should.
+    /// Sends a heartbeat over a link with a fault. Returns `None` if no answer arrives within the
+    /// timeout.
     pub(crate) async fn heartbeat_on_faulty_link(
         self: &Rc<Self>,
         kind: LinkFault,
@@ -269,15 +278,15 @@
         node: usize,
         request: Request,
     ) -> Option<Response> {
-        const WAIT: Duration = Duration::from_secs(4);
+        const TIMEOUT: Duration = Duration::from_secs(4);
         match kind {
             LinkFault::Held => {
-                let world = self.clone();
+                let cluster = self.clone();
                 spawn_local(async move {
                     sleep_until(until).await;
-                    world.send_to_controller(node, request, &mut None).await;
+                    cluster.send_to_controller(node, request, &mut None).await;
                 });
-                sleep(WAIT).await;
+                sleep(TIMEOUT).await;
                 None
             }
             LinkFault::Refused => None,
@@ -288,12 +297,12 @@
                 None
             }
             LinkFault::NoAnswers => {
-                let _ = timeout(WAIT, self.send_to_controller(node, request, &mut None)).await;
-                sleep(WAIT).await;
+                let _ = timeout(TIMEOUT, self.send_to_controller(node, request, &mut None)).await;
+                sleep(TIMEOUT).await;
                 None
             }
             LinkFault::NoRequests => {
-                sleep(WAIT).await;
+                sleep(TIMEOUT).await;
                 None
             }
             LinkFault::Slow(ms) => {
@@ -303,16 +312,16 @@
                     sleep(Duration::from_millis(ms)).await;
                     answer
                 };
-                timeout(WAIT, slow).await.ok().flatten()
+                timeout(TIMEOUT, slow).await.ok().flatten()
             }
             LinkFault::Lossy(percent) => {
                 if self.draw(100) < percent {
-                    sleep(WAIT).await;
+                    sleep(TIMEOUT).await;
                     return None;
                 }
                 let answer = self.send_to_controller(node, request, &mut None).await;
                 if self.draw(100) < percent {
-                    sleep(WAIT).await;
+                    sleep(TIMEOUT).await;
                     return None;
                 }
                 answer
--- a/crates/jasperhill-testkit/src/cluster/deployment.rs
+++ b/crates/jasperhill-testkit/src/cluster/deployment.rs
@@ -1,13 +1,14 @@
-//! The settings of the simulated deployment.
+//! Settings of the simulated controllers and limits of the simulated state service.
 
-use super::NODES;
+use super::NODE_COUNT;
 use crate::{scenario::Scenario, state::Limits};
 use jasperhill_controller::Settings;
 use jasperhill_membership::LeaseTerms;
 use jasperhill_wire::Micros;
 
-/// What the state service takes at the start and later, where it has limits.
-pub(crate) const LIMITS: [Limits; 2] = [
+/// Limits of the state service at the start, and the lower ones that apply once `Fault::LimitsFall`
+/// has occurred, in scenarios with limits.
+pub(crate) const STATE_SERVICE_LIMITS: [Limits; 2] = [
     Limits {
         value_bytes: 16 * 1024,
         txn_ops: 48,
@@ -20,14 +21,20 @@
     },
 ];
 
-pub(crate) fn settings(node: usize, plan: &Scenario, announced: bool) -> Settings {
-    let scale = plan.scale;
+/// Builds the settings of the controller `node`. With `next_limits_announced`, the settings
+/// announce the state service's lower limits.
+pub(crate) fn controller_settings(
+    node: usize,
+    scenario: &Scenario,
+    next_limits_announced: bool,
+) -> Settings {
+    let scale = scenario.scale;
     let mut text = format!(
         "member='worker-{node}'\nsite='{}'\nbind='10.0.0.{n}:8080'\nmesh_addr='10.0.0.{n}:8081'\n",
         if node == 1 { "b" } else { "a" },
         n = node + 1
     );
-    for other in (0..NODES).filter(|o| *o != node) {
+    for other in (0..NODE_COUNT).filter(|o| *o != node) {
         text += &format!(
             "[[others]]\nmember='worker-{other}'\nsite='{}'\nendpoint='10.0.0.{}:8081'\n",
             if other == 1 { "b" } else { "a" },
@@ -39,8 +46,8 @@
         [params.workers]\nreport_s=2.5\nlease_s=16.0\ngang_wait_s=30.0\ngang_peer_s=4.0\ncancel_s=46.0\n\
         [params.state]\nrps=250.0\nwrite_rps=100.0\nvalue_kb=16.0\ntxn_ops=48\n\
         [params.cloud]\nrps=4.0\nlist_lag_s=3.0\n[params.quota]\n";
-    text += &format!("max_connections={}\n", plan.sockets);
-    if announced {
+    text += &format!("max_connections={}\n", scenario.sockets);
+    if next_limits_announced {
         text += "[params.state.next]\nwrite_rps=28.0\nvalue_kb=2.0\ntxn_ops=10\n";
     }
     for team in 0..4 {
@@ -51,15 +58,15 @@
     }
     text += "[[params.teams]]\nname='guest'\n";
     let mut settings = Settings::parse(&text).unwrap();
-    if plan.without_starvation_guard {
+    if scenario.without_starvation_guard {
         settings.operator.tuning.least_share = 0.0;
     }
-    settings.operator.session = plan.session.map(Micros::from_secs);
-    if plan.without_freshness_bound {
+    settings.operator.session = scenario.session.map(Micros::from_secs);
+    if scenario.without_freshness_bound {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
         settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
     }
-    if plan.without_crash_loop_backoff {
+    if scenario.without_crash_loop_backoff {
         settings.operator.crash_loop_threshold = Some(0);
     }
     settings
--- a/crates/jasperhill-testkit/src/cluster/endpoints.rs
+++ b/crates/jasperhill-testkit/src/cluster/endpoints.rs
@@ -1,9 +1,11 @@
-//! What the stand-ins and the other controllers make of a request that has arrived.
+//! Execution of controllers' requests at their destination: another controller, the state service,
+//! the cloud or a worker.
 
 use super::{
-    ClusterState, SimulatedCluster, asked,
+    ClusterState, SimulatedCluster,
     network::worker_id,
     old_version::{as_old_reads, as_old_writes},
+    request_line,
 };
 use crate::{faults::Endpoint, state::Served};
 use jasperhill_http::{ClientError, Method, Request, Response};
@@ -16,6 +18,11 @@
 };
 
 impl SimulatedCluster {
+    /// Executes a request at its destination `to`, applying the faults of that destination.
+    ///
+    /// # Errors
+    /// `NotSent` if the destination does not exist, `NoAnswer` if the request was delayed or its
+    /// controller was restarted meanwhile.
     pub(crate) async fn execute(
         &self,
         node: usize,
@@ -23,38 +30,40 @@
         request: Request,
     ) -> Result<Response, ClientError> {
         let now = Instant::now();
-        match self.place(to) {
+        match self.endpoint_of(to) {
             Endpoint::Node(i) => {
-                let found = {
+                let running = {
                     let inner = self.inner.borrow();
                     inner.nodes[i].clone().map(|c| (c, inner.generations[i]))
                 };
-                let Some((controller, life)) = found else {
+                let Some((controller, generation)) = running else {
                     return Err(ClientError::NotSent);
                 };
                 self.wait_while_stalled(i).await;
-                let asked = asked(&request);
+                let request_line = request_line(&request);
                 let future = controller.handle_mesh(request);
                 drop(controller);
                 let answer = future.await;
-                self.transcribe(|t, at| t.answer(at, i, &asked, &answer));
-                if self.inner.borrow().generations[i] != life {
+                self.add_to_transcript(|t, at| t.record_answer(at, i, &request_line, &answer));
+                if self.inner.borrow().generations[i] != generation {
                     return Err(ClientError::NoAnswer);
                 }
                 Ok(answer)
             }
             Endpoint::State
-                if request.path() == "/txn" && self.is_transaction_delayed(node, &request) =>
+                if request.path() == "/txn" && self.try_delay_transaction(node, &request) =>
             {
-                // No answer; whoever sent it gives up.
+                // The delayed transaction gets no answer; the sender times out.
                 sleep(Duration::from_secs(60)).await;
                 Err(ClientError::NoAnswer)
             }
-            Endpoint::State if self.inner.borrow().old[node] => {
-                let answer = self.state(node, as_old_writes(request)).await?;
+            Endpoint::State if self.inner.borrow().runs_old_version[node] => {
+                let answer = self
+                    .execute_at_state_service(node, as_old_writes(request))
+                    .await?;
                 Ok(as_old_reads(answer))
             }
-            Endpoint::State => self.state(node, request).await,
+            Endpoint::State => self.execute_at_state_service(node, request).await,
             Endpoint::Cloud => {
                 let mut inner = self.inner.borrow_mut();
                 if inner.faults.cloud_until.is_some_and(|t| now < t) {
@@ -69,40 +78,41 @@
                 } = &mut *inner;
                 cloud.bad_boots = faults.bad_boots_until.is_some_and(|t| now < t);
                 let rng = RefCell::new(rng);
-                let (answer, gone) = cloud.serve(&request, now, |n| {
+                let (answer, deleted_workers) = cloud.serve(&request, now, |n| {
                     rng.borrow_mut().random_range(0..n.max(1))
                 });
-                for id in gone {
+                for id in deleted_workers {
                     workers.remove(&id);
                 }
                 Ok(answer)
             }
             Endpoint::Zone(_) => {
-                let (held, deaf) = {
+                let (delayed, deaf) = {
                     let faults = &mut self.inner.borrow_mut().faults;
-                    let held = match request.method {
+                    let delayed = match request.method {
                         Method::Post => faults.held_order(now),
                         _ => None,
                     };
-                    let deaf = held.is_none() && faults.is_deaf(&worker_id(to), now);
-                    faults.met.held_orders += usize::from(held.is_some());
+                    let deaf = delayed.is_none() && faults.is_deaf(&worker_id(to), now);
+                    faults.met.held_orders += usize::from(delayed.is_some());
                     faults.met.unheard += usize::from(deaf);
-                    (held, deaf)
+                    (delayed, deaf)
                 };
-                if let Some((by, answer_only)) = held {
+                if let Some((by, answer_only)) = delayed {
                     self.delay_command(to, request.clone(), by, answer_only);
                 }
-                let hangs = self.inner.borrow().faults.hangs_until(&worker_id(to), now);
-                if let (Some(until), None) = (hangs, held) {
-                    // Carried out when the machine goes on, if token and session still match.
+                let hung_until = self.inner.borrow().faults.hangs_until(&worker_id(to), now);
+                if let (Some(until), None) = (hung_until, delayed) {
+                    // The command is executed when the machine resumes, if fencing token and
+                    // session still match.
                     self.delay_command(to, request.clone(), until - now, false);
                 }
-                if held.is_some() || deaf || hangs.is_some() {
-                    // Whoever sent it gives up.
+                if delayed.is_some() || deaf || hung_until.is_some() {
+                    // The command gets no answer; the sender times out.
                     sleep(Duration::from_secs(60)).await;
                     return Err(ClientError::NoAnswer);
                 }
-                let Some((status, report)) = self.at_worker(to, &request) else {
+                let Some((status, report)) = self.execute_at_worker(to, &request) else {
                     return Err(ClientError::NotSent);
                 };
                 Ok(Response::new(status, report.to_string().into_bytes()))
@@ -110,7 +120,7 @@
         }
     }
 
-    /// A command that comes later, or is carried out now and whose answer comes too late.
+    /// Executes a command `by` later, or executes it at once if only its answer is delayed.
     pub(crate) fn delay_command(
         &self,
         to: SocketAddr,
@@ -119,19 +129,24 @@
         answer_only: bool,
     ) {
         if answer_only {
-            self.at_worker(to, &request);
-        } else if let Some(world) = self.me.borrow().upgrade() {
+            self.execute_at_worker(to, &request);
+        } else if let Some(cluster) = self.weak_self.borrow().upgrade() {
             spawn_local(async move {
                 sleep(by).await;
-                let done = world.at_worker(to, &request);
-                let met = &mut world.inner.borrow_mut().faults.met;
+                let done = cluster.execute_at_worker(to, &request);
+                let met = &mut cluster.inner.borrow_mut().faults.met;
                 met.held_done += usize::from(done.is_some_and(|(status, _)| status == 200));
             });
         }
     }
 
-    /// What a worker makes of a direct request.
-    pub(crate) fn at_worker(&self, to: SocketAddr, request: &Request) -> Option<(u16, Value)> {
+    /// Executes a direct request at a worker. Returns the status and the worker's report, or `None`
+    /// if there is no such worker.
+    pub(crate) fn execute_at_worker(
+        &self,
+        to: SocketAddr,
+        request: &Request,
+    ) -> Option<(u16, Value)> {
         let (now, mut inner) = (Instant::now(), self.inner.borrow_mut());
         let ClusterState {
             workers,
@@ -144,33 +159,35 @@
             (200, worker.heartbeat())
         } else {
             let body: Value = serde_json::from_slice(&request.body).unwrap();
-            let had = worker.tasks.len();
-            let told = worker.on_direct_commands(&body, jobs, now);
-            let mute = faults.mute_for(&worker.id, now).filter(|_| told.0 == 200);
+            let tasks_before = worker.tasks.len();
+            let result = worker.on_direct_commands(&body, jobs, now);
+            let mute = faults.mute_for(&worker.id, now).filter(|_| result.0 == 200);
             faults.met.mute_orders += usize::from(mute.is_some());
-            // Longer than two reports and a half, and a second.
+            // Counts only workers mute for longer than two and a half report intervals plus a
+            // second, so that a controller has noticed their missing reports.
             if mute.is_some_and(|t| t > Duration::from_secs(8)) {
-                faults.met.mute_starts += worker.tasks.len().saturating_sub(had);
+                faults.met.mute_starts += worker.tasks.len().saturating_sub(tasks_before);
             }
-            told
+            result
         })
     }
 
-    /// A transaction that is carried out later, after newer ones of the same controller.
-    pub(crate) fn is_transaction_delayed(&self, node: usize, request: &Request) -> bool {
+    /// Schedules a transaction to be executed later, after newer ones of the same controller, if
+    /// the late-write fault selects it. Returns whether the transaction was delayed.
+    pub(crate) fn try_delay_transaction(&self, node: usize, request: &Request) -> bool {
         let now = Instant::now();
-        let world = self.me.borrow().upgrade();
-        let late = self.inner.borrow_mut().faults.late_write(now);
-        let (Some(late), Some(world)) = (late, world) else {
+        let cluster = self.weak_self.borrow().upgrade();
+        let delay = self.inner.borrow_mut().faults.late_write(now);
+        let (Some(delay), Some(cluster)) = (delay, cluster) else {
             return false;
         };
         let request = request.clone();
-        let before = self.inner.borrow().written[node];
+        let before = self.inner.borrow().transactions_received[node];
         spawn_local(async move {
-            sleep(late).await;
-            let answer = world.state(node, request).await;
-            let mut inner = world.inner.borrow_mut();
-            let overtaken = inner.written[node] > before;
+            sleep(delay).await;
+            let answer = cluster.execute_at_state_service(node, request).await;
+            let mut inner = cluster.inner.borrow_mut();
+            let overtaken = inner.transactions_received[node] > before;
             let met = &mut inner.faults.met;
             met.late_writes += 1;
             met.overtaken += usize::from(overtaken);
@@ -179,30 +196,32 @@
         true
     }
 
-    pub(crate) async fn state(
+    /// Executes a request of the controller `node` at the state service. A watch waits until there
+    /// are changes or its time is over.
+    pub(crate) async fn execute_at_state_service(
         &self,
         node: usize,
         request: Request,
     ) -> Result<Response, ClientError> {
         let now = Instant::now();
-        let down = {
+        let is_unavailable = {
             let inner = self.inner.borrow();
             inner.faults.state_until.is_some_and(|t| now < t) || inner.faults.is_refused(node, now)
         };
-        if down {
+        if is_unavailable {
             return Ok(Response::new(503, b"{}".to_vec()));
         }
         let is_txn = request.path() == "/txn";
-        let no_hosts = self.inner.borrow().faults.no_host_writes_until;
+        let no_host_writes_until = self.inner.borrow().faults.no_host_writes_until;
         if is_txn
-            && no_hosts.is_some_and(|t| now < t)
+            && no_host_writes_until.is_some_and(|t| now < t)
             && String::from_utf8_lossy(&request.body).contains("\"write\":\"jh/hosts/")
         {
             return Ok(Response::new(400, b"{\"error\":\"too large\"}".to_vec()));
         }
         let served = {
             let mut inner = self.inner.borrow_mut();
-            inner.written[node] += u64::from(is_txn);
+            inner.transactions_received[node] += u64::from(is_txn);
             inner.state.serve(&request, now)
         };
         match served {
@@ -215,10 +234,10 @@
                 sleep(Duration::from_millis(15)).await;
                 let now = Instant::now();
                 let inner = self.inner.borrow();
-                let stuck = inner.faults.state_until.is_some_and(|t| now < t)
+                let is_unavailable = inner.faults.state_until.is_some_and(|t| now < t)
                     || inner.faults.is_refused(node, now);
-                if stuck {
-                    // Open watches stay open.
+                if is_unavailable {
+                    // An open watch stays open while the state service is unavailable.
                     continue;
                 }
                 if let Some(news) = inner.state.watch(&prefix, after) {
--- a/crates/jasperhill-testkit/src/cluster/inbound.rs
+++ b/crates/jasperhill-testkit/src/cluster/inbound.rs
@@ -1,6 +1,7 @@
-//! Requests of users, workers and the balancer to controllers.
+//! Requests of users, workers and the load balancer to controllers, and the connections that carry
+//! them.
 
-use super::{HALF_OPEN, NODES, SimulatedCluster, asked};
+use super::{HALF_OPEN_TIMEOUT, NODE_COUNT, SimulatedCluster, request_line};
 use crate::{connections::InboundConnection, faults::Endpoint};
 use jasperhill_http::{Method, Request, Response};
 use std::{rc::Rc, time::Duration};
@@ -10,31 +11,32 @@
 };
 
 impl SimulatedCluster {
-    /// A request of a user or worker to some controller.
-    /// It is handled even if whoever sent it no longer waits.
-    /// `line`: the connection that whoever sent it has from the last time.
+    /// Sends a request to the controller `node` and waits up to 4 s for the answer. The controller
+    /// handles the request even if the sender has stopped waiting.
+    /// `kept_connection`: the sender's connection from an earlier request, replaced by the one used
+    /// if that stays open.
     pub(crate) async fn send_to_controller(
         self: &Rc<Self>,
         node: usize,
         request: Request,
         line: &mut Option<Rc<InboundConnection>>,
     ) -> Option<Response> {
-        self.latency().await;
-        let there = match line.take().filter(|l| self.is_open(l, node)) {
-            Some(there) => there,
+        self.delay_by_latency().await;
+        let connection = match line.take().filter(|l| self.is_open(l, node)) {
+            Some(connection) => connection,
             None => self.open_connection(node)?,
         };
-        let (world, (reply, answer)) = (self.clone(), tokio::sync::oneshot::channel());
-        let ours = there.clone();
+        let (cluster, (reply, answer)) = (self.clone(), tokio::sync::oneshot::channel());
+        let serving_connection = connection.clone();
         spawn_local(async move {
-            world.wait_while_stalled(node).await;
-            let asked = asked(&request);
-            let (future, life) = {
-                let inner = world.inner.borrow();
+            cluster.wait_while_stalled(node).await;
+            let request_line = request_line(&request);
+            let (future, generation) = {
+                let inner = cluster.inner.borrow();
                 let Some(controller) = inner.nodes[node].as_ref() else {
                     return;
                 };
-                if !ours.begins(&request) {
+                if !serving_connection.begins(&request) {
                     let full = Response::new(503, b"{}".to_vec());
                     let _ = reply.send(full);
                     return;
@@ -42,39 +44,44 @@
                 (controller.handle(request), inner.generations[node])
             };
             let answer = future.await;
-            world.transcribe(|t, at| t.answer(at, node, &asked, &answer));
-            world.wait_while_stalled(node).await;
-            ours.rests();
-            if world.inner.borrow().generations[node] == life {
+            cluster.add_to_transcript(|t, at| t.record_answer(at, node, &request_line, &answer));
+            cluster.wait_while_stalled(node).await;
+            serving_connection.rests();
+            if cluster.inner.borrow().generations[node] == generation {
                 let _ = reply.send(answer);
             }
         });
         let answer = timeout(Duration::from_secs(4), answer).await.ok()?.ok()?;
-        *line = Some(there).filter(|l| l.is_open());
+        *line = Some(connection).filter(|l| l.is_open());
         Some(answer)
     }
 
+    /// Returns whether the connection is open and leads to the running process of the controller
+    /// `node`.
     pub(crate) fn is_open(&self, line: &InboundConnection, node: usize) -> bool {
         line.node == node && line.is_open() && self.inner.borrow().generations[node] == line.life
     }
 
-    /// The balancer resets the connections of a controller that has not been ready for a while.
-    pub(crate) fn is_reset(&self, node: usize) -> bool {
+    /// Returns whether the load balancer resets connections to `node`: its readiness probes have
+    /// failed for at least 5 s.
+    pub(crate) fn has_balancer_reset_connections(&self, node: usize) -> bool {
         let since = self.inner.borrow().unready_since[node];
         since.is_some_and(|t| t.elapsed() >= Duration::from_secs(5))
     }
 
-    /// A new connection into a controller.
+    /// Opens a connection to the controller `node`. Returns `None` if the controller is down, or
+    /// the platform or the controller's connection budget refuses the connection.
     pub(crate) fn open_connection(&self, node: usize) -> Option<Rc<InboundConnection>> {
-        let (platform, own, life) = {
+        let (platform, own, generation) = {
             let inner = self.inner.borrow();
-            let (platform, own) = inner.sockets[node].clone()?;
+            let (platform, own) = inner.process_sockets[node].clone()?;
             (platform, own, inner.generations[node])
         };
-        InboundConnection::open(node, life, &platform, &own)
+        InboundConnection::open(node, generation, &platform, &own)
     }
 
-    /// A worker gives its connection up. Beyond a cut the controller does not hear of it.
+    /// Closes a worker's connection. If the link has a fault, the controller is not told and keeps
+    /// its end until the half-open timeout.
     pub(crate) fn abandon_connection(
         self: &Rc<Self>,
         line: Option<Rc<InboundConnection>>,
@@ -82,20 +89,21 @@
     ) {
         let Some(line) = line else { return };
         let now = Instant::now();
-        let whole = self
-            .inner
-            .borrow()
-            .faults
-            .is_whole(from, &Endpoint::Node(line.node), now);
-        if !whole {
+        let is_link_whole =
+            self.inner
+                .borrow()
+                .faults
+                .is_whole(from, &Endpoint::Node(line.node), now);
+        if !is_link_whole {
             spawn_local(async move {
-                sleep(HALF_OPEN).await;
+                sleep(HALF_OPEN_TIMEOUT).await;
                 drop(line);
             });
         }
     }
 
-    /// What a user gets: from whom it has a connection to, or from a healthy controller.
+    /// Sends a user's request over the user's open connection, or else to a healthy controller.
+    /// Returns the status and the body.
     pub async fn user_request(
         self: &Rc<Self>,
         request: &Request,
@@ -105,33 +113,38 @@
         Some((status, text))
     }
 
-    /// With who answered.
+    /// As [`Self::user_request`], and also returns which controller answered.
     pub async fn user_request_with_responder(
         self: &Rc<Self>,
         request: &Request,
         line: &mut Option<Rc<InboundConnection>>,
     ) -> Option<(usize, u16, String)> {
-        let mut node = self.draw(NODES as u64) as usize;
-        if line.as_ref().is_some_and(|l| self.is_reset(l.node)) {
+        let mut node = self.draw(NODE_COUNT as u64) as usize;
+        if line
+            .as_ref()
+            .is_some_and(|l| self.has_balancer_reset_connections(l.node))
+        {
             *line = None;
         }
-        if let Some(there) = line.as_ref().filter(|l| self.is_open(l, l.node)) {
-            node = there.node;
+        if let Some(connection) = line.as_ref().filter(|l| self.is_open(l, l.node)) {
+            node = connection.node;
         } else {
             let healthy = self.inner.borrow().healthy.clone();
-            let well = (0..NODES).map(|n| (node + n) % NODES).find(|n| healthy[*n]);
-            node = well.unwrap_or(node);
+            let first_healthy = (0..NODE_COUNT)
+                .map(|n| (node + n) % NODE_COUNT)
+                .find(|n| healthy[*n]);
+            node = first_healthy.unwrap_or(node);
         }
         let answer = self.send_to_controller(node, request.clone(), line).await?;
         let text = String::from_utf8(answer.body).unwrap();
         Some((node, answer.status, text))
     }
 
-    /// The balancer asks every controller about once a second whether it is ready.
+    /// Probes the readiness of every controller about once a second.
     pub(crate) async fn balancer_loop(self: Rc<Self>) {
         loop {
             sleep(Duration::from_secs(1)).await;
-            for node in 0..NODES {
+            for node in 0..NODE_COUNT {
                 let ask = Request::new(Method::Get, "/ready", Vec::new());
                 let mut line = None;
                 let answer = timeout(
--- a/crates/jasperhill-testkit/src/cluster/injection.rs
+++ b/crates/jasperhill-testkit/src/cluster/injection.rs
@@ -1,6 +1,6 @@
-//! Faults as they begin.
+//! Injection of the scenario's faults into the running cluster.
 
-use super::{LIMITS, SimulatedCluster};
+use super::{STATE_SERVICE_LIMITS, SimulatedCluster};
 use crate::{
     faults::{ActiveFaults, Fault},
     users,
@@ -18,7 +18,7 @@
 };
 
 impl SimulatedCluster {
-    /// A fault begins.
+    /// Starts a fault.
     pub(crate) fn inject(self: &Rc<Self>, fault: Fault) {
         let now = Instant::now();
         let faults = |begin: &dyn Fn(&mut ActiveFaults)| begin(&mut self.inner.borrow_mut().faults);
@@ -32,12 +32,14 @@
                 back,
             } => self.crash_loop(node, times, life, back),
             Fault::Upgrade(node, back) => self.upgrade(node, back),
-            Fault::LimitsFall => self.inner.borrow_mut().state.limits = Some(LIMITS[1]),
+            Fault::LimitsFall => {
+                self.inner.borrow_mut().state.limits = Some(STATE_SERVICE_LIMITS[1])
+            }
             Fault::Link(from, to, kind, time) => {
                 faults(&|f| f.link(from.clone(), to.clone(), kind, now + time));
             }
             Fault::Cut(a, b, time) => faults(&|f| f.cut(a.clone(), b.clone(), now + time)),
-            Fault::StateOutage(time) => self.store_outage(time),
+            Fault::StateOutage(time) => self.begin_state_outage(time),
             Fault::Refused(node, time) => faults(&|f| f.refuse(node, now + time)),
             Fault::CloudOutage(time) => faults(&|f| f.cloud_until = Some(now + time)),
             Fault::Stall(node, time) => faults(&|f| f.freeze(node, now + time)),
@@ -54,16 +56,16 @@
                 faults(&|f| f.no_host_writes_until = Some(now + time));
             }
             Fault::NotReceiving(percent, time) => {
-                for id in self.some_workers(percent) {
+                for id in self.random_percentage_of_workers(percent) {
                     faults(&|f| f.deafen(id.clone(), now + time));
                 }
             }
             Fault::NotSending(percent, time) => {
-                for id in self.some_workers(percent) {
+                for id in self.random_percentage_of_workers(percent) {
                     faults(&|f| f.silence(id.clone(), now, now + time));
                 }
             }
-            Fault::Hang(count, time) => self.hang(self.drawn_workers(count), time),
+            Fault::Hang(count, time) => self.hang_machines(self.random_workers(count), time),
             Fault::CancelNow(count, hang) => self.cancel_running_jobs(count, hang),
             Fault::CancelAtEnd(percent, time) => {
                 faults(&|f| f.cancel_at_end.begin(percent, now + time));
@@ -76,7 +78,7 @@
         }
     }
 
-    /// A controller ends, and is back after this long.
+    /// Kills a controller and restarts it after `back`.
     fn crash(self: &Rc<Self>, node: usize, back: Duration) {
         self.kill_node(node);
         let cluster = self.clone();
@@ -86,17 +88,18 @@
         });
     }
 
-    /// Whoever leads the fleet by the store ends.
+    /// Crashes the fleet leader named in the state service, if there is one.
     fn crash_leader(self: &Rc<Self>, back: Duration) {
-        let leads = self.inner.borrow().state.field("jh/leader", "o");
-        let name = leads.as_ref().and_then(Value::as_str);
+        let leader = self.inner.borrow().state.field("jh/leader", "o");
+        let name = leader.as_ref().and_then(Value::as_str);
         let node = name.and_then(|n| n.strip_prefix("worker-")?.parse().ok());
         if let Some(node) = node {
             self.crash(node, back);
         }
     }
 
-    /// A controller ends so many times: each process lasts so long, and the next begins so soon.
+    /// Kills a controller `times` times: each time it is restarted after `back` and runs for
+    /// `life`.
     fn crash_loop(self: &Rc<Self>, node: usize, times: usize, life: Duration, back: Duration) {
         let cluster = self.clone();
         spawn_local(async move {
@@ -109,20 +112,21 @@
         });
     }
 
-    /// A controller is ended and comes back with the new version.
+    /// Kills a controller and restarts it with the new version after `back`.
     fn upgrade(self: &Rc<Self>, node: usize, back: Duration) {
         self.kill_node(node);
         let cluster = self.clone();
         spawn_local(async move {
             sleep(back).await;
-            // Whoever restarted it meanwhile started the old version.
+            // A concurrent crash fault may have restarted the controller with the old version.
             cluster.kill_node(node);
-            cluster.inner.borrow_mut().old[node] = false;
+            cluster.inner.borrow_mut().runs_old_version[node] = false;
             cluster.start_node(node);
         });
     }
 
-    fn store_outage(self: &Rc<Self>, time: Duration) {
+    /// Makes the state service unavailable for `time`, and refills its rate limits afterwards.
+    fn begin_state_outage(self: &Rc<Self>, time: Duration) {
         self.inner.borrow_mut().faults.state_until = Some(Instant::now() + time);
         let cluster = self.clone();
         spawn_local(async move {
@@ -131,8 +135,8 @@
         });
     }
 
-    /// So many of a hundred workers, each drawn for itself.
-    fn some_workers(&self, percent: u64) -> Vec<String> {
+    /// Selects each worker independently with a probability of `percent`.
+    fn random_percentage_of_workers(&self, percent: u64) -> Vec<String> {
         let mut inner = self.inner.borrow_mut();
         let ids: Vec<String> = inner.workers.keys().cloned().collect();
         let mut chosen = ids;
@@ -140,8 +144,8 @@
         chosen
     }
 
-    /// So many workers.
-    fn drawn_workers(&self, count: usize) -> Vec<String> {
+    /// Selects up to `count` workers at random.
+    fn random_workers(&self, count: usize) -> Vec<String> {
         let mut inner = self.inner.borrow_mut();
         let mut ids: Vec<String> = inner.workers.keys().cloned().collect();
         while ids.len() > count {
@@ -151,7 +155,7 @@
         ids
     }
 
-    /// A machine stops with all that is on it.
+    /// Removes a random machine and all tasks on it.
     fn lose_machine(&self) {
         let mut inner = self.inner.borrow_mut();
         let ids: Vec<String> = inner.workers.keys().cloned().collect();
@@ -162,9 +166,9 @@
         }
     }
 
-    /// These machines stand still for a while; those that have tasks and go on within their lease are
-    /// counted.
-    pub(crate) fn hang(self: &Rc<Self>, ids: Vec<String>, time: Duration) {
+    /// Makes machines hang for `time`. Counts machines that have tasks afterwards and whose lease
+    /// did not expire meanwhile.
+    pub(crate) fn hang_machines(self: &Rc<Self>, ids: Vec<String>, time: Duration) {
         let now = Instant::now();
         for id in ids {
             let mut inner = self.inner.borrow_mut();
@@ -172,55 +176,59 @@
             inner.faults.hang(id.clone(), now + time);
             inner.faults.met.hung += 1;
             drop(inner);
-            let world = self.clone();
+            let cluster = self.clone();
             spawn_local(async move {
                 sleep(time).await;
-                let mut inner = world.inner.borrow_mut();
+                let mut inner = cluster.inner.borrow_mut();
                 let after = inner.workers.get(&id);
-                let went_on =
+                let resumed_with_tasks =
                     after.is_some_and(|w| Some(w.incarnation) == before && !w.tasks.is_empty());
-                inner.faults.met.went_on += usize::from(went_on);
+                inner.faults.met.went_on += usize::from(resumed_with_tasks);
             });
         }
     }
 
-    /// Users call off so many jobs that run and have long to go, and machines of theirs hang.
+    /// Cancels up to `count` running jobs that have at least 10 s, and at least `hang`, left to
+    /// run. Up to eight of their machines then hang for `hang`.
     pub(crate) fn cancel_running_jobs(self: &Rc<Self>, count: usize, hang: Duration) {
         let now = Instant::now();
-        let far = now + hang.max(Duration::from_secs(10));
-        let mut found: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let earliest_end = now + hang.max(Duration::from_secs(10));
+        let mut machines_by_job: BTreeMap<String, Vec<String>> = BTreeMap::new();
         {
             use crate::worker::Phase;
             let inner = self.inner.borrow();
             for worker in inner.workers.values() {
                 for ((task, _), t) in &worker.tasks {
                     let id = task.job.to_string();
-                    let lasts = matches!(t.phase, Phase::Running { until } if until.is_none_or(|t| t > far));
-                    let own = inner.accepted_at.contains_key(&id)
+                    let outlasts_hang = matches!(t.phase, Phase::Running { until } if until.is_none_or(|t| t > earliest_end));
+                    let is_independent = inner.accepted_at.contains_key(&id)
                         && inner.jobs[&id].dependencies.is_empty();
-                    if lasts && own && !inner.rules.asked.contains(&id) {
-                        found.entry(id).or_default().push(worker.id.clone());
+                    if outlasts_hang && is_independent && !inner.rules.asked.contains(&id) {
+                        machines_by_job
+                            .entry(id)
+                            .or_default()
+                            .push(worker.id.clone());
                     }
                 }
             }
         }
         let mut machines = BTreeSet::new();
-        for (id, hosts) in found.into_iter().take(count) {
+        for (id, hosts) in machines_by_job.into_iter().take(count) {
             machines.extend(hosts);
-            let (world, wait) = (self.clone(), Duration::from_millis(self.draw(200)));
+            let (cluster, wait) = (self.clone(), Duration::from_millis(self.draw(200)));
             self.inner.borrow_mut().faults.met.called_off += 1;
             spawn_local(async move {
                 sleep(wait).await;
-                users::cancel(&world, &id).await;
+                users::cancel(&cluster, &id).await;
             });
         }
         if hang > Duration::ZERO {
             let machines = machines.into_iter().take(8).collect();
-            let world = self.clone();
+            let cluster = self.clone();
             spawn_local(async move {
-                // Orders may just be on their way.
-                sleep(Duration::from_millis(world.draw(400))).await;
-                world.hang(machines, hang);
+                // The random delay lets the hang begin while commands may be in transit.
+                sleep(Duration::from_millis(cluster.draw(400))).await;
+                cluster.hang_machines(machines, hang);
             });
         }
     }
--- a/crates/jasperhill-testkit/src/cluster/inspection.rs
+++ b/crates/jasperhill-testkit/src/cluster/inspection.rs
@@ -1,24 +1,25 @@
-//! How the deployment stands, as nobody within it can see.
+//! Observations of the whole deployment that no single component of it can make.
 
-use super::{NODES, SimulatedCluster};
+use super::{NODE_COUNT, SimulatedCluster};
 use crate::worker::Worker;
 use std::time::Duration;
 use tokio::time::Instant;
 
 impl SimulatedCluster {
-    /// Records of machines that the cloud does not have.
-    pub(crate) fn ghosts(&self) -> Vec<String> {
+    /// Returns the recorded hosts that the cloud no longer has.
+    pub(crate) fn stale_host_records(&self) -> Vec<String> {
         let inner = self.inner.borrow();
         let recorded = inner.state.recorded();
         let there = |id: &String| inner.cloud.machines.contains_key(id);
         recorded.into_iter().filter(|id| !there(id)).collect()
     }
 
-    /// The roles without a live owner, and the workers whom nobody has answered for some reports.
-    pub(crate) fn unowned_and_unanswered(&self) -> (Vec<String>, Vec<String>) {
+    /// Returns the roles without a live owner, and the workers whose last answered heartbeat is
+    /// more than 9 s old.
+    pub(crate) fn unowned_roles_and_unanswered_workers(&self) -> (Vec<String>, Vec<String>) {
         let now = Instant::now();
         let inner = self.inner.borrow();
-        let roles = (0..NODES).map(|n| format!("jh/part/{n}"));
+        let roles = (0..NODE_COUNT).map(|n| format!("jh/part/{n}"));
         let owned = |key: &String| {
             let owner = inner.state.field(key, "o")?;
             let session = format!("jh/session/{}", owner.as_str()?);
--- a/crates/jasperhill-testkit/src/cluster/network.rs
+++ b/crates/jasperhill-testkit/src/cluster/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: what can happen to a controller's request on its way.
+//! Simulated network for controllers' requests: latency, connection limits and link faults.
 
 use super::SimulatedCluster;
 use crate::{
@@ -17,15 +17,17 @@
     time::{Instant, sleep, sleep_until, timeout},
 };
 
+/// Transport of one controller process over the simulated network.
 pub(crate) struct SimTransport {
-    pub(crate) world: Rc<SimulatedCluster>,
+    pub(crate) cluster: Rc<SimulatedCluster>,
     pub(crate) node: usize,
-    pub(crate) lines: OutboundConnections,
+    pub(crate) connections: OutboundConnections,
 }
 
 impl SimTransport {
+    /// Returns the connection class for requests to the address `to`.
     fn class_of(&self, to: SocketAddr) -> Class {
-        match self.world.place(to) {
+        match self.cluster.endpoint_of(to) {
             Endpoint::Node(_) => Class::Peers,
             Endpoint::State => Class::State,
             Endpoint::Cloud => Class::Cloud,
@@ -36,21 +38,26 @@
 
 impl Transport for SimTransport {
     fn call(&self, to: SocketAddr, request: Request, limit: Duration) -> Call<'_> {
-        let (world, node) = (self.world.clone(), self.node);
+        let (cluster, node) = (self.cluster.clone(), self.node);
         Box::pin(async move {
-            world.transcribe(|t, at| t.request(at, node, to, &request));
-            let ends = match self.lines.take(to, self.class_of(to)) {
-                Ok(ends) => ends,
+            cluster.add_to_transcript(|t, at| t.record_request(at, node, to, &request));
+            let connection = match self.connections.take(to, self.class_of(to)) {
+                Ok(connection) => connection,
                 Err(NoConnection::Own) => return Err(ClientError::NoSocket),
                 Err(NoConnection::Platform) => return Err(ClientError::NotSent),
             };
-            match timeout(limit, world.clone().carry(node, to, request, limit)).await {
+            match timeout(
+                limit,
+                cluster.clone().route_request(node, to, request, limit),
+            )
+            .await
+            {
                 Ok(result) => match result {
                     Ok(answer) if answer.body.len() > RESPONSE_BODY_MAX => {
                         Err(ClientError::TooLong)
                     }
                     Ok(answer) => {
-                        self.lines.keep(to, ends);
+                        self.connections.keep(to, connection);
                         Ok(answer)
                     }
                     Err(error) => Err(error),
@@ -60,19 +67,20 @@
         })
     }
     fn connection_tracker(&self) -> &ConnectionTracker {
-        &self.lines.own
+        &self.connections.own
     }
 }
 
 impl SimulatedCluster {
-    pub(crate) fn place(&self, to: SocketAddr) -> Endpoint {
+    /// Returns the endpoint that the address `to` belongs to.
+    pub(crate) fn endpoint_of(&self, to: SocketAddr) -> Endpoint {
         let SocketAddr::V4(v4) = to else {
             panic!("not IPv4")
         };
-        let o = v4.ip().octets();
-        match o[1] {
-            0 => Endpoint::Node(o[3] as usize - 1),
-            2 if o[3] == 1 => Endpoint::State,
+        let octets = v4.ip().octets();
+        match octets[1] {
+            0 => Endpoint::Node(octets[3] as usize - 1),
+            2 if octets[3] == 1 => Endpoint::State,
             2 => Endpoint::Cloud,
             _ => {
                 let inner = self.inner.borrow();
@@ -83,69 +91,74 @@
         }
     }
 
-    /// One request of a controller, with all that can happen to it on the way.
-    pub(crate) async fn carry(
+    /// Routes a controller's request to its destination, applying latency and the faults that are
+    /// active on the link.
+    ///
+    /// # Errors
+    /// `NotSent` if no connection came about, `NoAnswer` if the request or its answer was lost.
+    pub(crate) async fn route_request(
         self: Rc<Self>,
         node: usize,
         to: SocketAddr,
         request: Request,
         limit: Duration,
     ) -> Result<Response, ClientError> {
-        // A standstill between the decision and its way out.
+        // A controller may stall between deciding to send a request and sending it.
         self.wait_while_stalled(node).await;
-        self.latency().await;
-        let place = self.place(to);
+        self.delay_by_latency().await;
+        let destination = self.endpoint_of(to);
         let now = Instant::now();
         let cut = self
             .inner
             .borrow()
             .faults
-            .cut_until(&Endpoint::Node(node), &place, now);
+            .cut_until(&Endpoint::Node(node), &destination, now);
         if let Some(until) = cut {
             if self.draw(2) == 0 {
-                // A connection that does not come about: given up for good.
+                // The connection attempt fails, and the request is never delivered.
                 sleep(limit.min(Duration::from_millis(1_500))).await;
                 return Err(ClientError::NotSent);
             }
-            // Held back, and delivered after the cut although nobody waits any more.
-            let world = self.clone();
+            // The request is held back and delivered after the cut, when the sender no longer
+            // waits.
+            let cluster = self.clone();
             let late = until + Duration::from_millis(self.draw(2_000));
             spawn_local(async move {
                 sleep_until(late).await;
-                let _ = world.execute(node, to, request).await;
+                let _ = cluster.execute(node, to, request).await;
             });
             sleep(limit * 2).await;
             return Err(ClientError::NoAnswer);
         }
         let from = Endpoint::Node(node);
-        let link = self.inner.borrow().faults.on_link(&from, &place, now);
+        let link = self.inner.borrow().faults.on_link(&from, &destination, now);
         if let Some((kind, until)) = link {
             return self
-                .carry_on_faulty_link(kind, until, (node, to), request, limit)
+                .route_on_faulty_link(kind, until, (node, to), request, limit)
                 .await;
         }
         let answer = self.execute(node, to, request).await;
-        let later = self
-            .inner
-            .borrow()
-            .faults
-            .on_link(&from, &place, Instant::now());
-        match later.map(|(kind, _)| kind) {
+        let fault_after_execution =
+            self.inner
+                .borrow()
+                .faults
+                .on_link(&from, &destination, Instant::now());
+        match fault_after_execution.map(|(kind, _)| kind) {
             Some(LinkFault::Reset | LinkFault::Refused) => return Err(ClientError::NoAnswer),
             Some(LinkFault::Held | LinkFault::NoAnswers) => sleep(limit * 2).await,
             _ => {}
         }
         if self.draw(300) == 0 {
-            // The answer is lost.
+            // One answer in 300 is lost.
             sleep(limit * 2).await;
         }
-        self.latency().await;
+        self.delay_by_latency().await;
         self.wait_while_stalled(node).await;
         answer
     }
 
-    /// A request on a link that does not do what it should.
-    pub(crate) async fn carry_on_faulty_link(
+    /// Routes a request over a link with the fault `kind`, which lasts until `until`.
+    pub(crate) async fn route_on_faulty_link(
         self: &Rc<Self>,
         kind: LinkFault,
         until: Instant,
@@ -155,10 +168,10 @@
     ) -> Result<Response, ClientError> {
         match kind {
             LinkFault::Held => {
-                let world = self.clone();
+                let cluster = self.clone();
                 spawn_local(async move {
                     sleep_until(until).await;
-                    let _ = world.execute(node, to, request).await;
+                    let _ = cluster.execute(node, to, request).await;
                 });
                 sleep(limit * 2).await;
                 Err(ClientError::NoAnswer)
@@ -199,12 +212,16 @@
     }
 }
 
+/// Returns the id of the worker with the address `to`; the inverse of [`address`].
 pub(crate) fn worker_id(to: SocketAddr) -> String {
     let SocketAddr::V4(v4) = to else {
         panic!("not IPv4")
     };
-    let o = v4.ip().octets();
-    let id = format!("n-{:06}", u32::from(o[2]) * 200 + u32::from(o[3]) - 1);
+    let octets = v4.ip().octets();
+    let id = format!(
+        "n-{:06}",
+        u32::from(octets[2]) * 200 + u32::from(octets[3]) - 1
+    );
     debug_assert_eq!(address(&id), to.to_string());
     id
 }
--- a/crates/jasperhill-testkit/src/cluster/old_version.rs
+++ b/crates/jasperhill-testkit/src/cluster/old_version.rs
@@ -1,9 +1,10 @@
-//! What a controller of the old version writes and understands.
+//! Translation between the formats of the old version and the state service, for controllers that
+//! have not been upgraded.
 
 use jasperhill_http::{Request, Response};
 use serde_json::Value;
 
-/// What the old version writes: nothing that it does not know.
+/// Removes from a transaction all records and fields that the old version does not know.
 pub(crate) fn as_old_writes(mut request: Request) -> Request {
     if request.path() == "/txn" {
         let mut body: Value = serde_json::from_slice(&request.body).unwrap();
@@ -18,7 +19,7 @@
     request
 }
 
-/// What the old version understands of what it reads.
+/// Removes from an answer all records and fields that the old version does not know.
 pub(crate) fn as_old_reads(mut answer: Response) -> Response {
     let Ok(mut body) = serde_json::from_slice::<Value>(&answer.body) else {
         return answer;
@@ -46,7 +47,8 @@
     answer
 }
 
-/// Takes from a record what the old version does not know; true if it knows nothing of it.
+/// Removes the fields that the old version does not know from a record. Returns true if the old
+/// version does not know the record's kind.
 fn strip_unknown_fields(key: &str, value: &mut Value) -> bool {
     if let Some(fields) = value.as_object_mut() {
         if key.starts_with("jh/session/") {
--- a/crates/jasperhill-testkit/src/cluster/shares.rs
+++ b/crates/jasperhill-testkit/src/cluster/shares.rs
@@ -1,24 +1,26 @@
-//! How large a part of the jobs has begun, by class and by team.
+//! Shares of accepted jobs that have begun, by class and by team, and job dependencies.
 
 use super::ClusterState;
 use jasperhill_wire::user::JobRequest;
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::Instant;
 
-/// A job that was accepted so long before the end should have begun.
-const BEGUN_WITHIN: Duration = Duration::from_secs(90);
-const LARGEST_WITHIN: Duration = Duration::from_secs(240);
+/// A job accepted longer ago than this is expected to have begun.
+const BEGIN_DEADLINE: Duration = Duration::from_secs(90);
+/// Time within which one of the largest jobs is expected to begin.
+const LARGEST_JOBS_BEGIN_DEADLINE: Duration = Duration::from_secs(240);
 
 impl ClusterState {
-    /// Of the jobs of each class or team that were accepted a while ago and not cancelled, the part
-    /// that has begun. Jobs of pipelines wait for others, and broken ones fail.
-    pub(crate) fn shares(&self, of: impl Fn(&JobRequest) -> String) -> BTreeMap<String, f64> {
+    /// Returns, for each class or team, the share of jobs that have begun, among those accepted at
+    /// least [`BEGIN_DEADLINE`] ago and not cancelled. Jobs with dependencies are left out because
+    /// they wait for other jobs, and broken jobs because they fail.
+    pub(crate) fn begun_shares(&self, of: impl Fn(&JobRequest) -> String) -> BTreeMap<String, f64> {
         let now = Instant::now();
         let mut counts: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         for (id, at) in &self.accepted_at {
             let job = &self.jobs[id];
-            let over = self.rules.asked.contains(id) || !job.dependencies.is_empty();
-            if over || job.class.as_str() == "broken" || now - *at < BEGUN_WITHIN {
+            let is_excluded = self.rules.asked.contains(id) || !job.dependencies.is_empty();
+            if is_excluded || job.class.as_str() == "broken" || now - *at < BEGIN_DEADLINE {
                 continue;
             }
             let (all, begun) = counts.entry(of(job)).or_default();
@@ -30,20 +32,22 @@
         counts.map(|(name, n)| (name, part(n))).collect()
     }
 
-    /// Of the largest quarter of the jobs of each class, those accepted four minutes ago or more and
-    /// not cancelled before they began, the part that began within that.
-    pub(crate) fn largest(&self) -> BTreeMap<String, f64> {
+    /// Returns, for each class, the share of its largest quarter of jobs that began within
+    /// [`LARGEST_JOBS_BEGIN_DEADLINE`]. Only jobs count that were accepted at least that long ago
+    /// and not cancelled before they began.
+    pub(crate) fn largest_jobs_begun_shares(&self) -> BTreeMap<String, f64> {
         let now = Instant::now();
         let mut classes: BTreeMap<String, Vec<(u32, bool)>> = BTreeMap::new();
         for (id, at) in &self.accepted_at {
             let job = &self.jobs[id];
             let begun = self.rules.begun.get(id);
-            let over = !job.dependencies.is_empty() || job.class.as_str() == "broken";
-            let left = begun.is_none() && self.rules.asked.contains(id);
-            if over || left || now - *at < LARGEST_WITHIN {
+            let is_excluded = !job.dependencies.is_empty() || job.class.as_str() == "broken";
+            let cancelled_before_begin = begun.is_none() && self.rules.asked.contains(id);
+            if is_excluded || cancelled_before_begin || now - *at < LARGEST_JOBS_BEGIN_DEADLINE {
                 continue;
             }
-            let in_time = begun.is_some_and(|t| t.saturating_duration_since(*at) < LARGEST_WITHIN);
+            let in_time = begun
+                .is_some_and(|t| t.saturating_duration_since(*at) < LARGEST_JOBS_BEGIN_DEADLINE);
             let all = classes.entry(job.class.to_string()).or_default();
             all.push((job.tasks, in_time));
         }
@@ -60,15 +64,15 @@
             .collect()
     }
 
-    /// All jobs that one needs, directly or through others.
+    /// Returns all jobs that a job depends on, directly or indirectly.
     pub fn upstream_jobs(&self, id: &str) -> Vec<String> {
         let mut all: Vec<String> = Vec::new();
         let mut next = vec![id.to_owned()];
         while let Some(id) = next.pop() {
-            for need in self.jobs.get(&id).iter().flat_map(|j| &j.dependencies) {
-                if !all.iter().any(|a| a == need.as_str()) {
-                    all.push(need.to_string());
-                    next.push(need.to_string());
+            for dependency in self.jobs.get(&id).iter().flat_map(|j| &j.dependencies) {
+                if !all.iter().any(|a| a == dependency.as_str()) {
+                    all.push(dependency.to_string());
+                    next.push(dependency.to_string());
                 }
             }
         }
--- a/crates/jasperhill-testkit/src/cluster/time.rs
+++ b/crates/jasperhill-testkit/src/cluster/time.rs
@@ -1,6 +1,6 @@
-//! Time passes: machines come up, tasks run and end, invariants are checked.
+//! Simulation steps: machines boot, tasks advance and end, and the invariants are checked.
 
-use super::{CANCEL, ClusterState, LEASE, NODES, SimulatedCluster, TICK};
+use super::{CANCEL, ClusterState, LEASE_DURATION, NODE_COUNT, SimulatedCluster, TICK_INTERVAL};
 use crate::{
     faults::Endpoint,
     invariants::InvariantChecker,
@@ -20,11 +20,12 @@
 };
 
 impl SimulatedCluster {
-    /// Notes the zones whose workers no controller reaches that the state service answers.
-    pub(crate) fn note_unreachable_zones(inner: &mut ClusterState, now: Instant) {
+    /// Records the zones in which no running controller reaches both the state service and the
+    /// workers.
+    pub(crate) fn record_unreachable_zones(inner: &mut ClusterState, now: Instant) {
         for zone in ["a", "b"] {
             let there = Endpoint::Zone(zone.to_owned());
-            let reached = (0..NODES).any(|n| {
+            let reached = (0..NODE_COUNT).any(|n| {
                 let (here, faults) = (Endpoint::Node(n), &inner.faults);
                 inner.nodes[n].is_some()
                     && faults.frozen_until(n, now).is_none()
@@ -40,23 +41,24 @@
         }
     }
 
+    /// Advances the simulation by one tick after another, for the whole run.
     pub(crate) async fn tick_loop(self: Rc<Self>) {
         let limits: BTreeMap<String, u64> = (0..4)
             .map(|t| (format!("team-{t}"), (self.scale.gpu_limit() * 1e6) as u64))
             .collect();
         let times = WorkerTimes {
-            lease: LEASE,
+            lease: LEASE_DURATION,
             gang_wait: Duration::from_secs(30),
         };
         let mut ticks = 0u64;
         loop {
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
             let now = Instant::now();
-            let mut fresh = Vec::new();
-            let ends;
+            let mut booted = Vec::new();
+            let jobs_to_cancel;
             {
                 let mut inner = self.inner.borrow_mut();
-                Self::note_unreachable_zones(&mut inner, now);
+                Self::record_unreachable_zones(&mut inner, now);
                 let ClusterState {
                     cloud,
                     workers,
@@ -74,19 +76,19 @@
                 for machine in cloud.machines.values_mut() {
                     if !machine.up && now >= machine.boots {
                         machine.up = true;
-                        let node = rng.random_range(0..NODES);
+                        let node = rng.random_range(0..NODE_COUNT);
                         workers.insert(
                             machine.id.clone(),
                             Worker::new(&machine.id, &machine.zone, machine.spot, node, now),
                         );
-                        fresh.push(machine.id.clone());
+                        booted.push(machine.id.clone());
                     }
                 }
                 cloud.remember(now);
                 let mut hung = BTreeSet::new();
                 for worker in workers.values_mut() {
                     if faults.hangs_until(&worker.id, now).is_some() {
-                        worker.hang(TICK, now, &times, rules);
+                        worker.hang(TICK_INTERVAL, now, &times, rules);
                         hung.insert(worker.id.clone());
                     } else {
                         worker.tick(now, &times, jobs, rules);
@@ -98,20 +100,22 @@
                 if ticks.is_multiple_of(10) {
                     rules.check_waiting_jobs(workers, jobs, accepted_at, &limits, now);
                 }
-                let at_end = rules.just_ended(jobs).into_iter();
-                ends = at_end.filter(|_| faults.at_end(now)).collect::<Vec<_>>();
+                let ended_jobs = rules.just_ended(jobs).into_iter();
+                jobs_to_cancel = ended_jobs
+                    .filter(|_| faults.at_end(now))
+                    .collect::<Vec<_>>();
             }
-            for id in ends {
+            for id in jobs_to_cancel {
                 users::cancel_at_end(&self, id);
             }
-            for id in fresh {
+            for id in booted {
                 spawn_local(self.clone().worker_loop(id));
             }
         }
     }
 }
 
-/// Gangs start together, complete together and fail together.
+/// Advances gangs as a whole: their tasks start together, complete together and fail together.
 fn advance_gangs(
     workers: &mut BTreeMap<String, Worker>,
     jobs: &BTreeMap<String, JobRequest>,
@@ -121,9 +125,11 @@
 ) {
     use crate::worker::Phase;
     use jasperhill_wire::{TaskId, user::Shape};
-    type Seat = (String, TaskId, Phase);
-    let mut seen: BTreeMap<(String, u64), Vec<Seat>> = BTreeMap::new();
-    // What stands still notices nothing, and the rest of its gang that it is missing.
+    /// Worker, task and phase of one task of a gang.
+    type GangTask = (String, TaskId, Phase);
+    let mut gangs: BTreeMap<(String, u64), Vec<GangTask>> = BTreeMap::new();
+    // A hung worker does not notice that its gang has ended, while the other tasks of the gang see
+    // it as missing.
     for worker in workers.values().filter(|w| !hung.contains(&w.id)) {
         for ((task, attempt), t) in &worker.tasks {
             if jobs
@@ -131,7 +137,7 @@
                 .is_some_and(|j| j.shape == Shape::Gang)
             {
                 let key = (task.job.to_string(), *attempt);
-                seen.entry(key).or_default().push((
+                gangs.entry(key).or_default().push((
                     worker.id.clone(),
                     task.clone(),
                     t.phase.clone(),
@@ -139,7 +145,7 @@
             }
         }
     }
-    for ((job, attempt), tasks) in seen {
+    for ((job, attempt), tasks) in gangs {
         let job = &jobs[&job];
         let waiting = tasks
             .iter()
@@ -149,18 +155,19 @@
             .iter()
             .filter(|(.., p)| matches!(p, Phase::Running { .. }))
             .count();
-        let all = job.tasks as usize;
-        // Guards against a task that ends by itself in the moment in which another one's machine
-        // loses its lease: the job would be done with a task that never was.
-        let over = |p: &Phase| matches!(p, Phase::Running { until: Some(t) } if now >= *t);
-        let done = running == all && tasks.iter().any(|(.., p)| over(p));
-        let to = if waiting == all {
+        let task_count = job.tasks as usize;
+        // A gang completes as a whole only while all of its tasks run. Otherwise, when one task
+        // ends by itself at the moment in which another one's machine loses its lease, the job
+        // would be done although one task never completed.
+        let has_run_out = |p: &Phase| matches!(p, Phase::Running { until: Some(t) } if now >= *t);
+        let done = running == task_count && tasks.iter().any(|(.., p)| has_run_out(p));
+        let next_phase = if waiting == task_count {
             Phase::Running {
                 until: Some(now + Duration::from_micros(job.estimate.0)),
             }
         } else if done {
             Phase::Exited("done")
-        } else if running > 0 && running < all {
+        } else if running > 0 && running < task_count {
             Phase::Exited("peers")
         } else {
             continue;
@@ -169,13 +176,13 @@
             if matches!(phase, Phase::Exited(_) | Phase::Fetching(_)) {
                 continue;
             }
-            if to == Phase::Exited("done") {
+            if next_phase == Phase::Exited("done") {
                 rules.finished(&task);
             }
             if let Some(worker) = workers.get_mut(&host)
                 && let Some(t) = worker.tasks.get_mut(&(task, attempt))
             {
-                t.phase = to.clone();
+                t.phase = next_phase.clone();
                 worker.changed = true;
             }
         }
--- a/crates/jasperhill-testkit/src/days.rs
+++ b/crates/jasperhill-testkit/src/days.rs
@@ -1,4 +1,4 @@
-//! Days that are drawn by a seed, and the fixed set of them on which two versions of the
+//! Randomly generated scenarios, and the fixed set of scenarios on which two versions of the
 //! controllers are compared.
 
 use crate::{
@@ -16,18 +16,19 @@
     Duration::from_millis(ms)
 }
 
-/// The controller loses its peers from then on.
+/// Returns faults that cut the controller `node` off from both peers at second `at`, for `time`
+/// seconds.
 pub fn cut_from_peers(node: usize, at: u64, time: u64) -> Vec<(u64, Fault)> {
     let others = (0..3).filter(|n| *n != node);
-    let cut = |n| Fault::Cut(Endpoint::Node(node), Endpoint::Node(n), secs(time));
-    others.map(|n| (at, cut(n))).collect()
+    let cut_from = |n| Fault::Cut(Endpoint::Node(node), Endpoint::Node(n), secs(time));
+    others.map(|n| (at, cut_from(n))).collect()
 }
 
-/// One of the meetings, drawn, to begin about then.
-fn drawn_faults(rng: &mut StdRng, at: u64) -> Vec<(u64, Fault)> {
+/// Returns a random combination of faults that starts at about second `at`.
+fn random_fault_combination(rng: &mut StdRng, at: u64) -> Vec<(u64, Fault)> {
     let node = rng.random_range(0..3);
     let time = rng.random_range(8..50);
-    let back = millis(
+    let restart_delay = millis(
         *[200, 300, 2_000, 9_000]
             .get(rng.random_range(0..4))
             .unwrap_or(&200),
@@ -35,7 +36,7 @@
     match rng.random_range(0..15) {
         9 => vec![
             (at, Fault::NotSending(rng.random_range(20..90), secs(time))),
-            (at + 3, Fault::Crash(node, back)),
+            (at + 3, Fault::Crash(node, restart_delay)),
         ],
         10 => vec![(at, Fault::CancelNow(8, secs(rng.random_range(0..20))))],
         11 => vec![(at, Fault::CancelAtEnd(80, secs(time)))],
@@ -45,19 +46,19 @@
             (at + 1, Fault::CancelNow(4, Duration::ZERO)),
         ],
         0 => {
-            let mut cut = cut_from_peers(node, at, time + 20);
-            cut.push((
+            let mut cuts = cut_from_peers(node, at, time + 20);
+            cuts.push((
                 at,
                 Fault::Cut(Endpoint::Node(node), Endpoint::State, secs(time + 20)),
             ));
-            cut
+            cuts
         }
         1 => vec![
             (
                 at,
                 Fault::NotReceiving(rng.random_range(20..90), secs(time)),
             ),
-            (at + 2, Fault::Crash(node, back)),
+            (at + 2, Fault::Crash(node, restart_delay)),
         ],
         2 => vec![(
             at,
@@ -68,7 +69,7 @@
             Fault::LateHeartbeats(rng.random_range(10..90), secs(time + 20)),
         )],
         4 => (0..3)
-            .map(|n| (at + n as u64 % 2, Fault::Crash(n, back)))
+            .map(|n| (at + n as u64 % 2, Fault::Crash(n, restart_delay)))
             .collect(),
         5 => vec![(
             at,
@@ -93,36 +94,37 @@
                 node,
                 times: 4,
                 life: millis(rng.random_range(300..6_000)),
-                back,
+                back: restart_delay,
             },
         )],
     }
 }
 
-/// Two or three meetings that overlap, twice a day.
+/// Returns a scenario with two or three overlapping fault combinations, at two times of the run.
 pub fn drawn(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for at in [50, 150] {
         for _ in 0..rng.random_range(2..4) {
-            let begins = at + rng.random_range(0..15);
-            troubles.extend(drawn_faults(&mut rng, begins));
+            let start_s = at + rng.random_range(0..15);
+            faults.extend(random_fault_combination(&mut rng, start_s));
         }
     }
     Scenario {
         uneven: 8,
         bound: 8,
         pipelines: (3, 40),
-        ..Scenario::small(seed, 340, 60, troubles)
+        ..Scenario::small(seed, 340, 60, faults)
     }
 }
 
-/// A rolling upgrade of all controllers with limits that fall after it, and faults in its midst.
-fn rolled(seed: u64) -> Scenario {
+/// Returns a rolling upgrade of all controllers during other faults, after which the state
+/// service's limits fall.
+fn rolling_upgrade(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let node = rng.random_range(0..3);
     let time = secs(rng.random_range(6..20));
-    let mut troubles = vec![
+    let mut faults = vec![
         (55, Fault::Crash(2, secs(6))),
         (70, Fault::Refused(node, time)),
         (95, Fault::StateOutage(time / 2)),
@@ -131,18 +133,19 @@
         (150, Fault::CrashLeader(millis(300))),
         (165, Fault::NoHostWrites(secs(12))),
     ];
-    troubles.extend((0..3).map(|n| (60 + 12 * n as u64, Fault::Upgrade(n, secs(5)))));
-    troubles.push((130, Fault::LimitsFall));
+    faults.extend((0..3).map(|n| (60 + 12 * n as u64, Fault::Upgrade(n, secs(5)))));
+    faults.push((130, Fault::LimitsFall));
     Scenario {
         pipelines: (8, 105),
         limits: true,
         old_version: true,
-        ..Scenario::small(seed, 240, 60, troubles)
+        ..Scenario::small(seed, 240, 60, faults)
     }
 }
 
-/// The two zones can't reach each other for longer than a lease, and some other links fail.
-fn parted(seed: u64) -> Scenario {
+/// Returns a scenario in which the two zones can't reach each other for longer than a lease, and
+/// some other links fail.
+fn zone_partition(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let zone = |z: &str| Endpoint::Zone(z.to_owned());
     let cuts = [
@@ -152,13 +155,13 @@
         (Endpoint::Node(0), Endpoint::Node(1)),
         (Endpoint::Node(2), Endpoint::Node(1)),
     ];
-    let mut troubles: Vec<(u64, Fault)> = cuts
+    let mut faults: Vec<(u64, Fault)> = cuts
         .into_iter()
         .map(|(a, b)| (60, Fault::Cut(a, b, secs(40))))
         .collect();
-    troubles.push((80, Fault::Crash(rng.random_range(0..3), secs(8))));
-    troubles.push((95, Fault::CloudOutage(secs(20))));
-    troubles.push((115, Fault::MachineLoss));
+    faults.push((80, Fault::Crash(rng.random_range(0..3), secs(8))));
+    faults.push((95, Fault::CloudOutage(secs(20))));
+    faults.push((115, Fault::MachineLoss));
     let kinds = [LinkFault::Slow(700), LinkFault::Lossy(40)];
     let kinds: Vec<LinkFault> = LinkFault::CUTTING.into_iter().chain(kinds).collect();
     for at in [125, 130, 180] {
@@ -175,15 +178,16 @@
             (Endpoint::Zone(_), true) => (other, node),
             _ => (node, other),
         };
-        troubles.push((at, Fault::Link(from, to, kind, secs(35))));
+        faults.push((at, Fault::Link(from, to, kind, secs(35))));
     }
-    Scenario::small(seed, 260, 60, troubles)
+    Scenario::small(seed, 260, 60, faults)
 }
 
-/// More work than room, broken arrays, a huge one, and machines that come up late or never.
-fn crowded(seed: u64) -> Scenario {
+/// Returns a scenario with more work than capacity, arrays that fail, a huge array, and machines
+/// that boot late or never.
+fn overload(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
-    let troubles = vec![
+    let faults = vec![
         (20, Fault::BadBoots(secs(100))),
         (70, Fault::Crash(rng.random_range(0..3), secs(6))),
         (100, Fault::MachineLoss),
@@ -194,27 +198,28 @@
         huge_guest_array: true,
         flood: (60, 40),
         flood_of_one_team: seed.is_multiple_of(2),
-        ..Scenario::small(seed, 220, 40, troubles)
+        ..Scenario::small(seed, 220, 40, faults)
     }
 }
 
-/// A few hundred machines, large records, and a rolling upgrade.
-fn large(seed: u64) -> Scenario {
-    let mut troubles: Vec<(u64, Fault)> = (0..3)
+/// Returns a rolling upgrade with hundreds of machines and large records, after which the state
+/// service's limits fall.
+fn large_deployment(seed: u64) -> Scenario {
+    let mut faults: Vec<(u64, Fault)> = (0..3)
         .map(|n| (40 + 12 * n as u64, Fault::Upgrade(n, secs(5))))
         .collect();
-    troubles.push((90, Fault::LimitsFall));
-    troubles.push((100, Fault::Crash(0, secs(6))));
-    troubles.extend((0..8).map(|n| (60 + 5 * n, Fault::MachineLoss)));
+    faults.push((90, Fault::LimitsFall));
+    faults.push((100, Fault::Crash(0, secs(6))));
+    faults.extend((0..8).map(|n| (60 + 5 * n, Fault::MachineLoss)));
     Scenario {
         scale: Scale::Large,
         limits: true,
         old_version: true,
-        ..Scenario::small(seed, 140, 100, troubles)
+        ..Scenario::small(seed, 140, 100, faults)
     }
 }
 
-/// The days on which two versions of the controllers are compared.
+/// Returns the named scenarios on which two versions of the controllers are compared.
 pub fn behaviour_days() -> Vec<(String, Scenario)> {
     let drawn = (2_000..2_060).map(drawn);
     let named = |kind: &'static str, plan: fn(u64) -> Scenario| {
@@ -222,9 +227,9 @@
     };
     drawn
         .map(|plan| (format!("drawn-{}", plan.seed), plan))
-        .chain((3_000..3_006).map(named("rolled", rolled)))
-        .chain((3_100..3_108).map(named("parted", parted)))
-        .chain((3_200..3_204).map(named("crowded", crowded)))
-        .chain((3_300..3_301).map(named("large", large)))
+        .chain((3_000..3_006).map(named("rolled", rolling_upgrade)))
+        .chain((3_100..3_108).map(named("parted", zone_partition)))
+        .chain((3_200..3_204).map(named("crowded", overload)))
+        .chain((3_300..3_301).map(named("large", large_deployment)))
         .collect()
 }
--- a/crates/jasperhill-testkit/src/lib.rs
+++ b/crates/jasperhill-testkit/src/lib.rs
@@ -1,14 +1,15 @@
-//! Stand-ins for the state service, the cloud, workers and users, in one process, with
-//! several real controllers between them. Seeded and on tokio's paused time, so that a run
-//! repeats. The protocol's rules are asserted at every step; a broken one is recorded in
-//! `Outcome::broken`.
+//! Simulation of a whole deployment in one process: several real controllers, with simulated state
+//! service, cloud, workers and users between them.
+//!
+//! Runs are seeded and use tokio's paused clock, so that a run repeats exactly. The protocol's
+//! invariants are checked at every step; violations are recorded in `Outcome::broken`.
 
 #![expect(
     missing_docs,
     clippy::missing_errors_doc,
     clippy::missing_panics_doc,
     clippy::too_many_lines,
-    reason = "the stand-ins are not gone through yet: docs/ROADMAP.md lists them"
+    reason = "the simulated components are not fully documented yet: docs/ROADMAP.md lists them"
 )]
 
 pub mod behaviour;
--- a/crates/jasperhill-testkit/src/runner.rs
+++ b/crates/jasperhill-testkit/src/runner.rs
@@ -1,8 +1,10 @@
-//! Plays a scenario.
+//! Runs scenarios on a simulated cluster and collects their outcomes.
 
 use crate::{
     cloud::Cloud,
-    cluster::{ClusterState, LIMITS, NODES, SimulatedCluster, settings},
+    cluster::{
+        ClusterState, NODE_COUNT, STATE_SERVICE_LIMITS, SimulatedCluster, controller_settings,
+    },
     faults::ActiveFaults,
     invariants::InvariantChecker,
     outcome::{ConfirmedCancellation, Outcome},
@@ -25,51 +27,60 @@
     time::{Instant, sleep_until},
 };
 
-/// More work than capacity counts as a fault for so long after it begins.
-const FLOOD_LASTS_S: u64 = 200;
-/// How long the cloud's list lags behind.
-const LIST_LAG: Duration = Duration::from_secs(3);
+/// An overload counts as a fault for this long after its start, in seconds.
+const OVERLOAD_DURATION_S: u64 = 200;
+/// How far the cloud's list of machines may lag behind.
+const CLOUD_LIST_LAG: Duration = Duration::from_secs(3);
 
-/// Plays a scenario and says what came of it.
+/// Runs a scenario and returns its outcome.
 pub fn run(scenario: Scenario) -> Outcome {
-    play(scenario, None).0
+    run_scenario(scenario, None).0
 }
 
-/// As [`run`], and records all that the controllers sent and answered.
+/// Runs a scenario as [`run`] does, and records all requests and answers of the controllers.
 pub fn run_recorded(scenario: Scenario) -> (Outcome, Transcript) {
-    let (outcome, transcript) = play(scenario, Some(Transcript::default()));
+    let (outcome, transcript) = run_scenario(scenario, Some(Transcript::default()));
     (outcome, transcript.unwrap_or_default())
 }
 
-/// Plays all of these side by side, each in a thread; what came of each, in no certain order.
+/// Runs all scenarios in parallel, each in one thread. Returns the outcomes by scenario name, in no
+/// particular order.
 pub fn run_all(scenarios: &[(String, Scenario)]) -> Vec<(String, Outcome)> {
-    play_all(scenarios, |scenario| run(scenario.clone()))
+    run_in_parallel(scenarios, |scenario| run(scenario.clone()))
 }
 
-/// Plays each scenario by `play`, side by side.
-pub(crate) fn play_all<T: Send>(
+/// Calls `run_one` for each scenario, in parallel threads. Returns the results by scenario name, in
+/// no particular order.
+///
+/// # Panics
+/// If a scenario panics.
+pub(crate) fn run_in_parallel<T: Send>(
     scenarios: &[(String, Scenario)],
-    play: impl Fn(&Scenario) -> T + Sync,
+    run_one: impl Fn(&Scenario) -> T + Sync,
 ) -> Vec<(String, T)> {
     let next = AtomicUsize::new(0);
-    let play_some = || {
-        let mut played = Vec::new();
+    let run_next = || {
+        let mut results = Vec::new();
         while let Some((name, scenario)) = scenarios.get(next.fetch_add(1, Ordering::Relaxed)) {
-            played.push((name.clone(), play(scenario)));
+            results.push((name.clone(), run_one(scenario)));
         }
-        played
+        results
     };
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..threads).map(|_| scope.spawn(play_some)).collect();
-        let played = threads.into_iter().map(|thread| thread.join());
-        played
-            .flat_map(|played| played.expect("a day panicked"))
+        let threads: Vec<_> = (0..threads).map(|_| scope.spawn(run_next)).collect();
+        let results = threads.into_iter().map(|thread| thread.join());
+        results
+            .flat_map(|results| results.expect("a day panicked"))
             .collect()
     })
 }
 
-fn play(scenario: Scenario, transcript: Option<Transcript>) -> (Outcome, Option<Transcript>) {
+/// Runs a scenario to its end, recording into `transcript` if one is given.
+fn run_scenario(
+    scenario: Scenario,
+    transcript: Option<Transcript>,
+) -> (Outcome, Option<Transcript>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -78,7 +89,7 @@
     let local = LocalSet::new();
     local.block_on(&runtime, async move {
         let cluster = build_cluster(&scenario, transcript);
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             cluster.start_node(node);
         }
         spawn_local(cluster.clone().tick_loop());
@@ -86,9 +97,9 @@
         start_users(&cluster, &scenario);
         inject_faults(&cluster, &scenario).await;
         sleep_until(cluster.origin + Duration::from_secs(scenario.seconds)).await;
-        let (unowned, unanswered) = cluster.unowned_and_unanswered();
-        let stale_host_records = cluster.ghosts();
-        for node in 0..NODES {
+        let (unowned, unanswered) = cluster.unowned_roles_and_unanswered_workers();
+        let stale_host_records = cluster.stale_host_records();
+        for node in 0..NODE_COUNT {
             cluster.kill_node(node);
         }
         let transcript = cluster.transcript.take();
@@ -96,17 +107,17 @@
             unowned,
             unanswered,
             stale_host_records,
-            ..outcome_of(&cluster)
+            ..collect_outcome(&cluster)
         };
         (outcome, transcript)
     })
 }
 
-/// The cluster as the day begins, without its controllers.
+/// Builds the cluster in its initial state. No controller runs yet.
 fn build_cluster(scenario: &Scenario, transcript: Option<Transcript>) -> Rc<SimulatedCluster> {
     let now = Instant::now();
     let zones = vec!["a".to_owned(), "b".to_owned()];
-    let mut cloud = Cloud::new(zones, scenario.scale.capacity(), LIST_LAG);
+    let mut cloud = Cloud::new(zones, scenario.scale.capacity(), CLOUD_LIST_LAG);
     for n in 0..scenario.scale.hosts() {
         let zone = if n % 2 == 0 { "a" } else { "b" };
         cloud.add(zone, false, now, Duration::ZERO);
@@ -115,54 +126,62 @@
     let mut faults = ActiveFaults::default();
     faults.seed(scenario.seed);
     let mut rules = InvariantChecker::default();
-    rules.calm_from = Some(now + calm_after(scenario));
+    rules.calm_from = Some(now + fault_free_after(scenario));
     let cluster = Rc::new(SimulatedCluster {
-        me: RefCell::new(Weak::new()),
+        weak_self: RefCell::new(Weak::new()),
         inner: RefCell::new(ClusterState {
             rng: StdRng::seed_from_u64(scenario.seed),
-            state: StateService::new(scenario.limits.then_some(LIMITS[0])),
+            state: StateService::new(scenario.limits.then_some(STATE_SERVICE_LIMITS[0])),
             cloud,
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
             rules,
             accepted: 0,
             finished: 0,
-            nodes: vec![None; NODES],
-            generations: vec![0; NODES],
-            sockets: vec![None; NODES],
-            past_peak: 0,
-            past_refused: 0,
-            healthy: vec![true; NODES],
+            nodes: vec![None; NODE_COUNT],
+            generations: vec![0; NODE_COUNT],
+            process_sockets: vec![None; NODE_COUNT],
+            past_peak_sockets: 0,
+            past_refused_sockets: 0,
+            healthy: vec![true; NODE_COUNT],
             accepted_at: BTreeMap::new(),
             bodies: BTreeMap::new(),
-            old: vec![scenario.old_version; NODES],
+            runs_old_version: vec![scenario.old_version; NODE_COUNT],
             faults,
-            written: vec![0; NODES],
-            unready_since: vec![None; NODES],
+            transactions_received: vec![0; NODE_COUNT],
+            unready_since: vec![None; NODE_COUNT],
+        }),
+        settings: [false, scenario.limits].map(|next| {
+            (0..NODE_COUNT)
+                .map(|n| controller_settings(n, scenario, next))
+                .collect()
         }),
-        settings: [false, scenario.limits]
-            .map(|next| (0..NODES).map(|n| settings(n, scenario, next)).collect()),
         origin: now,
         scale: scenario.scale,
         plan: scenario.clone(),
         transcript: RefCell::new(transcript),
     });
-    *cluster.me.borrow_mut() = Rc::downgrade(&cluster);
+    *cluster.weak_self.borrow_mut() = Rc::downgrade(&cluster);
     cluster
 }
 
-/// How long after the beginning nothing of the faults is left but their consequences.
-fn calm_after(scenario: &Scenario) -> Duration {
+/// Returns the time after the start from which no fault is active any more; consequences of faults
+/// may remain.
+fn fault_free_after(scenario: &Scenario) -> Duration {
     let faults = scenario.faults.iter();
-    let last = faults
+    let last_fault_end_s = faults
         .map(|(at, fault)| *at + fault.lasts().as_secs() + 1)
         .max();
     let (flood, from) = scenario.flood;
-    let flooded = if flood > 0 { from + FLOOD_LASTS_S } else { 0 };
-    Duration::from_secs(last.unwrap_or(0).max(flooded))
+    let overload_end_s = if flood > 0 {
+        from + OVERLOAD_DURATION_S
+    } else {
+        0
+    };
+    Duration::from_secs(last_fault_end_s.unwrap_or(0).max(overload_end_s))
 }
 
-/// Lets a user begin at that moment.
+/// Spawns a user's task that starts `at` after the start of the run.
 fn spawn_at<F: Future<Output = ()> + 'static>(
     cluster: &Rc<SimulatedCluster>,
     at: Duration,
@@ -176,7 +195,8 @@
     });
 }
 
-/// All users of the day. What is drawn is drawn in this order.
+/// Spawns all users of the scenario. The order of the random draws is part of the scenario:
+/// changing it changes the run.
 fn start_users(cluster: &Rc<SimulatedCluster>, scenario: &Scenario) {
     spawn_local(users::ask_for_unknown_jobs(cluster.clone()));
     for number in 0..scenario.jobs {
@@ -186,7 +206,7 @@
             users::run_user(cluster, body).await;
         });
     }
-    start_flood(cluster, scenario);
+    start_overload_jobs(cluster, scenario);
     start_dependent_jobs(cluster, scenario);
     for number in 0..scenario.uneven {
         let at = Duration::from_secs(20 + 4 * number as u64);
@@ -208,8 +228,8 @@
     }
 }
 
-/// Very many urgent jobs within twenty seconds.
-fn start_flood(cluster: &Rc<SimulatedCluster>, scenario: &Scenario) {
+/// Spawns the users of the scenario's overload: urgent jobs within 20 s.
+fn start_overload_jobs(cluster: &Rc<SimulatedCluster>, scenario: &Scenario) {
     let (flood, from) = scenario.flood;
     let of_one_team = scenario.flood_of_one_team;
     for number in 0..flood {
@@ -221,7 +241,7 @@
     }
 }
 
-/// Jobs that depend on others, within a minute, and lists of dependencies that are refused.
+/// Spawns the users of pipelines within one minute, and one that submits invalid dependency lists.
 fn start_dependent_jobs(cluster: &Rc<SimulatedCluster>, scenario: &Scenario) {
     let (pipelines, from) = scenario.pipelines;
     let from = Duration::from_secs(from);
@@ -237,7 +257,7 @@
     }
 }
 
-/// Begins each fault at its time.
+/// Injects each fault at its time.
 async fn inject_faults(cluster: &Rc<SimulatedCluster>, scenario: &Scenario) {
     let mut faults = scenario.faults.clone();
     faults.sort_by_key(|(at, _)| *at);
@@ -247,13 +267,13 @@
     }
 }
 
-/// What came of the day, but for how the deployment stands at its end.
-fn outcome_of(cluster: &SimulatedCluster) -> Outcome {
+/// Collects the outcome, without the final state of the deployment.
+fn collect_outcome(cluster: &SimulatedCluster) -> Outcome {
     let (inner, origin) = (cluster.inner.borrow(), cluster.origin);
     let rules = &inner.rules;
     let moves = inner.state.moves.iter();
-    let by_class = inner.shares(|job| job.class.to_string());
-    let by_team = inner.shares(|job| job.team.to_string());
+    let by_class = inner.begun_shares(|job| job.class.to_string());
+    let by_team = inner.begun_shares(|job| job.team.to_string());
     let bound = (0..cluster.plan.bound).map(users::bound_id);
     Outcome {
         broken: rules.broken.clone(),
@@ -276,9 +296,9 @@
         staged: rules.staged,
         swept: rules.swept,
         picked: rules.picked,
-        sockets: inner.past_peak,
-        refused_sockets: inner.past_refused,
-        least_largest: least(inner.largest()),
+        sockets: inner.past_peak_sockets,
+        refused_sockets: inner.past_refused_sockets,
+        least_largest: smallest_share(inner.largest_jobs_begun_shares()),
         cancels: cancellations(rules, origin),
         longest_silence: (
             rules.longest_silence.as_secs_f64(),
@@ -291,15 +311,16 @@
         latest_start: rules.latest_start.as_secs_f64(),
         longest_wait: rules.longest_wait.as_secs_f64(),
         fault_counts: inner.faults.met,
-        least_class: least(by_class.clone()),
-        least_team: least(by_team.clone()),
+        least_class: smallest_share(by_class.clone()),
+        least_team: smallest_share(by_team.clone()),
         served: by_class.into_iter().chain(by_team).collect(),
         state_peak: inner.state.busiest(),
     }
 }
 
+/// Returns the confirmed cancellations with times relative to the start `origin` of the run.
 fn cancellations(rules: &InvariantChecker, origin: Instant) -> Vec<ConfirmedCancellation> {
-    let one =
+    let to_outcome =
         |(id, cancelled): (&String, &crate::invariants::CancelledJob)| ConfirmedCancellation {
             job: id.clone(),
             at: (cancelled.at - origin).as_secs_f64(),
@@ -309,12 +330,12 @@
                 .last_seen
                 .map_or(0.0, |seen| (seen - cancelled.at).as_secs_f64()),
         };
-    rules.cancels.iter().map(one).collect()
+    rules.cancels.iter().map(to_outcome).collect()
 }
 
-/// The smallest share, and whose it is.
-fn least(shares: BTreeMap<String, f64>) -> (String, f64) {
-    let least = shares.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
-    // Where there are none, none is behind.
-    least.unwrap_or((String::new(), 1.0))
+/// Returns the smallest share and its name.
+fn smallest_share(shares: BTreeMap<String, f64>) -> (String, f64) {
+    let smallest = shares.into_iter().min_by(|a, b| a.1.total_cmp(&b.1));
+    // Without any shares, none counts as too small.
+    smallest.unwrap_or((String::new(), 1.0))
 }
--- a/crates/jasperhill-testkit/src/scenario.rs
+++ b/crates/jasperhill-testkit/src/scenario.rs
@@ -1,63 +1,73 @@
-//! What a simulated day is made of.
+//! Description of a simulated run: its workload, faults, limits and scale.
 
 use crate::faults::Fault;
 
-/// What a run is made of.
+/// Parameters of a simulated run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
+    /// Seed of all random draws of the run.
     pub seed: u64,
+    /// Length of the run.
     pub seconds: u64,
+    /// Number of random jobs.
     pub jobs: usize,
-    /// Troubles at set times.
+    /// Faults and the times at which they start, in seconds from the start.
     pub faults: Vec<(u64, Fault)>,
     pub scale: Scale,
-    /// Arrays that were submitted with a mistake: they fail on every machine.
+    /// Number of arrays submitted with a mistake: their tasks fail on every machine.
     pub broken: usize,
-    /// A team without a guarantee brings a huge array of short, tiny tasks.
+    /// Whether a team without a guarantee submits a huge array of short, tiny tasks.
     pub huge_guest_array: bool,
-    /// Chains of jobs, from this second on.
+    /// Number of chains of dependent jobs, and the second from which they are submitted.
     pub pipelines: (usize, u64),
-    /// The state service has limits, and lower ones are announced.
+    /// Whether the state service has limits and announces lower ones.
     pub limits: bool,
-    /// All controllers begin with the formats of the old version.
+    /// Whether all controllers start with the formats of the old version.
     pub old_version: bool,
-    /// What the platform allows each process, and whether processes keep account of it.
+    /// Number of sockets that the platform allows each controller process.
     pub sockets: usize,
+    /// Disables the controllers' own connection limits.
     pub without_connection_budget: bool,
-    /// Controllers never leave their roles, however often they end.
+    /// Disables the crash-loop backoff: controllers never give up their roles, however often they
+    /// crash.
     pub without_crash_loop_backoff: bool,
-    /// Nobody gets a turn for having fallen behind.
+    /// Disables the starvation guard: no class or team is preferred for having fallen behind.
     pub without_starvation_guard: bool,
-    /// So many urgent jobs from this second on, of one team or of all.
+    /// Number of urgent jobs beyond the capacity, and the second from which they are submitted.
     pub flood: (usize, u64),
+    /// Whether the jobs of `flood` all belong to one team.
     pub flood_of_one_team: bool,
-    /// Tasks outlast the day, and two of three users cancel between these seconds.
+    /// If set, tasks outlast the run, and two of three users cancel their jobs between these two
+    /// seconds.
     pub long_tasks: Option<(u64, u64)>,
-    /// Arrays of two or three tasks that end far apart; nobody cancels them.
+    /// Number of arrays of two or three tasks that end far apart; nobody cancels these jobs.
     pub uneven: usize,
-    /// Arrays, gangs and services that are bound to one zone, or to all of their tasks in one.
+    /// Number of arrays, gangs and services that are restricted to one given zone or must have all
+    /// tasks in one zone.
     pub bound: usize,
-    /// How long the operators let a session outlive its last renewal, in seconds.
+    /// Time that a controller's session outlives its last renewal, in seconds; `None` for the
+    /// default.
     pub session: Option<u64>,
-    /// The guard left out: leases are renewed however old the knowledge is that this rests on.
+    /// Disables the freshness bound: leases are renewed however old the state is that the renewal
+    /// rests on.
     pub without_freshness_bound: bool,
 }
 
 impl Scenario {
-    /// A small deployment with nothing but jobs of its own and these troubles.
-    pub fn small(seed: u64, seconds: u64, jobs: usize, troubles: Vec<(u64, Fault)>) -> Self {
+    /// Returns a small deployment with `jobs` random jobs and these faults, and no other workload.
+    pub fn small(seed: u64, seconds: u64, jobs: usize, faults: Vec<(u64, Fault)>) -> Self {
         Self {
             seed,
             seconds,
             jobs,
-            faults: troubles,
+            faults,
             scale: Scale::Small,
             broken: 0,
             huge_guest_array: false,
             pipelines: (0, 0),
             limits: false,
             old_version: false,
-            sockets: SOCKETS,
+            sockets: DEFAULT_SOCKET_LIMIT,
             without_connection_budget: false,
             without_crash_loop_backoff: false,
             without_starvation_guard: false,
@@ -72,22 +82,22 @@
     }
 }
 
-/// What the platform allows where a plan says nothing else.
-const SOCKETS: usize = 1_000;
+/// Number of sockets per controller process unless the scenario sets another.
+const DEFAULT_SOCKET_LIMIT: usize = 1_000;
 
-/// How large the deployment is.
+/// Size of the simulated deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scale {
-    /// A handful of machines and jobs of a few tasks.
+    /// A few machines, and jobs of a few tasks.
     Small,
-    /// Hundreds of machines, arrays of hundreds, gangs of up to 16 whole machines.
+    /// Hundreds of machines, arrays of hundreds of tasks, and gangs of up to 16 whole machines.
     Large,
-    /// Twice as many.
+    /// Twice as many machines as [`Self::Large`].
     Fleet,
 }
 
 impl Scale {
-    /// Machines that are up at the start.
+    /// Returns the number of machines at the start.
     pub(crate) fn hosts(self) -> usize {
         match self {
             Self::Small => 6,
@@ -95,7 +105,7 @@
             Self::Fleet => 600,
         }
     }
-    /// Machines that there are.
+    /// Returns the most machines that can be rented at once.
     pub(crate) fn capacity(self) -> usize {
         match self {
             Self::Small => 16,
@@ -103,7 +113,7 @@
             Self::Fleet => 660,
         }
     }
-    /// What a team may use at once.
+    /// Returns the number of GPUs that each team may use at once.
     pub(crate) fn gpu_limit(self) -> f64 {
         match self {
             Self::Small => 5.0,
--- a/crates/jasperhill-testkit/src/stress.rs
+++ b/crates/jasperhill-testkit/src/stress.rs
@@ -1,5 +1,5 @@
-//! Scenarios of known failures with their parts to be chosen, for plays with other seeds and with a
-//! part left out: `cargo run --release -p jasperhill-testkit --bin play-scenario -- --help`.
+//! Parameterized scenarios of known failures, for runs with other seeds or without one of their
+//! conditions: `cargo run --release -p jasperhill-testkit --bin play-scenario -- --help`.
 
 use crate::{
     faults::{Endpoint, Fault, LinkFault},
@@ -7,19 +7,19 @@
 };
 use std::time::Duration;
 
-/// More urgent work than capacity, with what may come on top.
+/// Scenario with more urgent work than capacity, and optional further faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
-    /// Urgent arrays of 40 tasks that come within 20 s.
+    /// Number of urgent arrays of 40 tasks, submitted within 20 s.
     pub arrays: usize,
-    /// All links of controllers are slow for 70 s.
+    /// Whether all links from controllers are slow for 70 s.
     pub slow_links: bool,
-    /// A controller ends and is back after 0.3 s.
+    /// Whether one controller crashes and is restarted after 0.3 s.
     pub restart: bool,
 }
 
 impl Overload {
-    /// The day with this seed.
+    /// Returns the scenario with this seed.
     pub fn scenario(&self, seed: u64) -> Scenario {
         let mut faults = Vec::new();
         if self.slow_links {
@@ -36,41 +36,42 @@
     }
 }
 
-/// Every link from a controller to the state service and to workers takes 250 ms longer each way.
-fn slow_links(at: u64, lasts: Duration) -> Vec<(u64, Fault)> {
+/// Returns faults that add a latency of 250 ms each way to every link from a controller to the
+/// state service and to workers.
+fn slow_links(at: u64, duration: Duration) -> Vec<(u64, Fault)> {
     let zone = |name: &str| Endpoint::Zone(name.to_owned());
     let others = [Endpoint::State, zone("a"), zone("b")];
     let links = (0..3).flat_map(|node| others.clone().map(|to| (Endpoint::Node(node), to)));
     links
-        .map(|(from, to)| (at, Fault::Link(from, to, LinkFault::Slow(250), lasts)))
+        .map(|(from, to)| (at, Fault::Link(from, to, LinkFault::Slow(250), duration)))
         .collect()
 }
 
-/// Controllers that end again and again.
+/// Scenario with controllers in crash loops.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashLoops {
-    /// How many of the three controllers do.
+    /// Number of the three controllers that crash repeatedly.
     pub nodes: usize,
-    /// How often each ends.
+    /// Number of crashes of each controller.
     pub times: usize,
-    /// How long each life lasts.
+    /// Time that a controller runs after each restart.
     pub life: Duration,
-    /// How soon the next one begins.
+    /// Time from a crash to the restart.
     pub back: Duration,
-    /// How large the deployment is.
+    /// Size of the deployment.
     pub scale: Scale,
 }
 
 impl CrashLoops {
-    /// The day with this seed.
+    /// Returns the scenario with this seed.
     pub fn scenario(&self, seed: u64) -> Scenario {
-        let again = |node| Fault::CrashLoop {
+        let crash_loop = |node| Fault::CrashLoop {
             node,
             times: self.times,
             life: self.life,
             back: self.back,
         };
-        let faults = (0..self.nodes).map(|node| (40, again(node))).collect();
+        let faults = (0..self.nodes).map(|node| (40, crash_loop(node))).collect();
         Scenario {
             scale: self.scale,
             sockets: 985,
--- a/crates/jasperhill-testkit/src/transcript.rs
+++ b/crates/jasperhill-testkit/src/transcript.rs
@@ -1,39 +1,43 @@
-//! The transcript of a simulated day: every request that a controller sends and every answer that
-//! one gives, in order. Two versions of the controllers behave alike if their transcripts are equal.
+//! Transcript of a simulated run: every request that a controller sends and every answer that a
+//! controller gives, in order. Two versions of the controllers behave alike if their transcripts
+//! are equal.
 
 use jasperhill_http::{Request, Response};
 use sha2::{Digest, Sha256};
 use std::{fmt::Write, net::SocketAddr, time::Duration};
 
-/// Messages between two checkpoints: a difference is narrowed down to so many without the other
-/// transcript.
-pub const CHECKPOINT_EVERY: usize = 256;
-/// Hexadecimal digits of a checkpoint, and of the digest of a whole day.
+/// Number of messages between two checkpoints. A difference can be narrowed down to an interval of
+/// this length without the other version's transcript.
+pub const CHECKPOINT_INTERVAL: usize = 256;
+/// Number of hexadecimal digits of a checkpoint.
 const CHECKPOINT_DIGITS: usize = 4;
+/// Number of hexadecimal digits of the digest of a whole run.
 const DIGEST_DIGITS: usize = 32;
 
-/// What is kept of a day's messages for comparison with another version.
+/// Digest of a run's messages, for comparison with another version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DayDigest {
+    /// Number of messages.
     pub messages: usize,
-    /// Over all messages, in hexadecimal.
+    /// Digest of all messages, in hexadecimal.
     pub digest: String,
-    /// The beginnings of the digests of the first 256, 512, … messages, in hexadecimal.
+    /// Prefixes of the digests of the first 256, 512, … messages, in hexadecimal.
     pub checkpoints: Vec<String>,
 }
 
 impl DayDigest {
-    /// The number of the first message that can differ from `other`'s, counted from 0, if any does.
+    /// Returns the lower bound of the first differing message's number, counted from 0 and at a
+    /// checkpoint interval's start; `None` if the digests are equal.
     pub fn first_difference(&self, other: &Self) -> Option<usize> {
         if self == other {
             return None;
         }
         let equal = self.checkpoints.iter().zip(&other.checkpoints);
-        Some(equal.take_while(|(a, b)| a == b).count() * CHECKPOINT_EVERY)
+        Some(equal.take_while(|(a, b)| a == b).count() * CHECKPOINT_INTERVAL)
     }
 }
 
-/// The messages of one day so far.
+/// Messages recorded so far, with the running digest and its checkpoints.
 #[derive(Default)]
 pub struct Transcript {
     hash: Sha256,
@@ -42,16 +46,23 @@
 }
 
 impl Transcript {
-    /// A controller sends a request.
-    pub fn request(&mut self, at: Duration, node: usize, to: SocketAddr, request: &Request) {
+    /// Records a request that the controller `node` sends.
+    pub fn record_request(&mut self, at: Duration, node: usize, to: SocketAddr, request: &Request) {
         let (method, target) = (request.method.as_str(), &request.target);
-        let body = readable(&request.body);
+        let body = text_or_hex(&request.body);
         self.add(at, format!("node {node} -> {to} {method} {target} {body}"));
     }
 
-    /// A controller answers a request with this method and target.
-    pub fn answer(&mut self, at: Duration, node: usize, asked: &str, answer: &Response) {
-        let mut text = format!("node {node} answers {asked}: {}", answer.status);
+    /// Records the answer of the controller `node` to a request with the method and target
+    /// `request_line`.
+    pub fn record_answer(
+        &mut self,
+        at: Duration,
+        node: usize,
+        request_line: &str,
+        answer: &Response,
+    ) {
+        let mut text = format!("node {node} answers {request_line}: {}", answer.status);
         if let Some(seconds) = answer.retry_after {
             let _ = write!(text, " retry-after {seconds}");
         }
@@ -63,7 +74,7 @@
                 let _ = write!(text, " {name}");
             }
         }
-        let _ = write!(text, " {}", readable(&answer.body));
+        let _ = write!(text, " {}", text_or_hex(&answer.body));
         self.add(at, text);
     }
 
@@ -72,18 +83,19 @@
         self.hash.update(message.as_bytes());
         self.hash.update(b"\n");
         self.messages.push(message);
-        if self.messages.len().is_multiple_of(CHECKPOINT_EVERY) {
-            let so_far = hex(&self.hash.clone().finalize());
+        if self.messages.len().is_multiple_of(CHECKPOINT_INTERVAL) {
+            let prefix_digest = hex(&self.hash.clone().finalize());
             self.checkpoints
-                .push(so_far[..CHECKPOINT_DIGITS].to_owned());
+                .push(prefix_digest[..CHECKPOINT_DIGITS].to_owned());
         }
     }
 
-    /// All messages, each on one line.
+    /// Returns all messages, each on one line.
     pub fn messages(&self) -> &[String] {
         &self.messages
     }
 
+    /// Returns the digest of the messages recorded so far.
     pub fn digest(&self) -> DayDigest {
         DayDigest {
             messages: self.messages.len(),
@@ -93,6 +105,7 @@
     }
 }
 
+/// Formats bytes in hexadecimal.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         let _ = write!(text, "{byte:02x}");
@@ -100,8 +113,9 @@
     })
 }
 
-/// Text as it is, if it is on one line; anything else in hexadecimal.
-fn readable(body: &[u8]) -> String {
+/// Returns a body unchanged if it is UTF-8 without control characters, and in hexadecimal
+/// otherwise.
+fn text_or_hex(body: &[u8]) -> String {
     match std::str::from_utf8(body) {
         Ok(text) if !text.contains(|c: char| c.is_control()) => text.to_owned(),
         _ => hex(body),
