--- a/crates/jasperhill-testkit/src/bin/play-scenario.rs
+++ b/crates/jasperhill-testkit/src/bin/play-scenario.rs
@@ -74,8 +74,8 @@
 
 fn main() -> ExitCode {
     install_logging();
-    let played = match Cli::parse().command {
-        Command::Overload(args) => play(&args.seeds, |seed| {
+    let outcomes = match Cli::parse().command {
+        Command::Overload(args) => run_seeds(&args.seeds, |seed| {
             let overload = Overload {
                 arrays: args.arrays,
                 slow_links: !args.without_slow_links,
@@ -83,12 +83,17 @@
             };
             overload.scenario(seed)
         }),
-        Command::CrashLoops(args) => play(&args.seeds, |seed| crash_loops(&args).scenario(seed)),
+        Command::CrashLoops(args) => {
+            run_seeds(&args.seeds, |seed| crash_loops(&args).scenario(seed))
+        }
     };
-    for (name, outcome) in &played {
+    for (name, outcome) in &outcomes {
         println!("{name}: {}", summary(outcome));
     }
-    if played.iter().all(|(_, outcome)| outcome.broken.is_empty()) {
+    if outcomes
+        .iter()
+        .all(|(_, outcome)| outcome.broken.is_empty())
+    {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -109,14 +114,14 @@
     }
 }
 
-fn play(seeds: &Seeds, scenario: impl Fn(u64) -> Scenario) -> Vec<(String, Outcome)> {
+fn run_seeds(seeds: &Seeds, scenario: impl Fn(u64) -> Scenario) -> Vec<(String, Outcome)> {
     let seeds = seeds.from..seeds.from + seeds.count;
     let scenarios: Vec<_> = seeds
         .map(|seed| (format!("seed {seed:4}"), scenario(seed)))
         .collect();
-    let mut played = run_all(&scenarios);
-    played.sort_by(|a, b| a.0.cmp(&b.0));
-    played
+    let mut outcomes = run_all(&scenarios);
+    outcomes.sort_by(|a, b| a.0.cmp(&b.0));
+    outcomes
 }
 
 fn summary(outcome: &Outcome) -> String {
--- a/crates/jasperhill-testkit/src/cluster/agents.rs
+++ b/crates/jasperhill-testkit/src/cluster/agents.rs
@@ -129,7 +129,7 @@
             self.abandon_connection(connection.take(), from);
         }
         if mute {
-            // A mute worker can't open a connection to any controller.
+            // A worker that can't send reaches no controller: no connection can be opened.
             self.abandon_connection(connection.take(), from);
             self.inner.borrow_mut().faults.met.mute_reports += 1;
             sleep(Duration::from_millis(500)).await;
@@ -177,8 +177,8 @@
         (answer, now)
     }
 
-    /// Applies an answer to the worker. Returns `None` if the machine is gone, and
-    /// `Some(Some(delay))` if the worker is to retry after `delay`.
+    /// Applies an answer to the worker. Returns `None` if the machine is gone, `Some(Some(delay))`
+    /// if the worker is to retry after `delay`, and `Some(None)` if the answer was accepted.
     fn apply_answer(
         &self,
         id: &str,
--- a/crates/jasperhill-testkit/src/cluster/endpoints.rs
+++ b/crates/jasperhill-testkit/src/cluster/endpoints.rs
@@ -163,8 +163,8 @@
             let result = worker.on_direct_commands(&body, jobs, now);
             let mute = faults.mute_for(&worker.id, now).filter(|_| result.0 == 200);
             faults.met.mute_orders += usize::from(mute.is_some());
-            // Counts only workers mute for longer than two and a half report intervals plus a
-            // second, so that a controller has noticed their missing reports.
+            // Counts starts only on workers that have been unable to send for longer than two and a
+            // half report intervals and one second.
             if mute.is_some_and(|t| t > Duration::from_secs(8)) {
                 faults.met.mute_starts += worker.tasks.len().saturating_sub(tasks_before);
             }
--- a/crates/jasperhill-testkit/src/cluster/inbound.rs
+++ b/crates/jasperhill-testkit/src/cluster/inbound.rs
@@ -19,10 +19,10 @@
         self: &Rc<Self>,
         node: usize,
         request: Request,
-        line: &mut Option<Rc<InboundConnection>>,
+        kept_connection: &mut Option<Rc<InboundConnection>>,
     ) -> Option<Response> {
         self.delay_by_latency().await;
-        let connection = match line.take().filter(|l| self.is_open(l, node)) {
+        let connection = match kept_connection.take().filter(|l| self.is_open(l, node)) {
             Some(connection) => connection,
             None => self.open_connection(node)?,
         };
@@ -52,14 +52,16 @@
             }
         });
         let answer = timeout(Duration::from_secs(4), answer).await.ok()?.ok()?;
-        *line = Some(connection).filter(|l| l.is_open());
+        *kept_connection = Some(connection).filter(|l| l.is_open());
         Some(answer)
     }
 
     /// Returns whether the connection is open and leads to the running process of the controller
     /// `node`.
-    pub(crate) fn is_open(&self, line: &InboundConnection, node: usize) -> bool {
-        line.node == node && line.is_open() && self.inner.borrow().generations[node] == line.life
+    pub(crate) fn is_open(&self, connection: &InboundConnection, node: usize) -> bool {
+        connection.node == node
+            && connection.is_open()
+            && self.inner.borrow().generations[node] == connection.life
     }
 
     /// Returns whether the load balancer resets connections to `node`: its readiness probes have
@@ -84,20 +86,20 @@
     /// its end until the half-open timeout.
     pub(crate) fn abandon_connection(
         self: &Rc<Self>,
-        line: Option<Rc<InboundConnection>>,
+        connection: Option<Rc<InboundConnection>>,
         from: &Endpoint,
     ) {
-        let Some(line) = line else { return };
+        let Some(connection) = connection else { return };
         let now = Instant::now();
         let is_link_whole =
             self.inner
                 .borrow()
                 .faults
-                .is_whole(from, &Endpoint::Node(line.node), now);
+                .is_whole(from, &Endpoint::Node(connection.node), now);
         if !is_link_whole {
             spawn_local(async move {
                 sleep(HALF_OPEN_TIMEOUT).await;
-                drop(line);
+                drop(connection);
             });
         }
     }
@@ -107,9 +109,11 @@
     pub async fn user_request(
         self: &Rc<Self>,
         request: &Request,
-        line: &mut Option<Rc<InboundConnection>>,
+        kept_connection: &mut Option<Rc<InboundConnection>>,
     ) -> Option<(u16, String)> {
-        let (_, status, text) = self.user_request_with_responder(request, line).await?;
+        let (_, status, text) = self
+            .user_request_with_responder(request, kept_connection)
+            .await?;
         Some((status, text))
     }
 
@@ -117,16 +121,16 @@
     pub async fn user_request_with_responder(
         self: &Rc<Self>,
         request: &Request,
-        line: &mut Option<Rc<InboundConnection>>,
+        kept_connection: &mut Option<Rc<InboundConnection>>,
     ) -> Option<(usize, u16, String)> {
         let mut node = self.draw(NODE_COUNT as u64) as usize;
-        if line
+        if kept_connection
             .as_ref()
             .is_some_and(|l| self.has_balancer_reset_connections(l.node))
         {
-            *line = None;
+            *kept_connection = None;
         }
-        if let Some(connection) = line.as_ref().filter(|l| self.is_open(l, l.node)) {
+        if let Some(connection) = kept_connection.as_ref().filter(|l| self.is_open(l, l.node)) {
             node = connection.node;
         } else {
             let healthy = self.inner.borrow().healthy.clone();
@@ -135,7 +139,9 @@
                 .find(|n| healthy[*n]);
             node = first_healthy.unwrap_or(node);
         }
-        let answer = self.send_to_controller(node, request.clone(), line).await?;
+        let answer = self
+            .send_to_controller(node, request.clone(), kept_connection)
+            .await?;
         let text = String::from_utf8(answer.body).unwrap();
         Some((node, answer.status, text))
     }
@@ -146,10 +152,10 @@
             sleep(Duration::from_secs(1)).await;
             for node in 0..NODE_COUNT {
                 let ask = Request::new(Method::Get, "/ready", Vec::new());
-                let mut line = None;
+                let mut kept_connection = None;
                 let answer = timeout(
                     Duration::from_secs(1),
-                    self.send_to_controller(node, ask, &mut line),
+                    self.send_to_controller(node, ask, &mut kept_connection),
                 );
                 let ready = matches!(answer.await, Ok(Some(a)) if a.status == 200);
                 let now = Instant::now();
--- a/crates/jasperhill-testkit/src/cluster/injection.rs
+++ b/crates/jasperhill-testkit/src/cluster/injection.rs
@@ -125,7 +125,8 @@
         });
     }
 
-    /// Makes the state service unavailable for `time`, and refills its rate limits afterwards.
+    /// Makes the state service unavailable for `time`. Afterwards all leases have their full time
+    /// again.
     fn begin_state_outage(self: &Rc<Self>, time: Duration) {
         self.inner.borrow_mut().faults.state_until = Some(Instant::now() + time);
         let cluster = self.clone();
--- a/crates/jasperhill-testkit/src/cluster/mod.rs
+++ b/crates/jasperhill-testkit/src/cluster/mod.rs
@@ -99,8 +99,8 @@
 pub(crate) const NODE_COUNT: usize = 3;
 /// Interval at which workers, the cloud and the invariant checks advance.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a controller keeps a connection that the worker abandoned while the link between them
-/// failed.
+/// How long a controller keeps a connection that a worker abandoned while the link between them was
+/// cut or faulty.
 const HALF_OPEN_TIMEOUT: Duration = Duration::from_millis(6_250);
 /// Duration of a worker lease; equals `lease_s` in the controllers' settings.
 pub(crate) const LEASE_DURATION: Duration = Duration::from_secs(16);
@@ -158,8 +158,8 @@
             let since = (Instant::now() - origin).as_micros() as u64;
             Micros(1_700_000_000_000_000 + since + skew)
         });
-        let announced = usize::from(!self.inner.borrow().runs_old_version[node]);
-        let settings = self.settings[announced][node].clone();
+        let next_limits_announced = usize::from(!self.inner.borrow().runs_old_version[node]);
+        let settings = self.settings[next_limits_announced][node].clone();
         let platform = SocketLimit::new(self.plan.sockets);
         let own = if self.plan.without_connection_budget {
             let sizes = PlanInputs {
--- a/crates/jasperhill-testkit/src/cluster/network.rs
+++ b/crates/jasperhill-testkit/src/cluster/network.rs
@@ -95,7 +95,8 @@
     /// active on the link.
     ///
     /// # Errors
-    /// `NotSent` if no connection came about, `NoAnswer` if the request or its answer was lost.
+    /// `NotSent` if no connection could be opened, `NoAnswer` if the request or its answer was
+    /// lost.
     pub(crate) async fn route_request(
         self: Rc<Self>,
         node: usize,
@@ -131,8 +132,8 @@
             return Err(ClientError::NoAnswer);
         }
         let from = Endpoint::Node(node);
-        let link = self.inner.borrow().faults.on_link(&from, &destination, now);
-        if let Some((kind, until)) = link {
+        let link_fault = self.inner.borrow().faults.on_link(&from, &destination, now);
+        if let Some((kind, until)) = link_fault {
             return self
                 .route_on_faulty_link(kind, until, (node, to), request, limit)
                 .await;
--- a/crates/jasperhill-testkit/src/cluster/shares.rs
+++ b/crates/jasperhill-testkit/src/cluster/shares.rs
@@ -53,8 +53,8 @@
         }
         let share = |mut all: Vec<(u32, bool)>| {
             all.sort_by_key(|(tasks, _)| std::cmp::Reverse(*tasks));
-            let least = all[(all.len() - 1) / 4].0;
-            all.retain(|(tasks, _)| *tasks >= least);
+            let smallest_in_quarter = all[(all.len() - 1) / 4].0;
+            all.retain(|(tasks, _)| *tasks >= smallest_in_quarter);
             let in_time = all.iter().filter(|(_, t)| *t).count();
             in_time as f64 / all.len() as f64
         };
--- a/crates/jasperhill-testkit/src/days.rs
+++ b/crates/jasperhill-testkit/src/days.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// Returns a rolling upgrade of all controllers during other faults, after which the state
-/// service's limits fall.
+/// Returns a scenario with a rolling upgrade of all controllers amid other faults, after which the
+/// state service's limits fall.
 fn rolling_upgrade(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let node = rng.random_range(0..3);
@@ -202,8 +202,8 @@
     }
 }
 
-/// Returns a rolling upgrade with hundreds of machines and large records, after which the state
-/// service's limits fall.
+/// Returns a scenario with a few hundred machines, large records and a rolling upgrade, after which
+/// the state service's limits fall.
 fn large_deployment(seed: u64) -> Scenario {
     let mut faults: Vec<(u64, Fault)> = (0..3)
         .map(|n| (40 + 12 * n as u64, Fault::Upgrade(n, secs(5))))
--- a/crates/jasperhill-testkit/src/runner.rs
+++ b/crates/jasperhill-testkit/src/runner.rs
@@ -29,7 +29,7 @@
 
 /// An overload counts as a fault for this long after its start, in seconds.
 const OVERLOAD_DURATION_S: u64 = 200;
-/// How far the cloud's list of machines may lag behind.
+/// Lag of the cloud's list of machines.
 const CLOUD_LIST_LAG: Duration = Duration::from_secs(3);
 
 /// Runs a scenario and returns its outcome.
@@ -59,7 +59,7 @@
     run_one: impl Fn(&Scenario) -> T + Sync,
 ) -> Vec<(String, T)> {
     let next = AtomicUsize::new(0);
-    let run_next = || {
+    let run_remaining = || {
         let mut results = Vec::new();
         while let Some((name, scenario)) = scenarios.get(next.fetch_add(1, Ordering::Relaxed)) {
             results.push((name.clone(), run_one(scenario)));
@@ -68,10 +68,10 @@
     };
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..threads).map(|_| scope.spawn(run_next)).collect();
+        let threads: Vec<_> = (0..threads).map(|_| scope.spawn(run_remaining)).collect();
         let results = threads.into_iter().map(|thread| thread.join());
         results
-            .flat_map(|results| results.expect("a day panicked"))
+            .flat_map(|results| results.expect("a scenario panicked"))
             .collect()
     })
 }
@@ -274,7 +274,7 @@
     let moves = inner.state.moves.iter();
     let by_class = inner.begun_shares(|job| job.class.to_string());
     let by_team = inner.begun_shares(|job| job.team.to_string());
-    let bound = (0..cluster.plan.bound).map(users::bound_id);
+    let zone_bound_ids = (0..cluster.plan.bound).map(users::bound_id);
     Outcome {
         broken: rules.broken.clone(),
         accepted: inner.accepted,
@@ -305,7 +305,9 @@
             rules.longest_silence_in_calm.as_secs_f64(),
         ),
         uneven: rules.uneven,
-        bound: bound.filter(|id| rules.begun.contains_key(id)).count(),
+        bound: zone_bound_ids
+            .filter(|id| rules.begun.contains_key(id))
+            .count(),
         again: rules.again,
         started_after: rules.started_after,
         latest_start: rules.latest_start.as_secs_f64(),
--- a/crates/jasperhill-testkit/src/scenario.rs
+++ b/crates/jasperhill-testkit/src/scenario.rs
@@ -31,9 +31,9 @@
     /// Disables the crash-loop backoff: controllers never give up their roles, however often they
     /// crash.
     pub without_crash_loop_backoff: bool,
-    /// Disables the starvation guard: no class or team is preferred for having fallen behind.
+    /// Disables the starvation guard: no job is preferred because its share has fallen behind.
     pub without_starvation_guard: bool,
-    /// Number of urgent jobs beyond the capacity, and the second from which they are submitted.
+    /// Number of urgent jobs of an overload, and the second from which they are submitted.
     pub flood: (usize, u64),
     /// Whether the jobs of `flood` all belong to one team.
     pub flood_of_one_team: bool,
@@ -45,8 +45,8 @@
     /// Number of arrays, gangs and services that are restricted to one given zone or must have all
     /// tasks in one zone.
     pub bound: usize,
-    /// Time that a controller's session outlives its last renewal, in seconds; `None` for the
-    /// default.
+    /// Time in seconds that a controller's session outlives its last renewal, as set by the
+    /// operators; `None` if they set none.
     pub session: Option<u64>,
     /// Disables the freshness bound: leases are renewed however old the state is that the renewal
     /// rests on.
@@ -97,7 +97,7 @@
 }
 
 impl Scale {
-    /// Returns the number of machines at the start.
+    /// Returns the number of machines that are up at the start.
     pub(crate) fn hosts(self) -> usize {
         match self {
             Self::Small => 6,
--- a/crates/jasperhill-testkit/src/transcript.rs
+++ b/crates/jasperhill-testkit/src/transcript.rs
@@ -26,8 +26,9 @@
 }
 
 impl DayDigest {
-    /// Returns the lower bound of the first differing message's number, counted from 0 and at a
-    /// checkpoint interval's start; `None` if the digests are equal.
+    /// Returns the number, counted from 0, of the first message that can differ from `other`'s: the
+    /// start of the first interval whose checkpoints differ. Returns `None` if the digests are
+    /// equal.
     pub fn first_difference(&self, other: &Self) -> Option<usize> {
         if self == other {
             return None;
