--- a/crates/jasperhill-testkit/src/cluster/agents.rs
+++ b/crates/jasperhill-testkit/src/cluster/agents.rs
@@ -117,7 +117,7 @@
         let request = heartbeat.request.clone();
         self.repeat_heartbeat_late(id, node, &request, sent);
         let to = Endpoint::Node(node);
-        let (cut_until, link, mute) = {
+        let (cut_until, link, cannot_send) = {
             let faults = &self.inner.borrow().faults;
             (
                 faults.cut_until(&to, from, sent),
@@ -128,7 +128,7 @@
         if connection.as_ref().is_some_and(|c| c.node != node) {
             self.abandon_connection(connection.take(), from);
         }
-        if mute {
+        if cannot_send {
             // A worker that can't send reaches no controller: no connection can be opened.
             self.abandon_connection(connection.take(), from);
             self.inner.borrow_mut().faults.met.mute_reports += 1;
@@ -168,8 +168,8 @@
             _ => answer,
         };
         let now = Instant::now();
-        let deaf = self.inner.borrow().faults.is_deaf(id, now);
-        if deaf && answer.is_some() {
+        let cannot_receive = self.inner.borrow().faults.is_deaf(id, now);
+        if cannot_receive && answer.is_some() {
             self.inner.borrow_mut().faults.met.unheard += 1;
             sleep_until(sent + ANSWER_TIMEOUT).await;
             return (None, Instant::now());
--- a/crates/jasperhill-testkit/src/cluster/endpoints.rs
+++ b/crates/jasperhill-testkit/src/cluster/endpoints.rs
@@ -4,7 +4,7 @@
 use super::{
     ClusterState, SimulatedCluster,
     network::worker_id,
-    old_version::{as_old_reads, as_old_writes},
+    old_version::{without_unknown_records_in_answer, without_unknown_records_in_transaction},
     request_line,
 };
 use crate::{faults::Endpoint, state::Served};
@@ -59,9 +59,9 @@
             }
             Endpoint::State if self.inner.borrow().runs_old_version[node] => {
                 let answer = self
-                    .execute_at_state_service(node, as_old_writes(request))
+                    .execute_at_state_service(node, without_unknown_records_in_transaction(request))
                     .await?;
-                Ok(as_old_reads(answer))
+                Ok(without_unknown_records_in_answer(answer))
             }
             Endpoint::State => self.execute_at_state_service(node, request).await,
             Endpoint::Cloud => {
@@ -87,19 +87,19 @@
                 Ok(answer)
             }
             Endpoint::Zone(_) => {
-                let (delayed, deaf) = {
+                let (delayed, cannot_receive) = {
                     let faults = &mut self.inner.borrow_mut().faults;
                     let delayed = match request.method {
                         Method::Post => faults.held_order(now),
                         _ => None,
                     };
-                    let deaf = delayed.is_none() && faults.is_deaf(&worker_id(to), now);
+                    let cannot_receive = delayed.is_none() && faults.is_deaf(&worker_id(to), now);
                     faults.met.held_orders += usize::from(delayed.is_some());
-                    faults.met.unheard += usize::from(deaf);
-                    (delayed, deaf)
+                    faults.met.unheard += usize::from(cannot_receive);
+                    (delayed, cannot_receive)
                 };
-                if let Some((by, answer_only)) = delayed {
-                    self.delay_command(to, request.clone(), by, answer_only);
+                if let Some((delay, answer_only)) = delayed {
+                    self.delay_command(to, request.clone(), delay, answer_only);
                 }
                 let hung_until = self.inner.borrow().faults.hangs_until(&worker_id(to), now);
                 if let (Some(until), None) = (hung_until, delayed) {
@@ -107,7 +107,7 @@
                     // session still match.
                     self.delay_command(to, request.clone(), until - now, false);
                 }
-                if delayed.is_some() || deaf || hung_until.is_some() {
+                if delayed.is_some() || cannot_receive || hung_until.is_some() {
                     // The command gets no answer; the sender times out.
                     sleep(Duration::from_secs(60)).await;
                     return Err(ClientError::NoAnswer);
@@ -120,19 +120,19 @@
         }
     }
 
-    /// Executes a command `by` later, or executes it at once if only its answer is delayed.
+    /// Executes a command `delay` later, or executes it at once if only its answer is delayed.
     pub(crate) fn delay_command(
         &self,
         to: SocketAddr,
         request: Request,
-        by: Duration,
+        delay: Duration,
         answer_only: bool,
     ) {
         if answer_only {
             self.execute_at_worker(to, &request);
         } else if let Some(cluster) = self.weak_self.borrow().upgrade() {
             spawn_local(async move {
-                sleep(by).await;
+                sleep(delay).await;
                 let done = cluster.execute_at_worker(to, &request);
                 let met = &mut cluster.inner.borrow_mut().faults.met;
                 met.held_done += usize::from(done.is_some_and(|(status, _)| status == 200));
--- a/crates/jasperhill-testkit/src/cluster/old_version.rs
+++ b/crates/jasperhill-testkit/src/cluster/old_version.rs
@@ -5,13 +5,13 @@
 use serde_json::Value;
 
 /// Removes from a transaction all records and fields that the old version does not know.
-pub(crate) fn as_old_writes(mut request: Request) -> Request {
+pub(crate) fn without_unknown_records_in_transaction(mut request: Request) -> Request {
     if request.path() == "/txn" {
         let mut body: Value = serde_json::from_slice(&request.body).unwrap();
         if let Some(changes) = body["then"].as_array_mut() {
-            changes.retain_mut(|c| {
-                let key = c["write"].as_str().unwrap_or_default().to_owned();
-                !strip_unknown_fields(&key, &mut c["data"])
+            changes.retain_mut(|change| {
+                let key = change["write"].as_str().unwrap_or_default().to_owned();
+                !strip_unknown_fields(&key, &mut change["data"])
             });
         }
         request.body = body.to_string().into_bytes();
@@ -20,25 +20,25 @@
 }
 
 /// Removes from an answer all records and fields that the old version does not know.
-pub(crate) fn as_old_reads(mut answer: Response) -> Response {
+pub(crate) fn without_unknown_records_in_answer(mut answer: Response) -> Response {
     let Ok(mut body) = serde_json::from_slice::<Value>(&answer.body) else {
         return answer;
     };
     for (list, name) in [("pairs", "k"), ("news", "write")] {
         if let Some(items) = body[list].as_array_mut() {
-            items.retain_mut(|i| {
-                let key = i[name].as_str().unwrap_or_default().to_owned();
-                !strip_unknown_fields(&key, &mut i["data"])
+            items.retain_mut(|item| {
+                let key = item[name].as_str().unwrap_or_default().to_owned();
+                !strip_unknown_fields(&key, &mut item["data"])
             });
         }
     }
     if body.is_object() {
-        let empty = |v: &mut Value, k: &str| {
+        let is_null_field = |v: &mut Value, k: &str| {
             v.as_object_mut()
                 .is_some_and(|o| o.get(k).is_some_and(Value::is_null))
         };
         for k in ["pairs", "news"] {
-            if empty(&mut body, k) {
+            if is_null_field(&mut body, k) {
                 body.as_object_mut().unwrap().remove(k);
             }
         }
--- a/crates/jasperhill-testkit/src/cluster/shares.rs
+++ b/crates/jasperhill-testkit/src/cluster/shares.rs
@@ -48,34 +48,34 @@
             }
             let in_time = begun
                 .is_some_and(|t| t.saturating_duration_since(*at) < LARGEST_JOBS_BEGIN_DEADLINE);
-            let all = classes.entry(job.class.to_string()).or_default();
-            all.push((job.tasks, in_time));
+            let class_jobs = classes.entry(job.class.to_string()).or_default();
+            class_jobs.push((job.tasks, in_time));
         }
-        let share = |mut all: Vec<(u32, bool)>| {
-            all.sort_by_key(|(tasks, _)| std::cmp::Reverse(*tasks));
-            let smallest_in_quarter = all[(all.len() - 1) / 4].0;
-            all.retain(|(tasks, _)| *tasks >= smallest_in_quarter);
-            let in_time = all.iter().filter(|(_, t)| *t).count();
-            in_time as f64 / all.len() as f64
+        let share = |mut jobs: Vec<(u32, bool)>| {
+            jobs.sort_by_key(|(tasks, _)| std::cmp::Reverse(*tasks));
+            let smallest_in_quarter = jobs[(jobs.len() - 1) / 4].0;
+            jobs.retain(|(tasks, _)| *tasks >= smallest_in_quarter);
+            let in_time = jobs.iter().filter(|(_, t)| *t).count();
+            in_time as f64 / jobs.len() as f64
         };
         classes
             .into_iter()
-            .map(|(name, all)| (name, share(all)))
+            .map(|(name, jobs)| (name, share(jobs)))
             .collect()
     }
 
     /// Returns all jobs that a job depends on, directly or indirectly.
     pub fn upstream_jobs(&self, id: &str) -> Vec<String> {
-        let mut all: Vec<String> = Vec::new();
-        let mut next = vec![id.to_owned()];
-        while let Some(id) = next.pop() {
+        let mut upstream: Vec<String> = Vec::new();
+        let mut pending = vec![id.to_owned()];
+        while let Some(id) = pending.pop() {
             for dependency in self.jobs.get(&id).iter().flat_map(|j| &j.dependencies) {
-                if !all.iter().any(|a| a == dependency.as_str()) {
-                    all.push(dependency.to_string());
-                    next.push(dependency.to_string());
+                if !upstream.iter().any(|a| a == dependency.as_str()) {
+                    upstream.push(dependency.to_string());
+                    pending.push(dependency.to_string());
                 }
             }
         }
-        all
+        upstream
     }
 }
--- a/crates/jasperhill-testkit/src/cluster/time.rs
+++ b/crates/jasperhill-testkit/src/cluster/time.rs
@@ -24,18 +24,18 @@
     /// workers.
     pub(crate) fn record_unreachable_zones(inner: &mut ClusterState, now: Instant) {
         for zone in ["a", "b"] {
-            let there = Endpoint::Zone(zone.to_owned());
-            let reached = (0..NODE_COUNT).any(|n| {
-                let (here, faults) = (Endpoint::Node(n), &inner.faults);
+            let zone_endpoint = Endpoint::Zone(zone.to_owned());
+            let is_reached = (0..NODE_COUNT).any(|n| {
+                let (node_endpoint, faults) = (Endpoint::Node(n), &inner.faults);
                 inner.nodes[n].is_some()
                     && faults.frozen_until(n, now).is_none()
                     && !faults.is_refused(n, now)
                     && faults.state_until.is_none_or(|t| now >= t)
-                    && faults.is_whole(&here, &Endpoint::State, now)
-                    && faults.is_whole(&here, &there, now)
-                    && faults.is_whole(&there, &here, now)
+                    && faults.is_whole(&node_endpoint, &Endpoint::State, now)
+                    && faults.is_whole(&node_endpoint, &zone_endpoint, now)
+                    && faults.is_whole(&zone_endpoint, &node_endpoint, now)
             });
-            if !reached {
+            if !is_reached {
                 inner.rules.out_of_reach.insert(zone.to_owned(), now);
             }
         }
--- a/crates/jasperhill-testkit/src/runner.rs
+++ b/crates/jasperhill-testkit/src/runner.rs
@@ -322,7 +322,7 @@
 
 /// Returns the confirmed cancellations with times relative to the start `origin` of the run.
 fn cancellations(rules: &InvariantChecker, origin: Instant) -> Vec<ConfirmedCancellation> {
-    let to_outcome =
+    let to_confirmed =
         |(id, cancelled): (&String, &crate::invariants::CancelledJob)| ConfirmedCancellation {
             job: id.clone(),
             at: (cancelled.at - origin).as_secs_f64(),
@@ -332,7 +332,7 @@
                 .last_seen
                 .map_or(0.0, |seen| (seen - cancelled.at).as_secs_f64()),
         };
-    rules.cancels.iter().map(to_outcome).collect()
+    rules.cancels.iter().map(to_confirmed).collect()
 }
 
 /// Returns the smallest share and its name.
