--- a/crates/jasperhill-testkit/src/runner.rs
+++ b/crates/jasperhill-testkit/src/runner.rs
@@ -43,7 +43,7 @@
     (outcome, transcript.unwrap_or_default())
 }
 
-/// Runs all scenarios in parallel, each in one thread. Returns the outcomes by scenario name, in no
+/// Runs all scenarios in parallel, one at a time per thread. Returns the outcomes by scenario name, in no
 /// particular order.
 pub fn run_all(scenarios: &[(String, Scenario)]) -> Vec<(String, Outcome)> {
     run_in_parallel(scenarios, |scenario| run(scenario.clone()))
