--- a/crates/jasperhill-testkit/src/bin/play-scenario.rs
+++ b/crates/jasperhill-testkit/src/bin/play-scenario.rs
@@ -1,5 +1,6 @@
-//! Plays a scenario of a known failure with many seeds, or with a part of it left out, and prints
-//! what came of each. `LOG_LEVEL=debug` logs what the controllers do; it is of use with one seed.
+//! Runs a scenario of a known failure with many seeds, or without one of its conditions, and prints
+//! the outcomes. `LOG_LEVEL=debug` logs the controllers' actions, which is useful with a single
+//! seed.
 
 use clap::{Args, Parser, Subcommand};
 use jasperhill_testkit::{
@@ -73,8 +74,8 @@
 
 fn main() -> ExitCode {
     install_logging();
-    let played = match Cli::parse().command {
-        Command::Overload(args) => play(&args.seeds, |seed| {
+    let outcomes = match Cli::parse().command {
+        Command::Overload(args) => run_seeds(&args.seeds, |seed| {
             let overload = Overload {
                 arrays: args.arrays,
                 slow_links: !args.without_slow_links,
@@ -82,12 +83,17 @@
             };
             overload.scenario(seed)
         }),
-        Command::CrashLoops(args) => play(&args.seeds, |seed| crash_loops(&args).scenario(seed)),
+        Command::CrashLoops(args) => {
+            run_seeds(&args.seeds, |seed| crash_loops(&args).scenario(seed))
+        }
     };
-    for (name, outcome) in &played {
+    for (name, outcome) in &outcomes {
         println!("{name}: {}", summary(outcome));
     }
-    if played.iter().all(|(_, outcome)| outcome.broken.is_empty()) {
+    if outcomes
+        .iter()
+        .all(|(_, outcome)| outcome.broken.is_empty())
+    {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -108,14 +114,14 @@
     }
 }
 
-fn play(seeds: &Seeds, scenario: impl Fn(u64) -> Scenario) -> Vec<(String, Outcome)> {
+fn run_seeds(seeds: &Seeds, scenario: impl Fn(u64) -> Scenario) -> Vec<(String, Outcome)> {
     let seeds = seeds.from..seeds.from + seeds.count;
     let scenarios: Vec<_> = seeds
         .map(|seed| (format!("seed {seed:4}"), scenario(seed)))
         .collect();
-    let mut played = run_all(&scenarios);
-    played.sort_by(|a, b| a.0.cmp(&b.0));
-    played
+    let mut outcomes = run_all(&scenarios);
+    outcomes.sort_by(|a, b| a.0.cmp(&b.0));
+    outcomes
 }
 
 fn summary(outcome: &Outcome) -> String {
@@ -135,7 +141,7 @@
     )
 }
 
-/// Logs at the level of the environment, or nothing.
+/// Logs to stderr at the level of `LOG_LEVEL`, or not at all if the variable is unset or invalid.
 fn install_logging() {
     let level = std::env::var("LOG_LEVEL").ok();
     let level = level.and_then(|level| LevelFilter::from_str(&level).ok());
--- a/crates/jasperhill-testkit/src/cluster/old_version.rs
+++ b/crates/jasperhill-testkit/src/cluster/old_version.rs
@@ -1,16 +1,17 @@
-//! What a controller of the old version writes and understands.
+//! Translation between the formats of the old version and the state service, for controllers that
+//! have not been upgraded.
 
 use jasperhill_http::{Request, Response};
 use serde_json::Value;
 
-/// What the old version writes: nothing that it does not know.
-pub(crate) fn as_old_writes(mut request: Request) -> Request {
+/// Removes from a transaction all records and fields that the old version does not know.
+pub(crate) fn without_unknown_records_in_transaction(mut request: Request) -> Request {
     if request.path() == "/txn" {
         let mut body: Value = serde_json::from_slice(&request.body).unwrap();
         if let Some(changes) = body["then"].as_array_mut() {
-            changes.retain_mut(|c| {
-                let key = c["write"].as_str().unwrap_or_default().to_owned();
-                !strip_unknown_fields(&key, &mut c["data"])
+            changes.retain_mut(|change| {
+                let key = change["write"].as_str().unwrap_or_default().to_owned();
+                !strip_unknown_fields(&key, &mut change["data"])
             });
         }
         request.body = body.to_string().into_bytes();
@@ -18,26 +19,26 @@
     request
 }
 
-/// What the old version understands of what it reads.
-pub(crate) fn as_old_reads(mut answer: Response) -> Response {
+/// Removes from an answer all records and fields that the old version does not know.
+pub(crate) fn without_unknown_records_in_answer(mut answer: Response) -> Response {
     let Ok(mut body) = serde_json::from_slice::<Value>(&answer.body) else {
         return answer;
     };
     for (list, name) in [("pairs", "k"), ("news", "write")] {
         if let Some(items) = body[list].as_array_mut() {
-            items.retain_mut(|i| {
-                let key = i[name].as_str().unwrap_or_default().to_owned();
-                !strip_unknown_fields(&key, &mut i["data"])
+            items.retain_mut(|item| {
+                let key = item[name].as_str().unwrap_or_default().to_owned();
+                !strip_unknown_fields(&key, &mut item["data"])
             });
         }
     }
     if body.is_object() {
-        let empty = |v: &mut Value, k: &str| {
+        let is_null_field = |v: &mut Value, k: &str| {
             v.as_object_mut()
                 .is_some_and(|o| o.get(k).is_some_and(Value::is_null))
         };
         for k in ["pairs", "news"] {
-            if empty(&mut body, k) {
+            if is_null_field(&mut body, k) {
                 body.as_object_mut().unwrap().remove(k);
             }
         }
@@ -46,7 +47,8 @@
     answer
 }
 
-/// Takes from a record what the old version does not know; true if it knows nothing of it.
+/// Removes the fields that the old version does not know from a record. Returns true if the old
+/// version does not know the record's kind.
 fn strip_unknown_fields(key: &str, value: &mut Value) -> bool {
     if let Some(fields) = value.as_object_mut() {
         if key.starts_with("jh/session/") {
