--- a/crates/jasperhill-testkit/tests/combined_faults/cancellations.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/cancellations.rs
@@ -1,180 +1,245 @@
-//! Cancellations that meet a refusal, a change of leader, hanging machines or the end of the job.
+//! Cancellations that coincide with a refusal by the state service, a change of leader, hanging
+//! machines or the end of the job.
 
-use crate::support::{AT, CANCEL, OUTAGE, OUTAGE_AT, judge, met, millis, play, refused, secs};
+use crate::support::{
+    CANCEL_LIMIT_S, FAULT_START_S, OUTAGE_DURATION_S, OUTAGE_START_S, assert_invariants_hold,
+    millis, refusal_then_outage, run_scenarios, secs, total_count,
+};
 use jasperhill_testkit::Scenario;
 use jasperhill_testkit::days::cut_from_peers;
 use jasperhill_testkit::faults::{Endpoint, Fault};
 use jasperhill_testkit::outcome::{ConfirmedCancellation, Outcome};
 
-/// Cancellations that others confirmed between the refusal and the outage, with tasks alive then.
-fn between(outcome: &Outcome, node: usize, lead: u64) -> Vec<&ConfirmedCancellation> {
-    let window = (OUTAGE_AT - lead) as f64..OUTAGE_AT as f64;
-    let within =
-        |c: &&ConfirmedCancellation| window.contains(&c.at) && c.node != node && c.alive > 0;
-    outcome.cancels.iter().filter(within).collect()
+/// Returns the cancellations of jobs with running tasks that controllers other than `node`
+/// confirmed between the refusal of `node` and the outage.
+fn cancellations_before_outage(
+    outcome: &Outcome,
+    node: usize,
+    lead_s: u64,
+) -> Vec<&ConfirmedCancellation> {
+    let window = (OUTAGE_START_S - lead_s) as f64..OUTAGE_START_S as f64;
+    let in_window = |cancel: &&ConfirmedCancellation| {
+        window.contains(&cancel.at) && cancel.node != node && cancel.alive > 0
+    };
+    outcome.cancels.iter().filter(in_window).collect()
 }
 
-/// Plays the day with each controller refused, three seeds each; how many such cancellations there were, and the
-/// longest until the last task of one was gone.
-fn refused_days(
-    lead: u64,
-    more: impl Fn(usize) -> Vec<(u64, Fault)>,
-    change: impl Fn(&mut Scenario),
+/// Runs a scenario of a refusal and an outage with each controller refused in turn, three seeds
+/// each. Returns the number of cancellations confirmed by other controllers before the outage, the
+/// longest time in seconds until the last task of such a job ended, and the outcomes.
+fn run_refusals(
+    lead_s: u64,
+    extra_faults: impl Fn(usize) -> Vec<(u64, Fault)>,
+    adjust: impl Fn(&mut Scenario),
 ) -> (usize, f64, Vec<(String, Outcome)>) {
-    let plans = (0..9).map(|n| {
+    let scenarios = (0..9).map(|n| {
         let node = n % 3;
-        let mut plan = refused(1 + n as u64, node, lead, more(node));
-        change(&mut plan);
-        (format!("node {node} refused {lead} s before"), plan)
+        let mut scenario = refusal_then_outage(1 + n as u64, node, lead_s, extra_faults(node));
+        adjust(&mut scenario);
+        (format!("node {node} refused {lead_s} s before"), scenario)
     });
-    let played = play(plans.collect());
-    let (mut fell, mut latest) = (0, 0.0f64);
-    for (name, outcome) in &played {
+    let runs = run_scenarios(scenarios.collect());
+    let (mut cancellation_count, mut longest_cancel_s) = (0, 0.0f64);
+    for (name, outcome) in &runs {
         let node = name.split(' ').nth(1).unwrap().parse().unwrap();
-        let there = between(outcome, node, lead);
-        fell += there.len();
-        latest = there.iter().map(|c| c.after).fold(latest, f64::max);
+        let confirmed = cancellations_before_outage(outcome, node, lead_s);
+        cancellation_count += confirmed.len();
+        longest_cancel_s = confirmed
+            .iter()
+            .map(|cancel| cancel.after)
+            .fold(longest_cancel_s, f64::max);
     }
-    (fell, latest, played)
+    (cancellation_count, longest_cancel_s, runs)
 }
 
 #[test]
 fn jobs_cancelled_while_the_store_refuses_their_owner_end_in_time() {
-    for lead in [1, 5, 12, 25] {
-        let (fell, latest, played) = refused_days(lead, |_| Vec::new(), |_| {});
-        judge(&played);
-        assert!(fell > 0 && latest < CANCEL, "{lead}: {fell} {latest}");
-        assert!(met(&played, |m| m.answered_refused) > 0);
+    for lead_s in [1, 5, 12, 25] {
+        let (cancellation_count, longest_cancel_s, runs) =
+            run_refusals(lead_s, |_| Vec::new(), |_| {});
+        assert_invariants_hold(&runs);
+        assert!(
+            cancellation_count > 0 && longest_cancel_s < CANCEL_LIMIT_S,
+            "{lead_s}: {cancellation_count} {longest_cancel_s}"
+        );
+        assert!(total_count(&runs, |counts| counts.answered_refused) > 0);
     }
 }
 
-/// Nobody hears that it would let go: it answers for as long as it may.
+/// Guards against cancelled tasks that run on because the refused owner cannot tell its peers that
+/// it would release its roles: the owner answers heartbeats for as long as it is entitled to.
 #[test]
-fn the_refused_owner_loses_its_peers() {
-    for lead in [5, 12] {
-        let cut = |node| cut_from_peers(node, OUTAGE_AT - lead, lead + OUTAGE);
-        let (fell, latest, played) = refused_days(lead, cut, |_| {});
-        judge(&played);
-        assert!(fell > 0 && latest < CANCEL, "{lead}: {fell} {latest}");
-        assert!(met(&played, |m| m.answered_refused) > 20);
+fn jobs_end_in_time_when_the_refused_owner_also_loses_its_peers() {
+    for lead_s in [5, 12] {
+        let cuts_of =
+            |node| cut_from_peers(node, OUTAGE_START_S - lead_s, lead_s + OUTAGE_DURATION_S);
+        let (cancellation_count, longest_cancel_s, runs) = run_refusals(lead_s, cuts_of, |_| {});
+        assert_invariants_hold(&runs);
+        assert!(
+            cancellation_count > 0 && longest_cancel_s < CANCEL_LIMIT_S,
+            "{lead_s}: {cancellation_count} {longest_cancel_s}"
+        );
+        assert!(total_count(&runs, |counts| counts.answered_refused) > 20);
     }
 }
 
-/// A session that outlives the bound on knowledge: only that bound is left. Without it the rule
-/// breaks, by its name.
+/// Guards against cancelled tasks that run on when the owner's session lasts longer than the bound
+/// on the age of the knowledge that a lease renewal rests on. Only that bound stops the renewals
+/// then: without the bound the rule `ran_cancelled` is broken.
 #[test]
 fn a_long_session_does_not_delay_cancellations() {
-    let cut = |node| cut_from_peers(node, OUTAGE_AT - 5, 5 + OUTAGE);
-    let (fell, latest, played) = refused_days(5, cut, |plan| plan.session = Some(60));
-    judge(&played);
+    let cuts_of = |node| cut_from_peers(node, OUTAGE_START_S - 5, 5 + OUTAGE_DURATION_S);
+    let (cancellation_count, longest_cancel_s, runs) =
+        run_refusals(5, cuts_of, |scenario| scenario.session = Some(60));
+    assert_invariants_hold(&runs);
     assert!(
-        fell > 5 && latest > 20.0 && latest < CANCEL,
-        "{fell} {latest}"
+        cancellation_count > 5 && longest_cancel_s > 20.0 && longest_cancel_s < CANCEL_LIMIT_S,
+        "{cancellation_count} {longest_cancel_s}"
     );
-    let (_, _, blind) = refused_days(5, cut, |plan| {
-        plan.session = Some(60);
-        plan.without_freshness_bound = true;
+    let (_, _, without_bound) = run_refusals(5, cuts_of, |scenario| {
+        scenario.session = Some(60);
+        scenario.without_freshness_bound = true;
     });
-    let broken = blind.iter().flat_map(|(_, o)| &o.broken);
+    let broken = without_bound
+        .iter()
+        .flat_map(|(_, outcome)| &outcome.broken);
     assert!(broken.into_iter().any(|b| b.starts_with("ran_cancelled")));
 }
 
-/// The refused owner stands still, the confirming controllers end, and machines hear nothing.
+/// Jobs end in time although, beside the refusal and the outage, the refused owner stalls, the
+/// other controllers crash, or machines receive nothing.
 #[test]
-fn a_refusal_and_an_outage_with_a_third_fault() {
+fn jobs_end_in_time_after_a_refusal_an_outage_and_a_third_fault() {
     let others = |node| (0..3).filter(move |n| *n != node);
-    let stands = |node| vec![(OUTAGE_AT - 2, Fault::Stall(node, secs(20)))];
-    let end = |node| {
-        let crash = |n| (OUTAGE_AT + 2, Fault::Crash(n, millis(300)));
+    let owner_stalls = |node| vec![(OUTAGE_START_S - 2, Fault::Stall(node, secs(20)))];
+    let others_crash = |node| {
+        let crash = |n| (OUTAGE_START_S + 2, Fault::Crash(n, millis(300)));
         others(node).map(crash).collect()
     };
-    let deaf = |_| vec![(OUTAGE_AT - 14, Fault::NotReceiving(40, secs(20)))];
-    let more: [&dyn Fn(usize) -> Vec<(u64, Fault)>; 3] = [&stands, &end, &deaf];
-    for more in more {
-        let (fell, latest, played) = refused_days(12, more, |_| {});
-        judge(&played);
-        assert!(fell > 0 && latest < CANCEL, "{fell} {latest}");
+    let machines_receive_nothing =
+        |_| vec![(OUTAGE_START_S - 14, Fault::NotReceiving(40, secs(20)))];
+    let third_faults: [&dyn Fn(usize) -> Vec<(u64, Fault)>; 3] =
+        [&owner_stalls, &others_crash, &machines_receive_nothing];
+    for third_fault in third_faults {
+        let (cancellation_count, longest_cancel_s, runs) = run_refusals(12, third_fault, |_| {});
+        assert_invariants_hold(&runs);
+        assert!(
+            cancellation_count > 0 && longest_cancel_s < CANCEL_LIMIT_S,
+            "{cancellation_count} {longest_cancel_s}"
+        );
     }
 }
 
-/// Jobs are called off, their machines hang at that moment and go on near the end of their lease,
-/// while the old leader is refused alone or cut off with them.
+/// Guards against cancelled tasks that run on because their machines hang at the moment of the
+/// cancellation and resume near the end of their lease, while the state service refuses the old
+/// leader alone or fails for all controllers.
 #[test]
-fn cancelled_while_its_machines_hang() {
-    for (hang, lead) in [(6, 1), (13, 1), (13, 12), (25, 5)] {
-        let plans = (0..3).map(|node| {
-            let mut plan = refused(100 + node as u64, node, lead, Vec::new());
-            let off = Fault::CancelNow(12, secs(hang));
-            plan.faults.push((OUTAGE_AT - lead, off.clone()));
-            plan.faults.push((OUTAGE_AT - 1, off));
-            (format!("node {node}"), plan)
+fn jobs_cancelled_while_their_machines_hang_end_in_time() {
+    for (hang_s, lead_s) in [(6, 1), (13, 1), (13, 12), (25, 5)] {
+        let scenarios = (0..3).map(|node| {
+            let mut scenario = refusal_then_outage(100 + node as u64, node, lead_s, Vec::new());
+            let cancel_now = Fault::CancelNow(12, secs(hang_s));
+            scenario
+                .faults
+                .push((OUTAGE_START_S - lead_s, cancel_now.clone()));
+            scenario.faults.push((OUTAGE_START_S - 1, cancel_now));
+            (format!("node {node}"), scenario)
         });
-        let played = play(plans.collect());
-        judge(&played);
-        assert!(met(&played, |m| m.called_off) > 8, "{hang} {lead}");
-        assert!(met(&played, |m| m.hung) > 4, "{hang} {lead}");
-        // Some go on within their lease, with tasks that are cancelled.
+        let runs = run_scenarios(scenarios.collect());
+        assert_invariants_hold(&runs);
+        assert!(
+            total_count(&runs, |counts| counts.called_off) > 8,
+            "{hang_s} {lead_s}"
+        );
         assert!(
-            hang > 14 || met(&played, |m| m.went_on) > 0,
-            "{hang} {lead}"
+            total_count(&runs, |counts| counts.hung) > 4,
+            "{hang_s} {lead_s}"
+        );
+        // Some machines resume within their lease while they still have cancelled tasks.
+        assert!(
+            hang_s > 14 || total_count(&runs, |counts| counts.went_on) > 0,
+            "{hang_s} {lead_s}"
+        );
+        let longest = |outcome: &Outcome| {
+            outcome
+                .cancels
+                .iter()
+                .map(|cancel| cancel.after)
+                .fold(0.0, f64::max)
+        };
+        let longest_cancel_s = runs
+            .iter()
+            .map(|(_, outcome)| longest(outcome))
+            .fold(0.0, f64::max);
+        assert!(
+            longest_cancel_s < CANCEL_LIMIT_S,
+            "{hang_s} {lead_s}: {longest_cancel_s}"
         );
-        let gone = |o: &Outcome| o.cancels.iter().map(|c| c.after).fold(0.0, f64::max);
-        let latest = played.iter().map(|(_, o)| gone(o)).fold(0.0, f64::max);
-        assert!(latest < CANCEL, "{hang} {lead}: {latest}");
     }
 }
 
-/// The old leader has lost the state service and the others, workers and users reach it, and jobs are
-/// called off through the new one; some of their machines hang.
+/// Guards against tasks of a cancelled job that start late on commands of the old leader. The old
+/// leader has lost the state service and the other controllers, but workers and users still reach
+/// it. Jobs are cancelled through the new leader, and some of their machines hang.
 #[test]
-fn cancelled_through_the_new_leader_while_the_old_one_is_cut_off() {
-    let plans = (0..3).map(|node| {
-        let mut troubles = cut_from_peers(node, AT, 90);
-        troubles.push((
-            AT,
+fn cancellations_through_the_new_leader_hold_while_the_old_leader_is_cut_off() {
+    let scenarios = (0..3).map(|node| {
+        let mut faults = cut_from_peers(node, FAULT_START_S, 90);
+        faults.push((
+            FAULT_START_S,
             Fault::Cut(Endpoint::Node(node), Endpoint::State, secs(90)),
         ));
-        for at in [1, 4, 12, 30] {
-            troubles.push((AT + at, Fault::CancelNow(6, secs(at % 10))));
+        for delay_s in [1, 4, 12, 30] {
+            faults.push((
+                FAULT_START_S + delay_s,
+                Fault::CancelNow(6, secs(delay_s % 10)),
+            ));
         }
-        let mut plan = Scenario::small(110 + node as u64, 290, 60, troubles);
-        plan.long_tasks = Some((AT - 4, AT + 60));
-        (format!("node {node}"), plan)
+        let mut scenario = Scenario::small(110 + node as u64, 290, 60, faults);
+        scenario.long_tasks = Some((FAULT_START_S - 4, FAULT_START_S + 60));
+        (format!("node {node}"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.called_off) > 30);
-    for (name, o) in &played {
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.called_off) > 30);
+    for (name, outcome) in &runs {
         assert!(
-            o.latest_start < CANCEL && o.longest_silence.0 < 75.0,
+            outcome.latest_start < CANCEL_LIMIT_S && outcome.longest_silence.0 < 75.0,
             "{name}"
         );
     }
 }
 
-/// A cancellation, questions and repeated submissions meet the end of a job's last task: first with no
-/// other trouble, then with lost answers, late writes and a change of leader.
+/// A cancellation, status queries and a repeated submission coincide with the end of a job's last
+/// task: without other faults, with late writes, and with late writes, crashes and a refusal. The
+/// job may end as done or as cancelled.
 #[test]
-fn cancelled_at_the_moment_of_the_end() {
-    let plans = (0..6).map(|n| {
-        let mut troubles = vec![(20, Fault::CancelAtEnd(90, secs(180)))];
+fn cancellation_at_job_end_has_either_outcome() {
+    let scenarios = (0..6).map(|n| {
+        let mut faults = vec![(20, Fault::CancelAtEnd(90, secs(180)))];
         if n % 3 > 0 {
-            troubles.push((40, Fault::LateWrites(25, secs(120))));
+            faults.push((40, Fault::LateWrites(25, secs(120))));
         }
         if n % 3 > 1 {
-            troubles.push((70, Fault::Crash(n % 2, millis(300))));
-            troubles.push((100, Fault::Refused(2, secs(14))));
+            faults.push((70, Fault::Crash(n % 2, millis(300))));
+            faults.push((100, Fault::Refused(2, secs(14))));
         }
-        let plan = Scenario {
+        let scenario = Scenario {
             uneven: 12,
             pipelines: (3, 30),
-            ..Scenario::small(120 + n as u64, 260, 60, troubles)
+            ..Scenario::small(120 + n as u64, 260, 60, faults)
         };
-        (format!("day {n}"), plan)
+        (format!("scenario {n}"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
-    let (ended, done) = (met(&played, |m| m.at_end), met(&played, |m| m.at_end_done));
-    // Both outcomes come about.
-    assert!(ended > 60 && done > 10 && done < ended, "{ended} {done}");
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    let (cancelled_at_end, done) = (
+        total_count(&runs, |counts| counts.at_end),
+        total_count(&runs, |counts| counts.at_end_done),
+    );
+    // Both outcomes occur: some jobs were done and some were cancelled.
+    assert!(
+        cancelled_at_end > 60 && done > 10 && done < cancelled_at_end,
+        "{cancelled_at_end} {done}"
+    );
 }
--- a/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
@@ -1,6 +1,8 @@
-//! Transactions, heartbeats and commands that arrive late.
+//! Transactions, heartbeats and direct commands that arrive late or out of order.
 
-use crate::support::{AT, judge, met, millis, play, secs};
+use crate::support::{
+    FAULT_START_S, assert_invariants_hold, millis, run_scenarios, secs, total_count,
+};
 use jasperhill_membership::LeaseTerms;
 use jasperhill_scheduler::{HeartbeatSource, Host, HostInput, MachineSpec};
 use jasperhill_testkit::Scenario;
@@ -16,69 +18,76 @@
 use tokio::time::Instant;
 
 #[test]
-fn transactions_are_carried_out_late_after_newer_ones() {
-    let plans = (0..4).map(|n| {
-        let troubles = vec![
-            (AT - 30, Fault::LateWrites(40, secs(120))),
-            (AT, Fault::Crash(n % 3, millis(300))),
-            (AT + 20, Fault::Crash((n + 1) % 3, secs(12))),
-            (AT + 45, Fault::Refused((n + 2) % 3, secs(12))),
+fn transactions_applied_after_newer_ones_break_no_invariant() {
+    let scenarios = (0..4).map(|n| {
+        let faults = vec![
+            (FAULT_START_S - 30, Fault::LateWrites(40, secs(120))),
+            (FAULT_START_S, Fault::Crash(n % 3, millis(300))),
+            (FAULT_START_S + 20, Fault::Crash((n + 1) % 3, secs(12))),
+            (FAULT_START_S + 45, Fault::Refused((n + 2) % 3, secs(12))),
         ];
         (
-            format!("day {n}"),
-            Scenario::small(20 + n as u64, 260, 60, troubles),
+            format!("scenario {n}"),
+            Scenario::small(20 + n as u64, 260, 60, faults),
         )
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.overtaken) > 100);
-    assert!(met(&played, |m| m.effective) > 50);
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.overtaken) > 100);
+    assert!(total_count(&runs, |counts| counts.effective) > 50);
 }
 
 #[test]
-fn late_heartbeats_after_newer_ones_and_new_incarnations() {
-    let plans = (0..4).map(|n| {
-        let troubles = vec![
-            (AT - 30, Fault::LateHeartbeats(50, secs(150))),
-            (AT, Fault::Crash(n % 3, secs(6))),
-            (AT + 15, Fault::NotReceiving(40, secs(22))),
-            (AT + 45, Fault::Crash((n + 1) % 3, millis(300))),
+fn heartbeats_after_newer_ones_and_new_incarnations_break_no_invariant() {
+    let scenarios = (0..4).map(|n| {
+        let faults = vec![
+            (FAULT_START_S - 30, Fault::LateHeartbeats(50, secs(150))),
+            (FAULT_START_S, Fault::Crash(n % 3, secs(6))),
+            (FAULT_START_S + 15, Fault::NotReceiving(40, secs(22))),
+            (FAULT_START_S + 45, Fault::Crash((n + 1) % 3, millis(300))),
         ];
         (
-            format!("day {n}"),
-            Scenario::small(30 + n as u64, 260, 60, troubles),
+            format!("scenario {n}"),
+            Scenario::small(30 + n as u64, 260, 60, faults),
         )
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.late_reports) > 300);
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.late_reports) > 300);
 }
 
 #[test]
-fn commands_or_their_responses_are_delayed() {
-    let plans = (0..4).map(|n| {
-        let troubles = vec![
-            (AT - 30, Fault::DelayedCommands(70, secs(140))),
-            (AT, Fault::Crash(n % 3, millis(300))),
-            (AT + 30, Fault::Refused((n + 1) % 3, secs(15))),
+fn delayed_commands_and_responses_break_no_invariant() {
+    let scenarios = (0..4).map(|n| {
+        let faults = vec![
+            (FAULT_START_S - 30, Fault::DelayedCommands(70, secs(140))),
+            (FAULT_START_S, Fault::Crash(n % 3, millis(300))),
+            (FAULT_START_S + 30, Fault::Refused((n + 1) % 3, secs(15))),
         ];
         (
-            format!("day {n}"),
-            Scenario::small(60 + n as u64, 260, 70, troubles),
+            format!("scenario {n}"),
+            Scenario::small(60 + n as u64, 260, 70, faults),
         )
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.held_orders) > 50);
-    // Some are carried out all the same, long after.
-    assert!(met(&played, |m| m.held_done) > 5);
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.held_orders) > 50);
+    // Workers still carry out some of the commands that arrive late.
+    assert!(total_count(&runs, |counts| counts.held_done) > 5);
 }
 
-/// A start sent straight is held up for longer than a cancellation has; its job is cancelled a
-/// second after it was sent, which whoever sent it knows; the record of its host can't be written, so
-/// that the token stays. What the worker makes of it when it comes.
-#[expect(clippy::too_many_lines, reason = "one history, step by step")]
-fn a_start_comes_late(guarded: bool) -> u16 {
+/// Returns the HTTP status with which a worker answers a start command that arrives after the time
+/// limit of a cancellation.
+///
+/// The start is sent directly to the worker and delayed. Its sender cancels the job a second later,
+/// and the host record cannot be written, so the fencing token does not change. With `is_guarded`
+/// the sender stops answering heartbeats, and so stops renewing the lease, once the start has been
+/// in flight for too long.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one sequence of events, step by step"
+)]
+fn status_of_late_start(is_guarded: bool) -> u16 {
     let bounds = LeaseTerms {
         lease: Micros::from_secs(16),
         cancel: Micros::from_secs(46),
@@ -89,18 +98,18 @@
         lease: secs(16),
         gang_wait: secs(30),
     };
-    let body = serde_json::json!({"uid":"job-000001","jobclass":"c","tenant":"t","shape":"array",
+    let request_body = serde_json::json!({"uid":"job-000001","jobclass":"c","tenant":"t","shape":"array",
         "urgency":"urgent","shards":1,"vcpus":1.0,"accelerators":1.0,"memory_gb":1.0,
         "bundle":"img","size_gb":1.0,"hosttypes":null,"hall":null,"together":false,
         "apart":false,"reclaimable":true,"expected_s":900.0,"snapshot_every_s":0.0,
         "snapshot_s":0.0,"due_s":null});
-    let job = JobRequest::parse(body.to_string().as_bytes()).unwrap();
-    let (task, each) = (TaskId::new(&job.id, 0), job.each);
+    let job = JobRequest::parse(request_body.to_string().as_bytes()).unwrap();
+    let (task, task_resources) = (TaskId::new(&job.id, 0), job.each);
     let image = (job.image.clone(), job.image_gb);
     let jobs = BTreeMap::from([(job.id.to_string(), job)]);
     let origin = Instant::now();
     let mut worker = Worker::new("n-000001", "a", false, 0, origin);
-    let mut rules = InvariantChecker::default();
+    let mut invariants = InvariantChecker::default();
     let record = HostRecord {
         assignment: HostAssignment::Partition(0),
         address: "10.1.0.1:9000".to_owned(),
@@ -119,42 +128,43 @@
         spot_price: 2.0,
         zones: vec!["a".into()],
     });
-    let start = Micros::from_secs(1_000);
+    let start_time = Micros::from_secs(1_000);
     let mut host = Host::new(
         "n-000001".into(),
         &record,
         spec,
         FencingToken(5),
         false,
-        start,
+        start_time,
     );
-    let mut sent = Vec::new();
-    for half in 0..240u64 {
-        let now = start + Micros::from_millis(500 * half);
-        let at = origin + millis(500 * half);
-        if half % 5 == 0 {
-            let report = Heartbeat::parse(worker.heartbeat().to_string().as_bytes()).unwrap();
+    let mut sent_commands = Vec::new();
+    for half_seconds in 0..240u64 {
+        let now = start_time + Micros::from_millis(500 * half_seconds);
+        let at = origin + millis(500 * half_seconds);
+        if half_seconds % 5 == 0 {
+            let heartbeat = Heartbeat::parse(worker.heartbeat().to_string().as_bytes()).unwrap();
             host.apply(
-                HostInput::Heartbeat(&report, HeartbeatSource::Heartbeat),
+                HostInput::Heartbeat(&heartbeat, HeartbeatSource::Heartbeat),
                 now,
             );
-            let orders = host.commands(|_, _| true);
-            let withheld = host
+            let commands = host.commands(|_, _| true);
+            let is_renewal_withheld = host
                 .in_flight_known_as_of()
                 .is_some_and(|known| now >= bounds.until(known));
-            if !(guarded && withheld) {
-                host.apply(HostInput::Answered(&orders), now);
-                let answer = serde_json::from_slice(&commands_body(host.token, None, &orders));
+            if !(is_guarded && is_renewal_withheld) {
+                host.apply(HostInput::Answered(&commands), now);
+                let answer = serde_json::from_slice(&commands_body(host.token, None, &commands));
                 worker.on_heartbeat_answer(&answer.unwrap(), at, worker.incarnation, &jobs, at);
             }
         }
-        match half {
+        match half_seconds {
             1 => {
-                let begin = HostInput::Start(task.clone(), Attempt(7), each, image.clone());
-                host.apply(begin, now);
-                let orders = host.commands(|_, _| true);
-                sent = commands_body(host.token, host.incarnation, &orders);
-                host.apply(HostInput::DirectSent(orders, now), now);
+                let start_input =
+                    HostInput::Start(task.clone(), Attempt(7), task_resources, image.clone());
+                host.apply(start_input, now);
+                let commands = host.commands(|_, _| true);
+                sent_commands = commands_body(host.token, host.incarnation, &commands);
+                host.apply(HostInput::DirectSent(commands, now), now);
             }
             3 => {
                 host.apply(HostInput::Stop(&task, Micros::ZERO), now);
@@ -164,42 +174,48 @@
             }
             _ => {}
         }
-        worker.tick(at, &times, &jobs, &mut rules);
+        worker.tick(at, &times, &jobs, &mut invariants);
     }
-    let late = origin + secs(120);
+    let late_arrival = origin + secs(120);
     worker
-        .on_direct_commands(&serde_json::from_slice(&sent).unwrap(), &jobs, late)
+        .on_direct_commands(
+            &serde_json::from_slice(&sent_commands).unwrap(),
+            &jobs,
+            late_arrival,
+        )
         .0
 }
 
 #[test]
-fn a_lease_is_not_renewed_for_as_long_as_a_start_is_on_its_way() {
-    // Carried out, long after the cancellation: the guard is needed.
-    assert_eq!(a_start_comes_late(false), 200);
-    // Another session by then.
-    assert_eq!(a_start_comes_late(true), 409);
+fn lease_is_not_renewed_while_a_start_is_in_flight() {
+    // Without the guard the worker executes the start long after the cancellation.
+    assert_eq!(status_of_late_start(false), 200);
+    // With the guard the worker is in a new session by then and rejects the start.
+    assert_eq!(status_of_late_start(true), 409);
 }
 
-/// A machine is returned, and its last reports come later, also to a new leader. Without the question
-/// whether it is there it gets a record, counts as room and is never heard.
+/// Guards against host records of machines that were already returned. The last heartbeats of a
+/// returned machine arrive late, possibly at a new leader. If the leader did not check that the
+/// machine exists, the machine would get a record and count as capacity although it never sends
+/// another heartbeat.
 #[test]
-fn late_heartbeats_of_returned_machines() {
-    let plans = (0..4).map(|n| {
-        let troubles = vec![
-            (AT - 40, Fault::LateHeartbeats(90, secs(170))),
-            (AT + 10, Fault::Crash(0, millis(300))),
-            (AT + 60, Fault::Crash(1, secs(9))),
+fn late_heartbeats_of_returned_machines_create_no_host_records() {
+    let scenarios = (0..4).map(|n| {
+        let faults = vec![
+            (FAULT_START_S - 40, Fault::LateHeartbeats(90, secs(170))),
+            (FAULT_START_S + 10, Fault::Crash(0, millis(300))),
+            (FAULT_START_S + 60, Fault::Crash(1, secs(9))),
         ];
-        let plan = Scenario::small(80 + n as u64, 280, 40, troubles);
-        (format!("day {n}"), plan)
+        let scenario = Scenario::small(80 + n as u64, 280, 40, faults);
+        (format!("scenario {n}"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.late_reports) > 1_000);
-    // Copies of reports from machines that were gone by then, which came to somebody.
-    assert!(met(&played, |m| m.late_of_gone) > 20);
-    for (name, o) in &played {
-        assert_eq!(o.stale_host_records, Vec::<String>::new(), "{name}");
-        assert_eq!(o.fault_counts.taken_on_gone, 0, "{name}");
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.late_reports) > 1_000);
+    // Late copies of heartbeats from machines already returned reached some controller.
+    assert!(total_count(&runs, |counts| counts.late_of_gone) > 20);
+    for (name, outcome) in &runs {
+        assert_eq!(outcome.stale_host_records, Vec::<String>::new(), "{name}");
+        assert_eq!(outcome.fault_counts.taken_on_gone, 0, "{name}");
     }
 }
--- a/crates/jasperhill-testkit/tests/combined_faults/main.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/main.rs
@@ -1,7 +1,8 @@
-//! Troubles that meet, each brought about on purpose: a test counts the event and fails if it did
-//! not happen. docs/meetings.md has a row for each.
+//! Scenarios in which several faults overlap. Each test provokes a given combination, counts how
+//! often the combination occurred, and fails if it did not occur. docs/meetings.md has a row for
+//! each combination.
 //!
-//! CI plays a bounded number of drawn days on which several meet. More of them:
+//! CI runs a bounded number of random scenarios with overlapping faults. To run more of them:
 //! `FAULT_DAYS=200 cargo test --release -p jasperhill-testkit --test combined_faults -- --ignored`.
 
 mod cancellations;
--- a/crates/jasperhill-testkit/tests/combined_faults/outages.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/outages.rs
@@ -1,45 +1,50 @@
-//! The state service is slow, refuses a controller or is out.
+//! A state service that is slow, refuses a controller or is unavailable.
 
-use crate::support::{AT, OUTAGE_AT, judge, millis, play, refused, secs};
+use crate::support::{
+    FAULT_START_S, OUTAGE_START_S, assert_invariants_hold, millis, refusal_then_outage,
+    run_scenarios, secs,
+};
 use jasperhill_testkit::Scenario;
 use jasperhill_testkit::days::cut_from_peers;
 use jasperhill_testkit::faults::{Endpoint, Fault, LinkFault};
 use jasperhill_testkit::outcome::ConfirmedCancellation;
 
-/// A controller that has lost the state service and all others, and whom users reach. Without the
-/// end of its readiness jobs are forgotten.
+/// Guards against jobs whose users get no answer because they keep asking a controller that has
+/// lost the state service and all other controllers, but that users still reach. If that controller
+/// did not stop reporting that it is ready, jobs would be forgotten.
 #[test]
-fn users_leave_an_isolated_controller() {
-    let plans = (0..3).map(|node| {
-        let mut troubles = cut_from_peers(node, AT, 130);
-        troubles.push((
-            AT,
+fn users_switch_away_from_an_isolated_controller() {
+    let scenarios = (0..3).map(|node| {
+        let mut faults = cut_from_peers(node, FAULT_START_S, 130);
+        faults.push((
+            FAULT_START_S,
             Fault::Cut(Endpoint::Node(node), Endpoint::State, secs(130)),
         ));
-        (
-            format!("node {node}"),
-            Scenario::small(5, 300, 60, troubles),
-        )
+        (format!("node {node}"), Scenario::small(5, 300, 60, faults))
     });
-    let played = play(plans.collect());
-    judge(&played);
-    for (name, o) in &played {
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    for (name, outcome) in &runs {
         assert!(
-            o.longest_silence.0 < 60.0,
+            outcome.longest_silence.0 < 60.0,
             "{name}: {:?}",
-            o.longest_silence
+            outcome.longest_silence
         );
-        // Jobs were cancelled meanwhile, through others.
+        // Other controllers confirmed cancellations during the isolation.
         let node: usize = name[5..].parse().unwrap();
-        let while_apart =
-            |c: &&ConfirmedCancellation| (80.0..210.0).contains(&c.at) && c.node != node;
-        assert!(o.cancels.iter().filter(while_apart).count() > 3, "{name}");
+        let through_others = |cancel: &&ConfirmedCancellation| {
+            (80.0..210.0).contains(&cancel.at) && cancel.node != node
+        };
+        assert!(
+            outcome.cancels.iter().filter(through_others).count() > 3,
+            "{name}"
+        );
     }
 }
 
 #[test]
-fn the_store_is_slow_then_refuses_one_then_everybody() {
-    let plans = (0..3).map(|node| {
+fn invariants_hold_when_the_state_service_slows_then_refuses_one_then_all() {
+    let scenarios = (0..3).map(|node| {
         let slow = |n| {
             Fault::Link(
                 Endpoint::Node(n),
@@ -48,54 +53,57 @@
                 secs(35),
             )
         };
-        let more = (0..3).map(|n| (OUTAGE_AT - 40, slow(n))).collect();
-        let mut plan = refused(70 + node as u64, node, 5, more);
-        plan.long_tasks = None;
-        (format!("node {node}"), plan)
+        let slow_links = (0..3).map(|n| (OUTAGE_START_S - 40, slow(n))).collect();
+        let mut scenario = refusal_then_outage(70 + node as u64, node, 5, slow_links);
+        scenario.long_tasks = None;
+        (format!("node {node}"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
 }
 
-/// Leaders change ten times in two minutes, half of that inside an outage of the state service.
+/// Guards against roles without a live owner and stale host records after the leader crashes ten
+/// times in two minutes, half of them inside an outage of the state service.
 ///
-/// How often the role moves is partly luck: where a takeover is carried out late, the leader that
-/// has ended may be back before it. Of 48 seeds 6 had four moves at 5f86eb5, and 3 have them now. So as
-/// many days as were played before must have more than four, while twice as many are judged.
+/// The number of moves of the leader role varies by seed: if a takeover is carried out late, the
+/// crashed leader may be back before it. Of 48 seeds 6 had only four moves at 5f86eb5, and 3 have
+/// only four now. The test therefore checks six scenarios, twice as many as earlier, and requires
+/// more than four moves in three of them, as many scenarios as it ran earlier.
 #[test]
-fn leaders_change_ten_times_also_inside_an_outage() {
-    let plans = (0..6).map(|n| {
-        // Away for longer than a session lasts, so that somebody else leads; now and then less.
-        let back = |i: u64| millis(if i % 4 == 3 { 300 } else { 9_500 });
-        let mut troubles: Vec<_> = (0..10)
-            .map(|i| (60 + 12 * i, Fault::CrashLeader(back(i))))
+fn ten_leader_crashes_around_an_outage_leave_no_role_unowned() {
+    let scenarios = (0..6).map(|n| {
+        // 9.5 s outlasts a session, so that another controller takes the role. Every fourth crash
+        // lasts only 300 ms.
+        let downtime = |i: u64| millis(if i % 4 == 3 { 300 } else { 9_500 });
+        let mut faults: Vec<_> = (0..10)
+            .map(|i| (60 + 12 * i, Fault::CrashLeader(downtime(i))))
             .collect();
-        troubles.push((100, Fault::StateOutage(secs(50))));
-        troubles.push((58, Fault::LateWrites(30, secs(120))));
-        troubles.push((75, Fault::DelayedCommands(50, secs(60))));
-        troubles.push((90, Fault::NotSending(30, secs(30))));
-        troubles.push((96, Fault::CancelNow(6, secs(9))));
-        let plan = Scenario {
+        faults.push((100, Fault::StateOutage(secs(50))));
+        faults.push((58, Fault::LateWrites(30, secs(120))));
+        faults.push((75, Fault::DelayedCommands(50, secs(60))));
+        faults.push((90, Fault::NotSending(30, secs(30))));
+        faults.push((96, Fault::CancelNow(6, secs(9))));
+        let scenario = Scenario {
             uneven: 10,
-            ..Scenario::small(170 + n as u64, 340, 60, troubles)
+            ..Scenario::small(170 + n as u64, 340, 60, faults)
         };
-        (format!("day {n}"), plan)
+        (format!("scenario {n}"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
-    let mut days_with_many_leaders = 0;
-    for (name, o) in &played {
-        let leads = o
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    let mut runs_with_many_moves = 0;
+    for (name, outcome) in &runs {
+        let leader_moves = outcome
             .role_moves
             .iter()
             .filter(|(_, role, _)| role == "jh/leader")
             .count();
-        assert!(leads >= 4, "{name}: {:?}", o.role_moves);
-        days_with_many_leaders += usize::from(leads > 4);
+        assert!(leader_moves >= 4, "{name}: {:?}", outcome.role_moves);
+        runs_with_many_moves += usize::from(leader_moves > 4);
         assert!(
-            o.unowned.is_empty() && o.stale_host_records.is_empty(),
-            "{name}: {o:?}"
+            outcome.unowned.is_empty() && outcome.stale_host_records.is_empty(),
+            "{name}: {outcome:?}"
         );
     }
-    assert!(days_with_many_leaders >= 3, "{days_with_many_leaders}");
+    assert!(runs_with_many_moves >= 3, "{runs_with_many_moves}");
 }
--- a/crates/jasperhill-testkit/tests/combined_faults/restarts.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/restarts.rs
@@ -1,120 +1,142 @@
-//! Controllers end and come back.
+//! Controllers that crash and restart.
 
-use crate::support::{AT, CANCEL, judge, met, millis, play, secs};
+use crate::support::{
+    CANCEL_LIMIT_S, FAULT_START_S, assert_invariants_hold, millis, run_scenarios, secs, total_count,
+};
 use jasperhill_testkit::Scenario;
 use jasperhill_testkit::faults::Fault;
 use std::time::Duration;
 
 #[test]
-fn a_leader_crashes_while_machines_receive_nothing() {
-    let plans = (0..3).map(|node| {
-        let troubles = vec![
-            (AT, Fault::NotReceiving(50, secs(14 + 12 * node as u64))),
-            (AT + 3, Fault::Crash(node, secs(4))),
-            (AT + 60, Fault::NotReceiving(50, secs(40))),
-            (AT + 62, Fault::Crash((node + 1) % 3, millis(300))),
+fn invariants_hold_when_a_leader_crashes_while_machines_receive_nothing() {
+    let scenarios = (0..3).map(|node| {
+        let faults = vec![
+            (
+                FAULT_START_S,
+                Fault::NotReceiving(50, secs(14 + 12 * node as u64)),
+            ),
+            (FAULT_START_S + 3, Fault::Crash(node, secs(4))),
+            (FAULT_START_S + 60, Fault::NotReceiving(50, secs(40))),
+            (
+                FAULT_START_S + 62,
+                Fault::Crash((node + 1) % 3, millis(300)),
+            ),
         ];
         (
             format!("node {node}"),
-            Scenario::small(10 + node as u64, 260, 60, troubles),
+            Scenario::small(10 + node as u64, 260, 60, faults),
         )
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.unheard) > 100);
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.unheard) > 100);
 }
 
-/// Tasks of one job that end far apart, while its owners change again and again.
+/// Guards against lost or repeated task results when the tasks of one job end far apart and the
+/// job's owner changes many times between the first result and the last.
 #[test]
-fn tasks_of_a_job_end_far_apart_across_changes_of_leader() {
-    let plans = (0..3).map(|n| {
-        let mut troubles: Vec<_> = (0..7)
+fn jobs_with_uneven_task_durations_complete_across_leader_changes() {
+    let scenarios = (0..3).map(|n| {
+        let mut faults: Vec<_> = (0..7)
             .map(|i| (50 + 18 * i, Fault::Crash((i as usize + n) % 3, secs(10))))
             .collect();
-        troubles.push((60, Fault::LateWrites(20, secs(100))));
-        let plan = Scenario {
+        faults.push((60, Fault::LateWrites(20, secs(100))));
+        let scenario = Scenario {
             uneven: 30,
-            ..Scenario::small(40 + n as u64, 300, 20, troubles)
+            ..Scenario::small(40 + n as u64, 300, 20, faults)
         };
-        (format!("day {n}"), plan)
+        (format!("scenario {n}"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
-    for (name, o) in &played {
-        // All of them are done, each told when every task was; and nothing ran once more.
-        assert_eq!(o.uneven, 30, "{name}: {o:?}");
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    for (name, outcome) in &runs {
+        // Users were told of the completion of all 30 jobs, and at most two finished tasks were
+        // started again.
+        assert_eq!(outcome.uneven, 30, "{name}: {outcome:?}");
         assert!(
-            o.again <= 2,
+            outcome.again <= 2,
             "{name}: {} finished tasks were started again",
-            o.again
+            outcome.again
+        );
+        assert!(
+            outcome.role_moves.len() > 12,
+            "{name}: {:?}",
+            outcome.role_moves
         );
-        assert!(o.role_moves.len() > 12, "{name}: {:?}", o.role_moves);
     }
 }
 
 #[test]
-fn all_controllers_restart_within_a_second() {
-    let plans = (0..3).map(|n| {
-        let times = |node, times, life, back| Fault::CrashLoop {
+fn roles_and_workers_recover_after_all_controllers_restart_together() {
+    let scenarios = (0..3).map(|n| {
+        let crash_loop = |node, times, life, back| Fault::CrashLoop {
             node,
             times,
             life: millis(life),
             back: millis(back),
         };
-        let troubles = vec![
-            (AT, times(0, 4, 900, 200)),
-            (AT, times(1, 4, 1_300, 300)),
-            (AT, times(2, 4, 1_700, 250)),
-            (AT + 30, times(n, 5, 4_000, 300)),
-            (AT + 30, Fault::LateWrites(30, secs(40))),
-            (AT + 60, Fault::Crash(0, millis(200))),
-            (AT + 60, Fault::Crash(1, millis(400))),
-            (AT + 60, Fault::Crash(2, secs(15))),
+        let faults = vec![
+            (FAULT_START_S, crash_loop(0, 4, 900, 200)),
+            (FAULT_START_S, crash_loop(1, 4, 1_300, 300)),
+            (FAULT_START_S, crash_loop(2, 4, 1_700, 250)),
+            (FAULT_START_S + 30, crash_loop(n, 5, 4_000, 300)),
+            (FAULT_START_S + 30, Fault::LateWrites(30, secs(40))),
+            (FAULT_START_S + 60, Fault::Crash(0, millis(200))),
+            (FAULT_START_S + 60, Fault::Crash(1, millis(400))),
+            (FAULT_START_S + 60, Fault::Crash(2, secs(15))),
         ];
         (
-            format!("day {n}"),
-            Scenario::small(50 + n as u64, 260, 60, troubles),
+            format!("scenario {n}"),
+            Scenario::small(50 + n as u64, 260, 60, faults),
         )
     });
-    let played = play(plans.collect());
-    judge(&played);
-    for (name, o) in &played {
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    for (name, outcome) in &runs {
         assert!(
-            o.unowned.is_empty() && o.unanswered.is_empty(),
-            "{name}: {o:?}"
+            outcome.unowned.is_empty() && outcome.unanswered.is_empty(),
+            "{name}: {outcome:?}"
         );
     }
 }
 
-/// All controllers are away for longer than a lease; jobs were called off just before, machines are
-/// mute or hang meanwhile, and writes of before are carried out late.
+/// Guards against cancelled jobs whose tasks start again after all controllers were down for longer
+/// than a lease. Jobs are cancelled just before, machines hang or cannot send meanwhile, and
+/// transactions sent before the crash are carried out late.
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
-    let plans = (0..4).map(|n| {
-        let away = 18 + 9 * n as u64;
-        let mut troubles: Vec<_> = (0..3)
+fn cancellations_hold_when_all_controllers_are_down_longer_than_a_lease() {
+    let scenarios = (0..4).map(|n| {
+        let down_s = 18 + 9 * n as u64;
+        let mut faults: Vec<_> = (0..3)
             .map(|node| {
                 (
-                    AT,
-                    Fault::Crash(node, secs(away) + millis(200 * node as u64)),
+                    FAULT_START_S,
+                    Fault::Crash(node, secs(down_s) + millis(200 * node as u64)),
                 )
             })
             .collect();
-        troubles.push((AT - 12, Fault::LateWrites(60, secs(12))));
-        troubles.push((AT - 2, Fault::CancelNow(8, Duration::ZERO)));
-        troubles.push((AT + 4, Fault::Hang(3, secs(10))));
-        troubles.push((AT + away - 3, Fault::NotSending(50, secs(20))));
-        let plan = Scenario {
+        faults.push((FAULT_START_S - 12, Fault::LateWrites(60, secs(12))));
+        faults.push((FAULT_START_S - 2, Fault::CancelNow(8, Duration::ZERO)));
+        faults.push((FAULT_START_S + 4, Fault::Hang(3, secs(10))));
+        faults.push((FAULT_START_S + down_s - 3, Fault::NotSending(50, secs(20))));
+        let scenario = Scenario {
             uneven: 10,
-            ..Scenario::small(160 + n as u64, 300, 60, troubles)
+            ..Scenario::small(160 + n as u64, 300, 60, faults)
         };
-        (format!("{away} s"), plan)
+        (format!("{down_s} s"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.called_off) > 10);
-    for (name, o) in &played {
-        assert!(o.killed > 0, "{name}: nobody was away for so long");
-        assert!(o.latest_start < CANCEL, "{name}: {}", o.latest_start);
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.called_off) > 10);
+    for (name, outcome) in &runs {
+        assert!(
+            outcome.killed > 0,
+            "{name}: no task was killed, so no lease ran out"
+        );
+        assert!(
+            outcome.latest_start < CANCEL_LIMIT_S,
+            "{name}: {}",
+            outcome.latest_start
+        );
     }
 }
--- a/crates/jasperhill-testkit/tests/combined_faults/users.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/users.rs
@@ -1,39 +1,42 @@
-//! What users send: requests that are invalid, and more work than there is capacity.
+//! Invalid requests of users, and more submitted work than the cluster has capacity for.
 
-use crate::support::{judge, met, millis, play, secs};
+use crate::support::{assert_invariants_hold, millis, run_scenarios, secs, total_count};
 use jasperhill_testkit::Scenario;
 use jasperhill_testkit::faults::{Endpoint, Fault, LinkFault};
 use jasperhill_testkit::scenario::Scale;
 
-/// Odd requests, also during an outage, a refusal and with a controller that has just begun.
+/// Guards against invalid requests that get no verdict during an outage of the state service, a
+/// refusal of one controller, or right after a controller restart.
 #[test]
-fn invalid_requests_get_their_answers() {
-    let plans = (0..4).map(|n| {
-        let troubles = vec![
+fn invalid_requests_are_answered_during_faults() {
+    let scenarios = (0..4).map(|n| {
+        let faults = vec![
             (30, Fault::InvalidRequests(secs(170))),
             (70, Fault::StateOutage(secs(20))),
             (110, Fault::Crash(n % 3, millis(300))),
             (130, Fault::Refused((n + 1) % 3, secs(15))),
             (150, Fault::LateWrites(40, secs(30))),
         ];
-        let plan = Scenario::small(180 + n as u64, 260, 60, troubles);
-        (format!("day {n}"), plan)
+        let scenario = Scenario::small(180 + n as u64, 260, 60, faults);
+        (format!("scenario {n}"), scenario)
     });
-    let played = play(plans.collect());
-    judge(&played);
-    assert!(met(&played, |m| m.odd) > 800);
+    let runs = run_scenarios(scenarios.collect());
+    assert_invariants_hold(&runs);
+    assert!(total_count(&runs, |counts| counts.odd) > 800);
 }
 
-/// More work than room, urgent and not, over slow links, while a leader changes: everybody is served.
+/// Every class, every team and each class's largest jobs are served when urgent and other work
+/// exceeds the capacity, links are slow and a controller crashes.
 ///
-/// What happens: the largest gangs don't begin within four minutes. Why: they waited for their teams'
-/// limits, of which arrays took every part that became free (`jobs that wait class=gang
-/// reason=TeamLimit`, 72 to 252 s); that is mended. They still wait for on-demand machines, which can't be
-/// had while spot machines rented for the flood hold the cloud's whole capacity (8 on-demand hosts
-/// beside 63 spot ones in the partition of job-000003). See docs/incidents/team-limit-gangs.md.
+/// Known failure: the largest gangs do not start within four minutes. One cause is fixed: gangs
+/// waited for their teams' limits because arrays took each freed share (`jobs that wait class=gang
+/// reason=TeamLimit`, 72 to 252 s). The other remains: gangs wait for on-demand machines, which
+/// cannot be rented while spot machines rented for the flood hold the cloud's whole capacity (8
+/// on-demand hosts beside 63 spot hosts in the partition of job-000003). See
+/// docs/incidents/team-limit-gangs.md.
 #[test]
 fn more_work_than_capacity_over_slow_links() {
-    let slow = LinkFault::Slow(250);
+    let slow_link = LinkFault::Slow(250);
     let nodes = || (0..3).map(Endpoint::Node);
     let links = nodes().flat_map(|from| {
         let to = [
@@ -43,26 +46,34 @@
         ];
         to.into_iter().map(move |to| (from.clone(), to))
     });
-    let slow = |(from, to)| (30, Fault::Link(from, to, slow, secs(70)));
-    let mut troubles: Vec<_> = links.map(slow).collect();
-    troubles.push((50, Fault::Crash(1, millis(300))));
-    let played = play(vec![(
-        "day".to_owned(),
+    let slow_from_30_s = |(from, to)| (30, Fault::Link(from, to, slow_link, secs(70)));
+    let mut faults: Vec<_> = links.map(slow_from_30_s).collect();
+    faults.push((50, Fault::Crash(1, millis(300))));
+    let runs = run_scenarios(vec![(
+        "seed 5".to_owned(),
         Scenario {
             scale: Scale::Large,
             flood: (480, 15),
-            ..Scenario::small(5, 300, 140, troubles)
+            ..Scenario::small(5, 300, 140, faults)
         },
     )]);
-    judge(&played);
-    for (name, o) in &played {
-        let least = [&o.least_class, &o.least_team, &o.least_largest];
+    assert_invariants_hold(&runs);
+    for (name, outcome) in &runs {
+        let lowest_served_shares = [
+            &outcome.least_class,
+            &outcome.least_team,
+            &outcome.least_largest,
+        ];
+        assert!(
+            lowest_served_shares.iter().all(|share| share.1 >= 0.5),
+            "{name}: {lowest_served_shares:?} {:?}",
+            outcome.served
+        );
+        // The flood was not served in full, so the work did exceed the capacity.
         assert!(
-            least.iter().all(|l| l.1 >= 0.5),
-            "{name}: {least:?} {:?}",
-            o.served
+            outcome.served["flood"] < 0.9,
+            "{name}: {:?}",
+            outcome.served
         );
-        // There was more work than room.
-        assert!(o.served["flood"] < 0.9, "{name}: {:?}", o.served);
     }
 }
--- a/crates/jasperhill-testkit/tests/imports.rs
+++ b/crates/jasperhill-testkit/tests/imports.rs
@@ -1,5 +1,5 @@
-//! Files of a package import one another in one direction: a reader who follows the imports of a file
-//! never comes back to it.
+//! Checks that the modules of each package have no cyclic imports: following the imports of a file
+//! never leads back to that file.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,30 +7,33 @@
     path::{Path, PathBuf},
 };
 
-/// A module, as `crate::store::session` is `store::session`; empty for the root.
+/// Path of a module within its crate: `store::session` for `crate::store::session`, empty for the
+/// crate root.
 type Module = String;
 
-fn sources(folder: &Path, module: &str, found: &mut BTreeMap<Module, String>) {
+/// Adds the path and text of each module below a folder to `found`, without crate roots, binaries
+/// and test modules.
+fn collect_modules(folder: &Path, module: &str, found: &mut BTreeMap<Module, String>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path: PathBuf = entry.unwrap().path();
         let name = path.file_stem().unwrap().to_str().unwrap().to_owned();
-        let inside = match (module, name.as_str()) {
+        let module_path = match (module, name.as_str()) {
             ("", name) => name.to_owned(),
             (module, "mod") => module.to_owned(),
             (module, name) => format!("{module}::{name}"),
         };
         if path.is_dir() {
             if name != "bin" {
-                sources(&path, &inside, found);
+                collect_modules(&path, &module_path, found);
             }
         } else if !matches!(name.as_str(), "lib" | "main" | "tests") {
-            found.insert(inside, fs::read_to_string(&path).unwrap());
+            found.insert(module_path, fs::read_to_string(&path).unwrap());
         }
     }
 }
 
-/// The paths that a `use` tree names, with everything in braces written out.
-fn paths(tree: &str) -> Vec<String> {
+/// Returns the paths that a `use` tree imports, with nested braces expanded.
+fn expand_use_tree(tree: &str) -> Vec<String> {
     let tree = tree.trim();
     let Some(open) = tree.find('{') else {
         return vec![tree.to_owned()];
@@ -49,39 +52,40 @@
         }
     }
     parts.push(&rest[from..]);
-    let named = parts.into_iter().filter(|p| !p.trim().is_empty());
-    let inner = named.flat_map(paths);
+    let non_empty_parts = parts.into_iter().filter(|p| !p.trim().is_empty());
+    let inner = non_empty_parts.flat_map(expand_use_tree);
     inner.map(|p| format!("{prefix}{p}")).collect()
 }
 
-/// The modules that a file imports from, its own submodules' items excepted.
+/// Returns the modules that a file imports from. Items of submodules in the same file are not
+/// counted.
 fn imports(module: &str, text: &str, all: &BTreeMap<Module, String>) -> BTreeSet<Module> {
     let code: String = text
         .lines()
         .filter(|line| !line.trim_start().starts_with("//"))
         .collect::<Vec<_>>()
         .join("\n");
-    let mut named = Vec::new();
-    for piece in code.split(';') {
-        let begins = |line: &&str| {
+    let mut import_paths = Vec::new();
+    for statement in code.split(';') {
+        let is_use_line = |line: &&str| {
             line.trim_start()
                 .trim_start_matches("pub ")
                 .starts_with("use ")
         };
-        let lines: Vec<&str> = piece.lines().collect();
-        if let Some(first) = lines.iter().position(begins) {
+        let lines: Vec<&str> = statement.lines().collect();
+        if let Some(first) = lines.iter().position(is_use_line) {
             let tree: String = lines[first..].concat();
             let tree = tree.split_once("use ").map_or("", |(_, tree)| tree);
-            named.extend(paths(&tree.replace(' ', "")));
+            import_paths.extend(expand_use_tree(&tree.replace(' ', "")));
         }
     }
-    // Paths in the midst of the code.
+    // Qualified paths outside `use` statements.
     for (at, _) in code.match_indices("crate::") {
         let path: String = code[at..]
             .chars()
             .take_while(|c| c.is_alphanumeric() || matches!(c, '_' | ':'))
             .collect();
-        named.push(path);
+        import_paths.push(path);
     }
     let parent = module.rsplit_once("::").map_or("", |(parent, _)| parent);
     let absolute = |path: String| match path.split_once("::") {
@@ -100,17 +104,20 @@
             path = path.rsplit_once("::")?.0;
         }
     };
-    let found = named.into_iter().filter_map(absolute).filter_map(file_of);
+    let found = import_paths
+        .into_iter()
+        .filter_map(absolute)
+        .filter_map(file_of);
     found.filter(|m| m != module).collect()
 }
 
-/// The files of a package that lie on a circle of imports.
-fn circles(package: &str) -> Vec<Module> {
+/// Returns the modules of a package that lie on an import cycle.
+fn modules_on_cycles(package: &str) -> Vec<Module> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("..")
         .join(package);
     let mut all = BTreeMap::new();
-    sources(&root.join("src"), "", &mut all);
+    collect_modules(&root.join("src"), "", &mut all);
     assert!(all.len() > 2, "{package} has hardly any sources");
     let edges: BTreeMap<&Module, BTreeSet<Module>> = all
         .iter()
@@ -132,8 +139,8 @@
     all.keys().filter(reaches_itself).cloned().collect()
 }
 
-/// Packages whose files are in one direction already; those missing stand in docs/ROADMAP.md.
-const PACKAGES: [&str; 7] = [
+/// Packages without import cycles. docs/ROADMAP.md lists the packages that still have some.
+const ACYCLIC_PACKAGES: [&str; 7] = [
     "jasperhill-wire",
     "jasperhill-http",
     "jasperhill-connections",
@@ -144,15 +151,19 @@
 ];
 
 #[test]
-fn no_file_imports_itself_by_way_of_others() {
-    for package in PACKAGES {
-        assert_eq!(circles(package), Vec::<Module>::new(), "{package}");
+fn packages_have_no_import_cycles() {
+    for package in ACYCLIC_PACKAGES {
+        assert_eq!(
+            modules_on_cycles(package),
+            Vec::<Module>::new(),
+            "{package}"
+        );
     }
 }
 
-/// Guards against a reader of imports that finds none.
+/// Guards against a parser that misses imports, with which no cycle would ever be found.
 #[test]
-fn imports_are_found() {
+fn finds_absolute_relative_and_nested_imports() {
     let all = ["a", "a::b", "c", "c::d", "e"].map(|m| (m.to_owned(), String::new()));
     let text = "use super::e;\nuse crate::{\n    a::{self, b::X},\n    c::{d, Y},\n};\nfn f() {}";
     let found = imports("c::d", text, &all.into());
--- a/crates/jasperhill-testkit/tests/known_red.rs
+++ b/crates/jasperhill-testkit/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! The list of known failures is read exactly: `scripts/known-red`.
+//! Tests of `scripts/known-red`, which reads the list of known failures and rejects malformed or
+//! stale entries.
 
 use std::{
     io::Write,
@@ -6,14 +7,15 @@
     process::{Command, Output, Stdio},
 };
 
-const TESTS: &str = "a_test: test\nmodule::another: test\n\n2 tests, 0 benchmarks\n";
+/// Output of `cargo test -- --list` that the script gets on standard input.
+const LISTED_TESTS: &str = "a_test: test\nmodule::another: test\n\n2 tests, 0 benchmarks\n";
 
-/// Reads a list with these entries, where there are the tests above.
-fn read(name: &str, entries: &str) -> Output {
+/// Runs the script on a list with these entries, with [`LISTED_TESTS`] as the existing tests.
+fn run_script(name: &str, entries: &str) -> Output {
     let file = std::env::temp_dir().join(format!("known-red-{}-{name}", std::process::id()));
     std::fs::write(&file, entries).unwrap();
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scripts/known-red");
-    let mut reader = Command::new("bash")
+    let mut process = Command::new("bash")
         .arg(script)
         .arg(&file)
         .stdin(Stdio::piped())
@@ -21,26 +23,26 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut input = reader.stdin.take().unwrap();
-    input.write_all(TESTS.as_bytes()).unwrap();
+    let mut input = process.stdin.take().unwrap();
+    input.write_all(LISTED_TESTS.as_bytes()).unwrap();
     drop(input);
-    let output = reader.wait_with_output().unwrap();
+    let output = process.wait_with_output().unwrap();
     std::fs::remove_file(&file).unwrap();
     output
 }
 
 #[test]
-fn known_failures_are_named_exactly() {
+fn prints_the_test_name_of_each_entry() {
     let entries =
         "# comment\n\na_test | run a (seed 1) | fell | 5\nmodule::another | run b | x | 6";
-    let output = read("good", entries);
+    let output = run_script("good", entries);
     assert!(output.status.success());
     assert_eq!(output.stdout, b"a_test\nmodule::another\n");
-    assert!(read("empty", "").status.success());
+    assert!(run_script("empty", "").status.success());
 }
 
 #[test]
-fn a_known_failure_without_a_test_or_a_part_is_an_error() {
+fn rejects_entries_without_a_matching_test_or_with_wrong_parts() {
     let cases = [
         (
             "renamed",
@@ -58,7 +60,7 @@
         ("old", "a_test, seen at seed 5, 42\n", "1 parts"),
     ];
     for (name, entry, reason) in cases {
-        let output = read(name, entry);
+        let output = run_script(name, entry);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{name}");
         assert!(error.contains(reason), "{name}: {error}");
--- a/crates/jasperhill-testkit/tests/resource_limits.rs
+++ b/crates/jasperhill-testkit/tests/resource_limits.rs
@@ -1,5 +1,5 @@
-//! What a process has of sockets, and lives of processes that follow one another quickly. Each
-//! guard is shown to be needed by leaving it out.
+//! Limited sockets per process, processes that crash in a loop, and more urgent work than capacity.
+//! Several tests also run without the guard in question to show that the guard is needed.
 
 use jasperhill_testkit::{
     Scenario,
@@ -10,28 +10,31 @@
 };
 use std::time::Duration;
 
-fn secs(s: u64) -> Duration {
-    Duration::from_secs(s)
+fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn millis(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-/// As many sockets for 600 machines as the large deployments have for half as many machines again
-/// as they were planned for: 1.64 for each.
-const TIGHT: usize = 985;
+/// Number of sockets that a process may open in the scenarios with 600 machines: 1.64 for each
+/// machine, the ratio that the large deployments reach when they have half as many machines again
+/// as planned.
+const SOCKET_LIMIT: usize = 985;
 
-fn fleet(seed: u64, seconds: u64, troubles: Vec<(u64, Fault)>) -> Scenario {
+/// Returns a scenario with 600 machines and [`SOCKET_LIMIT`] sockets per process.
+fn fleet(seed: u64, seconds: u64, faults: Vec<(u64, Fault)>) -> Scenario {
     Scenario {
         scale: Scale::Fleet,
-        sockets: TIGHT,
-        ..Scenario::small(seed, seconds, 150, troubles)
+        sockets: SOCKET_LIMIT,
+        ..Scenario::small(seed, seconds, 150, faults)
     }
 }
 
-/// Two of three controllers lose everything: the one left has all workers and users.
-fn one_left() -> Vec<(u64, Fault)> {
+/// Returns the cuts that isolate two of three controllers, so that the third serves all workers and
+/// users.
+fn cuts_isolating_two_controllers() -> Vec<(u64, Fault)> {
     let mut cuts = Vec::new();
     for n in [0, 1] {
         for zone in ["a", "b"] {
@@ -47,18 +50,20 @@
     cuts
 }
 
-fn rules_hold(outcome: &Outcome) {
+/// Asserts that the run broke no rule of the protocol and started more than 500 tasks.
+fn assert_invariants_hold(outcome: &Outcome) {
     assert_eq!(outcome.broken, Vec::<String>::new());
     assert!(outcome.started > 500, "{outcome:?}");
 }
 
 #[test]
 fn one_controller_serves_a_whole_fleet_within_its_sockets() {
-    let outcome = run(fleet(1, 90, one_left()));
-    rules_hold(&outcome);
-    assert!(outcome.sockets * 10 <= TIGHT * 8, "{outcome:?}");
+    let outcome = run(fleet(1, 90, cuts_isolating_two_controllers()));
+    assert_invariants_hold(&outcome);
+    assert!(outcome.sockets * 10 <= SOCKET_LIMIT * 8, "{outcome:?}");
     assert_eq!(outcome.refused_sockets, 0, "{outcome:?}");
-    // Workers are kept waiting for a takeover: 31 and 38 were lost where they were sent away.
+    // Heartbeats wait for the takeover instead of being rejected: with rejection 31 and 38 tasks
+    // were killed.
     assert!(outcome.killed <= 8, "{outcome:?}");
 }
 
@@ -66,73 +71,86 @@
 fn without_a_connection_budget_sockets_run_out() {
     let outcome = run(Scenario {
         without_connection_budget: true,
-        ..fleet(1, 90, one_left())
+        ..fleet(1, 90, cuts_isolating_two_controllers())
     });
-    assert!(outcome.sockets * 10 > TIGHT * 8, "{outcome:?}");
+    assert!(outcome.sockets * 10 > SOCKET_LIMIT * 8, "{outcome:?}");
 }
 
-fn looping(nodes: usize, times: usize) -> Vec<(u64, Fault)> {
-    let again = |node| Fault::CrashLoop {
+/// Returns crash loops of the first `nodes` controllers, each with this many lives of 900 ms.
+fn crash_loops(nodes: usize, times: usize) -> Vec<(u64, Fault)> {
+    let crash_loop = |node| Fault::CrashLoop {
         node,
         times,
-        life: ms(900),
-        back: ms(50),
+        life: millis(900),
+        back: millis(50),
     };
-    (0..nodes).map(|n| (40, again(n))).collect()
+    (0..nodes).map(|n| (40, crash_loop(n))).collect()
 }
 
-/// A process that ends again and again leaves its roles to those who live on, where there are any.
+/// Guards against roles that stay with a controller in a crash loop although other controllers are
+/// healthy.
 #[test]
 fn a_crash_looping_controller_leaves_its_roles() {
-    let outcome = run(Scenario::small(3, 100, 40, looping(1, 35)));
+    let outcome = run(Scenario::small(3, 100, 40, crash_loops(1, 35)));
     assert_eq!(outcome.broken, Vec::<String>::new());
     assert_eq!(outcome.killed, 0, "{outcome:?}");
-    // Within a few lives, and home again only after the last one.
-    let left = |role: &str| {
+    // The role moves away within a few crashes and returns only after the last crash.
+    let moves_of = |role: &str| {
         let moved = outcome
             .role_moves
             .iter()
             .filter(|(at, r, _)| r == role && *at > 40.0);
         moved
-            .map(|(at, _, who)| (*at, who.clone()))
+            .map(|(at, _, owner)| (*at, owner.clone()))
             .collect::<Vec<_>>()
     };
-    let away = left("jh/part/0");
-    assert!(away[0].0 < 46.0 && away[0].1 != "worker-0", "{away:?}");
-    assert!(away[1..].iter().all(|(at, _)| *at > 73.0), "{away:?}");
-    let stays = run(Scenario {
+    let role_moves = moves_of("jh/part/0");
+    assert!(
+        role_moves[0].0 < 46.0 && role_moves[0].1 != "worker-0",
+        "{role_moves:?}"
+    );
+    assert!(
+        role_moves[1..].iter().all(|(at, _)| *at > 73.0),
+        "{role_moves:?}"
+    );
+    let without_backoff = run(Scenario {
         without_crash_loop_backoff: true,
-        ..Scenario::small(3, 100, 40, looping(1, 35))
+        ..Scenario::small(3, 100, 40, crash_loops(1, 35))
     });
     assert!(
-        stays.role_moves.iter().all(|(at, ..)| *at < 40.0),
-        "{stays:?}"
+        without_backoff.role_moves.iter().all(|(at, ..)| *at < 40.0),
+        "{without_backoff:?}"
+    );
+    assert!(
+        without_backoff.undecided > outcome.undecided,
+        "{without_backoff:?}"
     );
-    assert!(stays.undecided > outcome.undecided, "{stays:?}");
 }
 
-/// What happened: workers found nobody who answers for a whole lease, and killed their tasks. Why:
-/// their heartbeats were held back for up to 3.4 s by processes that ended within 0.9 s: 243 of 282 that
-/// got no answer for over a second. See docs/incidents/held-heartbeats.md.
+/// Guards against workers that get no answer for a whole lease and kill their tasks while
+/// controllers crash in a loop. Processes that ended within 0.9 s held heartbeats back for up to
+/// 3.4 s: 243 of the 282 heartbeats that got no answer for over a second. See
+/// docs/incidents/held-heartbeats.md.
 #[test]
-fn all_controllers_crash_looping_serve_as_they_can() {
+fn crash_looping_controllers_cause_no_killed_tasks() {
     for nodes in [2, 3] {
-        let outcome = run(fleet(2, 90, looping(nodes, 25)));
-        rules_hold(&outcome);
+        let outcome = run(fleet(2, 90, crash_loops(nodes, 25)));
+        assert_invariants_hold(&outcome);
         assert_eq!(outcome.killed, 0, "{outcome:?}");
-        // The state service allows 250 requests a second.
+        // The state service allows 250 requests per second.
         assert!(outcome.state_peak <= 150, "{outcome:?}");
         assert_eq!(outcome.unowned, Vec::<String>::new());
         assert_eq!(outcome.unanswered, Vec::<String>::new());
     }
 }
 
-/// Urgent work without end, more than there is room for.
-fn burst(seed: u64, no_floors: bool) -> Outcome {
+/// Runs a flood of urgent jobs that exceeds the capacity, with or without the guard against
+/// starvation.
+fn run_urgent_flood(seed: u64, without_guard: bool) -> Outcome {
     let outcome = run(Scenario {
         scale: Scale::Large,
         flood: (320, 15),
-        without_starvation_guard: no_floors,
+        without_starvation_guard: without_guard,
         ..Scenario::small(seed, 220, 140, Vec::new())
     });
     assert_eq!(outcome.broken, Vec::<String>::new());
@@ -142,12 +160,12 @@
 
 #[test]
 fn no_class_starves_behind_more_important_work() {
-    let (with, without) = (burst(5, false), burst(5, true));
-    assert!(with.least_class.1 >= 0.5, "{with:?}");
-    assert!(without.least_class.1 < 0.5, "{without:?}");
+    let (guarded, unguarded) = (run_urgent_flood(5, false), run_urgent_flood(5, true));
+    assert!(guarded.least_class.1 >= 0.5, "{guarded:?}");
+    assert!(unguarded.least_class.1 < 0.5, "{unguarded:?}");
 }
 
-/// One team's flood beside the others: they don't notice.
+/// Guards against one team's flood of jobs that keeps other teams' jobs from starting.
 #[test]
 fn a_flood_of_one_team_does_not_starve_others() {
     let outcome = run(Scenario {
@@ -158,7 +176,7 @@
     });
     assert_eq!(outcome.broken, Vec::<String>::new());
     println!("{:?}", outcome.served);
-    // The flood itself waits for its team's limit.
+    // Only the flood waits, for the limit of its own team.
     for team in ["team-1", "team-2", "team-3"] {
         assert!(outcome.served[team] >= 0.8, "{outcome:?}");
     }
