--- a/crates/jasperhill-testkit/tests/resource_limits.rs
+++ b/crates/jasperhill-testkit/tests/resource_limits.rs
@@ -76,7 +76,8 @@
     assert!(outcome.sockets * 10 > SOCKET_LIMIT * 8, "{outcome:?}");
 }
 
-/// Returns crash loops of the first `nodes` controllers, each with this many lives of 900 ms.
+/// Returns crash loops of the first `nodes` controllers, each crashing
+/// `times` times after a life of 900 ms.
 fn crash_loops(nodes: usize, times: usize) -> Vec<(u64, Fault)> {
     let crash_loop = |node| Fault::CrashLoop {
         node,
