--- a/scripts/regression_set/journal.py
+++ b/scripts/regression_set/journal.py
@@ -1,65 +1,81 @@
-"""Entries of the journal, and which of them to compare with."""
+"""Journal entries, and the choice of the earlier entry to compare a run with."""
 
 import json
 from typing import Any
 
-from .kit import ROOT, stop
+from .kit import REPOSITORY_ROOT, exit_not_run
 
 Entry = dict[str, Any]
 
 
-def entries() -> dict[str, Entry]:
-    """All entries of scores and hunts, by file name, the oldest first."""
-    found = {}
-    for path in sorted((ROOT / "journal").glob("*.json")):
+def load_entries() -> dict[str, Entry]:
+    """Returns all entries of score and hunt runs, keyed and sorted by file name, oldest first.
+
+    Exits with status 2 if an entry is not valid JSON.
+    """
+    loaded = {}
+    for path in sorted((REPOSITORY_ROOT / "journal").glob("*.json")):
         try:
             entry = json.loads(path.read_text())
         except ValueError as error:
-            stop(f"journal entry {path.name}: {error}")
+            exit_not_run(f"journal entry {path.name}: {error}")
         if entry.get("cmd") in ("score", "hunt"):
-            found[path.name] = entry
-    return found
+            loaded[path.name] = entry
+    return loaded
 
 
-def snapshot(entry: Entry) -> list[str]:
-    """The sources that were measured."""
-    return [p["sha256"] for p in entry.get("policy") or []]
+def source_digests(entry: Entry) -> list[str]:
+    """Returns the SHA-256 digests of the sources that the entry's run measured."""
+    return [source["sha256"] for source in entry.get("policy") or []]
 
 
-def kind(entry: Entry) -> str:
-    """Whether the two roughest days or all were played."""
+def run_kind(entry: Entry) -> str:
+    """Returns "quick" if only the two roughest days were played, "full" if all were."""
     return "quick" if "--quick" in entry["argv"] else "full"
 
 
-def standard(entry: Entry) -> dict[str, float]:
-    """The scores of the days that every run of the site plays alike."""
+def standard_day_scores(entry: Entry) -> dict[str, float]:
+    """Returns scores by day name, for the days that are the same in every run of the site.
+
+    Days named `fresh…` are left out because they differ between runs.
+    """
     days = entry.get("days") or []
     return {d["name"]: d["score"] for d in days if not d["name"].startswith("fresh")}
 
 
-def mean(days: dict[str, float], names: list[str]) -> float:
-    """The mean score of these days."""
-    return sum(days[name] for name in names) / len(names)
+def mean_score(scores: dict[str, float], day_names: list[str]) -> float:
+    """Returns the mean score of the named days."""
+    return sum(scores[name] for name in day_names) / len(day_names)
+
 
+def select_comparison(entry: Entry, before: dict[str, Entry]) -> tuple[float | None, float, str]:
+    """Returns the earlier score, this run's comparable score, and a label of the comparison.
 
-def earlier(entry: Entry, before: dict[str, Entry]) -> tuple[float | None, float, str]:
-    """The figure to compare with, this run's own, and what they are the figures of."""
-    others = [
+    Earlier entries count only if they have a score for the same site file and were taken on
+    other sources. The newest one of the same run kind is preferred; without one, the means over
+    the standard days that both runs played are compared. The earlier score is `None` if no entry
+    qualifies.
+    """
+    candidates = [
         e
         for e in before.values()
         if e["cmd"] == "score"
         and e["site"] == entry["site"]
         and e.get("site_sha") == entry.get("site_sha")
         and e.get("score") is not None
-        and snapshot(e) != snapshot(entry)
+        and source_digests(e) != source_digests(entry)
     ]
-    same = [e for e in others if kind(e) == kind(entry)]
-    if same:
-        return same[-1]["score"], entry["score"], f"{same[-1]['id']}"
-    for other in reversed(others):
-        mine, theirs = standard(entry), standard(other)
-        both = sorted(set(mine) & set(theirs))
-        if both:
-            compared = f"{other['id']}: {', '.join(both)}"
-            return mean(theirs, both), mean(mine, both), compared
+    same_kind = [e for e in candidates if run_kind(e) == run_kind(entry)]
+    if same_kind:
+        return same_kind[-1]["score"], entry["score"], f"{same_kind[-1]['id']}"
+    for candidate in reversed(candidates):
+        current_scores, earlier_scores = standard_day_scores(entry), standard_day_scores(candidate)
+        common_days = sorted(set(current_scores) & set(earlier_scores))
+        if common_days:
+            label = f"{candidate['id']}: {', '.join(common_days)}"
+            return (
+                mean_score(earlier_scores, common_days),
+                mean_score(current_scores, common_days),
+                label,
+            )
     return None, entry["score"], "nothing earlier"
--- a/scripts/regression_set/meetings.py
+++ b/scripts/regression_set/meetings.py
@@ -1,4 +1,4 @@
-"""Days on which several faults meet, and whether each brought its meeting about."""
+"""Plays days on which several faults overlap, and checks in the log whether they did overlap."""
 
 import concurrent.futures
 import json
@@ -7,13 +7,13 @@
 import subprocess
 import tempfile
 
-from .grown import Report, judge_grown
-from .kit import ROOT, relative, side_by_side
-from .sites import day_for, grow, lengthen
+from .grown import Report, report_day
+from .kit import REPOSITORY_ROOT, max_parallel_days, relative_to_repository
+from .sites import lengthen_tasks, scale_site, write_day
 
-# The days on which troubles meet, and how long before the outage the refusal begins, where there
-# is one.
-MEETINGS = [
+# Day names, each with the seconds by which the refusal of one controller precedes the outage of
+# the state service. The value has no meaning for days without a refusal.
+OVERLAP_DAYS = [
     ("meet-refused", 1.0),
     ("meet-refused", 5.0),
     ("meet-refused", 12.0),
@@ -33,90 +33,132 @@
 ]
 
 
-def meeting_of(report: Report, log: str) -> tuple[int, int] | None:
-    """Whether a refusal that meets an outage did: how many cancellations others than the refused
-    controller confirmed between the two, and how many reports that one answered without being
-    answered itself. `None`: no such day."""
+def count_overlap_evidence(report: Report, log: str) -> tuple[int, int] | None:
+    """Counts log lines which show that a refusal and an outage of the state service overlapped.
+
+    The first count is of cancellations that controllers other than the refused one confirmed
+    after the refusal and before the outage. The second is of heartbeats that the refused
+    controller answered after the refusal without an answer from the state service. Returns `None`
+    if the day has no refusal or no outage.
+    """
     events = [(e["at_s"], e["what"]) for e in report["events"]]
-    parted = [
+    refusal_matches = [
         (t, re.match(r"the state service refuses (\S+)|(\S+) loses the state service", w))
         for t, w in events
     ]
-    refused = [(t, m[1] or m[2]) for t, m in parted if m]
-    down = [t for t, w in events if "state service has trouble" in w]
-    if not refused or not down:
+    refusals = [(t, m[1] or m[2]) for t, m in refusal_matches if m]
+    outage_starts = [t for t, w in events if "state service has trouble" in w]
+    if not refusals or not outage_starts:
         return None
-    (begun, who), outage = refused[0], down[0]
-    confirmed = answered = 0
+    (refusal_start_s, refused_node), outage_start_s = refusals[0], outage_starts[0]
+    confirmed_cancellations = answered_heartbeats = 0
     for line in log.splitlines():
         words = line.split()
         if len(words) < 4 or not re.match(r"[\d.]+$", words[0]):
             continue
-        at, node = float(words[0]), words[1]
-        if " cancelled job=" in line and node != who and begun < at < outage:
-            confirmed += 1
-        if "heartbeats answered without the store" in line and node == who and at > begun:
-            answered += int(re.search(r"heartbeats=(\d+)", line)[1])
-    return confirmed, answered
+        time_s, node = float(words[0]), words[1]
+        if (
+            " cancelled job=" in line
+            and node != refused_node
+            and refusal_start_s < time_s < outage_start_s
+        ):
+            confirmed_cancellations += 1
+        if (
+            "heartbeats answered without the store" in line
+            and node == refused_node
+            and time_s > refusal_start_s
+        ):
+            answered_heartbeats += int(re.search(r"heartbeats=(\d+)", line)[1])
+    return confirmed_cancellations, answered_heartbeats
 
 
-def play_meeting(
+def play_overlap_day(
     bench: pathlib.Path,
     site: pathlib.Path,
-    name: str,
-    lead: float,
+    day_name: str,
+    refusal_lead_s: float,
     seed: int,
     folder: pathlib.Path,
-    why: str,
+    reason: str,
 ) -> tuple[Report | None, tuple[int, int] | None]:
-    """Plays one day; its report, and whether it brought its meeting about."""
-    day = day_for(site, name, folder, lead)
-    report = folder / f"{day.stem}-{seed}.json"
-    words = [relative(p) for p in (site, day)]
-    command = [str(bench), "run", *words, "--no-cpu", "--log", "info", "--report", str(report)]
-    command += ["--seed", str(seed), "--why", f"{why}: {name}, {lead:g} s before"]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
-    if not report.exists():
+    """Plays one day; returns its report and the result of `count_overlap_evidence`.
+
+    Both are `None` if the bench wrote no report.
+    """
+    day = write_day(site, day_name, folder, refusal_lead_s)
+    report_path = folder / f"{day.stem}-{seed}.json"
+    arguments = [relative_to_repository(p) for p in (site, day)]
+    command = [
+        str(bench),
+        "run",
+        *arguments,
+        "--no-cpu",
+        "--log",
+        "info",
+        "--report",
+        str(report_path),
+    ]
+    command += ["--seed", str(seed), "--why", f"{reason}: {day_name}, {refusal_lead_s:g} s before"]
+    completed = subprocess.run(command, cwd=REPOSITORY_ROOT, capture_output=True, text=True)
+    if not report_path.exists():
         return None, None
-    told = json.loads(report.read_text())
-    return told, meeting_of(told, ended.stdout + ended.stderr)
+    report = json.loads(report_path.read_text())
+    return report, count_overlap_evidence(report, completed.stdout + completed.stderr)
 
 
-def meetings(
+def play_overlaps(
     bench: pathlib.Path,
     sites: list[pathlib.Path],
-    seeds: int,
-    only: list[str] | None,
-    why: str,
+    seed_count: int,
+    selected_days: list[str] | None,
+    reason: str,
 ) -> bool:
-    """The days on which troubles meet, with long tasks: at the sites' own size, and grown."""
-    clean = True
+    """Plays `OVERLAP_DAYS` on the sites with lengthened tasks; returns whether none has a fault.
+
+    The day `meet-refused` with a lead of 5 s is played on scaled copies of the sites as well.
+    `selected_days` of `None` selects all days.
+    """
+    is_clean = True
     with tempfile.TemporaryDirectory() as folder:
         folder = pathlib.Path(folder)
         (folder / "own").mkdir()
         (folder / "more").mkdir()
-        longer = [lengthen(pathlib.Path(s), folder / "own") for s in sites]
-        larger = [grow(s, folder / "more") for s in longer]
-        subprocess.run([str(bench), "build"], cwd=ROOT, stdout=subprocess.DEVNULL)
-        with concurrent.futures.ThreadPoolExecutor(side_by_side()) as pool:
-            days = []
-            for seed in range(seeds):
-                for name, lead in MEETINGS:
-                    if only and name not in only:
+        long_task_sites = [lengthen_tasks(pathlib.Path(s), folder / "own") for s in sites]
+        scaled_sites = [scale_site(s, folder / "more") for s in long_task_sites]
+        subprocess.run([str(bench), "build"], cwd=REPOSITORY_ROOT, stdout=subprocess.DEVNULL)
+        with concurrent.futures.ThreadPoolExecutor(max_parallel_days()) as pool:
+            pending_days = []
+            for seed in range(seed_count):
+                for day_name, lead_s in OVERLAP_DAYS:
+                    if selected_days and day_name not in selected_days:
                         continue
-                    for site in longer + (larger if name == "meet-refused" and lead == 5.0 else []):
-                        own = (bench, site, name, lead, 7300 + seed, site.parent, why)
-                        days.append((name, lead, site, pool.submit(play_meeting, *own)))
-            for name, lead, site, day in days:
-                report, met = day.result()
-                label = f"{name}-{lead:g}" + ("+" if site in larger else "")
+                    for site in long_task_sites + (
+                        scaled_sites if day_name == "meet-refused" and lead_s == 5.0 else []
+                    ):
+                        arguments = (
+                            bench,
+                            site,
+                            day_name,
+                            lead_s,
+                            7300 + seed,
+                            site.parent,
+                            reason,
+                        )
+                        pending_days.append(
+                            (day_name, lead_s, site, pool.submit(play_overlap_day, *arguments))
+                        )
+            for day_name, lead_s, site, pending_day in pending_days:
+                report, evidence = pending_day.result()
+                label = f"{day_name}-{lead_s:g}" + ("+" if site in scaled_sites else "")
                 if report is None:
                     print(f"{site.stem:24} {label:18}\n  FAULT the day was not played")
-                    clean = False
+                    is_clean = False
                     continue
-                more = "" if met is None else f"  confirmed {met[0]}  answered {met[1]}"
-                clean = judge_grown(label, site, report, more) and clean
-                if met is not None and met[0] == 0:
-                    # It shows nothing, but breaks nothing either.
+                evidence_columns = (
+                    "" if evidence is None else f"  confirmed {evidence[0]}  answered {evidence[1]}"
+                )
+                is_clean = report_day(label, site, report, evidence_columns) and is_clean
+                if evidence is not None and evidence[0] == 0:
+                    # Such a run proves nothing about the overlap, but is not a failure either.
                     print("  NOTE no cancellation fell between the refusal and the outage")
-    return clean
+    return is_clean
--- a/scripts/regression_set/score.py
+++ b/scripts/regression_set/score.py
@@ -1,89 +1,107 @@
-"""Scores and hunts: what fails a run, and how it compares with an earlier one."""
+"""Runs the bench's `score` and `hunt`, finds faults and compares scores with the journal."""
 
 import pathlib
 import subprocess
 
-from .journal import Entry, earlier, entries
-from .kit import ROOT, stop
+from .journal import Entry, load_entries, select_comparison
+from .kit import REPOSITORY_ROOT, exit_not_run
 
-# Figures that fall by more fail; less is noise.
-FALL = 0.03
-# Classes and teams of which less has begun fail a day.
-LEAST = 0.5
+# A run fails if its score drops by more than this; smaller drops are noise.
+MAX_SCORE_DROP = 0.03
+# A day fails if a smaller share of the jobs of a class or team has started.
+MIN_STARTED_SHARE = 0.5
 
 
-def faults(entry: Entry) -> list[str]:
-    """What fails a run whatever its figure."""
-    found = []
+def find_faults(entry: Entry) -> list[str]:
+    """Returns descriptions of everything that fails a run regardless of its score."""
+    faults = []
     if entry["cmd"] == "score" and entry.get("score") is None:
-        found.append("no score")
+        faults.append("no score")
     if entry.get("error"):
-        found.append(str(entry["error"]))
+        faults.append(str(entry["error"]))
     for day in entry.get("days") or []:
-        broken = [f"{rule} x{n}" for rule, n in (day.get("rules") or {}).items() if n]
-        if broken:
-            found.append(f"{day['name']}: rule broken: {', '.join(broken)}")
+        broken_rules = [f"{rule} x{n}" for rule, n in (day.get("rules") or {}).items() if n]
+        if broken_rules:
+            faults.append(f"{day['name']}: rule broken: {', '.join(broken_rules)}")
         if day.get("fault"):
-            found.append(f"{day['name']}: {day['fault']}")
+            faults.append(f"{day['name']}: {day['fault']}")
         if day.get("restarts"):
-            found.append(f"{day['name']}: {day['restarts']:g} controllers ended by themselves")
-        for name, _, share in day.get("served") or []:
-            if share < LEAST:
-                found.append(f"{day['name']}: {name} is served to {share:.2f}")
-    return found
+            faults.append(f"{day['name']}: {day['restarts']:g} controllers ended by themselves")
+        for name, _, started_share in day.get("served") or []:
+            if started_share < MIN_STARTED_SHARE:
+                faults.append(f"{day['name']}: {name} is served to {started_share:.2f}")
+    return faults
 
 
-def least_served(entry: Entry) -> str:
-    """The smallest share of a class, a team or a class's largest jobs, of all days played."""
+def describe_least_served(entry: Entry) -> str:
+    """Describes the smallest started share over all days of the run.
+
+    The shares are those of classes, of teams and of the largest jobs of a class.
+    """
     served = [
         (s, n, d["name"]) for d in entry.get("days") or [] for n, _, s in d.get("served") or []
     ]
     if not served:
         return "least not told"
-    share, name, day = min(served)
-    return f"least {share:.3f} ({name} on {day})"
+    started_share, name, day_name = min(served)
+    return f"least {started_share:.3f} ({name} on {day_name})"
 
 
-def play(
-    bench: pathlib.Path, verb: str, words: list[str], why: str
+def run_bench(
+    bench: pathlib.Path, subcommand: str, arguments: list[str], reason: str
 ) -> tuple[dict[str, Entry], list[Entry]]:
-    """Runs the bench; the entries of before, and those that this run has left."""
-    before = entries()
-    command = [str(bench), verb, *words, *(["--why", why] if why and verb == "score" else [])]
-    print(f"-- {verb} {' '.join(pathlib.Path(w).name for w in words)}", flush=True)
-    ended = subprocess.run(command, cwd=ROOT).returncode
-    after = entries()
-    # Another run at the same time leaves entries too: only those of this one count.
-    played = {pathlib.Path(w).stem for w in words if w.endswith(".toml")}
-    new = [
+    """Runs the bench; returns the journal entries from before, and those that this run wrote.
+
+    Exits with status 2 if the run wrote no entry.
+    """
+    before = load_entries()
+    command = [
+        str(bench),
+        subcommand,
+        *arguments,
+        *(["--why", reason] if reason and subcommand == "score" else []),
+    ]
+    print(f"-- {subcommand} {' '.join(pathlib.Path(a).name for a in arguments)}", flush=True)
+    exit_code = subprocess.run(command, cwd=REPOSITORY_ROOT).returncode
+    after = load_entries()
+    # A concurrent run may write entries too: only those of this run's command and sites count.
+    site_names = {pathlib.Path(a).stem for a in arguments if a.endswith(".toml")}
+    new_entries = [
         e
-        for name, e in after.items()
-        if name not in before and e["cmd"] == verb and e.get("site") in played
+        for file_name, e in after.items()
+        if file_name not in before and e["cmd"] == subcommand and e.get("site") in site_names
     ]
-    if not new:
-        stop(f"the bench ended with {ended} and left no entry in the journal")
-    return before, new
+    if not new_entries:
+        exit_not_run(f"the bench ended with {exit_code} and left no entry in the journal")
+    return before, new_entries
 
 
-def judge(before: dict[str, Entry], new: list[Entry]) -> bool:
-    """Prints a line for each entry, and what fails it; whether all are clean."""
-    clean = True
-    for entry in new:
-        found = faults(entry)
+def report_entries(before: dict[str, Entry], new_entries: list[Entry]) -> bool:
+    """Prints a line for each new entry, followed by its faults; returns whether there are none."""
+    is_clean = True
+    for entry in new_entries:
+        faults = find_faults(entry)
         if entry["cmd"] == "score" and entry.get("score") is not None:
-            old, now, of = earlier(entry, before)
-            fell = old is not None and old - now > FALL
-            beside = "" if old is None else f"  was {old:.3f}  {now - old:+.3f}"
+            earlier_score, score, label = select_comparison(entry, before)
+            has_dropped = earlier_score is not None and earlier_score - score > MAX_SCORE_DROP
+            change = (
+                ""
+                if earlier_score is None
+                else f"  was {earlier_score:.3f}  {score - earlier_score:+.3f}"
+            )
             print(
-                f"{entry['site']:28} {entry['score']:.3f}  compared {now:.3f}{beside}  ({of})"
-                f"  {least_served(entry)}"
+                f"{entry['site']:28} {entry['score']:.3f}  compared {score:.3f}{change}  ({label})"
+                f"  {describe_least_served(entry)}"
             )
-            if fell:
-                found.append(f"fell by {old - now:.3f}")
+            if has_dropped:
+                faults.append(f"fell by {earlier_score - score:.3f}")
         else:
             days = entry.get("days") or []
-            print(f"{entry['site']:28} {entry['cmd']} of {len(days)} days  {least_served(entry)}")
-        for text in found:
-            print(f"  FAULT {text}")
-        clean = clean and not found
-    return clean
+            print(
+                f"{entry['site']:28} {entry['cmd']} of {len(days)} days"
+                f"  {describe_least_served(entry)}"
+            )
+        for fault in faults:
+            print(f"  FAULT {fault}")
+        is_clean = is_clean and not faults
+    return is_clean
--- a/scripts/regression_set/sites.py
+++ b/scripts/regression_set/sites.py
@@ -1,4 +1,4 @@
-"""Changed sites and days, written into a temporary folder."""
+"""Variants of site and day files, written into a temporary folder."""
 
 import pathlib
 import re
@@ -7,18 +7,20 @@
 from collections.abc import Callable
 from typing import Any
 
-from .kit import ROOT
-
-# Half as many machines again, and work for them.
-GROWTH = 1.5
-BACK_AFTER_S = 0.3
-# The outage of these days begins at this second.
-OUTAGE_AT = 192.0
-# Tasks last so many times as long, and come so much more seldom; this part of them is cancelled.
-LASTS = 5.0
-CANCELLED = 0.6
-# What grows with the fleet, by the section of a site file: as whole numbers, and as fractions.
-GROWS = {
+from .kit import REPOSITORY_ROOT
+
+# Factor on the machines of a scaled site, and on the work for them.
+SITE_SCALE = 1.5
+# `nodes.restart_delay_s` of a scaled site.
+RESTART_DELAY_S = 0.3
+# Time at which the outage of the state service begins in days with `@refused`.
+OUTAGE_START_S = 192.0
+# Factor on the run time of tasks. Arrival rates are divided by it.
+RUN_TIME_FACTOR = 5.0
+# Fraction of the tasks with lengthened run times that is cancelled.
+CANCELLED_FRACTION = 0.6
+# Fields that scale with the site, by section of the site file: integer fields, fractional fields.
+SCALED_FIELDS = {
     "capacity": ({"count", "spot"}, set()),
     "machines": ({"count"}, set()),
     "teams": (set(), {"cpus", "gpus"}),
@@ -26,90 +28,106 @@
 }
 
 
-def written(site: pathlib.Path, folder: pathlib.Path, lines: list[str]) -> pathlib.Path:
-    """Writes the site with these lines, and beside it what it refers to."""
-    changed = folder / site.name
-    changed.write_text("\n".join(lines) + "\n")
-    wire = tomllib.loads(site.read_text()).get("wire")
-    if wire:
-        shutil.copy(site.parent / wire, folder / wire)
-    return changed
+def write_site(site: pathlib.Path, folder: pathlib.Path, lines: list[str]) -> pathlib.Path:
+    """Writes the site file with these lines, and a copy of the `wire` file that it refers to.
+
+    Returns the path of the new site file.
+    """
+    new_site = folder / site.name
+    new_site.write_text("\n".join(lines) + "\n")
+    wire_file = tomllib.loads(site.read_text()).get("wire")
+    if wire_file:
+        shutil.copy(site.parent / wire_file, folder / wire_file)
+    return new_site
 
 
-def grown_rate(found: re.Match[str]) -> str:
-    """The rate of a class at the larger size."""
-    return f"rate = {float(found[1]) * GROWTH:.4f}"
+def scale_rate(rate_match: re.Match[str]) -> str:
+    """Returns the `rate` setting of a job class, scaled by `SITE_SCALE`."""
+    return f"rate = {float(rate_match[1]) * SITE_SCALE:.4f}"
 
 
-def grow(site: pathlib.Path, folder: pathlib.Path) -> pathlib.Path:
-    """Writes the site with half as many machines again, and as much work for them."""
+def scale_site(site: pathlib.Path, folder: pathlib.Path) -> pathlib.Path:
+    """Writes the site with its machines and work scaled by `SITE_SCALE`; returns the new path."""
     section, lines = "", []
     for line in site.read_text().splitlines():
-        if head := re.match(r"\[+([\w.]+)\]+", line):
-            section = head[1]
-        whole, parts = GROWS.get(section, (set(), set()))
-        if pair := re.match(r"(\w+) = ([\d.]+)$", line):
-            name, value = pair[1], float(pair[2]) * GROWTH
-            if name in whole:
-                line = f"{name} = {round(value)}"
-            elif name in parts:
-                line = f"{name} = {value}"
+        if header := re.match(r"\[+([\w.]+)\]+", line):
+            section = header[1]
+        integer_fields, fractional_fields = SCALED_FIELDS.get(section, (set(), set()))
+        if setting := re.match(r"(\w+) = ([\d.]+)$", line):
+            name, scaled_value = setting[1], float(setting[2]) * SITE_SCALE
+            if name in integer_fields:
+                line = f"{name} = {round(scaled_value)}"
+            elif name in fractional_fields:
+                line = f"{name} = {scaled_value}"
             elif (section, name) == ("nodes", "restart_delay_s"):
-                line = f"{name} = {BACK_AFTER_S}"
+                line = f"{name} = {RESTART_DELAY_S}"
         if section == "jobs":
-            line = re.sub(r"rate = ([\d.]+)", grown_rate, line)
+            line = re.sub(r"rate = ([\d.]+)", scale_rate, line)
         lines.append(line)
-    return written(site, folder, lines)
+    return write_site(site, folder, lines)
 
 
-def lengthen(site: pathlib.Path, folder: pathlib.Path) -> pathlib.Path:
-    """Writes the site with tasks that outlast the troubles, many of which are cancelled."""
-    section, lines, kind = "", [], ""
+def lengthen_tasks(site: pathlib.Path, folder: pathlib.Path) -> pathlib.Path:
+    """Writes the site with tasks that outlast the injected faults; returns the new path.
+
+    Many of these tasks are cancelled. Services stay as they are.
+    """
+    section, lines, job_kind = "", [], ""
     for line in site.read_text().splitlines():
-        if head := re.match(r"\[+([\w.]+)\]+", line):
-            section = head[1]
-        if pair := re.match(r'kind = "(\w+)"', line):
-            kind = pair[1]
-        if section == "jobs" and kind != "service":
+        if header := re.match(r"\[+([\w.]+)\]+", line):
+            section = header[1]
+        if kind_match := re.match(r'kind = "(\w+)"', line):
+            job_kind = kind_match[1]
+        if section == "jobs" and job_kind != "service":
             if line.startswith("run_s"):
-                line = re.sub(r"= ([\d.]+)", lambda m: f"= {float(m[1]) * LASTS:.1f}", line[5:])
+                line = re.sub(
+                    r"= ([\d.]+)", lambda m: f"= {float(m[1]) * RUN_TIME_FACTOR:.1f}", line[5:]
+                )
                 line = "run_s" + line
-            line = re.sub(r"rate = ([\d.]+)", lambda m: f"rate = {float(m[1]) / LASTS:.4f}", line)
+            line = re.sub(
+                r"rate = ([\d.]+)", lambda m: f"rate = {float(m[1]) / RUN_TIME_FACTOR:.4f}", line
+            )
             if line.startswith("cancelled"):
-                line = f"cancelled = {CANCELLED}"
+                line = f"cancelled = {CANCELLED_FRACTION}"
         lines.append(line)
-    return written(site, folder, lines)
+    return write_site(site, folder, lines)
+
 
+def write_day(
+    site: pathlib.Path, day_name: str, folder: pathlib.Path, refusal_lead_s: float = 0.0
+) -> pathlib.Path:
+    """Writes the day's file with its placeholders filled in for the site; returns the new path.
 
-def day_for(site: pathlib.Path, name: str, folder: pathlib.Path, lead: float = 0.0) -> pathlib.Path:
-    """The day with the site's own names in place of `@urgent`, `@type` and the like, and times from
-    its lease and `cancel_s`."""
-    about = tomllib.loads(site.read_text())
-    classes = about["jobs"]
+    Placeholders such as `@urgent` and `@type` become the site's own names. Those of times are
+    derived from the site's lease and `cancel_s`. The state service refuses a controller
+    `refusal_lead_s` seconds before its outage begins.
+    """
+    site_settings = tomllib.loads(site.read_text())
+    job_classes = site_settings["jobs"]
 
-    def first(test: Callable[[dict[str, Any]], bool]) -> str:
-        return next((c["name"] for c in classes if test(c)), classes[0]["name"])
+    def first_class(matches: Callable[[dict[str, Any]], bool]) -> str:
+        return next((c["name"] for c in job_classes if matches(c)), job_classes[0]["name"])
 
     names = {
-        "@urgent": first(lambda c: c["priority"] == "high"),
-        "@deadline": first(lambda c: "deadline" in c),
-        "@production": first(lambda c: c["priority"] == "production"),
-        "@type": about["capacity"][0]["type"],
-        "@zone": about["capacity"][0]["zone"],
+        "@urgent": first_class(lambda c: c["priority"] == "high"),
+        "@deadline": first_class(lambda c: "deadline" in c),
+        "@production": first_class(lambda c: c["priority"] == "production"),
+        "@type": site_settings["capacity"][0]["type"],
+        "@zone": site_settings["capacity"][0]["zone"],
     }
-    times = about["workers"]
-    outage = times["cancel_s"] + times["lease_s"] + 5.0
-    seconds = {
-        "@refused": OUTAGE_AT - lead,
-        "@outage": outage,
-        "@long": lead + outage + 25.0,
+    worker_settings = site_settings["workers"]
+    outage_s = worker_settings["cancel_s"] + worker_settings["lease_s"] + 5.0
+    times_s = {
+        "@refused": OUTAGE_START_S - refusal_lead_s,
+        "@outage": outage_s,
+        "@long": refusal_lead_s + outage_s + 25.0,
     }
-    text = (ROOT / "bench" / "days" / f"{name}.toml").read_text()
-    for word, meant in names.items():
-        text = text.replace(f'"{word}"', f'"{meant}"')
-    for word, meant in seconds.items():
-        text = text.replace(f'"{word}"', f"{meant}")
-    mark = f"-{lead:g}" if lead else ""
-    day = folder / f"{site.stem}-{name}{mark}.toml"
+    text = (REPOSITORY_ROOT / "bench" / "days" / f"{day_name}.toml").read_text()
+    for placeholder, name in names.items():
+        text = text.replace(f'"{placeholder}"', f'"{name}"')
+    for placeholder, time_s in times_s.items():
+        text = text.replace(f'"{placeholder}"', f"{time_s}")
+    suffix = f"-{refusal_lead_s:g}" if refusal_lead_s else ""
+    day = folder / f"{site.stem}-{day_name}{suffix}.toml"
     day.write_text(text)
     return day
