--- a/scripts/regression_set/grown.py
+++ b/scripts/regression_set/grown.py
@@ -1,4 +1,4 @@
-"""Plays days of this repository on sites that are scaled to 1.5 times their machines."""
+"""Plays days of bench/days on sites that are scaled to 1.5 times their machines."""
 
 import concurrent.futures
 import json
@@ -67,8 +67,8 @@
     faults = []
     started_shares = {
         f"{kind} {n}": c["started"] / c["jobs"]
-        for kind, field in (("class", "classes"), ("team", "teams"), ("largest", "largest"))
-        for n, c in report.get(field, {}).items()
+        for kind, report_field in (("class", "classes"), ("team", "teams"), ("largest", "largest"))
+        for n, c in report.get(report_field, {}).items()
         if c["jobs"]
     }
     least_served = min(started_shares, key=started_shares.get)
--- a/scripts/regression_set/journal.py
+++ b/scripts/regression_set/journal.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from .kit import REPOSITORY_ROOT, exit_not_run
+from .kit import REPOSITORY_ROOT, exit_with_error
 
 Entry = dict[str, Any]
 
@@ -14,13 +14,13 @@
     Exits with status 2 if an entry is not valid JSON.
     """
     loaded = {}
-    for path in sorted((REPOSITORY_ROOT / "journal").glob("*.json")):
+    for entry_path in sorted((REPOSITORY_ROOT / "journal").glob("*.json")):
         try:
-            entry = json.loads(path.read_text())
+            entry = json.loads(entry_path.read_text())
         except ValueError as error:
-            exit_not_run(f"journal entry {path.name}: {error}")
+            exit_with_error(f"journal entry {entry_path.name}: {error}")
         if entry.get("cmd") in ("score", "hunt"):
-            loaded[path.name] = entry
+            loaded[entry_path.name] = entry
     return loaded
 
 
@@ -48,17 +48,19 @@
     return sum(scores[name] for name in day_names) / len(day_names)
 
 
-def select_comparison(entry: Entry, before: dict[str, Entry]) -> tuple[float | None, float, str]:
+def select_comparison(
+    entry: Entry, old_entries: dict[str, Entry]
+) -> tuple[float | None, float, str]:
     """Returns the earlier score, this run's comparable score, and a label of the comparison.
 
     Earlier entries count only if they have a score for the same site file and were taken on
     other sources. The newest one of the same run kind is preferred; without one, the means over
     the standard days that both runs played are compared. The earlier score is `None` if no entry
-    qualifies.
+    qualifies or none has a standard day in common with this run.
     """
     candidates = [
         e
-        for e in before.values()
+        for e in old_entries.values()
         if e["cmd"] == "score"
         and e["site"] == entry["site"]
         and e.get("site_sha") == entry.get("site_sha")
--- a/scripts/regression_set/kit.py
+++ b/scripts/regression_set/kit.py
@@ -24,7 +24,7 @@
 ]
 
 
-def exit_not_run(message: str) -> NoReturn:
+def exit_with_error(message: str) -> NoReturn:
     """Prints the message and exits with status 2.
 
     Used when the kit is incomplete, the bench did not run, or a journal entry can't be parsed.
@@ -42,5 +42,5 @@
 
 
 def relative_to_repository(path: pathlib.Path) -> str:
-    """Returns the path relative to the repository, so that the journal holds no absolute path."""
+    """Returns the path relative to the repository; the journal must hold no machine-local path."""
     return os.path.relpath(os.path.abspath(path), REPOSITORY_ROOT)
--- a/scripts/regression_set/meetings.py
+++ b/scripts/regression_set/meetings.py
@@ -12,7 +12,7 @@
 from .sites import lengthen_tasks, scale_site, write_day
 
 # Day names, each with the seconds by which the refusal of one controller precedes the outage of
-# the state service. The value has no meaning for days without a refusal.
+# the state service. The seconds have no meaning for days without a refusal.
 OVERLAP_DAYS = [
     ("meet-refused", 1.0),
     ("meet-refused", 5.0),
@@ -53,10 +53,10 @@
     (refusal_start_s, refused_node), outage_start_s = refusals[0], outage_starts[0]
     confirmed_cancellations = answered_heartbeats = 0
     for line in log.splitlines():
-        words = line.split()
-        if len(words) < 4 or not re.match(r"[\d.]+$", words[0]):
+        line_words = line.split()
+        if len(line_words) < 4 or not re.match(r"[\d.]+$", line_words[0]):
             continue
-        time_s, node = float(words[0]), words[1]
+        time_s, node = float(line_words[0]), line_words[1]
         if (
             " cancelled job=" in line
             and node != refused_node
--- a/scripts/regression_set/score.py
+++ b/scripts/regression_set/score.py
@@ -4,11 +4,12 @@
 import subprocess
 
 from .journal import Entry, load_entries, select_comparison
-from .kit import REPOSITORY_ROOT, exit_not_run
+from .kit import REPOSITORY_ROOT, exit_with_error
 
 # A run fails if its score drops by more than this; smaller drops are noise.
 MAX_SCORE_DROP = 0.03
-# A day fails if a smaller share of the jobs of a class or team has started.
+# A day fails if less than this share of the jobs of a class, of a team or of a class's largest jobs
+# has started.
 MIN_STARTED_SHARE = 0.5
 
 
@@ -34,9 +35,9 @@
 
 
 def describe_least_served(entry: Entry) -> str:
-    """Describes the smallest started share over all days of the run.
+    """Describes the smallest share of started jobs over all days of the run.
 
-    The shares are those of classes, of teams and of the largest jobs of a class.
+    Shares are counted per class, per team and for the largest jobs of each class.
     """
     served = [
         (s, n, d["name"]) for d in entry.get("days") or [] for n, _, s in d.get("served") or []
@@ -50,11 +51,11 @@
 def run_bench(
     bench: pathlib.Path, subcommand: str, arguments: list[str], reason: str
 ) -> tuple[dict[str, Entry], list[Entry]]:
-    """Runs the bench; returns the journal entries from before, and those that this run wrote.
+    """Runs the bench; returns the earlier journal entries and the entries that it wrote.
 
     Exits with status 2 if the run wrote no entry.
     """
-    before = load_entries()
+    old_entries = load_entries()
     command = [
         str(bench),
         subcommand,
@@ -63,26 +64,26 @@
     ]
     print(f"-- {subcommand} {' '.join(pathlib.Path(a).name for a in arguments)}", flush=True)
     exit_code = subprocess.run(command, cwd=REPOSITORY_ROOT).returncode
-    after = load_entries()
+    all_entries = load_entries()
     # A concurrent run may write entries too: only those of this run's command and sites count.
     site_names = {pathlib.Path(a).stem for a in arguments if a.endswith(".toml")}
     new_entries = [
         e
-        for file_name, e in after.items()
-        if file_name not in before and e["cmd"] == subcommand and e.get("site") in site_names
+        for file_name, e in all_entries.items()
+        if file_name not in old_entries and e["cmd"] == subcommand and e.get("site") in site_names
     ]
     if not new_entries:
-        exit_not_run(f"the bench ended with {exit_code} and left no entry in the journal")
-    return before, new_entries
+        exit_with_error(f"the bench ended with {exit_code} and left no entry in the journal")
+    return old_entries, new_entries
 
 
-def report_entries(before: dict[str, Entry], new_entries: list[Entry]) -> bool:
+def report_entries(old_entries: dict[str, Entry], new_entries: list[Entry]) -> bool:
     """Prints a line for each new entry, followed by its faults; returns whether there are none."""
     is_clean = True
     for entry in new_entries:
         faults = find_faults(entry)
         if entry["cmd"] == "score" and entry.get("score") is not None:
-            earlier_score, score, label = select_comparison(entry, before)
+            earlier_score, score, label = select_comparison(entry, old_entries)
             has_dropped = earlier_score is not None and earlier_score - score > MAX_SCORE_DROP
             change = (
                 ""
--- a/scripts/regression_set/sites.py
+++ b/scripts/regression_set/sites.py
@@ -9,15 +9,17 @@
 
 from .kit import REPOSITORY_ROOT
 
-# Factor on the machines of a scaled site, and on the work for them.
+# Factor by which a scaled site multiplies machine counts, cpus and gpus of teams, initial jobs and
+# arrival rates.
 SITE_SCALE = 1.5
-# `nodes.restart_delay_s` of a scaled site.
+# Value of `nodes.restart_delay_s` in a scaled site: processes are back after this time.
 RESTART_DELAY_S = 0.3
-# Time at which the outage of the state service begins in days with `@refused`.
+# Time at which the outage of the state service begins in days that use `@refused`. The day
+# files contain the same number.
 OUTAGE_START_S = 192.0
-# Factor on the run time of tasks. Arrival rates are divided by it.
+# Factor by which tasks run longer. Arrival rates are divided by it.
 RUN_TIME_FACTOR = 5.0
-# Fraction of the tasks with lengthened run times that is cancelled.
+# Value of `cancelled` in job classes with lengthened tasks: the fraction that is cancelled.
 CANCELLED_FRACTION = 0.6
 # Fields that scale with the site, by section of the site file: integer fields, fractional fields.
 SCALED_FIELDS = {
@@ -98,7 +100,7 @@
 ) -> pathlib.Path:
     """Writes the day's file with its placeholders filled in for the site; returns the new path.
 
-    Placeholders such as `@urgent` and `@type` become the site's own names. Those of times are
+    Placeholders such as `@urgent` and `@type` become the site's own names. Time placeholders are
     derived from the site's lease and `cancel_s`. The state service refuses a controller
     `refusal_lead_s` seconds before its outage begins.
     """
@@ -122,12 +124,12 @@
         "@outage": outage_s,
         "@long": refusal_lead_s + outage_s + 25.0,
     }
-    text = (REPOSITORY_ROOT / "bench" / "days" / f"{day_name}.toml").read_text()
+    day_text = (REPOSITORY_ROOT / "bench" / "days" / f"{day_name}.toml").read_text()
     for placeholder, name in names.items():
-        text = text.replace(f'"{placeholder}"', f'"{name}"')
+        day_text = day_text.replace(f'"{placeholder}"', f'"{name}"')
     for placeholder, time_s in times_s.items():
-        text = text.replace(f'"{placeholder}"', f"{time_s}")
+        day_text = day_text.replace(f'"{placeholder}"', f"{time_s}")
     suffix = f"-{refusal_lead_s:g}" if refusal_lead_s else ""
     day = folder / f"{site.stem}-{day_name}{suffix}.toml"
-    day.write_text(text)
+    day.write_text(day_text)
     return day
