--- a/crates/jasperhill-connections/src/limiter.rs
+++ b/crates/jasperhill-connections/src/limiter.rs
@@ -60,14 +60,14 @@
     /// A request is to be sent to the host.
     Enqueue(K),
     /// The host was heard from in another way (a heartbeat), which ends its back-off.
-    Heard(K),
+    HeartbeatReceived(K),
     /// The request in flight has ended: with a response (`Some(true)`), without a response
     /// (`Some(false)`), or without having been sent (`None`).
     Completed(K, Option<bool>),
     /// Time has passed: hosts with a pending request whose back-off is over are queued.
     Tick,
     /// Sets the most requests in flight; values below two are raised to two.
-    Resize(usize),
+    SetMaxConcurrency(usize),
 }
 
 /// Bounds the number of hosts with a request in flight. `K` identifies a host.
@@ -127,12 +127,12 @@
     }
 
     /// Returns a quantile (0 to 1) of the queueing times of hosts since the last reset.
-    pub fn wait_time_quantile(&self, quantile: f64) -> Micros {
+    pub fn queueing_time_quantile(&self, quantile: f64) -> Micros {
         Micros(self.queue_times.value_at_quantile(quantile))
     }
 
     /// Clears the recorded queueing times. Called after they were logged.
-    pub fn reset_wait_times(&mut self) {
+    pub fn reset_queueing_times(&mut self) {
         self.queue_times.reset();
     }
 
@@ -141,7 +141,7 @@
     pub fn apply(&mut self, input: Input<K>, now: Micros) -> Vec<K> {
         match input {
             Input::Enqueue(id) => self.enqueue(id, now),
-            Input::Heard(id) => {
+            Input::HeartbeatReceived(id) => {
                 if let Some(host) = self.hosts.get_mut(&id) {
                     let was_responsive = std::mem::replace(&mut host.responsive, true);
                     // A host that was heard from does not wait behind hosts that may be
@@ -166,7 +166,7 @@
                     self.enqueue(id, now);
                 }
             }
-            Input::Resize(max_concurrency) => {
+            Input::SetMaxConcurrency(max_concurrency) => {
                 self.max_concurrency = max_concurrency.max(MAX_CONCURRENCY_FLOOR)
             }
         }
--- a/crates/jasperhill-connections/tests/histories.rs
+++ b/crates/jasperhill-connections/tests/histories.rs
@@ -264,7 +264,7 @@
                 }
                 3 => {
                     failed_at.remove(&host);
-                    limiter.apply(limiter::Input::Heard(host), now)
+                    limiter.apply(limiter::Input::HeartbeatReceived(host), now)
                 }
                 _ => limiter.apply(limiter::Input::Tick, now),
             };
@@ -319,7 +319,7 @@
             if !is_dead(host)
                 && ms % HEARTBEAT_INTERVAL_MS == u64::from(host) * 7 % HEARTBEAT_INTERVAL_MS
             {
-                dispatched.extend(limiter.apply(limiter::Input::Heard(host), now));
+                dispatched.extend(limiter.apply(limiter::Input::HeartbeatReceived(host), now));
             }
         }
         for (_, host) in completed {
--- a/crates/jasperhill-controller/src/connections.rs
+++ b/crates/jasperhill-controller/src/connections.rs
@@ -62,7 +62,7 @@
         let now = self.now();
         let ready_hosts = {
             let limiter = &mut self.state.borrow_mut().commands.limiter;
-            limiter.apply(Input::Resize(size), now)
+            limiter.apply(Input::SetMaxConcurrency(size), now)
         };
         self.send_commands(ready_hosts);
     }
@@ -106,10 +106,10 @@
             commands = commands.open,
             users_evicted = users.evicted,
             commands_waiting = limiter.queued(),
-            command_wait_ms = limiter.wait_time_quantile(LOGGED_QUANTILE).0 / 1_000,
+            command_wait_ms = limiter.queueing_time_quantile(LOGGED_QUANTILE).0 / 1_000,
             "sockets"
         );
-        limiter.reset_wait_times();
+        limiter.reset_queueing_times();
     }
 
     /// Logs the class or team with the smallest share of started jobs, among those in the owned
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -149,7 +149,7 @@
         let is_store_down =
             state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
         state.heartbeats.answered_without_store += u32::from(is_store_down);
-        let host_heard = limiter::Input::Heard((partition_id, host_id.clone()));
+        let host_heard = limiter::Input::HeartbeatReceived((partition_id, host_id.clone()));
         let ready_hosts = state.commands.limiter.apply(host_heard, now);
         drop(state_guard);
         self.send_commands(ready_hosts);
