--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -132,7 +132,7 @@
         let state = &mut *state_guard;
         // The authority is checked for every request, as the process may have stalled since the last
         // one.
-        if !state.authority.holds(now) {
+        if !state.authority.is_valid_at(now) {
             return None;
         }
         let partition = state
@@ -142,11 +142,11 @@
             .filter(|partition| partition.since == target.owned_since)?;
         let commands = partition.commands(&target.host);
         let host = partition.hosts.get(&target.host)?;
-        let known_as_of = state.authority.fresh();
+        let known_as_of = state.authority.cache_fresh_until();
         // A delegate may go on renewing the lease of this host. A start command that arrives late under
         // such a lease could be executed after its job was cancelled: see
         // `Host::in_flight_known_as_of`.
-        if host.last_answer > self.settings.bounds.until(known_as_of) {
+        if host.last_answer > self.settings.bounds.owner_may_renew_until(known_as_of) {
             return None;
         }
         let (incarnation, token) = (host.incarnation?, host.token);
--- a/crates/jasperhill-controller/src/delegation/delegate.rs
+++ b/crates/jasperhill-controller/src/delegation/delegate.rs
@@ -110,9 +110,9 @@
         };
         // The freshness bound on cancellations: a controller that renews a host's lease must know which
         // tasks to stop on the host.
-        let known_as_of = state.authority.fresh();
-        let answers_until = self.settings.bounds.delegate_until(known_as_of);
-        if !state.authority.holds(now) || now >= answers_until {
+        let known_as_of = state.authority.cache_fresh_until();
+        let answers_until = self.settings.bounds.delegate_may_renew_until(known_as_of);
+        if !state.authority.is_valid_at(now) || now >= answers_until {
             return None;
         }
         // A lease is not renewed for a task whose job is unknown here: the job may have been cancelled,
--- a/crates/jasperhill-controller/src/delegation/owner.rs
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -82,7 +82,7 @@
             return;
         };
         let request = cached.value.clone();
-        if self.is_own_request(delegate) || !state.authority.holds(now) {
+        if self.is_own_request(delegate) || !state.authority.is_valid_at(now) {
             return;
         }
         let granted_until = now + self.settings.delegation_time();
@@ -159,7 +159,7 @@
             // becomes too old before the grant ends.
             .filter(|host| {
                 let known_as_of = host.in_flight_known_as_of();
-                known_as_of.is_none_or(|known| granted_until <= bounds.until(known))
+                known_as_of.is_none_or(|known| granted_until <= bounds.owner_may_renew_until(known))
             })
             .map(|host| (host.id.clone(), host.token))
             .collect()
@@ -196,7 +196,7 @@
         let mut expired = Vec::new();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
-        if !state.authority.holds(now) {
+        if !state.authority.is_valid_at(now) {
             return expired;
         }
         for (id, partition) in &state.scheduling.partitions {
--- a/crates/jasperhill-controller/src/heartbeats/deferral.rs
+++ b/crates/jasperhill-controller/src/heartbeats/deferral.rs
@@ -78,8 +78,8 @@
         let now = self.now();
         let state = self.state.borrow();
         let reachability = &state.membership.reachability;
-        let can_act_here =
-            reachability.own_link(&LinkId::Store) == LinkState::Up && state.authority.holds(now);
+        let can_act_here = reachability.own_link(&LinkId::Store) == LinkState::Up
+            && state.authority.is_valid_at(now);
         let role_can_move =
             can_act_here || (owner.is_none() && reachability.is_store_reachable_elsewhere(now));
         let is_role_moving = self.uses_reachability(&state)
--- a/crates/jasperhill-controller/src/heartbeats/mod.rs
+++ b/crates/jasperhill-controller/src/heartbeats/mod.rs
@@ -47,7 +47,7 @@
     /// about to end.
     fn heartbeat_deadline(&self) -> Micros {
         let now = self.now();
-        let is_settled = self.state.borrow().membership.restarts.is_settled(now);
+        let is_settled = self.state.borrow().membership.restarts.is_stable(now);
         let limit = if is_settled {
             MAX_DEFERRAL
         } else {
--- a/crates/jasperhill-controller/src/heartbeats/registration.rs
+++ b/crates/jasperhill-controller/src/heartbeats/registration.rs
@@ -76,7 +76,7 @@
     fn expects_registration(&self, heartbeat: &Heartbeat) -> Option<bool> {
         let now = self.now();
         let state = self.state.borrow();
-        if state.cache.hosts.contains_key(&heartbeat.host) || !state.authority.holds(now) {
+        if state.cache.hosts.contains_key(&heartbeat.host) || !state.authority.is_valid_at(now) {
             return None;
         }
         let leader = state.provisioning.leader.as_ref()?;
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -84,7 +84,7 @@
     /// Returns the refusal to send if no controller is known that could answer.
     fn responder(&self, state: &State, host: &HostId, now: Micros) -> Result<Responder, Response> {
         let Some(record) = state.cache.hosts.get(host) else {
-            if state.provisioning.leader.is_some() && state.authority.holds(now) {
+            if state.provisioning.leader.is_some() && state.authority.is_valid_at(now) {
                 // This controller is the leader and has not registered the host yet.
                 return Err(unavailable());
             }
@@ -126,7 +126,7 @@
         let Some(partition) = state.scheduling.partitions.get_mut(&partition_id) else {
             return Err(unavailable());
         };
-        if !state.authority.holds(received_at) {
+        if !state.authority.is_valid_at(received_at) {
             return Err(unavailable());
         }
         partition.on_heartbeat(heartbeat, HeartbeatSource::Heartbeat, received_at);
@@ -137,9 +137,9 @@
         let (token, known_as_of) = (host.token, host.in_flight_known_as_of());
         // The authority is checked again here, as this response renews a lease and carries commands.
         let now = self.now();
-        let is_known_state_too_old =
-            known_as_of.is_some_and(|known| now >= self.settings.bounds.until(known));
-        if !state.authority.holds(now) || is_known_state_too_old {
+        let is_known_state_too_old = known_as_of
+            .is_some_and(|known| now >= self.settings.bounds.owner_may_renew_until(known));
+        if !state.authority.is_valid_at(now) || is_known_state_too_old {
             return Err(unavailable());
         }
         partition.apply(host_id, HostInput::Answered(&commands), now);
--- a/crates/jasperhill-controller/src/membership.rs
+++ b/crates/jasperhill-controller/src/membership.rs
@@ -57,7 +57,7 @@
 /// record.
 pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
     ProcessRun {
-        started: record.process_started,
+        started_at: record.process_started,
         quick_restarts: record.quick_restarts,
     }
 }
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -40,7 +40,7 @@
     fn is_store_reachable(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
-        now - state.authority.fresh() < REACHABLE_CACHE_AGE_MAX
+        now - state.authority.cache_fresh_until() < REACHABLE_CACHE_AGE_MAX
             && !state.stalls.is_store_silent(now)
     }
 
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -78,7 +78,7 @@
         let now = self.now();
         let mut planned = Vec::new();
         let mut state_guard = self.state.borrow_mut();
-        if !state_guard.authority.holds(now) {
+        if !state_guard.authority.is_valid_at(now) {
             return planned;
         }
         let mut inventory = self.inventory(&state_guard);
--- a/crates/jasperhill-controller/src/relay/eligibility.rs
+++ b/crates/jasperhill-controller/src/relay/eligibility.rs
@@ -57,19 +57,19 @@
         let reachability = &state.membership.reachability;
         let is_self = member == &self.settings.member;
         let mut eligibility = Eligibility {
-            state: reachability.store_link(member, now),
+            store_link: reachability.store_link(member, now),
             ..Eligibility::default()
         };
         for (zone, hosts) in hosts_by_zone {
             let has_contact = is_self || reachability.has_recent_contact(member, zone, now);
-            match reachability.reaches(member, zone, now) {
+            match reachability.zone_link_state(member, zone, now) {
                 LinkState::Up if has_contact => eligibility.reachable_hosts += hosts,
                 LinkState::Down => eligibility.unreachable_hosts += hosts,
                 _ => {}
             }
         }
         if role == Role::Leader {
-            eligibility.other_link = if is_self {
+            eligibility.required_link = if is_self {
                 reachability.own_link(&LinkId::Cloud)
             } else {
                 let report = reachability.peer_report(member, now);
@@ -78,7 +78,7 @@
         }
         let roles = state.cache.roles.values();
         let owned = roles.filter(|role| &role.value.owner == member);
-        eligibility.load = owned.count() as u32;
+        eligibility.held_role_count = owned.count() as u32;
         eligibility
     }
 }
--- a/crates/jasperhill-controller/src/relay/reachability.rs
+++ b/crates/jasperhill-controller/src/relay/reachability.rs
@@ -44,7 +44,7 @@
 
     /// Records an observation of a link: something got through, or failed to.
     pub fn observe_link(&self, link: LinkId, observation: Observation) {
-        self.update_reachability(reachability::Input::Evidence(link, observation));
+        self.update_reachability(reachability::Input::LinkObserved(link, observation));
     }
 
     /// Records whether a worker of a zone answered, as an observation of the link for commands to that
@@ -54,8 +54,8 @@
             Observation::Success
         } else {
             Observation::Failure {
-                by: witness_id(host),
-                of: host_count,
+                counterpart: witness_id(host),
+                counterpart_count: host_count,
             }
         };
         self.observe_link(LinkId::Commands(zone.clone()), observation);
@@ -142,7 +142,7 @@
         let mut state = self.state.borrow_mut();
         let is_store_down =
             state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
-        let is_answering_without_store = is_store_down && state.authority.holds(now);
+        let is_answering_without_store = is_store_down && state.authority.is_valid_at(now);
         if state.heartbeats.answered_without_store > 0 && !is_answering_without_store {
             let heartbeats = std::mem::take(&mut state.heartbeats.answered_without_store);
             tracing::info!(heartbeats, "heartbeats answered without the store");
@@ -158,7 +158,7 @@
         let owners = if is_cache_current {
             let ownerships = state.cache.ownerships().into_iter();
             ownerships
-                .filter(|(_, ownership)| ownership.live)
+                .filter(|(_, ownership)| ownership.is_session_live)
                 .map(|(role, ownership)| (role, ownership.owner, ownership.version))
                 .collect()
         } else {
--- a/crates/jasperhill-controller/src/relay/routing.rs
+++ b/crates/jasperhill-controller/src/relay/routing.rs
@@ -12,7 +12,7 @@
     pub fn latest_owner(&self, state: &State, role: Role) -> Option<Member> {
         let now = self.now();
         let cached_version = state.cache.roles.get(&role).map(|cached| cached.version);
-        match state.membership.reachability.owner(role, now) {
+        match state.membership.reachability.reported_owner(role, now) {
             Some((owner, version))
                 if self.uses_reachability(state)
                     && cached_version.is_none_or(|cached| cached < version) =>
@@ -34,7 +34,7 @@
             return None;
         }
         let reachability = &state.membership.reachability;
-        if !reachability.hears_peer(owner, now) {
+        if !reachability.can_communicate_with(owner, now) {
             let peer = reachability.relay_to_owner(owner, zone, now)?.clone();
             let returned_after_redirect = state.relay.was_redirected(&heartbeat.host, now);
             return Some(if returned_after_redirect {
--- a/crates/jasperhill-controller/src/relay/zone_probes.rs
+++ b/crates/jasperhill-controller/src/relay/zone_probes.rs
@@ -25,7 +25,7 @@
             let input = reachability::Input::ExpectHeartbeats {
                 zone,
                 hosts: *hosts,
-                report: self.settings.heartbeat_interval,
+                heartbeat_interval: self.settings.heartbeat_interval,
             };
             for zone in self.update_reachability(input) {
                 self.probe_zone(&zone);
--- a/crates/jasperhill-controller/src/roles/mod.rs
+++ b/crates/jasperhill-controller/src/roles/mod.rs
@@ -93,13 +93,13 @@
         Snapshot {
             lease,
             ownerships,
-            held: held_roles.collect(),
-            may_acquire: state.authority.holds(now),
+            held_roles: held_roles.collect(),
+            may_acquire: state.authority.is_valid_at(now),
             reachability_enabled: self.uses_reachability(state),
             crash_looping: self.crash_looping_members(state),
             eligibility,
-            hosts,
-            damping: self.settings.lease,
+            host_counts: hosts,
+            min_move_interval: self.settings.lease,
         }
     }
 
@@ -119,7 +119,7 @@
     /// Marks a takeover or hand-over as completed, whether or not it succeeded.
     fn finish_transition(&self, role: Role) {
         let now = self.now();
-        let transition_over = roles::Input::TransitionOver(role);
+        let transition_over = roles::Input::TransitionEnded(role);
         self.state
             .borrow_mut()
             .membership
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -153,7 +153,7 @@
         let now = self.now();
         let mut hosts_to_command = Vec::new();
         let mut state = self.state.borrow_mut();
-        if !state.authority.holds(now) {
+        if !state.authority.is_valid_at(now) {
             return;
         }
         for (partition_id, partition) in &mut state.scheduling.partitions {
--- a/crates/jasperhill-controller/src/settings/check.rs
+++ b/crates/jasperhill-controller/src/settings/check.rs
@@ -56,7 +56,13 @@
     let workers = &params.workers;
     let lease = parse_seconds("params.workers.lease_s", workers.lease_s)?;
     let cancel = parse_seconds("params.workers.cancel_s", workers.cancel_s)?;
-    let bounds = freshness_bounds(LeaseTerms { lease, cancel }, workers.lease_s)?;
+    let bounds = freshness_bounds(
+        LeaseTerms {
+            lease_duration: lease,
+            cancellation_time: cancel,
+        },
+        workers.lease_s,
+    )?;
     let limits = StateLimits::effective(&params.state)?;
     Ok(Settings {
         member: Member::new(member.as_str()),
@@ -163,7 +169,7 @@
 /// must complete.
 fn freshness_bounds(terms: LeaseTerms, lease_s: f64) -> Result<FreshnessBounds, SettingsError> {
     terms.bounds().or_else(|too_short| {
-        let minimum_s = too_short.least.as_secs_f64();
+        let minimum_s = too_short.cancellation_time_min.as_secs_f64();
         let reason = format!("must be at least {minimum_s:.2} with a lease_s of {lease_s}");
         invalid_field("params.workers.cancel_s", reason)
     })
--- a/crates/jasperhill-controller/src/settings/mod.rs
+++ b/crates/jasperhill-controller/src/settings/mod.rs
@@ -146,7 +146,7 @@
     /// controller misses a cancellation, lease renewals must stop early enough for the tasks to end
     /// within `cancel_s`.
     pub fn cache_age_max(&self) -> Micros {
-        self.bounds.owner()
+        self.bounds.owner_age_max()
     }
 
     /// Returns the number of consecutive quick process exits after which a controller leaves its
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -18,7 +18,10 @@
     if answered {
         Observation::Success
     } else {
-        Observation::Failure { by: 0, of: 1 }
+        Observation::Failure {
+            counterpart: 0,
+            counterpart_count: 1,
+        }
     }
 }
 
@@ -111,7 +114,7 @@
     /// Returns whether this controller may currently act on its roles.
     pub fn has_authority(&self) -> bool {
         let now = self.now();
-        self.state.borrow().authority.holds(now)
+        self.state.borrow().authority.is_valid_at(now)
     }
 
     /// Returns the number of a team's partition; `None` if the settings do not name the team.
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -101,7 +101,7 @@
             // its roles then, so the session is left to expire. The watch detects when the link
             // recovers.
             let state = self.state.borrow();
-            if state.isolation.isolated && !state.authority.holds(sent) {
+            if state.isolation.isolated && !state.authority.is_valid_at(sent) {
                 return RENEWAL_RETRY_DELAY;
             }
         }
@@ -120,7 +120,7 @@
         self.observe_link(LinkId::Store, observation_of(has_response));
         match renewal {
             LeaseRenewal::Renewed => {
-                let renewed = authority::Input::Renewed { lease, sent };
+                let renewed = authority::Input::SessionRenewed { lease, sent };
                 self.state.borrow_mut().authority.apply(renewed);
                 time_to_live
                     .scale(RENEWAL_TTL_FRACTION)
@@ -128,7 +128,9 @@
             }
             LeaseRenewal::NotFound => {
                 let mut state = self.state.borrow_mut();
-                state.authority.apply(authority::Input::Lost { lease });
+                state
+                    .authority
+                    .apply(authority::Input::SessionLost { lease });
                 self.drop_ownership(&mut state, "session ended");
                 Micros::ZERO
             }
@@ -161,7 +163,7 @@
             self.revoke_lease(lease).await;
             return false;
         };
-        let session_begun = authority::Input::Begun {
+        let session_begun = authority::Input::SessionStarted {
             lease,
             version,
             sent,
@@ -183,14 +185,14 @@
         let state = &mut *state_guard;
         let record = state.cache.sessions.get(own_member).cloned();
         let session_starting = restart_history::Input::SessionStarting {
-            former: record.as_ref().map(|entry| process_run_of(&entry.value)),
-            wall: self.clock.wall(),
+            previous_run: record.as_ref().map(|entry| process_run_of(&entry.value)),
+            wall_clock: self.clock.wall(),
         };
         let phase = state
             .membership
             .restarts
             .apply(session_starting, self.now());
-        let process_run = state.membership.restarts.current();
+        let process_run = state.membership.restarts.current_run();
         // In a crash loop, each process would take the roles back and serve none of them. The roles
         // are therefore not taken over: their records keep naming the lease of the ended session,
         // which leaves the roles to other members.
@@ -238,7 +240,7 @@
         let session = SessionRecord {
             lease,
             format: FEATURE_LEVEL,
-            process_started: process_run.started,
+            process_started: process_run.started_at,
             quick_restarts: process_run.quick_restarts,
         };
         let mut guards = vec![guard(&key, version)];
--- a/crates/jasperhill-controller/src/store/watch.rs
+++ b/crates/jasperhill-controller/src/store/watch.rs
@@ -135,7 +135,12 @@
         let state = self.state.borrow();
         match state.membership.reachability.own_link(&LinkId::Store) {
             LinkState::Down => Micros::ZERO,
-            _ => WATCH_BLOCK_MAX.min(self.settings.bounds.owner().scale(WATCH_BLOCK_FRACTION)),
+            _ => WATCH_BLOCK_MAX.min(
+                self.settings
+                    .bounds
+                    .owner_age_max()
+                    .scale(WATCH_BLOCK_FRACTION),
+            ),
         }
     }
 
@@ -210,7 +215,7 @@
                     revision: response.revision,
                     events: response.events,
                 });
-                let fresh = authority::Input::Fresh { sent: sent_at };
+                let fresh = authority::Input::CacheFresh { sent: sent_at };
                 self.state.borrow_mut().authority.apply(fresh);
                 self.observe_link(LinkId::Store, Observation::Success);
                 true
--- a/crates/jasperhill-controller/src/users/admission.rs
+++ b/crates/jasperhill-controller/src/users/admission.rs
@@ -65,7 +65,7 @@
         let now = self.now();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
-        if !state.authority.holds(now) {
+        if !state.authority.is_valid_at(now) {
             return None;
         }
         let partition_id = self.partition_of(&request.team)?;
--- a/crates/jasperhill-controller/src/watch_cache/queries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/queries.rs
@@ -82,7 +82,7 @@
                 owner: entry.value.owner.clone(),
                 lease: entry.value.lease,
                 version: entry.version,
-                live: self.owner(*role).is_some(),
+                is_session_live: self.owner(*role).is_some(),
                 relinquished: false,
             };
             (*role, ownership)
--- a/crates/jasperhill-membership/src/authority.rs
+++ b/crates/jasperhill-membership/src/authority.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// A session began; its lease was requested at `sent`.
-    Begun {
+    SessionStarted {
         /// The session's lease in the store.
         lease: u64,
         /// The revision of the session's key.
@@ -33,19 +33,19 @@
         sent: Micros,
     },
     /// The renewal sent at `sent` succeeded.
-    Renewed {
+    SessionRenewed {
         /// The lease that was renewed.
         lease: u64,
         /// The time at which the renewal request was sent.
         sent: Micros,
     },
     /// The key-value store reports that the lease or the key of the session no longer exists.
-    Lost {
+    SessionLost {
         /// The lease that no longer exists.
         lease: u64,
     },
     /// The watch cache contains all changes up to `sent`.
-    Fresh {
+    CacheFresh {
         /// The time at which the request that confirmed this was sent.
         sent: Micros,
     },
@@ -64,7 +64,7 @@
     /// The time at which the last successful renewal, or the lease request, was sent.
     last_renewal_sent: Micros,
     /// The watch cache contains all changes up to this time.
-    fresh: Micros,
+    cache_fresh_until: Micros,
     /// The session's time to live after a renewal.
     ttl: Micros,
     /// The maximum age of the watch cache at which the controller may act.
@@ -79,7 +79,7 @@
         Self {
             session: Session::None,
             last_renewal_sent: Micros::ZERO,
-            fresh: Micros::ZERO,
+            cache_fresh_until: Micros::ZERO,
             ttl,
             cache_age_max,
         }
@@ -96,14 +96,14 @@
     }
 
     /// Returns the time up to which the watch cache contains all changes.
-    pub fn fresh(&self) -> Micros {
-        self.fresh
+    pub fn cache_fresh_until(&self) -> Micros {
+        self.cache_fresh_until
     }
 
     /// Applies one input. No other function changes the authority.
     pub fn apply(&mut self, input: Input) {
         match input {
-            Input::Begun {
+            Input::SessionStarted {
                 lease,
                 version,
                 sent,
@@ -111,17 +111,17 @@
                 self.session = Session::Held { lease, version };
                 self.last_renewal_sent = sent;
             }
-            Input::Renewed { lease, sent } => {
+            Input::SessionRenewed { lease, sent } => {
                 if matches!(self.session, Session::Held { lease: held, .. } if held == lease) {
                     self.last_renewal_sent = self.last_renewal_sent.max(sent);
                 }
             }
-            Input::Lost { lease } => {
+            Input::SessionLost { lease } => {
                 if matches!(self.session, Session::Held { lease: held, .. } if held == lease) {
                     self.session = Session::None;
                 }
             }
-            Input::Fresh { sent } => self.fresh = self.fresh.max(sent),
+            Input::CacheFresh { sent } => self.cache_fresh_until = self.cache_fresh_until.max(sent),
         }
     }
 
@@ -131,18 +131,18 @@
     }
 
     /// Returns the time at which the authority ends unless it is extended; zero without a session.
-    pub fn until(&self) -> Micros {
+    pub fn valid_until(&self) -> Micros {
         match self.session {
             Session::None => Micros::ZERO,
             Session::Held { .. } => (self.last_renewal_sent + self.ttl - self.safety_margin())
-                .min(self.fresh + self.cache_age_max),
+                .min(self.cache_fresh_until + self.cache_age_max),
         }
     }
 
     /// Returns whether the controller has authority at `now`. The caller checks before every
     /// command and every response, not once per event loop iteration, because the process may have
     /// been stalled since an earlier check.
-    pub fn holds(&self, now: Micros) -> bool {
-        now < self.until()
+    pub fn is_valid_at(&self, now: Micros) -> bool {
+        now < self.valid_until()
     }
 }
--- a/crates/jasperhill-membership/src/freshness.rs
+++ b/crates/jasperhill-membership/src/freshness.rs
@@ -5,10 +5,10 @@
 //!
 //! Any controller may confirm a cancellation to its user at any time. A controller that has not
 //! heard of the cancellation must have renewed the worker's lease for the last time early enough
-//! that the lease expires within [`LeaseTerms::cancel`]. Such a controller cannot distinguish an
-//! outage of the state service from a refusal of its own requests. Therefore only fresh knowledge
-//! extends the permission to renew; missing responses from everybody or statements of other
-//! controllers do not.
+//! that the lease expires within [`LeaseTerms::cancellation_time`]. Such a controller cannot
+//! distinguish an outage of the state service from a refusal of its own requests. Therefore only
+//! fresh knowledge extends the permission to renew; missing responses from everybody or statements
+//! of other controllers do not.
 
 use jasperhill_wire::Micros;
 
@@ -31,10 +31,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
     /// The time after sending its last answered heartbeat at which a worker ends its tasks.
-    pub lease: Micros,
+    pub lease_duration: Micros,
     /// The time after confirming a cancellation to the user by which the tasks of the job must have
     /// ended.
-    pub cancel: Micros,
+    pub cancellation_time: Micros,
 }
 
 /// The maximum age of the knowledge on which a lease renewal may be based, for owners and
@@ -47,35 +47,39 @@
     delegate_age_max: Micros,
 }
 
-/// Error: [`LeaseTerms::cancel`] is too short for the lease time.
+/// Error: [`LeaseTerms::cancellation_time`] is too short for the lease time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelTooShort {
-    /// The lowest permitted value of `cancel`.
-    pub least: Micros,
+    /// The lowest permitted value of `cancellation_time`.
+    pub cancellation_time_min: Micros,
 }
 
 impl LeaseTerms {
-    /// Returns the part of `cancel` that is needed regardless of the age of the knowledge: the
-    /// lease, clock drift and late timers.
+    /// Returns the part of `cancellation_time` that is needed regardless of the age of the
+    /// knowledge: the lease, clock drift and late timers.
     fn age_independent_time(&self) -> Micros {
-        self.lease + self.lease.scale(CLOCK_DRIFT * DRIFT_FACTOR) + TIMER_DELAY_ALLOWANCE
+        self.lease_duration
+            + self.lease_duration.scale(CLOCK_DRIFT * DRIFT_FACTOR)
+            + TIMER_DELAY_ALLOWANCE
     }
 
-    /// Returns the bounds that guarantee that tasks end within `cancel` even if the controllers
-    /// that renew their leases have not heard of the cancellation.
+    /// Returns the bounds that guarantee that tasks end within `cancellation_time` even if the
+    /// controllers that renew their leases have not heard of the cancellation.
     ///
     /// # Errors
     ///
     /// Returns [`CancelTooShort`] if no lease renewal could be guaranteed to expire in time.
     pub fn bounds(&self) -> Result<FreshnessBounds, CancelTooShort> {
-        let time_for_knowledge_age = self.cancel - self.age_independent_time();
+        let time_for_knowledge_age = self.cancellation_time - self.age_independent_time();
         if time_for_knowledge_age < OWNER_KNOWLEDGE_AGE_MIN {
-            let least = self.age_independent_time() + OWNER_KNOWLEDGE_AGE_MIN;
-            return Err(CancelTooShort { least });
+            let cancellation_time_min = self.age_independent_time() + OWNER_KNOWLEDGE_AGE_MIN;
+            return Err(CancelTooShort {
+                cancellation_time_min,
+            });
         }
         // A bound longer than a lease has no benefit: the leases of workers that an owner does not
         // answer for that long have expired anyway.
-        let owner_age_max = time_for_knowledge_age.min(self.lease);
+        let owner_age_max = time_for_knowledge_age.min(self.lease_duration);
         Ok(FreshnessBounds {
             owner_age_max,
             delegate_age_max: DELEGATE_KNOWLEDGE_AGE_MAX.min(owner_age_max),
@@ -85,7 +89,7 @@
 
 impl FreshnessBounds {
     /// Returns the maximum age of an owner's knowledge when the owner renews a lease.
-    pub fn owner(&self) -> Micros {
+    pub fn owner_age_max(&self) -> Micros {
         self.owner_age_max
     }
 
@@ -93,13 +97,13 @@
     /// confirmed before `known_as_of`. The same limit applies to a controller that has sent a start
     /// command based on that knowledge, because the worker may still execute the command under the
     /// same token.
-    pub fn until(&self, known_as_of: Micros) -> Micros {
+    pub fn owner_may_renew_until(&self, known_as_of: Micros) -> Micros {
         known_as_of + self.owner_age_max
     }
 
     /// Returns the time until which a delegate may answer heartbeats if it knows all cancellations
     /// confirmed before `known_as_of`.
-    pub fn delegate_until(&self, known_as_of: Micros) -> Micros {
+    pub fn delegate_may_renew_until(&self, known_as_of: Micros) -> Micros {
         known_as_of + self.delegate_age_max
     }
 }
--- a/crates/jasperhill-membership/src/link.rs
+++ b/crates/jasperhill-membership/src/link.rs
@@ -36,9 +36,9 @@
     /// A message did not get through within its time limit.
     Failure {
         /// Identifies the counterpart that was not reached.
-        by: u64,
+        counterpart: u64,
         /// The number of counterparts on the link.
-        of: usize,
+        counterpart_count: usize,
     },
     /// There is no counterpart to observe: the state of the link becomes unknown.
     NoCounterpart,
@@ -112,7 +112,10 @@
         self.last_observation = now;
         let state = match observation {
             Observation::Success => self.after_success(now),
-            Observation::Failure { by, of } => self.after_failure(by, of, now),
+            Observation::Failure {
+                counterpart,
+                counterpart_count,
+            } => self.after_failure(counterpart, counterpart_count, now),
             Observation::NoCounterpart => {
                 *self = Self::new(self.thresholds);
                 self.last_observation = now;
@@ -154,16 +157,23 @@
         }
     }
 
-    /// Records a failure to reach counterpart `by` out of `of` counterparts; returns the new state.
-    fn after_failure(&mut self, by: u64, of: usize, now: Micros) -> LinkState {
+    /// Records a failure to reach `counterpart` out of `counterpart_count` counterparts; returns
+    /// the new state.
+    fn after_failure(
+        &mut self,
+        counterpart: u64,
+        counterpart_count: usize,
+        now: Micros,
+    ) -> LinkState {
         self.failure_weight += 1.0;
         self.succeeding_since = None;
         self.failures = self.failures.saturating_add(1);
         if self.failed_counterparts.len() < FAILED_COUNTERPARTS_MAX {
-            self.failed_counterparts.insert(by);
+            self.failed_counterparts.insert(counterpart);
         }
         let failing_since = *self.failing_since.get_or_insert(now);
-        let is_cut_off = self.failed_counterparts.len() >= of.clamp(1, FAILED_COUNTERPARTS_MIN)
+        let is_cut_off = self.failed_counterparts.len()
+            >= counterpart_count.clamp(1, FAILED_COUNTERPARTS_MIN)
             && self.failures >= FAILURES_MIN
             && now - failing_since >= self.thresholds.down;
         match self.state {
--- a/crates/jasperhill-membership/src/reachability.rs
+++ b/crates/jasperhill-membership/src/reachability.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     /// An observation of one of this controller's links.
-    Evidence(LinkId, Observation),
+    LinkObserved(LinkId, Observation),
     /// States how many hosts of a zone should send heartbeats to this controller. Applied at
     /// regular intervals for each zone.
     ExpectHeartbeats {
@@ -77,7 +77,7 @@
         /// The number of hosts that should send heartbeats to this controller; may be zero.
         hosts: u32,
         /// The interval between two heartbeats of a host.
-        report: Micros,
+        heartbeat_interval: Micros,
     },
     /// A report of another controller on its own links.
     PeerReport(&'a ReachabilityReport),
@@ -188,7 +188,7 @@
     /// Applies one input and returns the resulting state changes and probes.
     pub fn apply(&mut self, input: Input<'_>, now: Micros) -> Vec<Output> {
         match input {
-            Input::Evidence(link, observation) => {
+            Input::LinkObserved(link, observation) => {
                 if observation == Observation::Success {
                     self.record_contact(&link, now);
                 }
@@ -197,8 +197,8 @@
             Input::ExpectHeartbeats {
                 zone,
                 hosts,
-                report,
-            } => self.expect_heartbeats(zone, hosts, report, now),
+                heartbeat_interval,
+            } => self.expect_heartbeats(zone, hosts, heartbeat_interval, now),
             Input::PeerReport(report) => {
                 self.store_peer_report(report, now);
                 Vec::new()
@@ -361,7 +361,10 @@
         } = *evaluation;
         let id = LinkId::Heartbeats(evaluation.zone.clone());
         if hosts > 0 && silence >= silence_max {
-            let failure = Observation::Failure { by: now.0, of: 1 };
+            let failure = Observation::Failure {
+                counterpart: now.0,
+                counterpart_count: 1,
+            };
             self.observe(id, failure, now)
         } else if hosts == 0
             && silence > SILENCE_RESET_TIME
@@ -377,7 +380,7 @@
     fn is_unreachable_for_peer(&self, zone: &Name, now: Micros) -> bool {
         self.peers
             .iter()
-            .any(|m| self.reaches(m, zone, now) == LinkState::Down)
+            .any(|m| self.zone_link_state(m, zone, now) == LinkState::Down)
     }
 
     /// Creates the next report to the other controllers: this controller's links, the role
@@ -408,7 +411,7 @@
             reachable_peers: self
                 .peers
                 .iter()
-                .filter(|m| self.hears_peer(m, now))
+                .filter(|m| self.can_communicate_with(m, now))
                 .cloned()
                 .collect(),
             owners,
--- a/crates/jasperhill-membership/src/reachability/queries.rs
+++ b/crates/jasperhill-membership/src/reachability/queries.rs
@@ -83,7 +83,7 @@
 
     /// Returns the combined state of both directions between a member and a zone's workers. An
     /// unknown direction is ignored if the state of the other direction is known.
-    pub fn reaches(&self, member: &Member, zone: &Name, now: Micros) -> LinkState {
+    pub fn zone_link_state(&self, member: &Member, zone: &Name, now: Micros) -> LinkState {
         match self.zone_links(member, zone, now) {
             (LinkState::Down, _) | (_, LinkState::Down) => LinkState::Down,
             (LinkState::Suspect, _) | (_, LinkState::Suspect) => LinkState::Suspect,
@@ -93,7 +93,7 @@
     }
 
     /// Returns whether the link to a peer is not down and the peer has a valid report.
-    pub fn hears_peer(&self, member: &Member, now: Micros) -> bool {
+    pub fn can_communicate_with(&self, member: &Member, now: Micros) -> bool {
         self.own_link(&LinkId::Peer(member.clone())) != LinkState::Down
             && self.peer_report(member, now).is_some()
     }
@@ -101,7 +101,7 @@
     /// Returns a peer that can relay commands to a zone's workers.
     pub fn relay_to_zone(&self, zone: &Name, now: Micros) -> Option<&Member> {
         self.peers.iter().find(|m| {
-            self.hears_peer(m, now)
+            self.can_communicate_with(m, now)
                 && matches!(
                     self.zone_links(m, zone, now),
                     (_, LinkState::Up) | (LinkState::Up, LinkState::Unknown)
@@ -114,17 +114,17 @@
     pub fn relay_to_owner(&self, peer: &Member, zone: &Name, now: Micros) -> Option<&Member> {
         self.peers.iter().find(|m| {
             *m != peer
-                && self.hears_peer(m, now)
+                && self.can_communicate_with(m, now)
                 && self.peer_report(m, now).is_some_and(|r| r.reachable_peers.contains(peer))
                 // A member whose commands get out but that receives no heartbeats cannot be a
                 // relay, because the relay has to receive the worker's heartbeats.
                 && self.zone_links(m, zone, now).0 == LinkState::Up
-                && self.reaches(m, zone, now) == LinkState::Up
+                && self.zone_link_state(m, zone, now) == LinkState::Up
         })
     }
 
     /// Returns the latest ownership of a role that any peer has reported.
-    pub fn owner(&self, role: Role, now: Micros) -> Option<(&Member, Revision)> {
+    pub fn reported_owner(&self, role: Role, now: Micros) -> Option<(&Member, Revision)> {
         self.peers
             .iter()
             .filter_map(|m| self.peer_report(m, now))
--- a/crates/jasperhill-membership/src/restart_history.rs
+++ b/crates/jasperhill-membership/src/restart_history.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessRun {
     /// The wall-clock time at which the process started its session.
-    pub started: Micros,
+    pub started_at: Micros,
     /// The number of consecutive quick restarts that led to this run.
     pub quick_restarts: u32,
 }
@@ -45,10 +45,10 @@
     }
 
     /// Returns whether the process has reached `threshold` quick restarts and has not yet run for
-    /// its back-off at wall-clock time `wall`. The wall clocks of machines may differ by about a
-    /// second, which only shifts the end of the back-off by as much.
-    pub fn is_crash_looping(&self, threshold: u32, wall: Micros) -> bool {
-        wall - self.started < self.backoff(threshold)
+    /// its back-off at wall-clock time `wall_clock`. The wall clocks of machines may differ by
+    /// about a second, which only shifts the end of the back-off by as much.
+    pub fn is_crash_looping(&self, threshold: u32, wall_clock: Micros) -> bool {
+        wall_clock - self.started_at < self.backoff(threshold)
     }
 }
 
@@ -72,9 +72,9 @@
     /// The process is about to start a session.
     SessionStarting {
         /// The run stored in the record of the previous session; `None` if there is no record.
-        former: Option<ProcessRun>,
+        previous_run: Option<ProcessRun>,
         /// The current wall-clock time.
-        wall: Micros,
+        wall_clock: Micros,
     },
     /// Time has passed.
     Tick,
@@ -89,7 +89,7 @@
     threshold: u32,
     phase: Phase,
     /// The run to store in the session record of this process.
-    current: ProcessRun,
+    current_run: ProcessRun,
     /// The time at which this process started, by the monotonic clock.
     process_started: Micros,
 }
@@ -102,7 +102,7 @@
         Self {
             threshold,
             phase: Phase::NotStarted,
-            current: ProcessRun::default(),
+            current_run: ProcessRun::default(),
             process_started: now,
         }
     }
@@ -113,8 +113,8 @@
     }
 
     /// Returns the run to store in the session record of this process.
-    pub fn current(&self) -> ProcessRun {
-        self.current
+    pub fn current_run(&self) -> ProcessRun {
+        self.current_run
     }
 
     /// Returns the number of quick restarts from which on the process is in a crash loop; 0 if the
@@ -126,9 +126,9 @@
     /// Returns whether this process can be expected to keep running at `now`, by the monotonic
     /// clock: its session started without a preceding quick restart, or it has run for longer than
     /// a quick run.
-    pub fn is_settled(&self, now: Micros) -> bool {
+    pub fn is_stable(&self, now: Micros) -> bool {
         let no_quick_restart_before =
-            self.phase != Phase::NotStarted && self.current.quick_restarts == 0;
+            self.phase != Phase::NotStarted && self.current_run.quick_restarts == 0;
         no_quick_restart_before || now - self.process_started >= QUICK_RUN_MAX
     }
 
@@ -136,18 +136,24 @@
     /// other function changes the history.
     pub fn apply(&mut self, input: Input, now: Micros) -> Phase {
         match (self.phase, input) {
-            (Phase::NotStarted, Input::SessionStarting { former, wall }) => {
+            (
+                Phase::NotStarted,
+                Input::SessionStarting {
+                    previous_run,
+                    wall_clock,
+                },
+            ) => {
                 let was_quick_run = |run: &ProcessRun| {
-                    wall - run.started < QUICK_RUN_MAX + run.backoff(self.threshold)
+                    wall_clock - run.started_at < QUICK_RUN_MAX + run.backoff(self.threshold)
                 };
-                let quick_restarts = former
+                let quick_restarts = previous_run
                     .filter(was_quick_run)
                     .map_or(0, |run| run.quick_restarts + 1);
-                self.current = ProcessRun {
-                    started: wall,
+                self.current_run = ProcessRun {
+                    started_at: wall_clock,
                     quick_restarts: quick_restarts.min(QUICK_RESTARTS_MAX),
                 };
-                let backoff_end = self.process_started + self.current.backoff(self.threshold);
+                let backoff_end = self.process_started + self.current_run.backoff(self.threshold);
                 self.phase = if now < backoff_end {
                     Phase::CrashLooping { until: backoff_end }
                 } else {
--- a/crates/jasperhill-membership/src/roles.rs
+++ b/crates/jasperhill-membership/src/roles.rs
@@ -55,7 +55,7 @@
     /// The revision of the role's record.
     pub version: Revision,
     /// Whether the owner's session with this lease still exists.
-    pub live: bool,
+    pub is_session_live: bool,
     /// Whether the owner has reported that it has stopped acting at this version.
     pub relinquished: bool,
 }
@@ -64,16 +64,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Eligibility {
     /// The state of the link between the member and the state service.
-    pub state: LinkState,
+    pub store_link: LinkState,
     /// The state of the link that the role needs in addition to its hosts: the cloud, for the
     /// leader.
-    pub other_link: LinkState,
+    pub required_link: LinkState,
     /// The number of the role's hosts that the member reaches.
     pub reachable_hosts: u32,
     /// The number of the role's hosts that the member is known not to reach.
     pub unreachable_hosts: u32,
     /// The number of roles that the member holds.
-    pub load: u32,
+    pub held_role_count: u32,
 }
 
 impl Eligibility {
@@ -81,10 +81,10 @@
     fn is_worse_than(&self, other: &Eligibility, hosts: u32) -> bool {
         let reachable_max = hosts - self.unreachable_hosts.min(hosts);
         let reaches_more = other.reachable_hosts > reachable_max + ignored_host_difference(hosts)
-            && other.other_link != LinkState::Down;
+            && other.required_link != LinkState::Down;
         let gains_other_link =
-            self.other_link == LinkState::Down && other.other_link == LinkState::Up;
-        other.state == LinkState::Up && (reaches_more || gains_other_link)
+            self.required_link == LinkState::Down && other.required_link == LinkState::Up;
+        other.store_link == LinkState::Up && (reaches_more || gains_other_link)
     }
 }
 
@@ -96,7 +96,7 @@
     /// Ownerships according to the store; roles that were never owned have no entry.
     pub ownerships: BTreeMap<Role, RoleOwnership>,
     /// Roles that this controller acts on.
-    pub held: BTreeSet<Role>,
+    pub held_roles: BTreeSet<Role>,
     /// Whether this controller has authority and so may take over orphaned roles.
     pub may_acquire: bool,
     /// Whether all members support the assignment of roles by reachability.
@@ -106,9 +106,9 @@
     /// The ability of each member to act on each role.
     pub eligibility: BTreeMap<(Role, Member), Eligibility>,
     /// The number of hosts of each role.
-    pub hosts: BTreeMap<Role, u32>,
+    pub host_counts: BTreeMap<Role, u32>,
     /// The minimum time between two moves of a role because of reachability.
-    pub damping: Micros,
+    pub min_move_interval: Micros,
 }
 
 impl Snapshot {
@@ -119,7 +119,7 @@
     }
 
     fn hosts_of(&self, role: Role) -> u32 {
-        self.hosts.get(&role).copied().unwrap_or(0)
+        self.host_counts.get(&role).copied().unwrap_or(0)
     }
 }
 
@@ -131,7 +131,7 @@
     /// This controller has permanently stopped acting on a role at this revision.
     Relinquished(Role, Revision),
     /// A takeover or hand-over of a role has ended, successfully or not.
-    TransitionOver(Role),
+    TransitionEnded(Role),
     /// Requests a decision on all roles. Applied at regular intervals and after each change.
     Evaluate(&'a Snapshot),
 }
@@ -262,7 +262,7 @@
             Input::Relinquished(role, version) => {
                 self.relinquished_revisions.insert(role, version);
             }
-            Input::TransitionOver(role) => {
+            Input::TransitionEnded(role) => {
                 self.in_transition.remove(&role);
             }
             Input::Evaluate(snapshot) => return self.evaluate(snapshot, now),
@@ -285,7 +285,7 @@
                 Some(own) if self.relinquished_revisions.get(&role) != Some(&own.version) => {
                     self.orphaned_since.remove(&role);
                     transitions.push(Transition::Hold(role, own.version));
-                    if snapshot.held.contains(&role) {
+                    if snapshot.held_roles.contains(&role) {
                         transitions.extend(self.move_away(role, must_relinquish, snapshot, now));
                     }
                 }
@@ -293,7 +293,7 @@
                     self.better_owners.remove(&role);
                     transitions.push(Transition::Release(role));
                     let owned_elsewhere = own_ownership.is_none()
-                        && ownership.is_some_and(|o| o.live && !o.relinquished);
+                        && ownership.is_some_and(|o| o.is_session_live && !o.relinquished);
                     if owned_elsewhere {
                         self.orphaned_since.remove(&role);
                     } else {
@@ -324,7 +324,7 @@
 
     /// Returns the takeover of an orphaned role once the takeover delay of this controller is over.
     fn take_over(&mut self, role: Role, snapshot: &Snapshot, now: Micros) -> Option<Transition> {
-        let own_store_link = snapshot.eligibility_of(role, &self.me).state;
+        let own_store_link = snapshot.eligibility_of(role, &self.me).store_link;
         // While the store does not respond to this controller, a takeover write could be executed
         // without its response arriving. This controller's report of a relinquished role names a
         // version, and is void once the store has a newer version of the role.
@@ -364,7 +364,7 @@
     /// Records since when the links of each member have been unknown.
     fn record_unknown_links(&mut self, snapshot: &Snapshot, now: Micros) {
         for member in &self.members {
-            let store_link = snapshot.eligibility_of(Role::Leader, member).state;
+            let store_link = snapshot.eligibility_of(Role::Leader, member).store_link;
             if store_link == LinkState::Unknown {
                 self.links_unknown_since
                     .entry(member.clone())
@@ -378,7 +378,7 @@
     /// Returns whether, for at least [`STORE_UNREACHABLE_TIME`], the state service has not
     /// responded to this controller but has responded to another member with a session.
     fn should_relinquish(&mut self, snapshot: &Snapshot, now: Micros) -> bool {
-        let store_link = |m: &Member| snapshot.eligibility_of(Role::Leader, m).state;
+        let store_link = |m: &Member| snapshot.eligibility_of(Role::Leader, m).store_link;
         let is_served_by_store = |m: &Member| {
             *m != self.me && self.sessions.contains_key(m) && store_link(m) == LinkState::Up
         };
@@ -405,7 +405,7 @@
         }
         // Less loaded members take over earlier; better owners take over before this controller.
         let is_partition = |r: &&Role| matches!(r, Role::Partition(_));
-        let load = snapshot.held.iter().filter(is_partition).count() as u64;
+        let load = snapshot.held_roles.iter().filter(is_partition).count() as u64;
         let delay = Micros::from_millis(ORPHANED_ROLE_DELAY_MS * (rank + load));
         if self.better_owner(role, snapshot).is_some() {
             delay + BETTER_OWNER_EXISTS_DELAY
@@ -432,7 +432,7 @@
             (
                 eligibility.reachable_hosts,
                 *m == preferred_owner,
-                Reverse(eligibility.load),
+                Reverse(eligibility.held_role_count),
             )
         });
         best_owner
@@ -456,9 +456,9 @@
         let has_unknown_links = |m: &&Member| {
             **m != self.me
                 && self.sessions.contains_key(*m)
-                && snapshot.eligibility_of(role, m).state == LinkState::Unknown
+                && snapshot.eligibility_of(role, m).store_link == LinkState::Unknown
         };
-        let load = |m: &&Member| snapshot.eligibility_of(role, m).load;
+        let load = |m: &&Member| snapshot.eligibility_of(role, m).held_role_count;
         self.members
             .iter()
             .filter(has_unknown_links)
@@ -470,7 +470,7 @@
     fn hand_over(&mut self, role: Role, snapshot: &Snapshot, now: Micros) -> Option<Transition> {
         let last_moved = self.last_moved_at.get(&role);
         let is_damped = snapshot.reachability_enabled
-            && last_moved.is_some_and(|at| now - *at < snapshot.damping);
+            && last_moved.is_some_and(|at| now - *at < snapshot.min_move_interval);
         if let Some(to) = self.better_owner(role, snapshot) {
             let is_due = self.is_candidate_due(role, &to, now) && !is_damped;
             let urgent = true;
@@ -521,7 +521,7 @@
             return false;
         }
         let preferred_owner_eligibility = snapshot.eligibility_of(role, preferred_owner);
-        let is_worse = preferred_owner_eligibility.state != LinkState::Up
+        let is_worse = preferred_owner_eligibility.store_link != LinkState::Up
             || preferred_owner_eligibility.unreachable_hosts
                 > ignored_host_difference(snapshot.hosts_of(role));
         !snapshot.reachability_enabled || !is_worse
--- a/crates/jasperhill-membership/src/roles/tests.rs
+++ b/crates/jasperhill-membership/src/roles/tests.rs
@@ -16,11 +16,11 @@
     let mut roles = Roles::new(member(0), members.clone(), 1);
     let mut snapshot = Snapshot {
         lease: 7,
-        held: [PARTITION].into(),
+        held_roles: [PARTITION].into(),
         may_acquire: true,
         reachability_enabled: true,
-        hosts: [(PARTITION, 100)].into(),
-        damping: Micros::from_secs(30),
+        host_counts: [(PARTITION, 100)].into(),
+        min_move_interval: Micros::from_secs(30),
         ..Snapshot::default()
     };
     for role in [PARTITION, Role::Leader] {
@@ -29,7 +29,7 @@
         for m in &members {
             roles.apply(Input::Session(m, Some(1)), Micros::ZERO);
             let eligibility = Eligibility {
-                state: LinkState::Up,
+                store_link: LinkState::Up,
                 reachable_hosts: 100,
                 ..Eligibility::default()
             };
@@ -44,7 +44,7 @@
         owner: member(owner),
         lease: 7 + owner as u64,
         version: Revision(version),
-        live: true,
+        is_session_live: true,
         relinquished: false,
     }
 }
@@ -101,7 +101,7 @@
 #[test]
 fn role_stays_if_no_member_is_a_better_owner() {
     for change in [
-        (|eligibility| eligibility.state = LinkState::Suspect) as fn(&mut Eligibility),
+        (|eligibility| eligibility.store_link = LinkState::Suspect) as fn(&mut Eligibility),
         |eligibility| eligibility.reachable_hosts = 0,
         |eligibility| eligibility.reachable_hosts = 8,
     ] {
@@ -147,10 +147,10 @@
     let (mut roles, mut snapshot) = roles_and_snapshot();
     // The role moved from m1, whose session is still alive.
     snapshot.ownerships.insert(PARTITION, ownership(1, 4));
-    snapshot.held.clear();
+    snapshot.held_roles.clear();
     role_changes(&mut roles, &snapshot, START);
     snapshot.ownerships.insert(PARTITION, ownership(0, 5));
-    snapshot.held.insert(PARTITION);
+    snapshot.held_roles.insert(PARTITION);
     set_eligibility(&mut snapshot, 0, |eligibility| {
         (eligibility.reachable_hosts, eligibility.unreachable_hosts) = (0, 100)
     });
@@ -200,7 +200,7 @@
 fn role_is_relinquished_only_if_another_member_can_write() {
     let (mut roles, mut snapshot) = roles_and_snapshot();
     set_eligibility(&mut snapshot, 0, |eligibility| {
-        eligibility.state = LinkState::Down
+        eligibility.store_link = LinkState::Down
     });
     assert!(role_changes(&mut roles, &snapshot, START).is_empty());
     let later = START + STORE_UNREACHABLE_TIME;
@@ -210,7 +210,7 @@
     );
     for member_index in [1, 2] {
         set_eligibility(&mut snapshot, member_index, |eligibility| {
-            eligibility.state = LinkState::Down
+            eligibility.store_link = LinkState::Down
         });
     }
     assert!(role_changes(&mut roles, &snapshot, later).is_empty());
@@ -234,7 +234,7 @@
 #[test]
 fn member_reaching_fewer_hosts_delays_takeover() {
     let (mut roles, mut snapshot) = roles_and_snapshot();
-    snapshot.held.clear();
+    snapshot.held_roles.clear();
     snapshot.ownerships.insert(
         PARTITION,
         RoleOwnership {
@@ -252,7 +252,7 @@
         [Transition::Acquire(PARTITION)]
     );
     let (mut roles, mut snapshot) = roles_and_snapshot();
-    snapshot.held.clear();
+    snapshot.held_roles.clear();
     snapshot.ownerships.insert(
         PARTITION,
         RoleOwnership {
@@ -272,9 +272,13 @@
 #[test]
 fn crash_looping_member_leaves_roles_to_running_members() {
     let (mut roles, mut snapshot) = roles_and_snapshot();
-    snapshot.held.clear();
+    snapshot.held_roles.clear();
     snapshot.ownerships.get_mut(&PARTITION).unwrap().lease = 99;
-    snapshot.ownerships.get_mut(&PARTITION).unwrap().live = false;
+    snapshot
+        .ownerships
+        .get_mut(&PARTITION)
+        .unwrap()
+        .is_session_live = false;
     snapshot.crash_looping = [member(0)].into();
     let after_takeover_delay = START + Micros::from_secs(60);
     assert_eq!(role_changes(&mut roles, &snapshot, START), []);
@@ -292,7 +296,7 @@
     let members: Vec<Member> = [1, 0, 2].map(member).to_vec();
     let mut roles = Roles::new(member(0), members.clone(), 1);
     let (_, mut snapshot) = roles_and_snapshot();
-    snapshot.damping = Micros::ZERO;
+    snapshot.min_move_interval = Micros::ZERO;
     for m in &members {
         roles.apply(Input::Session(m, Some(1)), START);
     }
--- a/crates/jasperhill-membership/tests/authority.rs
+++ b/crates/jasperhill-membership/tests/authority.rs
@@ -7,14 +7,14 @@
 fn input() -> impl Strategy<Value = Input> {
     let time = (0u64..100_000_000).prop_map(Micros);
     prop_oneof![
-        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::Begun {
+        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::SessionStarted {
             lease,
             version: Revision(1),
             sent
         }),
-        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::Renewed { lease, sent }),
-        (0u64..3).prop_map(|lease| Input::Lost { lease }),
-        time.prop_map(|sent| Input::Fresh { sent }),
+        (0u64..3, time.clone()).prop_map(|(lease, sent)| Input::SessionRenewed { lease, sent }),
+        (0u64..3).prop_map(|lease| Input::SessionLost { lease }),
+        time.prop_map(|sent| Input::CacheFresh { sent }),
     ]
 }
 
@@ -34,15 +34,15 @@
         for input in inputs {
             authority.apply(input);
             match input {
-                Input::Begun { lease, sent: s, .. } => { held_lease = Some(lease); last_renewal_sent = s; }
-                Input::Renewed { lease, sent: s } if held_lease == Some(lease) => last_renewal_sent = last_renewal_sent.max(s),
-                Input::Lost { lease } if held_lease == Some(lease) => held_lease = None,
-                Input::Fresh { sent: s } => cache_fresh_until = cache_fresh_until.max(s),
+                Input::SessionStarted { lease, sent: s, .. } => { held_lease = Some(lease); last_renewal_sent = s; }
+                Input::SessionRenewed { lease, sent: s } if held_lease == Some(lease) => last_renewal_sent = last_renewal_sent.max(s),
+                Input::SessionLost { lease } if held_lease == Some(lease) => held_lease = None,
+                Input::CacheFresh { sent: s } => cache_fresh_until = cache_fresh_until.max(s),
                 _ => {}
             }
-            prop_assert!(authority.until() < last_renewal_sent + ttl);
-            prop_assert!(authority.until() <= cache_fresh_until + cache_age_max);
-            prop_assert!(held_lease.is_some() || !authority.holds(Micros::ZERO));
+            prop_assert!(authority.valid_until() < last_renewal_sent + ttl);
+            prop_assert!(authority.valid_until() <= cache_fresh_until + cache_age_max);
+            prop_assert!(held_lease.is_some() || !authority.is_valid_at(Micros::ZERO));
         }
     }
 }
--- a/crates/jasperhill-membership/tests/link.rs
+++ b/crates/jasperhill-membership/tests/link.rs
@@ -9,8 +9,11 @@
     up: Micros::from_secs(2),
 };
 
-fn failure_of(by: u64) -> Observation {
-    Observation::Failure { by, of: 100 }
+fn failure_of(counterpart: u64) -> Observation {
+    Observation::Failure {
+        counterpart,
+        counterpart_count: 100,
+    }
 }
 
 /// After a long outage, the first success brings a link up if its `up` threshold is zero; a link
--- a/crates/jasperhill-membership/tests/restart_history.rs
+++ b/crates/jasperhill-membership/tests/restart_history.rs
@@ -8,16 +8,19 @@
 /// Simulates consecutive runs with the given lengths in milliseconds and returns the phase of each
 /// run at its start.
 fn phases_of_runs(lengths: &[u64]) -> Vec<Phase> {
-    let (mut wall, mut former) = (WALL_START, None);
+    let (mut wall_clock, mut previous_run) = (WALL_START, None);
     let mut phases = Vec::new();
     for run_ms in lengths {
         let mut history = RestartHistory::new(3, Micros::from_secs(3_600));
         phases.push(history.apply(
-            Input::SessionStarting { former, wall },
+            Input::SessionStarting {
+                previous_run,
+                wall_clock,
+            },
             Micros::from_secs(3_600),
         ));
-        former = Some(history.current());
-        wall += Micros::from_millis(*run_ms);
+        previous_run = Some(history.current_run());
+        wall_clock += Micros::from_millis(*run_ms);
     }
     phases
 }
@@ -47,22 +50,28 @@
 #[test]
 fn process_is_stable_after_backoff() {
     let now = Micros::from_secs(3_600);
-    let former = Some(ProcessRun {
-        started: WALL_START,
+    let previous_run = Some(ProcessRun {
+        started_at: WALL_START,
         quick_restarts: 5,
     });
     let mut history = RestartHistory::new(3, now);
-    let wall = WALL_START + Micros::from_secs(1);
-    history.apply(Input::SessionStarting { former, wall }, now);
+    let wall_clock = WALL_START + Micros::from_secs(1);
+    history.apply(
+        Input::SessionStarting {
+            previous_run,
+            wall_clock,
+        },
+        now,
+    );
     assert!(
         history
-            .current()
-            .is_crash_looping(3, wall + Micros::from_secs(9))
+            .current_run()
+            .is_crash_looping(3, wall_clock + Micros::from_secs(9))
     );
     assert!(
         !history
-            .current()
-            .is_crash_looping(3, wall + Micros::from_secs(10))
+            .current_run()
+            .is_crash_looping(3, wall_clock + Micros::from_secs(10))
     );
     let after_s = |s: u64| now + Micros::from_secs(s);
     assert!(matches!(
@@ -71,7 +80,10 @@
     ));
     assert_eq!(history.apply(Input::Tick, after_s(10)), Phase::Stable);
     // A later session of the same process does not change the phase.
-    let session_restart = Input::SessionStarting { former, wall };
+    let session_restart = Input::SessionStarting {
+        previous_run,
+        wall_clock,
+    };
     assert_eq!(history.apply(session_restart, after_s(11)), Phase::Stable);
     assert_eq!(
         RestartHistory::new(0, now).apply(session_restart, now),
@@ -86,19 +98,25 @@
 /// response for over a second, 243 were held back by a process that then ended.
 #[test]
 fn run_after_quick_restart_is_settled_after_quick_run_time() {
-    let (start, wall) = (Micros::from_secs(3_600), WALL_START + Micros::from_secs(1));
-    let start_session = |former: Option<ProcessRun>| {
+    let (start, wall_clock) = (Micros::from_secs(3_600), WALL_START + Micros::from_secs(1));
+    let start_session = |previous_run: Option<ProcessRun>| {
         let mut history = RestartHistory::new(3, start);
-        assert!(!history.is_settled(start), "it knows nothing yet");
-        history.apply(Input::SessionStarting { former, wall }, start);
+        assert!(!history.is_stable(start), "it knows nothing yet");
+        history.apply(
+            Input::SessionStarting {
+                previous_run,
+                wall_clock,
+            },
+            start,
+        );
         history
     };
-    assert!(start_session(None).is_settled(start));
-    let former = Some(ProcessRun {
-        started: WALL_START,
+    assert!(start_session(None).is_stable(start));
+    let previous_run = Some(ProcessRun {
+        started_at: WALL_START,
         quick_restarts: 0,
     });
-    let restarted = start_session(former);
-    assert!(!restarted.is_settled(start + Micros::from_secs(9)));
-    assert!(restarted.is_settled(start + Micros::from_secs(10)));
+    let restarted = start_session(previous_run);
+    assert!(!restarted.is_stable(start + Micros::from_secs(9)));
+    assert!(restarted.is_stable(start + Micros::from_secs(10)));
 }
--- a/crates/jasperhill-testkit/src/cluster/deployment.rs
+++ b/crates/jasperhill-testkit/src/cluster/deployment.rs
@@ -57,7 +57,12 @@
     settings.operator.session = plan.session.map(Micros::from_secs);
     if plan.without_freshness_bound {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
-        settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
+        settings.bounds = LeaseTerms {
+            lease_duration: lease,
+            cancellation_time: cancel,
+        }
+        .bounds()
+        .unwrap();
     }
     if plan.without_crash_loop_backoff {
         settings.operator.crash_loop_threshold = Some(0);
--- a/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
@@ -80,8 +80,8 @@
 #[expect(clippy::too_many_lines, reason = "one history, step by step")]
 fn a_start_comes_late(guarded: bool) -> u16 {
     let bounds = LeaseTerms {
-        lease: Micros::from_secs(16),
-        cancel: Micros::from_secs(46),
+        lease_duration: Micros::from_secs(16),
+        cancellation_time: Micros::from_secs(46),
     }
     .bounds()
     .unwrap();
@@ -141,7 +141,7 @@
             let orders = host.commands(|_, _| true);
             let withheld = host
                 .in_flight_known_as_of()
-                .is_some_and(|known| now >= bounds.until(known));
+                .is_some_and(|known| now >= bounds.owner_may_renew_until(known));
             if !(guarded && withheld) {
                 host.apply(HostInput::Answered(&orders), now);
                 let answer = serde_json::from_slice(&commands_body(host.token, None, &orders));
