--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -110,12 +110,12 @@
         let state = self.state.borrow();
         let partition = state.scheduling.partitions.get(&partition_id)?;
         let host_state = partition.hosts.get(&host)?;
-        if host_state.in_flight() || host_state.in_doubt() {
+        if host_state.has_request_in_flight() || host_state.awaits_raised_token() {
             return None;
         }
         Some(CommandTarget {
             partition_id,
-            owned_since: partition.since,
+            owned_since: partition.owned_since,
             address: host_state.address.parse().ok()?,
             zone: host_state.zone.clone(),
             is_incarnation_known: host_state.incarnation.is_some(),
@@ -139,14 +139,14 @@
             .scheduling
             .partitions
             .get_mut(&target.partition_id)
-            .filter(|partition| partition.since == target.owned_since)?;
+            .filter(|partition| partition.owned_since == target.owned_since)?;
         let commands = partition.commands(&target.host);
         let host = partition.hosts.get(&target.host)?;
         let known_as_of = state.authority.cache_fresh_until();
         // A delegate may go on renewing the lease of this host. A start command that arrives late under
         // such a lease could be executed after its job was cancelled: see
-        // `Host::in_flight_known_as_of`.
-        if host.last_answer > self.settings.bounds.owner_may_renew_until(known_as_of) {
+        // `Host::outstanding_starts_known_as_of`.
+        if host.lease_renewed_at_latest > self.settings.bounds.owner_may_renew_until(known_as_of) {
             return None;
         }
         let (incarnation, token) = (host.incarnation?, host.token);
@@ -154,14 +154,15 @@
             .iter()
             .any(|command| !matches!(command, Command::Clear(..)));
         let is_unfenced = matches!(host.fencing, FencingState::Unfenced { .. });
-        if host.in_flight() || host.in_doubt() || !(is_urgent || is_unfenced) {
+        if host.has_request_in_flight() || host.awaits_raised_token() || !(is_urgent || is_unfenced)
+        {
             return None;
         }
         let request = CommandRequest {
             body: commands_body(token, Some(incarnation), &commands),
             command_count: commands.len(),
         };
-        let host_input = HostInput::DirectSent(commands, known_as_of);
+        let host_input = HostInput::DirectRequestSent(commands, known_as_of);
         partition.apply(&target.host, host_input, now);
         Some(request)
     }
@@ -177,19 +178,22 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let partition = state.scheduling.partitions.get_mut(&target.partition_id);
-        let Some(partition) = partition.filter(|found| found.since == target.owned_since) else {
+        let Some(partition) = partition.filter(|found| found.owned_since == target.owned_since)
+        else {
             return;
         };
         let input = match result {
-            Ok(response) if matches!(response.status, 200 | 400 | 409) => HostInput::DirectSettled,
-            Err(error) if error.is_unsent() => HostInput::DirectSettled,
+            Ok(response) if matches!(response.status, 200 | 400 | 409) => {
+                HostInput::DirectRequestSettled
+            }
+            Err(error) if error.is_unsent() => HostInput::DirectRequestSettled,
             _ => {
                 tracing::debug!(
                     host = %target.host,
                     command_count,
                     "commands unanswered, outcome in doubt"
                 );
-                HostInput::DirectUnanswered
+                HostInput::DirectRequestUnanswered
             }
         };
         partition.apply(&target.host, input, now);
@@ -205,7 +209,7 @@
                 let mut state = self.state.borrow_mut();
                 let partition = state.scheduling.partitions.get_mut(&target.partition_id);
                 if let Some(partition) = partition
-                    && partition.since == target.owned_since
+                    && partition.owned_since == target.owned_since
                 {
                     partition.on_heartbeat(&status, HeartbeatSource::Direct, now);
                 }
--- a/crates/jasperhill-controller/src/commands/tokens.rs
+++ b/crates/jasperhill-controller/src/commands/tokens.rs
@@ -18,8 +18,12 @@
             let mut state_guard = self.state.borrow_mut();
             let state = &mut *state_guard;
             for (partition_id, partition) in &state.scheduling.partitions {
-                let role = (Role::Partition(*partition_id), partition.since);
-                for host in partition.hosts.values().filter(|host| host.needs_token()) {
+                let role = (Role::Partition(*partition_id), partition.owned_since);
+                for host in partition
+                    .hosts
+                    .values()
+                    .filter(|host| host.needs_raised_token())
+                {
                     if let Some(cached) = state.cache.hosts.get(&host.id)
                         && !state.host_registry.is_backing_off(cached.block, now)
                         && state.commands.token_updates.insert(host.id.clone())
--- a/crates/jasperhill-controller/src/delegation/owner.rs
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -103,7 +103,7 @@
             state.delegation.grants.record(key, now);
             let partition = OwnedPartition {
                 id: *partition_id,
-                since: partition.since,
+                since: partition.owned_since,
             };
             grants.push(NewGrant { partition, hosts });
         }
@@ -152,13 +152,14 @@
             .iter()
             .filter_map(|id| partition.hosts.get(id))
             .filter(|host| {
-                host.fencing != FencingState::Lapsed && now - host.last_heard > min_silence
+                host.fencing != FencingState::LeaseExpired
+                    && now - host.last_status_received > min_silence
             })
             // The delegate renews the lease under this token until the grant ends, whatever commands
             // are in flight to the host. Such a command must not rest on a view of the store that
             // becomes too old before the grant ends.
             .filter(|host| {
-                let known_as_of = host.in_flight_known_as_of();
+                let known_as_of = host.outstanding_starts_known_as_of();
                 known_as_of.is_none_or(|known| granted_until <= bounds.owner_may_renew_until(known))
             })
             .map(|host| (host.id.clone(), host.token))
@@ -207,7 +208,7 @@
                     delegate: delegate.clone(),
                 };
                 if state.delegation.grants.is_expired(&key, lifetime, now) {
-                    let since = partition.since;
+                    let since = partition.owned_since;
                     expired.push((key, OwnedPartition { id: *id, since }));
                 }
             }
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -134,7 +134,7 @@
         let Some(host) = partition.hosts.get(host_id) else {
             return Err(unavailable());
         };
-        let (token, known_as_of) = (host.token, host.in_flight_known_as_of());
+        let (token, known_as_of) = (host.token, host.outstanding_starts_known_as_of());
         // The authority is checked again here, as this response renews a lease and carries commands.
         let now = self.now();
         let is_known_state_too_old = known_as_of
@@ -143,7 +143,7 @@
             return Err(unavailable());
         }
         partition.apply(host_id, HostInput::Answered(&commands), now);
-        if partition.changed {
+        if partition.needs_scheduling {
             self.wake.scheduler.notify_one();
         }
         let is_store_down =
--- a/crates/jasperhill-controller/src/proposals/mod.rs
+++ b/crates/jasperhill-controller/src/proposals/mod.rs
@@ -189,7 +189,7 @@
             proposer: record.proposer.clone(),
             request,
             partition,
-            owned_since: state.scheduling.partitions.get(&partition)?.since,
+            owned_since: state.scheduling.partitions.get(&partition)?.owned_since,
         })
     }
 }
--- a/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
+++ b/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
@@ -96,7 +96,7 @@
             .flat_map(|spec| spec.zones.iter().map(move |zone| (spec, zone)))
             .map(|(spec, zone)| {
                 let boot_times = &leader.boot_times;
-                boot_times.usual(&spec.machine_type, zone, spec.boot, now)
+                boot_times.usual_boot_time(&spec.machine_type, zone, spec.nominal_boot_time, now)
             })
             .max()
             .unwrap_or_default();
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -89,7 +89,7 @@
             spare_retention: if is_any_partition_short {
                 SPARE_RETENTION_IN_SHORTAGE
             } else {
-                self.settings.operator.tuning.idle_keep
+                self.settings.operator.tuning.idle_retention
             },
             lost_after: self.scheduler_config.lease_expiry() + LOST_AFTER_LEASE_EXPIRY,
         };
@@ -124,7 +124,7 @@
                     partition: *number,
                     holder: HeldRole {
                         role: Role::Partition(*number),
-                        since: partition.since,
+                        since: partition.owned_since,
                     },
                     host: id,
                     entry: entry.clone(),
@@ -172,7 +172,7 @@
             let entry = {
                 let state = self.state.borrow();
                 let owned_partition = state.scheduling.partitions.get(&partition);
-                if owned_partition.is_none_or(|p| p.since != holder.since) {
+                if owned_partition.is_none_or(|p| p.owned_since != holder.since) {
                     return;
                 }
                 state.cache.hosts.get(host).cloned()
@@ -224,7 +224,7 @@
     }
     let surplus = hosts.actual > hosts.desired
         && (host.spot || hosts.actual_on_demand > hosts.desired_on_demand);
-    if !surplus || !partition.is_spare(id, criteria.now, criteria.spare_retention) {
+    if !surplus || !partition.is_returnable(id, criteria.now, criteria.spare_retention) {
         return None;
     }
     if criteria.is_any_partition_short {
@@ -238,10 +238,11 @@
 /// Returns whether a host is lost: its lease has expired, and it has not answered for longer than
 /// `lost_after`.
 fn is_lost(host: &Host, criteria: &DecommissionCriteria) -> bool {
-    host.fencing == FencingState::Lapsed && criteria.now - host.last_answer > criteria.lost_after
+    host.fencing == FencingState::LeaseExpired
+        && criteria.now - host.lease_renewed_at_latest > criteria.lost_after
 }
 
 /// Returns whether a host is empty and unhealthy: tasks fail or run too slowly on it.
 fn is_empty_and_unhealthy(host: &Host, criteria: &DecommissionCriteria) -> bool {
-    host.is_empty() && (host.is_faulty(criteria.now) || host.slowness > SLOWNESS_MAX)
+    host.is_empty() && (host.is_faulty(criteria.now) || host.run_time_ratio > SLOWNESS_MAX)
 }
--- a/crates/jasperhill-controller/src/provisioner/inventory.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -111,7 +111,11 @@
         let Some(specs) = &state.scheduling.specs else {
             return Vec::new();
         };
-        let boot_time = specs.values().map(|s| s.boot).max().unwrap_or_default();
+        let boot_time = specs
+            .values()
+            .map(|s| s.nominal_boot_time)
+            .max()
+            .unwrap_or_default();
         let demands = self.job_demands(state, boot_time);
         let mut inventory: Vec<PartitionInventory> =
             self.desired_capacity(state, &demands, specs, boot_time);
@@ -141,7 +145,7 @@
                     request: &job.request,
                     partition: self.partition_of(&job.request.team)?,
                     unfinished: job.request.tasks.saturating_sub(job.done_count),
-                    left: job.request.deadline.map(|d| (job.submitted + d) - wall),
+                    time_to_deadline: job.request.deadline.map(|d| (job.submitted + d) - wall),
                 })
             })
             .collect()
@@ -188,9 +192,9 @@
             };
             let floor = tuning.min_machines_of(partition, self.settings.size);
             PartitionInventory {
-                desired: tuning.planned(demand.total(), expected + unmet, floor),
-                desired_on_demand: tuning.planned(demand.ordinary, expected, floor),
-                desired_high_priority: tuning.planned(demand.pressing, 0.0, 0),
+                desired: tuning.desired_machines(demand.total(), expected + unmet, floor),
+                desired_on_demand: tuning.desired_machines(demand.on_demand, expected, floor),
+                desired_high_priority: tuning.desired_machines(demand.high_priority, 0.0, 0),
                 ..PartitionInventory::default()
             }
         };
--- a/crates/jasperhill-controller/src/provisioner/reconciliation.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -207,7 +207,11 @@
     /// Forgets booting machines that are unusable, or that are neither listed nor have sent a
     /// heartbeat in time, so that they no longer count as supply.
     fn forget_stale_booting(&mut self, specs: &Specs, unusable: &BTreeSet<HostId>, now: Micros) {
-        let boot_time = specs.values().map(|s| s.boot).max().unwrap_or_default();
+        let boot_time = specs
+            .values()
+            .map(|s| s.nominal_boot_time)
+            .max()
+            .unwrap_or_default();
         let boot_time_limit = boot_time.scale(BOOTING_MAX_BOOT_TIMES) + BOOTING_MAX_MARGIN;
         self.booting
             .retain(|id, machine| !unusable.contains(id) && now - machine.since < boot_time_limit);
@@ -219,12 +223,12 @@
 fn is_unusable(machine: &Machine, specs: &Specs, seen_for: Micros) -> bool {
     let host = &machine.id;
     let spec = specs.get(&machine.machine_type);
-    let boot_time = spec.map_or(UNKNOWN_TYPE_BOOT_TIME, |s| s.boot);
+    let boot_time = spec.map_or(UNKNOWN_TYPE_BOOT_TIME, |s| s.nominal_boot_time);
     match machine.phase {
         MachinePhase::Failed => true,
         MachinePhase::Booting => {
             let is_overdue =
-                BootTimes::never_comes(boot_time, Micros::from_secs_f64(machine.age_s));
+                BootTimes::is_abandoned(boot_time, Micros::from_secs_f64(machine.age_s));
             if is_overdue {
                 tracing::info!(%host, "machine never came up");
             }
--- a/crates/jasperhill-controller/src/provisioner/state.rs
+++ b/crates/jasperhill-controller/src/provisioner/state.rs
@@ -5,7 +5,7 @@
 use crate::{settings::Settings, token_bucket::TokenBucket};
 use jasperhill_scheduler::{
     autoscaler::DemandForecast,
-    boot_times::{BootTimes, replaceable},
+    boot_times::{BootTimes, max_late_replacements},
     config::{MachineSpec, Specs},
 };
 use jasperhill_wire::{HostId, Micros, Name, Revision, cloud::RentRequest};
@@ -185,7 +185,7 @@
     ) -> BootingSupply {
         let (mut spot, mut on_demand, mut late) = (0, 0, 0);
         for machine in self.booting.values() {
-            if late < replaceable(host_count) && self.is_late(machine, specs, now) {
+            if late < max_late_replacements(host_count) && self.is_late(machine, specs, now) {
                 late += 1;
             } else if machine.offer.spot {
                 spot += 1;
@@ -205,7 +205,7 @@
         specs.get(machine_type).is_some_and(|spec| {
             let age = now - machine.since;
             self.boot_times
-                .is_late(machine_type, zone, spec.boot, age, now)
+                .is_late(machine_type, zone, spec.nominal_boot_time, age, now)
         })
     }
 }
--- a/crates/jasperhill-controller/src/relay/zone_probes.rs
+++ b/crates/jasperhill-controller/src/relay/zone_probes.rs
@@ -41,7 +41,7 @@
         let mut expected: BTreeMap<Name, u32> = zones.map(|zone| (zone, 0)).collect();
         let partitions = state.scheduling.partitions.values();
         for host in partitions.flat_map(|partition| partition.hosts.values()) {
-            if host.fencing != FencingState::Lapsed {
+            if host.fencing != FencingState::LeaseExpired {
                 *expected.entry(host.zone.clone()).or_default() += 1;
             }
         }
--- a/crates/jasperhill-controller/src/results/cancellation.rs
+++ b/crates/jasperhill-controller/src/results/cancellation.rs
@@ -61,7 +61,7 @@
                 due_dependents.push(CancelledDependent {
                     id: id.clone(),
                     partition_id,
-                    owned_since: partition.since,
+                    owned_since: partition.owned_since,
                     version: job.version,
                     done_count: job.done_count,
                 });
--- a/crates/jasperhill-controller/src/results/record.rs
+++ b/crates/jasperhill-controller/src/results/record.rs
@@ -34,7 +34,7 @@
     if job.done.is_full() {
         return Some(ResultRecord {
             record: JobRecord::terminal(RecordPhase::Done, job.done.count()),
-            tasks: job.unsaved.clone(),
+            tasks: job.unsaved_tasks.clone(),
         });
     }
     let failed_attempts = job.failures.failed_attempts();
@@ -66,7 +66,12 @@
         return None;
     }
     let is_durable = |task: &u32| !job.is_gang() && durable_tasks.contains(*task);
-    let tasks = job.unsaved.iter().copied().filter(is_durable).collect();
+    let tasks = job
+        .unsaved_tasks
+        .iter()
+        .copied()
+        .filter(is_durable)
+        .collect();
     record.done_count = durable_tasks.count();
     record.finished = finished_runs;
     Some(ResultRecord { record, tasks })
--- a/crates/jasperhill-controller/src/results/saving.rs
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -53,7 +53,7 @@
         state.results.prune(now);
         let write_rate = state.store.commit_queue.rate();
         for partition in state.scheduling.partitions.values_mut() {
-            for id in std::mem::take(&mut partition.unsaved) {
+            for id in std::mem::take(&mut partition.jobs_with_unsaved_results) {
                 if !has_result_to_save(partition, &id) {
                     continue;
                 }
@@ -68,7 +68,7 @@
                     state.results.start_saving(id.clone());
                     due_results.push((partition.id, id));
                 } else {
-                    partition.unsaved.insert(id);
+                    partition.jobs_with_unsaved_results.insert(id);
                 }
             }
         }
@@ -93,9 +93,9 @@
             if is_saved {
                 let mut state = self.state.borrow_mut();
                 if let Some(partition) = state.scheduling.partitions.get_mut(&partition_id)
-                    && partition.since == write.owned_since
+                    && partition.owned_since == write.owned_since
                 {
-                    partition.saved(&id, &write.tasks, write.failed_attempts);
+                    partition.mark_results_saved(&id, &write.tasks, write.failed_attempts);
                 }
             } else {
                 // The next attempt starts from the record that the watch cache then contains.
@@ -107,7 +107,7 @@
         if let Some(partition) = state.scheduling.partitions.get_mut(&partition_id)
             && has_unsaved_result(partition, &id)
         {
-            partition.unsaved.insert(id);
+            partition.jobs_with_unsaved_results.insert(id);
             if is_saved {
                 self.wake.scheduler.notify_one();
             }
@@ -124,14 +124,17 @@
         let result = result_record(partition, id, active, self.settings.value_bytes)?;
         Some(ResultWrite {
             guards: vec![
-                guard(role_key(Role::Partition(partition_id)), partition.since),
+                guard(
+                    role_key(Role::Partition(partition_id)),
+                    partition.owned_since,
+                ),
                 guard(job_key(id), active.version),
             ],
             change: put(job_key(id), &result.record),
             phase: result.record.phase,
             tasks: result.tasks,
             failed_attempts: result.record.failed_attempts,
-            owned_since: partition.since,
+            owned_since: partition.owned_since,
         })
     }
 }
@@ -140,7 +143,8 @@
 /// a gang are written only when all of them are done.
 fn has_result_to_save(partition: &Partition, id: &JobId) -> bool {
     partition.jobs.get(id).is_some_and(|job| {
-        let has_unsaved_tasks = !job.unsaved.is_empty() && (!job.is_gang() || job.done.is_full());
+        let has_unsaved_tasks =
+            !job.unsaved_tasks.is_empty() && (!job.is_gang() || job.done.is_full());
         let has_unsaved_failures = job.failures.failed_attempts() != job.failed_attempts_saved;
         job.termination.is_none() && (has_unsaved_tasks || has_unsaved_failures)
     })
@@ -150,7 +154,7 @@
 fn has_unsaved_result(partition: &Partition, id: &JobId) -> bool {
     partition.jobs.get(id).is_some_and(|job| {
         job.termination.is_none()
-            && (!job.unsaved.is_empty()
+            && (!job.unsaved_tasks.is_empty()
                 || job.failures.failed_attempts() != job.failed_attempts_saved)
     })
 }
--- a/crates/jasperhill-controller/src/roles/hand_over.rs
+++ b/crates/jasperhill-controller/src/roles/hand_over.rs
@@ -52,7 +52,8 @@
 /// Returns whether a role is loaded and can be handed over now. Unless the hand-over is urgent, a
 /// partition must have no command to its hosts that is in flight or of unknown outcome.
 fn can_hand_over(state: &State, role: Role, urgent: bool) -> bool {
-    let has_settled_commands = |host: &Host| !host.in_flight() && !host.in_doubt();
+    let has_settled_commands =
+        |host: &Host| !host.has_request_in_flight() && !host.awaits_raised_token();
     match role {
         Role::Leader => state.provisioning.leader.is_some(),
         Role::Partition(id) => {
--- a/crates/jasperhill-controller/src/roles/loading.rs
+++ b/crates/jasperhill-controller/src/roles/loading.rs
@@ -27,7 +27,7 @@
             Role::Leader => load_leader(state, version, now),
             Role::Partition(id) => {
                 let loaded = state.scheduling.partitions.get(&id);
-                if loaded.is_none_or(|p| p.since != version) {
+                if loaded.is_none_or(|p| p.owned_since != version) {
                     self.load_partition(state, id, version, specs, now);
                 }
             }
--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -218,7 +218,7 @@
         };
         state.provisioning.forecast = DemandForecast::new(*first);
         for (at, request) in arrivals {
-            if state.provisioning.forecast.counts(at)
+            if state.provisioning.forecast.counts_arrival_at(at)
                 && self.settings.start_objectives.contains_key(&request.class)
                 && let Some(partition_id) = self.partition_of(&request.team)
             {
@@ -244,7 +244,7 @@
                 .contains_key(&job.request.class)
             && job.finished.is_empty()
             && job.failed_attempts == 0
-            && forecast.counts(now)
+            && forecast.counts_arrival_at(now)
             && let Some(partition_id) = self.partition_of(&job.request.team)
         {
             forecast.record(partition_id, &job.request, specs, now);
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -115,7 +115,7 @@
             .scheduling
             .partitions
             .values()
-            .map(|p| p.backlog)
+            .map(|p| p.last_cycle_job_count)
             .sum();
         let extra_delay = BATCH_DELAY_PER_JOB * backlog.min(BATCH_DELAY_JOBS_MAX) as u32;
         BATCH_DELAY_MIN + extra_delay.min(BATCH_DELAY_EXTRA_MAX)
@@ -161,13 +161,13 @@
                 mark_unfenced_hosts(partition);
                 log_unschedulable_hosts(*partition_id, partition, now);
             }
-            if is_tick || partition.changed {
+            if is_tick || partition.needs_scheduling {
                 partition.run_cycle(now);
             }
             for event in partition.events.drain(..) {
                 log_event(&event);
             }
-            for host in std::mem::take(&mut partition.dirty) {
+            for host in std::mem::take(&mut partition.hosts_with_new_commands) {
                 hosts_to_command.push((*partition_id, host));
             }
         }
@@ -200,7 +200,7 @@
     let unfenced = |host: &&Host| matches!(host.fencing, FencingState::Unfenced { .. });
     let hosts = partition.hosts.values().filter(unfenced);
     let hosts: Vec<HostId> = hosts.map(|host| host.id.clone()).collect();
-    partition.dirty.extend(hosts);
+    partition.hosts_with_new_commands.extend(hosts);
 }
 
 /// Logs at `debug` the number of hosts on which no tasks can be placed, by reason.
@@ -215,7 +215,7 @@
         silent,
         quarantined,
         draining,
-    ] = partition.unusable(now);
+    ] = partition.unusable_host_counts(now);
     tracing::debug!(
         partition = partition_id,
         hosts = partition.hosts.len(),
--- a/crates/jasperhill-controller/src/scheduling/waiting.rs
+++ b/crates/jasperhill-controller/src/scheduling/waiting.rs
@@ -17,7 +17,7 @@
         for (partition_id, partition) in &state.scheduling.partitions {
             let waiting = partition.waiting_jobs(now).into_iter();
             let mut waiting: Vec<((Name, WaitReason), WaitingJobs)> = waiting.collect();
-            waiting.sort_by_key(|(_, waiting)| Reverse(waiting.longest));
+            waiting.sort_by_key(|(_, waiting)| Reverse(waiting.longest_wait));
             for ((class, reason), waiting) in waiting.iter().take(LOG_LINES_PER_PARTITION_MAX) {
                 tracing::info!(
                     partition = partition_id,
@@ -25,8 +25,8 @@
                     ?reason,
                     jobs = waiting.jobs,
                     oldest = %waiting.oldest,
-                    tasks = waiting.tasks,
-                    longest_s = waiting.longest.as_secs_f64(),
+                    tasks = waiting.oldest_task_count,
+                    longest_s = waiting.longest_wait.as_secs_f64(),
                     "jobs that wait"
                 );
             }
--- a/crates/jasperhill-controller/src/settings/mod.rs
+++ b/crates/jasperhill-controller/src/settings/mod.rs
@@ -133,10 +133,10 @@
         SchedulerConfig {
             partitions: self.size,
             teams: self.teams.clone(),
-            report: self.heartbeat_interval,
+            heartbeat_interval: self.heartbeat_interval,
             lease: self.lease,
             gang_wait: self.gang_wait,
-            gang_peer: self.gang_peer,
+            gang_peer_timeout: self.gang_peer,
             start_within: self.start_objectives.clone(),
             tuning: self.operator.tuning.clone(),
         }
--- a/crates/jasperhill-controller/src/users/admission.rs
+++ b/crates/jasperhill-controller/src/users/admission.rs
@@ -78,7 +78,7 @@
         let partition = state.scheduling.partitions.get(&partition_id)?;
         let owner = PartitionOwnership {
             partition: partition_id,
-            since: partition.since,
+            since: partition.owned_since,
         };
         let decision = partition.admit(
             request,
@@ -108,7 +108,7 @@
     fn capacity_to_scale_out(&self, state: &State, specs: &Specs, now: Micros) -> (u32, Micros) {
         let longest_boot = specs
             .values()
-            .map(|spec| spec.boot)
+            .map(|spec| spec.nominal_boot_time)
             .max()
             .unwrap_or_default();
         match state.provisioning.spare_capacity {
--- a/crates/jasperhill-controller/src/users/dependencies.rs
+++ b/crates/jasperhill-controller/src/users/dependencies.rs
@@ -7,7 +7,9 @@
     state::State,
     watch_cache::{ActiveJob, JobEntry},
 };
-use jasperhill_scheduler::{dependencies::DependencyState, schedule_simulation::remaining};
+use jasperhill_scheduler::{
+    dependencies::DependencyState, schedule_simulation::remaining_run_time,
+};
 use jasperhill_wire::{
     JobId, Micros,
     record::{DEPENDENCIES, RecordPhase},
@@ -119,7 +121,7 @@
         // job has been running since it became ready.
         match owned_partition.and_then(|partition| partition.jobs.get(id)) {
             Some(job) if job.running.is_empty() => estimate,
-            _ => remaining(estimate, now - ready_since),
+            _ => remaining_run_time(estimate, now - ready_since),
         }
     }
 }
--- a/crates/jasperhill-controller/src/users/submission.rs
+++ b/crates/jasperhill-controller/src/users/submission.rs
@@ -7,7 +7,7 @@
 };
 use crate::shared::Shared;
 use jasperhill_http::Response;
-use jasperhill_scheduler::config::impossible;
+use jasperhill_scheduler::config::rejection_reason;
 use jasperhill_wire::{
     JobId, Malformed, Member, Micros,
     mesh::{MeshRequest, MeshResponse},
@@ -98,7 +98,7 @@
         if !state.cache.is_synced() {
             return Err(Unavailable::StateUnknown);
         }
-        Ok(impossible(request, &self.scheduler_config, specs))
+        Ok(rejection_reason(request, &self.scheduler_config, specs))
     }
 
     /// Answers the submission of a job that can never run. Does a linearizable read first, since the
--- a/crates/jasperhill-controller/src/watch_cache/jobs.rs
+++ b/crates/jasperhill-controller/src/watch_cache/jobs.rs
@@ -45,7 +45,7 @@
         changes.push(Change::Job(id));
         changes.extend(dependency_outputs.into_iter().map(|output| match output {
             Output::Released(job) => Change::Released(job),
-            Output::Doomed(job) | Output::UrgencyChanged(job) => Change::Related(job),
+            Output::UpstreamCancelled(job) | Output::UrgencyChanged(job) => Change::Related(job),
         }));
     }
 
@@ -98,7 +98,7 @@
     ) -> Vec<Output> {
         let urgency = JobUrgency {
             due: request.deadline.map(|deadline| submitted + deadline),
-            span: request.estimate,
+            expected_duration: request.estimate,
             priority: request.priority,
         };
         let jobs = &self.jobs;
@@ -112,9 +112,9 @@
         };
         self.dependencies.apply(dependencies::Input::Accepted {
             id,
-            needs: &request.dependencies,
-            terms: urgency,
-            fate: &recorded_outcome,
+            dependencies: &request.dependencies,
+            urgency,
+            recorded_outcome: &recorded_outcome,
         })
     }
 
@@ -125,7 +125,7 @@
         // A job that counted as cancelled stays cancelled, even if its record was written by a
         // controller that did not know of the upstream job.
         let phase = match self.dependencies.state_of(id) {
-            DependencyState::Doomed => RecordPhase::Cancelled,
+            DependencyState::UpstreamCancelled => RecordPhase::Cancelled,
             _ => record.phase,
         };
         let done = phase == RecordPhase::Done;
--- a/crates/jasperhill-controller/src/watch_cache/queries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/queries.rs
@@ -44,7 +44,7 @@
 
     /// Returns whether a job that this job depends on, directly or indirectly, was cancelled.
     fn is_cancelled_upstream(&self, id: &JobId) -> bool {
-        self.dependencies.state_of(id) == DependencyState::Doomed
+        self.dependencies.state_of(id) == DependencyState::UpstreamCancelled
     }
 
     /// Returns the machine types of the cloud, or `None` if some part of the list is missing.
--- a/crates/jasperhill-scheduler/benches/pass.rs
+++ b/crates/jasperhill-scheduler/benches/pass.rs
@@ -107,7 +107,7 @@
         capacity: Resources::from_units(96.0, 8.0, 768.0),
         cache_gb: 60.0,
         fetch_gb_per_s: 0.25,
-        boot: Micros::from_secs(35),
+        nominal_boot_time: Micros::from_secs(35),
         price: 20.0,
         spot_price: 8.0,
         zones: zones.clone(),
@@ -120,10 +120,10 @@
     let config = Rc::new(SchedulerConfig {
         partitions: 3,
         teams: (0..3).map(team).collect(),
-        report: Micros::from_secs(6),
+        heartbeat_interval: Micros::from_secs(6),
         lease: Micros::from_secs(30),
         gang_wait: Micros::from_secs(30),
-        gang_peer: Micros::from_secs(8),
+        gang_peer_timeout: Micros::from_secs(8),
         start_within: BTreeMap::new(),
         tuning: Tuning::default(),
     });
@@ -184,7 +184,7 @@
             let after_loss = || {
                 let mut partition = nearly_full(scale);
                 for id in hosts(&partition).iter().step_by(3) {
-                    partition.apply(id, HostInput::Gone, NOW);
+                    partition.apply(id, HostInput::LeaseExpiredOrRemoved, NOW);
                 }
                 partition
             };
--- a/crates/jasperhill-scheduler/src/autoscaler.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler.rs
@@ -21,7 +21,7 @@
     /// Number of tasks that are not done.
     pub unfinished: u32,
     /// Time to the deadline; `None` for a job without a deadline.
-    pub left: Option<Micros>,
+    pub time_to_deadline: Option<Micros>,
 }
 
 /// Returns the number of hosts that all tasks of a job would fill, but at most 50, which stands
@@ -40,17 +40,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CapacityDemand {
     /// Hosts for work that must run on on-demand machines.
-    pub ordinary: f64,
+    pub on_demand: f64,
     /// Hosts for work that may run on spot machines.
     pub spot_eligible: f64,
     /// Hosts for production and urgent work, which is included in the other two fields.
-    pub pressing: f64,
+    pub high_priority: f64,
 }
 
 impl CapacityDemand {
     /// Returns the number of hosts needed, on-demand and spot.
     pub fn total(&self) -> f64 {
-        self.ordinary + self.spot_eligible
+        self.on_demand + self.spot_eligible
     }
 }
 
@@ -87,19 +87,19 @@
         }
         let per_host = request.each.count_in(&spec.capacity).clamp(1, 1 << 20) as f64;
         let mut hosts = tasks as f64 / per_host;
-        if let (Some(left), Shape::Array) = (job.left, request.shape) {
+        if let (Some(left), Shape::Array) = (job.time_to_deadline, request.shape) {
             // An array with time for two rounds before its deadline needs half the machines.
             let rounds = left.as_secs_f64() / request.estimate.as_secs_f64().max(1.0);
             hosts /= rounds.clamp(1.0, 2.0);
         }
         if let Some(demand) = partition_demands.get_mut(job.partition as usize) {
             if request.priority <= Priority::High {
-                demand.pressing += hosts;
+                demand.high_priority += hosts;
             }
             if request.spot {
                 demand.spot_eligible += hosts
             } else {
-                demand.ordinary += hosts
+                demand.on_demand += hosts
             }
         }
     }
@@ -182,7 +182,7 @@
 
     /// Returns whether a job submitted at this time counts as an arrival. Jobs submitted before the
     /// forecast began to count are ignored.
-    pub fn counts(&self, submitted: Micros) -> bool {
+    pub fn counts_arrival_at(&self, submitted: Micros) -> bool {
         submitted >= self.since
     }
 
--- a/crates/jasperhill-scheduler/src/autoscaler/tests.rs
+++ b/crates/jasperhill-scheduler/src/autoscaler/tests.rs
@@ -17,7 +17,7 @@
         capacity: Resources::from_units(16.0, 2.0, 64.0),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        boot: Micros::from_secs(25),
+        nominal_boot_time: Micros::from_secs(25),
         price: 4.0,
         spot_price: 2.0,
         zones: vec!["a".into()],
@@ -25,11 +25,11 @@
     let specs: Specs = BTreeMap::from([("box".into(), Rc::new(spec))]);
     let first = Micros::from_secs(3_600);
     let mut forecast = DemandForecast::new(first);
-    assert!(!forecast.counts(first + Micros::from_secs(5)));
+    assert!(!forecast.counts_arrival_at(first + Micros::from_secs(5)));
     // Two hosts arrive every five seconds from the time at which counting begins.
     for n in 0..4 {
         let at = first + Micros::from_secs(15 + 5 * n);
-        assert!(forecast.counts(at));
+        assert!(forecast.counts_arrival_at(at));
         forecast.record(0, &request, &specs, at);
     }
     let now = first + Micros::from_secs(35);
--- a/crates/jasperhill-scheduler/src/boot_times.rs
+++ b/crates/jasperhill-scheduler/src/boot_times.rs
@@ -45,7 +45,13 @@
     }
 
     /// Returns the time within which most machines of this type and zone boot.
-    pub fn usual(&self, machine_type: &Name, zone: &Name, nominal: Micros, now: Micros) -> Micros {
+    pub fn usual_boot_time(
+        &self,
+        machine_type: &Name,
+        zone: &Name,
+        nominal: Micros,
+        now: Micros,
+    ) -> Micros {
         let mut elapsed: Vec<Micros> = self
             .samples
             .get(&(machine_type.clone(), zone.clone()))
@@ -72,20 +78,20 @@
         now: Micros,
     ) -> bool {
         age > self
-            .usual(machine_type, zone, nominal, now)
+            .usual_boot_time(machine_type, zone, nominal, now)
             .max(nominal.scale(NOMINAL_TOLERANCE))
             .scale(LATE_FACTOR)
     }
 
     /// Returns whether a machine that has been booting for `age` is given up.
-    pub fn never_comes(nominal: Micros, age: Micros) -> bool {
+    pub fn is_abandoned(nominal: Micros, age: Micros) -> bool {
         age > nominal.scale(ABANDON_FACTOR) + ABANDON_MARGIN
     }
 }
 
 /// Returns how many late machines may be replaced while they may still finish booting: an eighth of
 /// the fleet plus four. The limit bounds the cost if all of the late machines become ready as well.
-pub fn replaceable(fleet: usize) -> usize {
+pub fn max_late_replacements(fleet: usize) -> usize {
     fleet / 8 + 4
 }
 
--- a/crates/jasperhill-scheduler/src/boot_times/tests.rs
+++ b/crates/jasperhill-scheduler/src/boot_times/tests.rs
@@ -25,7 +25,7 @@
         boot_times.record(&"box".into(), &"a".into(), Micros::from_secs(90), now);
     }
     assert!(!is_late_at(&boot_times, 100, now) && is_late_at(&boot_times, 120, now));
-    let elsewhere = boot_times.usual(&"box".into(), &"b".into(), NOMINAL_BOOT_TIME, now);
+    let elsewhere = boot_times.usual_boot_time(&"box".into(), &"b".into(), NOMINAL_BOOT_TIME, now);
     assert_eq!(elsewhere, Micros::from_secs(45));
     // Observed boot times expire.
     assert!(is_late_at(&boot_times, 60, now + SAMPLE_MAX_AGE));
@@ -34,7 +34,7 @@
         boot_times.record(&"box".into(), &"a".into(), Micros::from_secs(1), now);
     }
     assert!(!is_late_at(&boot_times, 45, now));
-    assert!(BootTimes::never_comes(
+    assert!(BootTimes::is_abandoned(
         NOMINAL_BOOT_TIME,
         Micros::from_secs(141)
     ));
--- a/crates/jasperhill-scheduler/src/config.rs
+++ b/crates/jasperhill-scheduler/src/config.rs
@@ -1,7 +1,7 @@
 //! Scheduler configuration from the settings, and the machine types that the cloud offers.
 //!
 //! [`SchedulerConfig`] holds team limits, worker timings and [`Tuning`]; [`Specs`] holds the
-//! machine types. [`impossible`] checks a job against both.
+//! machine types. [`rejection_reason`] checks a job against both.
 
 use jasperhill_wire::{
     Micros, Name, Resources,
@@ -48,12 +48,12 @@
     /// Machines kept in addition to the demand, as a fraction of the demand.
     pub headroom: f64,
     /// Time for which an idle machine is kept.
-    pub idle_keep: Micros,
+    pub idle_retention: Micros,
     /// Minimum number of machines in the deployment, kept even without work.
     pub min_machines: u32,
     /// Minimum share of jobs started, from 0 to 1: the longest-waiting jobs of a class or team
     /// below it go first. 0 turns this off.
-    pub least_share: f64,
+    pub minimum_share: f64,
 }
 
 impl Tuning {
@@ -67,7 +67,7 @@
     /// Returns the number of machines that a partition should have: the demand with
     /// headroom plus the `expected` demand, both in hosts, and at least `floor`. Headroom is added
     /// only to existing demand, so that an idle deployment shrinks to its minimum.
-    pub fn planned(&self, demand: f64, expected: f64, floor: u32) -> i64 {
+    pub fn desired_machines(&self, demand: f64, expected: f64, floor: u32) -> i64 {
         let hosts = if demand > 0.0 {
             (demand * (1.0 + self.headroom) + expected + 0.5).ceil()
         } else {
@@ -82,9 +82,9 @@
         Self {
             uncertainty: 1.0,
             headroom: 0.1,
-            idle_keep: Micros::from_secs(8),
+            idle_retention: Micros::from_secs(8),
             min_machines: 0,
-            least_share: 0.6,
+            minimum_share: 0.6,
         }
     }
 }
@@ -97,13 +97,13 @@
     /// Limits and guarantees of all teams.
     pub teams: Vec<TeamLimits>,
     /// Interval between two heartbeats of a worker.
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     /// Time after the last answered heartbeat for which a worker keeps its tasks running.
     pub lease: Micros,
     /// Time for which a worker lets a task of a gang wait for the gang's other tasks.
     pub gang_wait: Micros,
     /// Time within which a worker ends a task of a gang whose peers are gone.
-    pub gang_peer: Micros,
+    pub gang_peer_timeout: Micros,
     /// Time within which jobs are to start, by class, for classes with a start objective.
     pub start_within: BTreeMap<Name, Micros>,
     /// Parameters set by the operators.
@@ -119,7 +119,7 @@
     /// Returns the time without a heartbeat after which a host may be lost: more than two heartbeat
     /// intervals.
     pub fn silence_limit(&self) -> Micros {
-        self.report.scale(2.5) + Micros::from_secs(1)
+        self.heartbeat_interval.scale(2.5) + Micros::from_secs(1)
     }
     /// Returns the start delay of a class for which no other work is stopped: its start objective,
     /// or 10 s without one.
@@ -147,7 +147,7 @@
     /// Image download rate, in gigabytes per second; always above 0.
     pub fetch_gb_per_s: f64,
     /// Nominal time from the rental to the first heartbeat.
-    pub boot: Micros,
+    pub nominal_boot_time: Micros,
     /// Price of an on-demand machine per hour.
     pub price: f64,
     /// Price of a spot machine per hour; the on-demand price if the cloud names no spot price.
@@ -171,7 +171,7 @@
                 capacity: Resources::from_units(t.cpus, t.gpus, t.memory_gb),
                 cache_gb: t.cache_gb,
                 fetch_gb_per_s: t.fetch_gb_per_s,
-                boot: Micros::from_secs_f64(t.boot_s),
+                nominal_boot_time: Micros::from_secs_f64(t.boot_s),
                 price: t.price,
                 spot_price: t.spot_price.unwrap_or(t.price),
                 zones: t.zones.clone(),
@@ -183,7 +183,7 @@
 
 /// Returns the reason why a job can never run, or `None` if it can run. The reason starts with the
 /// name of the submission's field.
-pub fn impossible(
+pub fn rejection_reason(
     request: &JobRequest,
     config: &SchedulerConfig,
     specs: &Specs,
@@ -221,6 +221,6 @@
 
 /// Returns the estimated time to download an image of `gb` gigabytes to a machine that has not
 /// cached it.
-pub fn fetch_time(gb: f64, spec: &MachineSpec) -> Micros {
+pub fn image_download_time(gb: f64, spec: &MachineSpec) -> Micros {
     Micros::from_secs_f64(gb / spec.fetch_gb_per_s.max(1e-6))
 }
--- a/crates/jasperhill-scheduler/src/cycle/admission.rs
+++ b/crates/jasperhill-scheduler/src/cycle/admission.rs
@@ -3,7 +3,7 @@
 //! reserved tasks.
 
 use crate::{
-    config::fetch_time,
+    config::image_download_time,
     cycle::context::{Cycle, SimulationStart},
     cycle::placement::start_delay,
     host::{Host, TaskState},
@@ -11,7 +11,7 @@
     partition::{AdmissionDecision, Partition},
     schedule_simulation::{
         Occupied, Reservation, count_missed, density, insert_by_deadline, insert_position,
-        remaining,
+        remaining_run_time,
     },
 };
 use jasperhill_wire::{HostId, JobId, Micros, TaskId, user::JobRequest};
@@ -71,9 +71,9 @@
         let delay = start_delay(host, request, now).scale(self.config.tuning.uncertainty);
         Reservation {
             task: task.clone(),
-            each: request.each,
+            resources: request.each,
             adjusted_deadline: due - delay,
-            estimate: self.estimate(request).scale(host.slowness.max(1.0)),
+            estimate: self.estimate(request).scale(host.run_time_ratio.max(1.0)),
         }
     }
 
@@ -91,21 +91,23 @@
                     }
                     (Some(job), None) if job.is_service() => Micros::MAX,
                     (Some(job), None) => {
-                        let (started, delay) = match (host_task.running, host_task.state) {
+                        let (started, delay) = match (host_task.running_since, host_task.state) {
                             (Some(started), _) => (started, Micros::ZERO),
                             (None, TaskState::Fetching | TaskState::Ordered) => {
                                 (now, start_delay(host, &job.request, now))
                             }
                             _ => (now, Micros::ZERO),
                         };
-                        let estimate = self.estimate(&job.request).scale(host.slowness.max(1.0));
-                        now + delay + remaining(estimate, now - started)
+                        let estimate = self
+                            .estimate(&job.request)
+                            .scale(host.run_time_ratio.max(1.0));
+                        now + delay + remaining_run_time(estimate, now - started)
                     }
                     (None, _) => now + Micros::from_secs(2),
                 };
                 Occupied {
                     until,
-                    each: host_task.each,
+                    resources: host_task.resources,
                 }
             })
             .collect();
@@ -133,7 +135,7 @@
     ) -> HostRank {
         let now = cycle.now;
         let free = host.free_resources();
-        if host.queue.is_empty() && reservation.each.fits(&free) {
+        if host.queue.is_empty() && reservation.resources.fits(&free) {
             // The task starts at once, so no other reservation affects it.
             let new_misses =
                 usize::from(now + reservation.estimate > reservation.adjusted_deadline);
@@ -360,7 +362,7 @@
         let Some(team) = self.config.team(&request.team) else {
             return AdmissionDecision::Refuse;
         };
-        let used = self.team_use(&request.team);
+        let used = self.team_usage(&request.team);
         let mut tasks_within_limit = 0;
         while tasks_within_limit < request.tasks.min(MAX_RESERVATIONS_PER_CYCLE as u32)
             && team.allows(&(used + request.each.times(u64::from(tasks_within_limit) + 1)))
@@ -448,7 +450,7 @@
         let Some(spec) = spec else { return 0 };
         let estimate = self.estimate(request);
         let ready = (now + elastic_capacity.1).max(starts_at)
-            + fetch_time(request.image_gb, spec).scale(self.config.tuning.uncertainty);
+            + image_download_time(request.image_gb, spec).scale(self.config.tuning.uncertainty);
         if ready + estimate > due {
             return 0;
         }
--- a/crates/jasperhill-scheduler/src/cycle/context.rs
+++ b/crates/jasperhill-scheduler/src/cycle/context.rs
@@ -3,7 +3,7 @@
 //! request that fits nowhere need not be checked again.
 
 use crate::{
-    host::LISTED_MAX, job::Job, partition::UnconfirmedTasks, schedule_simulation::Occupied,
+    host::LISTED_TASKS_MAX, job::Job, partition::UnconfirmedTasks, schedule_simulation::Occupied,
 };
 use jasperhill_wire::{
     HostId, JobId, Micros, Name, Resources, TaskId,
@@ -127,7 +127,7 @@
     pub fn fits(&self, slot: usize, job: &JobId, each: &Resources) -> bool {
         self.slots.get(slot).is_some_and(|host| {
             host.is_usable
-                && host.listed_tasks < LISTED_MAX
+                && host.listed_tasks < LISTED_TASKS_MAX
                 && each.fits(&host.free)
                 && host
                     .reserved_for
--- a/crates/jasperhill-scheduler/src/cycle/drain.rs
+++ b/crates/jasperhill-scheduler/src/cycle/drain.rs
@@ -36,7 +36,7 @@
             .hosts
             .values()
             .filter(|host| host.draining.is_some())
-            .map(|host| (host.tasks_on(), host.id.clone(), host.spot))
+            .map(|host| (host.task_count(), host.id.clone(), host.spot))
             .collect();
         draining.sort();
         for (_, id, spot) in draining {
@@ -45,7 +45,7 @@
                 on_demand_left -= usize::from(!spot);
             } else if let Some(host) = self.hosts.get_mut(&id) {
                 host.draining = None;
-                self.changed = true;
+                self.needs_scheduling = true;
             }
         }
         if surplus_left == 0 {
@@ -55,10 +55,10 @@
         let mut drainable_hosts: Vec<(Micros, usize, &Host)> = self
             .hosts
             .values()
-            .filter(|host| (1..=MAX_TASKS_TO_DRAIN).contains(&host.tasks_on()))
+            .filter(|host| (1..=MAX_TASKS_TO_DRAIN).contains(&host.task_count()))
             .filter(|host| host.is_usable(now, &config) && host.queue.is_empty())
             .filter(|host| host.spot || on_demand_left > 0)
-            .map(|host| (self.last_batch_task_end(host, now), host.tasks_on(), host))
+            .map(|host| (self.last_batch_task_end(host, now), host.task_count(), host))
             .filter(|(ends_at, ..)| *ends_at < now + DRAIN_TIMEOUT)
             .collect();
         drainable_hosts.sort_by_key(|(ends_at, tasks, host)| (*ends_at, *tasks, &host.id));
@@ -98,7 +98,7 @@
                 self.jobs.get(&task.job).is_some_and(|job| {
                     !job.is_service()
                         || (host_task
-                            .running
+                            .running_since
                             .is_some_and(|started| now - started > MIN_REPLICA_RUN_TIME)
                             && self.can_move_replica(job, task, &host.id, now))
                 })
@@ -118,7 +118,7 @@
             .values()
             .filter(|candidate| {
                 &candidate.id != from
-                    && candidate.tasks_on() > 0
+                    && candidate.task_count() > 0
                     && candidate.is_usable(now, &self.config)
             })
             .filter(|candidate| {
--- a/crates/jasperhill-scheduler/src/cycle/gang.rs
+++ b/crates/jasperhill-scheduler/src/cycle/gang.rs
@@ -5,7 +5,7 @@
 use crate::{
     cycle::context::Cycle,
     cycle::placement::{ZoneCapacity, start_cost_ms, unproven_host_penalty_ms},
-    host::{Host, LISTED_MAX},
+    host::{Host, LISTED_TASKS_MAX},
     job::{GangHosts, Job},
     partition::Partition,
 };
@@ -27,7 +27,7 @@
     pub(crate) fn start_gang(&mut self, cycle: &mut Cycle, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let request = job.request.clone();
-        if !job.live.is_empty() || !job.unsaved.is_empty() {
+        if !job.live.is_empty() || !job.unsaved_tasks.is_empty() {
             return;
         }
         if !self.may_start(cycle, &request, u64::from(request.tasks)) {
@@ -54,7 +54,7 @@
         if best.is_none()
             && has_searched
             && !job.failures.avoids_any()
-            && !self.hosts.values().any(|host| host.lists_job(id))
+            && !self.hosts.values().any(|host| host.has_task_of_job(id))
         {
             cycle.note_gang_without_hosts(priority, &request);
         }
@@ -64,7 +64,7 @@
                 if let Some(job) = self.jobs.get_mut(id) {
                     job.attempt = Some(attempt);
                     job.gang_hosts = None;
-                    job.preempting.clear();
+                    job.awaited_capacity.clear();
                 }
                 for (index, slot) in slots.into_iter().enumerate() {
                     self.start(cycle, id, index as u32, slot, Some(attempt));
@@ -122,7 +122,7 @@
             .with_slots(cycle)
             .filter(|(slot_index, _, _)| cycle.fits(*slot_index, &request.id, &request.each))
             .filter(|(_, _, host)| zones.contains(&host.zone) && Self::is_feasible(job, host))
-            .filter(|(_, _, host)| !host.lists_job(&request.id))
+            .filter(|(_, _, host)| !host.has_task_of_job(&request.id))
             .map(|(slot_index, slot, host)| (slot_index, slot.free, host))
             .collect();
         // Most waiting gangs are turned away here, before the cost of any host is computed.
@@ -147,7 +147,7 @@
         let mut highest_cost_ms = 0;
         for (cost_ms, slot_index, host, mut free) in candidates {
             let mut listable_tasks =
-                LISTED_MAX.saturating_sub(cycle.slots[slot_index].listed_tasks);
+                LISTED_TASKS_MAX.saturating_sub(cycle.slots[slot_index].listed_tasks);
             while slots.len() < request.tasks as usize
                 && request.each.fits(&free)
                 && listable_tasks > 0
@@ -172,7 +172,7 @@
     fn choose_hosts_to_reserve(&mut self, cycle: &mut Cycle, id: &JobId, request: &JobRequest) {
         let Some(job) = self.jobs.get(id) else { return };
         let is_choice_valid = job.gang_hosts.as_ref().is_some_and(|chosen| {
-            cycle.now < chosen.until
+            cycle.now < chosen.choice_expires_at
                 && chosen.hosts.iter().all(|host| {
                     cycle.slot(host).is_some_and(|slot_index| {
                         let slot = &cycle.slots[slot_index];
@@ -222,8 +222,8 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.gang_hosts = is_complete.then_some(GangHosts {
                 hosts,
-                until: cycle.now + HOST_CHOICE_LIFETIME,
-                ready: ready_at,
+                choice_expires_at: cycle.now + HOST_CHOICE_LIFETIME,
+                ready_at,
             });
         }
     }
@@ -260,7 +260,7 @@
         let Some(chosen) = &job.gang_hosts else {
             return;
         };
-        if job.preempting.is_empty() && !self.may_reserve_for_gang(cycle, &job.request) {
+        if job.awaited_capacity.is_empty() && !self.may_reserve_for_gang(cycle, &job.request) {
             return;
         }
         let hosts = chosen.hosts.clone();
@@ -299,7 +299,7 @@
                 return None;
             }
             free_at = task.until;
-            free += task.each;
+            free += task.resources;
         }
         each.fits(&free).then_some(free_at)
     }
--- a/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
+++ b/crates/jasperhill-scheduler/src/cycle/loss_recovery.rs
@@ -30,15 +30,15 @@
     /// tasks cannot start elsewhere yet. Reserving capacity costs little, so this threshold is
     /// shorter than [`crate::SchedulerConfig::silence_limit`].
     pub(crate) fn is_silent(&self, host: &Host, now: Micros) -> bool {
-        let since_heard = now - host.last_heard;
+        let since_heard = now - host.last_status_received;
         match host.fencing {
-            FencingState::Lapsed => false,
+            FencingState::LeaseExpired => false,
             // The host has been asked for its state directly and repeatedly since the takeover.
             FencingState::Unfenced { .. } => {
                 since_heard >= UNANSWERED_TIMEOUT.min(self.config.silence_limit())
             }
             FencingState::Fenced => {
-                since_heard >= self.config.report.scale(1.5) + Micros::from_secs(1)
+                since_heard >= self.config.heartbeat_interval.scale(1.5) + Micros::from_secs(1)
             }
         }
     }
@@ -49,7 +49,7 @@
     /// shorter.
     pub(crate) fn longest_wait(&self, job: &Job, now: Micros) -> Micros {
         let objective = self.config.longest_start_delay(&job.request.class);
-        if job.ran_whole {
+        if job.has_run_completely {
             return MIN_REPLICA_WAIT.min(objective);
         }
         ((job.submitted + objective) - now).max(MIN_REPLICA_WAIT.min(objective))
@@ -58,8 +58,8 @@
     /// Returns whether all tasks of the job have run at the same time, or can be assumed to have
     /// run before the takeover.
     fn has_run(&self, job: &Job, now: Micros) -> bool {
-        job.ran_whole
-            || (job.created <= self.since && now - job.submitted > MIN_AGE_TO_COUNT_AS_RUN)
+        job.has_run_completely
+            || (job.created <= self.owned_since && now - job.submitted > MIN_AGE_TO_COUNT_AS_RUN)
     }
 
     /// Returns whether the job is a production service that should be running: not terminating, not
@@ -110,7 +110,7 @@
                 && Self::is_feasible(job, host)
                 && host.tasks.iter().any(|(other_task, state)| {
                     state.holds_resources()
-                        && state.ordered >= since
+                        && state.ordered_at >= since
                         && has_lower_priority(other_task)
                 })
         });
@@ -147,7 +147,7 @@
             self.replica_recovery.until = now + RESERVED_CAPACITY_LIFETIME;
             self.replica_recovery.reserved.clear();
             let may_have_lost_tasks = |host: &Host| {
-                self.is_silent(host, now) && (host.tasks_on() > 0 || host.has_unconfirmed_tasks())
+                self.is_silent(host, now) && (host.task_count() > 0 || host.has_unconfirmed_tasks())
             };
             if self.hosts.values().any(may_have_lost_tasks) {
                 self.replica_recovery.reserved = self.choose_capacity_for_replicas(cycle);
@@ -157,9 +157,9 @@
             for capacity in &reserved {
                 if let Some(slot) = cycle.slot(&capacity.host)
                     && cycle.slots[slot].is_usable
-                    && capacity.each.fits(&cycle.slots[slot].free)
+                    && capacity.resources.fits(&cycle.slots[slot].free)
                 {
-                    cycle.allocate(slot, &capacity.each);
+                    cycle.allocate(slot, &capacity.resources);
                 }
             }
             self.replica_recovery.reserved = reserved;
@@ -207,7 +207,7 @@
                 }
                 chosen.push(ReservedCapacity {
                     host,
-                    each: request.each,
+                    resources: request.each,
                 });
                 self.rescore_candidate(cycle, &mut candidates, slot, &request, false);
             }
--- a/crates/jasperhill-scheduler/src/cycle/mod.rs
+++ b/crates/jasperhill-scheduler/src/cycle/mod.rs
@@ -52,7 +52,7 @@
                 id: host.id.clone(),
                 is_usable: host.is_usable(now, &self.config),
                 free: host.free_resources(),
-                listed_tasks: host.listed(),
+                listed_tasks: host.listed_task_count(),
                 reserved_for: None,
             })
             .collect();
@@ -88,11 +88,11 @@
     /// Runs one scheduling cycle at `now`, which stops and starts tasks where needed. The caller
     /// runs it whenever the partition has changed, and periodically.
     pub fn run_cycle(&mut self, now: Micros) {
-        self.changed = false;
+        self.needs_scheduling = false;
         self.expire_leases(now);
-        self.note_confirmed(now);
+        self.update_unconfirmed_state(now);
         self.stop_broken_gangs(now);
-        self.clear_outlived_failures(now);
+        self.end_backoff_of_outliving_jobs(now);
         self.check_overruns(now);
         self.stop_before_termination(now);
         self.move_replicas(now);
@@ -100,7 +100,7 @@
         self.release_unusable_reservations(&cycle);
         self.mark_missed_deadlines(now);
         let order = self.jobs_by_rank(&cycle);
-        self.backlog = order.len();
+        self.last_cycle_job_count = order.len();
         self.expire_preemptions(now);
         self.update_recovery(now);
         let mut has_reserved_for_losses = false;
@@ -170,7 +170,7 @@
             .filter(|job| job.live.is_empty() && !job.failures.is_backing_off())
             .filter_map(|job| self.waiting_job(cycle, &usage, job))
             .collect();
-        let minimum_share = self.config.tuning.least_share;
+        let minimum_share = self.config.tuning.minimum_share;
         let starved_before = self.starvation.starved(minimum_share);
         self.starvation.apply(
             starvation::Input::Evaluate(&waiting),
@@ -222,7 +222,7 @@
                 job.is_gang()
                     && job.termination.is_none()
                     && !job.live.is_empty()
-                    && job.unsaved.is_empty()
+                    && job.unsaved_tasks.is_empty()
                     && job.pending() > 0
                     && !self.may_run_unconfirmed(job, &unconfirmed)
             })
@@ -293,16 +293,16 @@
             return;
         };
         if let Some(position) = job
-            .preempting
+            .awaited_capacity
             .iter()
             .position(|(preempted_host, _)| preempted_host == &host)
         {
-            job.preempting.swap_remove(position);
+            job.awaited_capacity.swap_remove(position);
         }
         let request = job.request.clone();
         if job.live.is_empty() {
-            let minimum_share = self.config.tuning.least_share;
-            let input = starvation::Input::Begun {
+            let minimum_share = self.config.tuning.minimum_share;
+            let input = starvation::Input::JobStarted {
                 id,
                 class: &request.class,
                 team: &request.team,
@@ -325,6 +325,6 @@
             cycle.now,
         );
         cycle.allocate(slot, &each);
-        self.dirty.insert(host);
+        self.hosts_with_new_commands.insert(host);
     }
 }
--- a/crates/jasperhill-scheduler/src/cycle/placement.rs
+++ b/crates/jasperhill-scheduler/src/cycle/placement.rs
@@ -47,8 +47,8 @@
     request: &JobRequest,
     now: Micros,
 ) -> u64 {
-    let delay = start_delay(host, request, now).scale(host.slowness.clamp(1.0, 2.0));
-    let slow_host_ms = if host.slowness > 1.5 { 30_000 } else { 0 };
+    let delay = start_delay(host, request, now).scale(host.run_time_ratio.clamp(1.0, 2.0));
+    let slow_host_ms = if host.run_time_ratio > 1.5 { 30_000 } else { 0 };
     // Jobs that may run on spot machines leave the on-demand machines to other jobs.
     let spot_mismatch_ms = if request.spot != host.spot { 2_000 } else { 0 };
     let is_small = request.each.count_in(&host.spec.capacity) >= 2;
@@ -71,7 +71,7 @@
 /// host that has not recently run tasks of other jobs successfully, or on which other jobs have
 /// failed. On a proven host, another failure shows that the job is at fault and not the host.
 pub(crate) fn unproven_host_penalty_ms(job: &Job, host: &Host, now: Micros) -> u64 {
-    if job.failures.is_backing_off() && !host.has_served_others(&job.request.id, now) {
+    if job.failures.is_backing_off() && !host.has_recent_success_besides(&job.request.id, now) {
         60_000
     } else {
         0
@@ -300,7 +300,7 @@
             let Some(index) = job.next_pending() else {
                 return;
             };
-            let (pending, preemptions) = (job.pending() as usize, job.preempting.len());
+            let (pending, preemptions) = (job.pending() as usize, job.awaited_capacity.len());
             if !self.may_start(cycle, &request, 1) {
                 return;
             }
--- a/crates/jasperhill-scheduler/src/cycle/preemption.rs
+++ b/crates/jasperhill-scheduler/src/cycle/preemption.rs
@@ -103,16 +103,16 @@
                 };
                 let is_preemptible = other.priority() > priority && !other.is_service();
                 (is_preemptible && (include_gangs || size == 1)).then(|| {
-                    let (lost_work, grace) = if other.checkpoints() {
+                    let (lost_work, grace) = if other.saves_checkpoints() {
                         (other.request.checkpoint_time, other.request.checkpoint_time)
                     } else {
-                        (now - host_task.running.unwrap_or(now), Micros::ZERO)
+                        (now - host_task.running_since.unwrap_or(now), Micros::ZERO)
                     };
                     // Low-priority work is stopped first. Stopping a task shortly after its start
                     // wastes the start.
                     let is_normal_priority = u64::from(other.priority() == Priority::Normal);
                     let is_recent_start = host_task
-                        .running
+                        .running_since
                         .is_none_or(|started| now - started < RECENT_START_AGE);
                     let lost_work = lost_work
                         + Micros(NORMAL_PRIORITY_COST.0 * is_normal_priority)
@@ -124,7 +124,7 @@
                     Victim {
                         lost_work: Micros(lost_work.0.saturating_mul(u64::from(size))),
                         task: task.clone(),
-                        resources: host_task.each,
+                        resources: host_task.resources,
                         grace,
                     }
                 })
@@ -174,7 +174,7 @@
             return false;
         };
         let mut zones = zones.clone();
-        for (host, _) in &job.preempting {
+        for (host, _) in &job.awaited_capacity {
             if let Some(zone) = self.zone_of(host) {
                 zones.add(&zone);
             }
@@ -203,7 +203,7 @@
         self.stop_victims(cycle, &host, &best.victims, "preempted for production");
         if let Some(job) = self.jobs.get_mut(id) {
             let until = cycle.now + best.grace + FREED_CAPACITY_TIMEOUT;
-            job.preempting.push((host, until));
+            job.awaited_capacity.push((host, until));
         }
         cycle.allocate(best.slot, &each);
         true
@@ -273,9 +273,9 @@
         let Some(job) = self.jobs.get(id) else { return };
         let (request, priority) = (job.request.clone(), job.priority());
         let gang_hosts = job.gang_hosts.as_ref();
-        let has_hosts_soon =
-            gang_hosts.is_some_and(|gang_hosts| gang_hosts.ready <= cycle.now + FREE_SOON_WITHIN);
-        if !job.preempting.is_empty()
+        let has_hosts_soon = gang_hosts
+            .is_some_and(|gang_hosts| gang_hosts.ready_at <= cycle.now + FREE_SOON_WITHIN);
+        if !job.awaited_capacity.is_empty()
             || has_hosts_soon
             || cycle.lacks_victims_for_gang(priority, &request)
         {
@@ -307,7 +307,7 @@
             {
                 continue;
             }
-            if host.lists_job(&request.id) {
+            if host.has_task_of_job(&request.id) {
                 candidates.is_listed = true;
                 continue;
             }
@@ -421,11 +421,11 @@
             .map(|slot_index| cycle.slots[*slot_index].id.clone())
             .collect();
         if let Some(job) = self.jobs.get_mut(id) {
-            job.preempting = hosts.iter().map(|host| (host.clone(), until)).collect();
+            job.awaited_capacity = hosts.iter().map(|host| (host.clone(), until)).collect();
             job.gang_hosts = Some(GangHosts {
                 hosts,
-                until,
-                ready: cycle.now + grace,
+                choice_expires_at: until,
+                ready_at: cycle.now + grace,
             });
         }
     }
@@ -434,13 +434,13 @@
     /// jobs that have no pending task or are terminating.
     pub(crate) fn expire_preemptions(&mut self, now: Micros) {
         for job in self.jobs.values_mut() {
-            if job.preempting.is_empty() {
+            if job.awaited_capacity.is_empty() {
                 continue;
             }
             if job.pending() == 0 || job.termination.is_some() {
-                job.preempting.clear();
+                job.awaited_capacity.clear();
             }
-            job.preempting.retain(|(_, until)| now <= *until);
+            job.awaited_capacity.retain(|(_, until)| now <= *until);
         }
     }
 }
--- a/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
+++ b/crates/jasperhill-scheduler/src/cycle/straggler_detection.rs
@@ -13,7 +13,9 @@
     host::TaskState,
     job::Job,
     pace::{
-        IN_TIME, Input, LEARNS, LEAST, OVER, QUIET, SLOW_OVERRUNS, SLOW_PART, SLOWEST, TAIL_FIRST,
+        IN_TIME_FACTOR, INITIAL_OVERRUN_SHARE, Input, MAX_SLOWDOWN, MIN_EXPECTED_RUN_TIME,
+        OVERRUN_FACTOR, OVERRUN_SHARE_SMOOTHING, QUIET_FRACTION, SLOW_HOST_OVERRUN_SHARE,
+        SLOW_HOSTS_DIVISOR,
     },
     partition::{Event, Partition},
 };
@@ -28,27 +30,31 @@
         if job.is_service() || job.failures.is_backing_off() {
             return None;
         }
-        if let Some(elapsed) = job.sibling_run_times.elapsed(host) {
-            return Some((elapsed.max(LEAST), true));
+        if let Some(elapsed) = job.sibling_run_times.mean_run_time(host) {
+            return Some((elapsed.max(MIN_EXPECTED_RUN_TIME), true));
         }
         // A preempted task continues from its checkpoint, so the estimate of the full run time is
         // too long.
-        (job.preempted == 0 && job.request.estimate > Micros::ZERO)
-            .then(|| (self.estimate(&job.request).max(LEAST), false))
+        (job.preempted == 0 && job.request.estimate > Micros::ZERO).then(|| {
+            (
+                self.estimate(&job.request).max(MIN_EXPECTED_RUN_TIME),
+                false,
+            )
+        })
     }
 
     /// Schedules a check for the time at which a task that was reported running would overrun.
-    pub(crate) fn watch_task(&mut self, host: &HostId, task: &TaskId) {
+    pub(crate) fn schedule_overrun_check(&mut self, host: &HostId, task: &TaskId) {
         let started = self.hosts.get(host).and_then(|host_state| {
             let host_task = host_state.tasks.get(task)?;
-            Some((host_task.running?, host_task.attempt))
+            Some((host_task.running_since?, host_task.attempt))
         });
         let expected = self
             .jobs
             .get(&task.job)
             .and_then(|job| self.expected_run_time(job, host));
         if let (Some((started, attempt)), Some((expected, _))) = (started, expected) {
-            let overruns_at = started + expected.scale(OVER);
+            let overruns_at = started + expected.scale(OVERRUN_FACTOR);
             self.overrun_watch
                 .due
                 .insert((overruns_at, host.clone(), task.clone(), attempt));
@@ -57,7 +63,13 @@
 
     /// Records that a task ended by itself after `times` its expected run time. Updates the share
     /// of overruns of its class, and the host's pace if the task ended in time.
-    pub(crate) fn learn_overrun(&mut self, host: &HostId, task: &TaskId, times: f64, now: Micros) {
+    pub(crate) fn record_task_duration(
+        &mut self,
+        host: &HostId,
+        task: &TaskId,
+        times: f64,
+        now: Micros,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -67,16 +79,16 @@
         let Some(started) = host_state
             .tasks
             .get(task)
-            .and_then(|host_task| host_task.running)
+            .and_then(|host_task| host_task.running_since)
         else {
             return;
         };
         let class = job.request.class.clone();
         if !host_state.pace.is_slow() {
-            job.sibling_run_times.note(host, now - started);
+            job.sibling_run_times.record(host, now - started);
         }
-        if times <= IN_TIME {
-            host_state.last_in_time = Some(now);
+        if times <= IN_TIME_FACTOR {
+            host_state.last_completed_in_time = Some(now);
             if host_state
                 .slow_since
                 .is_none_or(|slow_since| started >= slow_since)
@@ -84,8 +96,13 @@
                 host_state.pace.apply(Input::EndedInTime);
             }
         }
-        let overrun_share = self.overrun_watch.tails.entry(class).or_insert(TAIL_FIRST);
-        *overrun_share += LEARNS * (f64::from(u8::from(times >= OVER)) - *overrun_share);
+        let overrun_share = self
+            .overrun_watch
+            .overrun_shares
+            .entry(class)
+            .or_insert(INITIAL_OVERRUN_SHARE);
+        *overrun_share += OVERRUN_SHARE_SMOOTHING
+            * (f64::from(u8::from(times >= OVERRUN_FACTOR)) - *overrun_share);
     }
 
     /// Evaluates the hosts on which a task has overrun by `now`.
@@ -106,7 +123,7 @@
                     .get(&task)
                     .filter(|host_task| host_task.attempt == attempt)?;
                 (host_task.state == TaskState::Running && host_task.stopping.is_none())
-                    .then_some(host_task.running?)
+                    .then_some(host_task.running_since?)
             });
             let expected = self
                 .jobs
@@ -115,7 +132,7 @@
             let (Some(started), Some((expected, _))) = (running, expected) else {
                 continue;
             };
-            let overruns_at = started + expected.scale(OVER);
+            let overruns_at = started + expected.scale(OVERRUN_FACTOR);
             if overruns_at > now {
                 // The expected run time has grown since the check was scheduled, so the check is
                 // postponed.
@@ -143,7 +160,7 @@
         let mut counted_jobs = BTreeSet::new();
         for (task, host_task) in &host.tasks {
             let Some(started) = host_task
-                .running
+                .running_since
                 .filter(|_| host_task.state == TaskState::Running)
             else {
                 continue;
@@ -154,14 +171,19 @@
             let Some((expected, is_from_siblings)) = self.expected_run_time(job, id) else {
                 continue;
             };
-            let quiet_since = host.last_in_time.unwrap_or(Micros::ZERO).max(started);
+            let quiet_since = host
+                .last_completed_in_time
+                .unwrap_or(Micros::ZERO)
+                .max(started);
             let slowdown = (now - started).as_secs_f64() / expected.as_secs_f64();
-            if slowdown < OVER || now - quiet_since < expected.scale(QUIET) {
+            if slowdown < OVERRUN_FACTOR || now - quiet_since < expected.scale(QUIET_FRACTION) {
                 continue;
             }
             slowdowns.push(slowdown);
             if is_from_siblings || counted_jobs.insert(&task.job) {
-                log_odds += (SLOW_OVERRUNS / self.overrun_watch.tail(&job.request.class)).ln();
+                log_odds += (SLOW_HOST_OVERRUN_SHARE
+                    / self.overrun_watch.overrun_share(&job.request.class))
+                .ln();
             }
         }
         slowdowns.sort_by(f64::total_cmp);
@@ -171,28 +193,25 @@
 
     /// Marks the host as slow if the evidence suffices, and moves its checkpointing tasks to other
     /// hosts. Does nothing if the share of slow hosts has reached its maximum, one in
-    /// [`SLOW_PART`].
+    /// [`SLOW_HOSTS_DIVISOR`].
     fn evaluate_host_pace(&mut self, id: &HostId, now: Micros) {
         let slow_hosts = self
             .hosts
             .values()
             .filter(|host| host.pace.is_slow())
             .count();
-        if slow_hosts >= (self.hosts.len() / SLOW_PART).max(1) {
+        if slow_hosts >= (self.hosts.len() / SLOW_HOSTS_DIVISOR).max(1) {
             return;
         }
         let (log_odds, slowdown) = self.slowness_evidence(id, now);
         let Some(host) = self.hosts.get_mut(id) else {
             return;
         };
-        if !host.pace.apply(Input::Weighed {
-            odds: log_odds,
-            times: slowdown,
-        }) {
+        if !host.pace.apply(Input::Evaluated { log_odds, slowdown }) {
             return;
         }
         host.slow_since = Some(now);
-        host.slowness = host.slowness.max(slowdown.min(SLOWEST));
+        host.run_time_ratio = host.run_time_ratio.max(slowdown.min(MAX_SLOWDOWN));
         self.events.push(Event::HostSlow(id.clone(), slowdown));
         self.move_checkpointing_tasks(id, now);
     }
@@ -210,7 +229,7 @@
             };
             if host_task.state == TaskState::Running
                 && host_task.stopping.is_none()
-                && job.checkpoints()
+                && job.saves_checkpoints()
                 && job.preempted == 0
             {
                 to_move.push(task.clone());
--- a/crates/jasperhill-scheduler/src/cycle/team_quota.rs
+++ b/crates/jasperhill-scheduler/src/cycle/team_quota.rs
@@ -131,7 +131,7 @@
         let window = self.reservation_windows.entry(request.team.clone());
         if !window
             .or_insert_with(|| ReservationWindow::new(cycle.now))
-            .apply(cycle.now)
+            .is_open_at(cycle.now)
         {
             return;
         }
--- a/crates/jasperhill-scheduler/src/cycle/tests.rs
+++ b/crates/jasperhill-scheduler/src/cycle/tests.rs
@@ -3,7 +3,7 @@
 //! must still decide the same.
 
 use crate::{
-    config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, fetch_time},
+    config::{MachineSpec, SchedulerConfig, TeamLimits, Tuning, image_download_time},
     cycle::admission::MISSED_DEADLINE_EXTENSION,
     cycle::context::Cycle,
     cycle::placement::start_cost_ms,
@@ -98,7 +98,7 @@
         capacity: Resources::from_units(16.0, 8.0, 64.0),
         cache_gb: 10.0,
         fetch_gb_per_s: 0.5,
-        boot: Micros::from_secs(20),
+        nominal_boot_time: Micros::from_secs(20),
         price: 4.0,
         spot_price: 2.0,
         zones: vec!["a".into(), "b".into()],
@@ -110,10 +110,10 @@
             guaranteed: Resources::default(),
             limit: Resources::from_units(0.0, 90.0, 0.0),
         }],
-        report: Micros::from_secs(3),
+        heartbeat_interval: Micros::from_secs(3),
         lease: Micros::from_secs(16),
         gang_wait: Micros::from_secs(30),
-        gang_peer: Micros::from_secs(4),
+        gang_peer_timeout: Micros::from_secs(4),
         start_within: BTreeMap::new(),
         tuning: Tuning::default(),
     });
@@ -158,15 +158,15 @@
         };
         part.on_heartbeat(&report, HeartbeatSource::Heartbeat, NOW);
         if let Some(host) = part.hosts.get_mut(&id) {
-            host.touch_image(&Name::from(format!("i{image}").as_str()), 2.0);
-            host.slowness = f64::from(*slow) / 10.0;
+            host.mark_image_used(&Name::from(format!("i{image}").as_str()), 2.0);
+            host.run_time_ratio = f64::from(*slow) / 10.0;
         }
     }
     for (i, (host, seconds_left, estimate)) in s.reserved.iter().enumerate() {
         let id = HostId::new(&format!("n-{:02}", host % s.hosts.len()));
         let reservation = Reservation {
             task: TaskId::new(&JobId::new("job-other"), i as u32),
-            each: Resources::from_units(1.0, 1.0, 4.0),
+            resources: Resources::from_units(1.0, 1.0, 4.0),
             adjusted_deadline: NOW + Micros::from_secs(*seconds_left),
             estimate: Micros::from_secs(*estimate),
         };
@@ -260,7 +260,7 @@
         return AdmissionDecision::Refuse;
     }
     let team = &part.config.teams[0];
-    let used = part.team_use(&request.team);
+    let used = part.team_usage(&request.team);
     let mut tasks_within_limit = 0;
     while tasks_within_limit < request.tasks
         && team.allows(&(used + request.each.times(u64::from(tasks_within_limit) + 1)))
@@ -282,7 +282,7 @@
         })
         .collect();
     let spec = &part.specs[&Name::from("box")];
-    let ready = NOW + elastic_capacity.1 + fetch_time(request.image_gb, spec);
+    let ready = NOW + elastic_capacity.1 + image_download_time(request.image_gb, spec);
     let mut rented = 0;
     if ready + estimate <= due {
         let tasks_in_succession = ((due - ready).0 / estimate.0.max(1)).clamp(1, 2);
--- a/crates/jasperhill-scheduler/src/dependencies.rs
+++ b/crates/jasperhill-scheduler/src/dependencies.rs
@@ -16,7 +16,7 @@
     /// At least one dependency of the job is not done.
     Waiting,
     /// The job is cancelled, finally, because a direct or indirect dependency is cancelled.
-    Doomed,
+    UpstreamCancelled,
 }
 
 /// Outcome of a job according to its record.
@@ -37,7 +37,7 @@
     /// no deadline.
     pub due: Option<Micros>,
     /// Expected time from when the job may start until it is done.
-    pub span: Micros,
+    pub expected_duration: Micros,
     /// Priority of the job itself.
     pub priority: Priority,
 }
@@ -74,11 +74,11 @@
         /// Id of the accepted job.
         id: &'a JobId,
         /// Dependencies of the job.
-        needs: &'a [JobId],
+        dependencies: &'a [JobId],
         /// Urgency of the job, which its dependencies inherit.
-        terms: JobUrgency,
+        urgency: JobUrgency,
         /// Returns the current outcome of another job according to the records.
-        fate: &'a dyn Fn(&JobId) -> RecordedOutcome,
+        recorded_outcome: &'a dyn Fn(&JobId) -> RecordedOutcome,
     },
     /// The record of a job has become final.
     Ended {
@@ -95,7 +95,7 @@
     /// The job was waiting and may start now.
     Released(JobId),
     /// The job is cancelled because one of its dependencies is cancelled.
-    Doomed(JobId),
+    UpstreamCancelled(JobId),
     /// The urgency that the job inherits from its dependents has changed.
     UrgencyChanged(JobId),
 }
@@ -133,7 +133,7 @@
     /// Returns the state of an unfinished job.
     pub fn state_of(&self, id: &JobId) -> DependencyState {
         match self.nodes.get(id) {
-            Some(node) if node.upstream_cancelled => DependencyState::Doomed,
+            Some(node) if node.upstream_cancelled => DependencyState::UpstreamCancelled,
             Some(node) if !node.unfinished_dependencies.is_empty() => DependencyState::Waiting,
             _ => DependencyState::Ready,
         }
@@ -161,10 +161,10 @@
         match input {
             Input::Accepted {
                 id,
-                needs,
-                terms,
-                fate,
-            } => self.add_job(id, needs, terms, fate, &mut outputs),
+                dependencies,
+                urgency,
+                recorded_outcome,
+            } => self.add_job(id, dependencies, urgency, recorded_outcome, &mut outputs),
             Input::Ended { id, done } => self.remove_job(id, done, &mut outputs),
         }
         outputs
@@ -247,7 +247,7 @@
             }
             worklist.extend(node.dependents.iter().cloned());
             self.upstream_cancelled.insert(id.clone());
-            outputs.push(Output::Doomed(id));
+            outputs.push(Output::UpstreamCancelled(id));
         }
     }
 
@@ -265,7 +265,7 @@
         };
         let merged = node.inherited.merged_with(own);
         InheritedUrgency {
-            due: merged.due.map(|due| due - urgency.span),
+            due: merged.due.map(|due| due - urgency.expected_duration),
             ..merged
         }
     }
--- a/crates/jasperhill-scheduler/src/dependencies/tests.rs
+++ b/crates/jasperhill-scheduler/src/dependencies/tests.rs
@@ -28,7 +28,7 @@
     }
     fn state(&self, n: usize) -> DependencyState {
         if self.is_cancelled(n) {
-            DependencyState::Doomed
+            DependencyState::UpstreamCancelled
         } else if self.needs[&n]
             .iter()
             .all(|m| self.ended.get(m) == Some(&true))
@@ -54,7 +54,7 @@
                 priority: Some(urgency(*m).priority),
             };
             let mut passed = self.inherited(*m).merged_with(own);
-            passed.due = passed.due.map(|d| d - urgency(*m).span);
+            passed.due = passed.due.map(|d| d - urgency(*m).expected_duration);
             merged.merged_with(passed)
         })
     }
@@ -64,7 +64,7 @@
     let priorities = [Priority::Low, Priority::Normal, Priority::High];
     JobUrgency {
         due: (n % 3 == 2).then(|| Micros::from_secs(1_000 + n as u64 * 7 % 50)),
-        span: Micros::from_secs(1 + n as u64 % 5),
+        expected_duration: Micros::from_secs(1 + n as u64 % 5),
         priority: priorities[n % 3],
     }
 }
@@ -124,9 +124,9 @@
                 let needs: Vec<JobId> = needs.iter().map(|m| id(*m)).collect();
                 self.graph.apply(Input::Accepted {
                     id: &id(*n),
-                    needs: &needs,
-                    terms: urgency(*n),
-                    fate: &outcome,
+                    dependencies: &needs,
+                    urgency: urgency(*n),
+                    recorded_outcome: &outcome,
                 })
             }
             Event::End(n, done) => {
@@ -177,7 +177,7 @@
         // A job is reported as released or cancelled at most once.
         let mut reported = BTreeSet::new();
         for output in &in_order.outputs {
-            if let Output::Released(j) | Output::Doomed(j) = output {
+            if let Output::Released(j) | Output::UpstreamCancelled(j) = output {
                 prop_assert!(reported.insert(j.clone()), "{} reported twice", j);
             }
         }
@@ -212,9 +212,9 @@
     let needs: Vec<JobId> = needs.iter().map(|m| id(*m)).collect();
     graph.apply(Input::Accepted {
         id: &id(n),
-        needs: &needs,
-        terms: urgency(n),
-        fate: &|_| RecordedOutcome::Open,
+        dependencies: &needs,
+        urgency: urgency(n),
+        recorded_outcome: &|_| RecordedOutcome::Open,
     })
 }
 
--- a/crates/jasperhill-scheduler/src/host/commands.rs
+++ b/crates/jasperhill-scheduler/src/host/commands.rs
@@ -14,8 +14,8 @@
     /// Records that a heartbeat was answered with status 200, which renews the lease, and that the
     /// response carried these commands.
     pub(super) fn on_answered(&mut self, commands: &[Command], now: Micros) {
-        self.last_answer = self.last_answer.max(now);
-        self.answered = Some(now);
+        self.lease_renewed_at_latest = self.lease_renewed_at_latest.max(now);
+        self.last_answered_here = Some(now);
         for command in commands {
             if let Command::Start(task, attempt) = command
                 && let Some(entry) = self.tasks.get_mut(task)
@@ -45,7 +45,7 @@
     pub(super) fn on_direct_unanswered(&mut self) {
         if let Some(in_flight) = self.in_flight_commands.take()
             && !in_flight.starts.is_empty()
-            && self.fencing != FencingState::Lapsed
+            && self.fencing != FencingState::LeaseExpired
         {
             self.in_doubt_starts.extend(in_flight.starts);
             self.in_doubt_basis = Some(in_flight.basis);
@@ -90,9 +90,9 @@
         let entry = HostTask {
             attempt,
             state: TaskState::Ordered,
-            each,
-            ordered: now,
-            running: None,
+            resources: each,
+            ordered_at: now,
+            running_since: None,
             stopping: None,
             image: Some(image),
             has_unacknowledged_start: false,
--- a/crates/jasperhill-scheduler/src/host/heartbeat.rs
+++ b/crates/jasperhill-scheduler/src/host/heartbeat.rs
@@ -46,7 +46,7 @@
         }
         self.update_incarnation(heartbeat, source, now, outputs);
         self.sequence = heartbeat.sequence;
-        self.last_heard = now;
+        self.last_status_received = now;
         self.address.clone_from(&heartbeat.address);
         self.terminates_at = heartbeat.termination_notice.map(|notice| now + notice);
         self.update_token_state(heartbeat, outputs);
@@ -84,7 +84,7 @@
             // The lease of a new incarnation runs from the start of that incarnation, which may be
             // long after this controller's last response. Without this, the new incarnation would
             // be considered expired together with the old one while tasks sent to it directly run.
-            self.last_answer = self.last_answer.max(now);
+            self.lease_renewed_at_latest = self.lease_renewed_at_latest.max(now);
         }
         self.incarnation = Some(heartbeat.incarnation);
     }
@@ -195,8 +195,8 @@
         let held_resources = entry.holds_resources();
         let previous_state = std::mem::replace(&mut entry.state, state);
         entry.has_unacknowledged_start = false;
-        if state == TaskState::Running && entry.running.is_none() {
-            entry.running = Some(now);
+        if state == TaskState::Running && entry.running_since.is_none() {
+            entry.running_since = Some(now);
         }
         match state {
             TaskState::Exited(cause) if held_resources => {
@@ -207,7 +207,10 @@
                 // The task runs again after it exited, for example because of a late start command.
                 // It is reported as found; otherwise it would be neither counted nor stopped.
                 entry.stopping = None;
-                outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
+                outputs.push(HostOutput::UnknownTaskFound(
+                    status.task.clone(),
+                    status.attempt,
+                ));
                 self.idle_since = None;
             }
             TaskState::Running if previous_state != state => {
@@ -235,7 +238,10 @@
             // The task may have been started before a failover; its result counts nevertheless.
             let new_entry = HostTask::from_report(status.attempt, state, now);
             self.tasks.insert(status.task.clone(), new_entry);
-            outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
+            outputs.push(HostOutput::UnknownTaskFound(
+                status.task.clone(),
+                status.attempt,
+            ));
             outputs.push(HostOutput::Ended(status.task.clone(), Some(cause)));
             return;
         }
@@ -246,7 +252,10 @@
         }
         let new_entry = HostTask::from_report(status.attempt, state, now);
         self.tasks.insert(status.task.clone(), new_entry);
-        outputs.push(HostOutput::Found(status.task.clone(), status.attempt));
+        outputs.push(HostOutput::UnknownTaskFound(
+            status.task.clone(),
+            status.attempt,
+        ));
         self.idle_since = None;
     }
 }
@@ -269,9 +278,9 @@
         Self {
             attempt,
             state,
-            each: Resources::default(),
-            ordered: now,
-            running: (state == TaskState::Running).then_some(now),
+            resources: Resources::default(),
+            ordered_at: now,
+            running_since: (state == TaskState::Running).then_some(now),
             stopping: None,
             image: None,
             has_unacknowledged_start: false,
--- a/crates/jasperhill-scheduler/src/host/images.rs
+++ b/crates/jasperhill-scheduler/src/host/images.rs
@@ -11,7 +11,7 @@
 
     /// Records an image of this size in GB as the most recently used, and drops the least recently
     /// used images that no longer fit the cache.
-    pub fn touch_image(&mut self, image: &Name, gb: f64) {
+    pub fn mark_image_used(&mut self, image: &Name, gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.clone(), gb));
         let mut total_gb: f64 = self.images.iter().map(|(_, gb)| gb).sum();
@@ -39,8 +39,8 @@
                 && !self.has_image(name)
             {
                 match pulling.iter_mut().find(|(n, ..)| *n == name) {
-                    Some((.., since)) => *since = t.ordered.min(*since),
-                    None => pulling.push((name, *gb, t.ordered)),
+                    Some((.., since)) => *since = t.ordered_at.min(*since),
+                    None => pulling.push((name, *gb, t.ordered_at)),
                 }
             }
         }
--- a/crates/jasperhill-scheduler/src/host/mod.rs
+++ b/crates/jasperhill-scheduler/src/host/mod.rs
@@ -29,7 +29,7 @@
 ///
 /// A heartbeat with more tasks could exceed the limit of 64 KiB for a request body. A host whose
 /// heartbeats are refused is lost with all tasks that run on it.
-pub const LISTED_MAX: usize = 440;
+pub const LISTED_TASKS_MAX: usize = 440;
 /// Maximum number of commands in one message, whose body must not exceed 64 KiB. The remaining
 /// commands are sent in later messages.
 const MAX_COMMANDS_PER_MESSAGE: usize = 600;
@@ -46,7 +46,7 @@
     /// host.
     Fenced,
     /// The worker's lease has certainly expired: no task runs on the host.
-    Lapsed,
+    LeaseExpired,
 }
 
 /// The message by which a worker's status was received.
@@ -84,11 +84,11 @@
     pub state: TaskState,
     /// Resources that the task takes; zero for a task that was found on the host until its job is
     /// known.
-    pub each: Resources,
+    pub resources: Resources,
     /// When the task was ordered to start, or found on the host.
-    pub ordered: Micros,
+    pub ordered_at: Micros,
     /// When the task was first seen running; `None` if it was not seen running yet.
-    pub running: Option<Micros>,
+    pub running_since: Option<Micros>,
     /// The grace period of the stop command and when it was first issued; `None` if the task is not
     /// being stopped.
     pub stopping: Option<(Micros, Micros)>,
@@ -145,19 +145,19 @@
     LeaseDelegated(Micros),
     /// These commands are sent in a direct request. The time is that up to which the controller
     /// knows the contents of the state store, and so all job cancellations.
-    DirectSent(Vec<Command>, Micros),
+    DirectRequestSent(Vec<Command>, Micros),
     /// The direct commands were executed, or certainly were not. The worker's status, if any, is a
     /// separate [`HostInput::Heartbeat`].
-    DirectSettled,
+    DirectRequestSettled,
     /// The direct request was not answered: its commands may be executed at any time.
-    DirectUnanswered,
+    DirectRequestUnanswered,
     /// The host's record was rewritten, which gives the host this token.
     TokenRaised(FencingToken),
     /// The worker began a new incarnation although its heartbeats were answered: it does not
     /// receive the responses.
-    NotReceiving,
+    ResponsesNotReceived,
     /// The worker's lease has certainly expired, or the machine is gone.
-    Gone,
+    LeaseExpiredOrRemoved,
     /// This attempt of the task is to start. It takes these resources and needs the image with this
     /// name and size in GB.
     Start(TaskId, Attempt, Resources, (Name, f64)),
@@ -169,7 +169,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostOutput {
     /// The worker lists this attempt of a task, which was not known to be on the host.
-    Found(TaskId, Attempt),
+    UnknownTaskFound(TaskId, Attempt),
     /// The task was seen running.
     Running(TaskId),
     /// The task no longer runs on the host. `None`: it was lost without an exit status.
@@ -225,15 +225,15 @@
     in_flight_commands: Option<InFlightCommands>,
     /// When the worker's latest status was received, by heartbeat or by direct response; before
     /// that, when this state was created.
-    pub last_heard: Micros,
+    pub last_status_received: Micros,
     /// When a periodic heartbeat was last received here, or may have been received by the previous
     /// owner. `None`: the host is new to this partition, or its incarnation is known only by direct
     /// responses, so that possibly nobody renews its lease.
     last_heartbeat: Option<Micros>,
     /// The latest time at which any controller can have renewed the worker's lease.
-    pub last_answer: Micros,
+    pub lease_renewed_at_latest: Micros,
     /// When this controller last answered a heartbeat of the worker; `None` if it never did.
-    pub answered: Option<Micros>,
+    pub last_answered_here: Option<Micros>,
     /// When the cloud reclaims the machine; `None` if no termination is announced.
     pub terminates_at: Option<Micros>,
     /// Names and sizes in GB of images in the host's cache, the most recently used last.
@@ -252,14 +252,14 @@
     /// Latest start time among the tasks that completed on this host.
     pub last_success_started: Option<Micros>,
     /// Smoothed ratio of actual to expected run times; above 1 is slow.
-    pub slowness: f64,
+    pub run_time_ratio: f64,
     /// Whether the host is slow, judged by tasks that still run.
     pub pace: Pace,
     /// When the host was last found to be slow; `None` if it never was.
     pub slow_since: Option<Micros>,
     /// When a task on this host last ended in time, relative to its expected run time; `None` if
     /// none has.
-    pub last_in_time: Option<Micros>,
+    pub last_completed_in_time: Option<Micros>,
 }
 
 impl Host {
@@ -293,10 +293,10 @@
             in_doubt_starts: BTreeSet::new(),
             in_doubt_basis: None,
             in_flight_commands: None,
-            last_heard: now,
+            last_status_received: now,
             last_heartbeat: unconfirmed.then_some(now),
-            last_answer: now,
-            answered: None,
+            lease_renewed_at_latest: now,
+            last_answered_here: None,
             terminates_at: None,
             images: Vec::new(),
             queue: Vec::new(),
@@ -305,10 +305,10 @@
             recent_failures: Vec::new(),
             quarantined_until: None,
             last_success_started: None,
-            slowness: 1.0,
+            run_time_ratio: 1.0,
             pace: Pace::Steady,
             slow_since: None,
-            last_in_time: None,
+            last_completed_in_time: None,
         }
     }
 
@@ -317,16 +317,16 @@
         self.fencing == FencingState::Unfenced { unconfirmed: true }
     }
     /// Returns whether the host's record must be rewritten to raise the token.
-    pub fn needs_token(&self) -> bool {
+    pub fn needs_raised_token(&self) -> bool {
         self.token_refresh == TokenRefresh::Needed
     }
     /// Returns whether the host gets no new tasks until its worker shows a raised token, as when
     /// unanswered direct starts may still be executed.
-    pub fn in_doubt(&self) -> bool {
+    pub fn awaits_raised_token(&self) -> bool {
         self.token_refresh != TokenRefresh::NotNeeded
     }
     /// Returns whether a direct request to the worker is under way.
-    pub fn in_flight(&self) -> bool {
+    pub fn has_request_in_flight(&self) -> bool {
         self.in_flight_commands.is_some()
     }
     /// Returns whether no task holds resources of the host or could still turn out to run there.
@@ -356,7 +356,7 @@
         self.used
     }
     /// Returns the number of tasks that hold resources or may hold them.
-    pub fn tasks_on(&self) -> usize {
+    pub fn task_count(&self) -> usize {
         self.tasks_holding_resources
     }
 
@@ -368,7 +368,7 @@
             self.tasks_awaiting_image,
         ) = (Resources::default(), 0, 0);
         for t in self.tasks.values().filter(|t| t.holds_resources()) {
-            self.used += t.each;
+            self.used += t.resources;
             self.tasks_holding_resources += 1;
             let awaits_image = matches!(t.state, TaskState::Ordered | TaskState::Fetching);
             self.tasks_awaiting_image += usize::from(awaits_image && t.image.is_some());
@@ -378,19 +378,19 @@
     /// Sets the resources and the image of a task that was found on the host.
     pub(crate) fn set_requirements(&mut self, task: &TaskId, each: Resources, image: (Name, f64)) {
         if let Some(t) = self.tasks.get_mut(task) {
-            t.each = each;
+            t.resources = each;
             t.image = Some(image);
         }
         self.update_task_totals();
     }
 
     /// Returns the number of tasks that the worker lists in its heartbeats or soon will.
-    pub fn listed(&self) -> usize {
+    pub fn listed_task_count(&self) -> usize {
         self.tasks.len() + self.stale.len()
     }
 
     /// Returns whether the host has any task of this job, including exited ones.
-    pub fn lists_job(&self, job: &JobId) -> bool {
+    pub fn has_task_of_job(&self, job: &JobId) -> bool {
         let first = TaskId::new(job, 0);
         let next = self.tasks.range(first..).next();
         next.is_some_and(|(task, _)| &task.job == job)
@@ -421,7 +421,7 @@
     ///
     /// `None`: no start is outstanding, or the token was raised since, so that the next heartbeat
     /// response invalidates the start.
-    pub fn in_flight_known_as_of(&self) -> Option<Micros> {
+    pub fn outstanding_starts_known_as_of(&self) -> Option<Micros> {
         let in_flight = self
             .in_flight_commands
             .as_ref()
@@ -478,17 +478,19 @@
                 self.on_heartbeat(heartbeat, source, now, &mut outputs);
             }
             HostInput::Answered(commands) => self.on_answered(commands, now),
-            HostInput::LeaseDelegated(until) => self.last_answer = self.last_answer.max(until),
-            HostInput::DirectSent(commands, known_as_of) => {
+            HostInput::LeaseDelegated(until) => {
+                self.lease_renewed_at_latest = self.lease_renewed_at_latest.max(until)
+            }
+            HostInput::DirectRequestSent(commands, known_as_of) => {
                 self.on_direct_sent(commands, known_as_of)
             }
-            HostInput::DirectSettled => self.in_flight_commands = None,
-            HostInput::DirectUnanswered => self.on_direct_unanswered(),
+            HostInput::DirectRequestSettled => self.in_flight_commands = None,
+            HostInput::DirectRequestUnanswered => self.on_direct_unanswered(),
             HostInput::TokenRaised(token) => self.on_token_raised(token),
-            HostInput::NotReceiving => self.on_not_receiving(),
-            HostInput::Gone => {
+            HostInput::ResponsesNotReceived => self.on_not_receiving(),
+            HostInput::LeaseExpiredOrRemoved => {
                 self.drop_all_tasks(&mut outputs);
-                self.fencing = FencingState::Lapsed;
+                self.fencing = FencingState::LeaseExpired;
             }
             HostInput::Start(task, attempt, each, image) => {
                 self.on_start(task, attempt, each, image, now);
--- a/crates/jasperhill-scheduler/src/host/quarantine.rs
+++ b/crates/jasperhill-scheduler/src/host/quarantine.rs
@@ -57,7 +57,7 @@
 
     /// Returns whether the host completed a task that was started less than `SUCCESS_VALID_FOR`
     /// ago, and all failures since that success are of the job `other_than`.
-    pub fn has_served_others(&self, other_than: &JobId, now: Micros) -> bool {
+    pub fn has_recent_success_besides(&self, other_than: &JobId, now: Micros) -> bool {
         self.last_success_started
             .is_some_and(|t| now - t < SUCCESS_VALID_FOR)
             && self.recent_failures.iter().all(|j| j == other_than)
--- a/crates/jasperhill-scheduler/src/job.rs
+++ b/crates/jasperhill-scheduler/src/job.rs
@@ -41,9 +41,9 @@
     /// Reserved hosts.
     pub hosts: Vec<HostId>,
     /// Time at which the hosts are chosen again.
-    pub until: Micros,
+    pub choice_expires_at: Micros,
     /// Time at which all hosts are expected to have enough free capacity.
-    pub ready: Micros,
+    pub ready_at: Micros,
 }
 
 /// Whether the dependencies of a job allow its tasks to start.
@@ -123,7 +123,7 @@
     /// Set of tasks that are done.
     pub done: TaskSet,
     /// Tasks that are done but not yet saved in the job's record.
-    pub unsaved: BTreeSet<u32>,
+    pub unsaved_tasks: BTreeSet<u32>,
     /// Tasks that are on a host or that a host is commanded to start, by task index.
     pub live: BTreeMap<u32, HostId>,
     /// Tasks with a reservation in a host's queue, by task index.
@@ -131,7 +131,7 @@
     /// Tasks reported as running, for the job's status and for choosing which task to stop.
     pub running: BTreeSet<u32>,
     /// Whether all tasks have been running at the same time.
-    pub ran_whole: bool,
+    pub has_run_completely: bool,
     /// Run times of the job's ended tasks.
     pub sibling_run_times: SiblingRunTimes,
     /// Lowest index that was never assigned: every task below it is done, live, reserved or in
@@ -151,7 +151,7 @@
     pub failed: bool,
     /// Hosts on which tasks are preempted for this job, and until when the job waits for the freed
     /// capacity.
-    pub preempting: Vec<(HostId, Micros)>,
+    pub awaited_capacity: Vec<(HostId, Micros)>,
     /// Hosts reserved for this gang while it waits; `None` if none are reserved.
     pub gang_hosts: Option<GangHosts>,
     /// Current attempt of a gang; `None` if the gang is not started.
@@ -182,11 +182,11 @@
             readiness: Readiness::Open,
             inherited: (None, None),
             done,
-            unsaved: BTreeSet::new(),
+            unsaved_tasks: BTreeSet::new(),
             live: BTreeMap::new(),
             reserved: BTreeMap::new(),
             running: BTreeSet::new(),
-            ran_whole: false,
+            has_run_completely: false,
             sibling_run_times: SiblingRunTimes::default(),
             cursor: 0,
             returned_to_pending: BTreeSet::new(),
@@ -195,7 +195,7 @@
             failed_attempts_saved: 0,
             not_before: Micros::ZERO,
             failed: false,
-            preempting: Vec::new(),
+            awaited_capacity: Vec::new(),
             gang_hosts: None,
             attempt: None,
             preempted: 0,
@@ -262,7 +262,7 @@
             }
             TaskStep::Done => {
                 self.done.insert(i);
-                self.unsaved.insert(i);
+                self.unsaved_tasks.insert(i);
             }
         }
     }
@@ -270,7 +270,7 @@
     /// Records that task `i` is reported as running.
     pub fn mark_running(&mut self, i: u32) {
         self.running.insert(i);
-        self.ran_whole |= self.running.len() >= self.request.tasks as usize;
+        self.has_run_completely |= self.running.len() >= self.request.tasks as usize;
     }
 
     /// Returns whether task `i` is not pending.
@@ -312,7 +312,7 @@
 
     /// Returns whether the job has not ended, has no live tasks and no unsaved results.
     pub fn is_waiting(&self) -> bool {
-        self.termination.is_none() && self.live.is_empty() && self.unsaved.is_empty()
+        self.termination.is_none() && self.live.is_empty() && self.unsaved_tasks.is_empty()
     }
 
     /// Returns the time since which a waiting job has had no running task.
@@ -373,7 +373,7 @@
     }
 
     /// Returns whether the tasks save checkpoints, so that they can be stopped without losing work.
-    pub fn checkpoints(&self) -> bool {
+    pub fn saves_checkpoints(&self) -> bool {
         self.request.checkpoint_every > Micros::ZERO
     }
 }
--- a/crates/jasperhill-scheduler/src/partition/events.rs
+++ b/crates/jasperhill-scheduler/src/partition/events.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     recovery::Recovered,
-    starvation::{Group, ServedShare},
+    starvation::{Group, GroupShare},
 };
 use jasperhill_wire::{HostId, JobId, Micros, TaskId};
 
@@ -34,7 +34,7 @@
     HostSlow(HostId, f64),
     /// A job class or team has fallen below its minimum share, with its present share and waiting
     /// jobs. `None`: it has reached its minimum share again.
-    Starved(Group, Option<ServedShare>),
+    Starved(Group, Option<GroupShare>),
     /// Production jobs have recovered from a loss of replicas.
     ProductionRecovered(Recovered),
     /// After a failover, no host can run unknown tasks any more: the time that this took, and the
--- a/crates/jasperhill-scheduler/src/partition/hosts.rs
+++ b/crates/jasperhill-scheduler/src/partition/hosts.rs
@@ -9,7 +9,7 @@
     /// Returns the number of hosts that can't get new tasks, by reason: worker has not shown the
     /// current token, lease expired, commands in doubt, silent, quarantined or about to be
     /// terminated, draining.
-    pub fn unusable(&self, now: Micros) -> [usize; 6] {
+    pub fn unusable_host_counts(&self, now: Micros) -> [usize; 6] {
         let mut counts = [0; 6];
         for h in self.hosts.values() {
             if h.is_usable(now, &self.config) {
@@ -17,8 +17,8 @@
             }
             let reason = match h.fencing {
                 FencingState::Unfenced { .. } => 0,
-                FencingState::Lapsed => 1,
-                FencingState::Fenced if h.in_doubt() => 2,
+                FencingState::LeaseExpired => 1,
+                FencingState::Fenced if h.awaits_raised_token() => 2,
                 FencingState::Fenced if h.draining.is_some() => 5,
                 FencingState::Fenced if h.terminates_at.is_some() => 4,
                 FencingState::Fenced if h.quarantined_until.is_some_and(|t| now < t) => 4,
@@ -35,11 +35,14 @@
         let expired: Vec<HostId> = self
             .hosts
             .values()
-            .filter(|h| h.fencing != FencingState::Lapsed && now >= h.last_answer + lease_expiry)
+            .filter(|h| {
+                h.fencing != FencingState::LeaseExpired
+                    && now >= h.lease_renewed_at_latest + lease_expiry
+            })
             .map(|h| h.id.clone())
             .collect();
         for id in expired {
-            self.apply(&id, HostInput::Gone, now);
+            self.apply(&id, HostInput::LeaseExpiredOrRemoved, now);
             self.events.push(Event::HostLost(id));
         }
     }
@@ -53,7 +56,7 @@
                 let Some(job) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                if entry.holds_resources() && entry.stopping.is_none() && job.checkpoints() {
+                if entry.holds_resources() && entry.stopping.is_none() && job.saves_checkpoints() {
                     tasks_to_stop.push((host.id.clone(), task.clone()));
                 }
             }
@@ -75,7 +78,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let grace = if job.checkpoints() {
+        let grace = if job.saves_checkpoints() {
             job.request.checkpoint_time + Micros::from_secs(1)
         } else {
             Micros::ZERO
@@ -93,7 +96,7 @@
     /// Returns whether the host may be returned: it belongs to the partition, its worker has shown
     /// the current token, no task runs or is reserved there, and it has been idle for at least
     /// `min_idle`.
-    pub fn is_spare(&self, id: &HostId, now: Micros, min_idle: Micros) -> bool {
+    pub fn is_returnable(&self, id: &HostId, now: Micros, min_idle: Micros) -> bool {
         self.hosts.get(id).is_some_and(|h| {
             matches!(h.assignment, HostAssignment::Partition(_))
                 && h.is_empty()
--- a/crates/jasperhill-scheduler/src/partition/mod.rs
+++ b/crates/jasperhill-scheduler/src/partition/mod.rs
@@ -54,7 +54,7 @@
     /// Number of the partition.
     pub id: u32,
     /// Revision of the state store at which the current ownership began.
-    pub since: Revision,
+    pub owned_since: Revision,
     /// Scheduler settings.
     pub config: Rc<SchedulerConfig>,
     /// Machine types by name.
@@ -70,15 +70,15 @@
     /// Number of attempts that this owner has issued; see [`Partition::next_attempt`].
     issued_attempts: u64,
     /// Hosts with new commands that are to be sent by direct requests.
-    pub dirty: BTreeSet<HostId>,
+    pub hosts_with_new_commands: BTreeSet<HostId>,
     /// Jobs with results or failure counts that are not in the state store yet.
-    pub unsaved: BTreeSet<JobId>,
+    pub jobs_with_unsaved_results: BTreeSet<JobId>,
     /// Events to be logged; the caller removes them.
     pub events: Vec<Event>,
     /// Whether something changed since the last scheduling cycle that may let it start tasks.
-    pub changed: bool,
+    pub needs_scheduling: bool,
     /// Number of jobs that the last scheduling cycle considered.
-    pub backlog: usize,
+    pub last_cycle_job_count: usize,
     /// Since when hosts may run unknown tasks of a previous owner; `None` if no host may.
     unconfirmed_since: Option<Micros>,
     /// Whether production jobs have lost replicas that are not replaced yet.
@@ -105,7 +105,7 @@
     pub fn new(id: u32, since: Revision, config: Rc<SchedulerConfig>, specs: Rc<Specs>) -> Self {
         Self {
             id,
-            since,
+            owned_since: since,
             config,
             specs,
             jobs: BTreeMap::new(),
@@ -113,11 +113,11 @@
             used_by_team: BTreeMap::new(),
             run_time_ratios: BTreeMap::new(),
             issued_attempts: 0,
-            dirty: BTreeSet::new(),
-            unsaved: BTreeSet::new(),
+            hosts_with_new_commands: BTreeSet::new(),
+            jobs_with_unsaved_results: BTreeSet::new(),
             events: Vec::new(),
-            changed: true,
-            backlog: 0,
+            needs_scheduling: true,
+            last_cycle_job_count: 0,
             unconfirmed_since: None,
             recovery: Recovery::default(),
             replica_recovery: ReplicaRecovery::default(),
@@ -130,7 +130,7 @@
 
     /// Removes ended jobs, and records when unconfirmed hosts are first found and when the last of
     /// them is confirmed or expired.
-    pub(crate) fn note_confirmed(&mut self, now: Micros) {
+    pub(crate) fn update_unconfirmed_state(&mut self, now: Micros) {
         self.remove_ended_jobs();
         match (self.has_unconfirmed_tasks(), self.unconfirmed_since) {
             (true, None) => {
@@ -139,7 +139,7 @@
             }
             (false, Some(since)) => {
                 self.unconfirmed_since = None;
-                let is_expired = |h: &&Host| h.fencing == crate::host::FencingState::Lapsed;
+                let is_expired = |h: &&Host| h.fencing == crate::host::FencingState::LeaseExpired;
                 let expired_hosts = self.hosts.values().filter(is_expired).count();
                 self.events
                     .push(Event::AllHostsConfirmed(now - since, expired_hosts));
@@ -153,7 +153,7 @@
     pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.issued_attempts += 1;
         debug_assert!(self.issued_attempts < 1 << ATTEMPT_COUNTER_BITS);
-        Attempt((self.since.0 << ATTEMPT_COUNTER_BITS) + self.issued_attempts)
+        Attempt((self.owned_since.0 << ATTEMPT_COUNTER_BITS) + self.issued_attempts)
     }
 
     /// Returns whether any host may run unknown tasks of a previous owner.
@@ -186,14 +186,14 @@
     /// Always false for a job that waits for its dependencies, because no owner has started it.
     pub(crate) fn may_run_unconfirmed(&self, job: &Job, unconfirmed: &UnconfirmedTasks) -> bool {
         job.readiness == Readiness::Open
-            && job.created <= self.since
+            && job.created <= self.owned_since
             && unconfirmed.may_include(&job.request)
     }
 
     /// Updates the dependency status of a job; does nothing if the job is not known.
     pub fn set_dependency_status(&mut self, id: &JobId, status: DependencyStatus) {
         if let Some(job) = self.jobs.get_mut(id) {
-            self.changed |= job.set_dependency_status(status);
+            self.needs_scheduling |= job.set_dependency_status(status);
         }
     }
 
@@ -213,7 +213,7 @@
             job.failures = FailureHistory::from_record(failed_attempts, now);
             job.failed_attempts_saved = failed_attempts;
             self.jobs.insert(request.id.clone(), job);
-            self.changed = true;
+            self.needs_scheduling = true;
         }
     }
 
@@ -231,9 +231,9 @@
             }
             self.stop_all(id, Micros::ZERO, now);
         }
-        self.unsaved.remove(id);
+        self.jobs_with_unsaved_results.remove(id);
         self.remove_job_if_ended(id);
-        self.changed = true;
+        self.needs_scheduling = true;
     }
 
     /// Adds a job that was cancelled under a previous owner and whose tasks may still run on
@@ -315,7 +315,7 @@
         now: Micros,
     ) {
         // The greater of the revisions at which the ownership and the host's record were written.
-        let token = FencingToken(version.0.max(self.since.0));
+        let token = FencingToken(version.0.max(self.owned_since.0));
         let Some(spec) = self.specs.get(&record.machine_type) else {
             return;
         };
@@ -327,23 +327,23 @@
             None => {
                 let host = Host::new(id.clone(), record, spec.clone(), token, at_takeover, now);
                 self.hosts.insert(id.clone(), host);
-                self.dirty.insert(id.clone());
+                self.hosts_with_new_commands.insert(id.clone());
             }
         }
-        self.changed = true;
+        self.needs_scheduling = true;
     }
 
     /// Removes a host whose record was deleted or assigned to another partition, which means that
     /// the machine is gone or was empty.
     pub fn remove_host(&mut self, id: &HostId, now: Micros) {
-        self.apply(id, HostInput::Gone, now);
+        self.apply(id, HostInput::LeaseExpiredOrRemoved, now);
         if let Some(host) = self.hosts.remove(id) {
             for reservation in host.queue {
                 self.set_step(&reservation.task, TaskStep::Pending);
             }
         }
-        self.dirty.remove(id);
-        self.changed = true;
+        self.hosts_with_new_commands.remove(id);
+        self.needs_scheduling = true;
     }
 
     /// Applies the status of a worker from a heartbeat or from the response to a direct request.
@@ -351,7 +351,7 @@
         let previous = self
             .hosts
             .get(&heartbeat.host)
-            .map(|h| (h.incarnation, h.answered));
+            .map(|h| (h.incarnation, h.last_answered_here));
         self.apply(
             &heartbeat.host,
             HostInput::Heartbeat(heartbeat, source),
@@ -363,7 +363,7 @@
             && self.hosts.get(&heartbeat.host).and_then(|h| h.incarnation) > Some(incarnation)
             && now - answered < self.config.lease.scale(0.5)
         {
-            self.apply(&heartbeat.host, HostInput::NotReceiving, now);
+            self.apply(&heartbeat.host, HostInput::ResponsesNotReceived, now);
         }
     }
 
@@ -373,19 +373,21 @@
             return;
         };
         for output in host.apply(input, now) {
-            self.changed = true;
+            self.needs_scheduling = true;
             match output {
                 HostOutput::Fenced => {}
                 HostOutput::Running(task) => {
                     if let Some(job) = self.jobs.get_mut(&task.job) {
                         job.mark_running(task.index);
                         if let Some(host) = self.hosts.get_mut(id) {
-                            host.touch_image(&job.request.image, job.request.image_gb);
+                            host.mark_image_used(&job.request.image, job.request.image_gb);
                         }
                     }
-                    self.watch_task(id, &task);
+                    self.schedule_overrun_check(id, &task);
+                }
+                HostOutput::UnknownTaskFound(task, attempt) => {
+                    self.task_found(id, &task, attempt, now)
                 }
-                HostOutput::Found(task, attempt) => self.task_found(id, &task, attempt, now),
                 HostOutput::Ended(task, cause) => self.task_ended(id, &task, cause, now),
             }
         }
@@ -434,7 +436,7 @@
     /// Stops a task, which has the time `grace` to save a checkpoint.
     pub fn stop(&mut self, host: &HostId, task: &TaskId, grace: Micros, now: Micros) {
         self.apply(host, HostInput::Stop(task, grace), now);
-        self.dirty.insert(host.clone());
+        self.hosts_with_new_commands.insert(host.clone());
     }
 
     /// Stops all live tasks of a job, each of which has the time `grace` to save a checkpoint.
@@ -448,7 +450,7 @@
 
     /// Returns the resources that the team's live tasks use, plus those that unknown tasks of its
     /// jobs may use.
-    pub fn team_use(&self, team: &Name) -> Resources {
+    pub fn team_usage(&self, team: &Name) -> Resources {
         let mut used = self.used_by_team.get(team).copied().unwrap_or_default();
         let unconfirmed = self.unconfirmed_tasks();
         for job in self.jobs.values() {
@@ -461,12 +463,12 @@
 
     /// Records that the results of these tasks and the number of failed attempts are stored in the
     /// job's record.
-    pub fn saved(&mut self, id: &JobId, tasks: &BTreeSet<u32>, failed_attempts: u32) {
+    pub fn mark_results_saved(&mut self, id: &JobId, tasks: &BTreeSet<u32>, failed_attempts: u32) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.failed_attempts_saved = failed_attempts;
             for i in tasks {
                 if job.done.contains(*i) {
-                    job.unsaved.remove(i);
+                    job.unsaved_tasks.remove(i);
                 }
             }
         }
@@ -480,7 +482,7 @@
         host.commands(|task, cause| match self.jobs.get(&task.job) {
             // The worker may forget a result only once it is stored in the job's record.
             Some(job) if cause == ExitCause::Done => {
-                job.done.contains(task.index) && !job.unsaved.contains(&task.index)
+                job.done.contains(task.index) && !job.unsaved_tasks.contains(&task.index)
             }
             _ => true,
         })
--- a/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
+++ b/crates/jasperhill-scheduler/src/partition/task_outcomes.rs
@@ -93,7 +93,7 @@
             return;
         };
         let (image, gb) = (&job.request.image, job.request.image_gb);
-        host.touch_image(image, gb);
+        host.mark_image_used(image, gb);
         host.set_requirements(task, job.request.each, (image.clone(), gb));
         let entry = host.tasks.get(task);
         if entry.is_some_and(|entry| entry.state == TaskState::Running) {
@@ -146,10 +146,10 @@
             self.mark_task_completed(host_id, &TaskId::new(&task.job, index));
         }
         self.finish_attempt(&task.job);
-        self.unsaved.insert(task.job.clone());
+        self.jobs_with_unsaved_results.insert(task.job.clone());
         if let Some(host) = self.hosts.get_mut(host_id) {
             host.recent_failures.clear();
-            let started = host.tasks.get(task).map(|entry| entry.ordered);
+            let started = host.tasks.get(task).map(|entry| entry.ordered_at);
             host.last_success_started = host.last_success_started.max(started);
         }
         self.apply_job_evidence(&task.job, failures::Input::Succeeded, now);
@@ -172,7 +172,7 @@
             // The task remains live until its host reports that it has ended.
             Some(host) if holds_resources_on(&host) => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.unsaved.insert(task.index);
+                    job.unsaved_tasks.insert(task.index);
                 }
             }
             _ => self.set_step(task, TaskStep::Done),
@@ -194,7 +194,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let has_result = job.unsaved.contains(&task.index);
+        let has_result = job.unsaved_tasks.contains(&task.index);
         match cause.filter(|_| !has_result) {
             Some(ExitCause::Error) => self.task_failed(host_id, task, now),
             Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
@@ -226,7 +226,7 @@
         let ran = host
             .tasks
             .get(task)
-            .and_then(|t| t.running)
+            .and_then(|t| t.running_since)
             .map_or(Micros::ZERO, |started| now - started);
         self.events
             .push(Event::Failed(task.clone(), host_id.clone(), ran));
@@ -236,12 +236,12 @@
         );
         let failed = failures::Input::Failed {
             host: host_id,
-            serves: host.has_served_others(&task.job, now),
+            serves: host.has_recent_success_besides(&task.job, now),
             ran,
         };
         job.failures.apply(failed, now);
         if job.failures.failed_attempts() != failed_attempts_before {
-            self.unsaved.insert(task.job.clone());
+            self.jobs_with_unsaved_results.insert(task.job.clone());
         }
         if !job.failures.is_backing_off() {
             if host.record_failure(&task.job, now) {
@@ -249,7 +249,7 @@
             }
         } else if !was_backing_off {
             let reserved: Vec<u32> = job.reserved.keys().copied().collect();
-            job.preempting.clear();
+            job.awaited_capacity.clear();
             job.gang_hosts = None;
             self.events.push(Event::JobBackingOff(task.job.clone()));
             for i in reserved {
@@ -277,11 +277,11 @@
         if !was_backing_off || job.failures.is_backing_off() {
             return;
         }
-        self.unsaved.insert(job_id.clone());
-        self.changed = true;
+        self.jobs_with_unsaved_results.insert(job_id.clone());
+        self.needs_scheduling = true;
         for host in hosts {
             if let Some(h) = self.hosts.get_mut(&host)
-                && !h.has_served_others(job_id, now)
+                && !h.has_recent_success_besides(job_id, now)
             {
                 // Two failures are recorded, as many as put a host into quarantine.
                 let is_newly_quarantined =
@@ -295,7 +295,7 @@
 
     /// Checks for jobs that back off whether a task has run longer than the failed ones did, which
     /// ends the backoff.
-    pub(crate) fn clear_outlived_failures(&mut self, now: Micros) {
+    pub(crate) fn end_backoff_of_outliving_jobs(&mut self, now: Micros) {
         let mut longest_runs = Vec::new();
         for (id, job) in self
             .jobs
@@ -307,7 +307,7 @@
                 .iter()
                 .filter_map(|i| {
                     let host = self.hosts.get(job.live.get(i)?)?;
-                    host.tasks.get(&TaskId::new(id, *i))?.running
+                    host.tasks.get(&TaskId::new(id, *i))?.running_since
                 })
                 .map(|started| now - started)
                 .max();
@@ -327,7 +327,7 @@
             job.attempt = None;
             if job.is_gang() {
                 // A gang completes as a whole, including tasks that were not reported as completed.
-                let unsaved: Vec<u32> = job.unsaved.iter().copied().collect();
+                let unsaved: Vec<u32> = job.unsaved_tasks.iter().copied().collect();
                 for i in unsaved {
                     job.set(i, TaskStep::Done);
                 }
@@ -345,7 +345,7 @@
         let Some(host) = self.hosts.get_mut(host_id) else {
             return;
         };
-        let Some(started) = host.tasks.get(task).and_then(|t| t.running) else {
+        let Some(started) = host.tasks.get(task).and_then(|t| t.running_since) else {
             return;
         };
         let estimate = job.request.estimate.as_secs_f64();
@@ -359,7 +359,7 @@
             .or_insert(1.0);
         *class_ratio += 0.05 * (observed_ratio - *class_ratio);
         let relative_run_time = (observed_ratio / class_ratio.max(0.1)).clamp(0.2, 5.0);
-        host.slowness += 0.2 * (relative_run_time - host.slowness);
-        self.learn_overrun(host_id, task, relative_run_time, now);
+        host.run_time_ratio += 0.2 * (relative_run_time - host.run_time_ratio);
+        self.record_task_duration(host_id, task, relative_run_time, now);
     }
 }
--- a/crates/jasperhill-scheduler/src/partition/waiting.rs
+++ b/crates/jasperhill-scheduler/src/partition/waiting.rs
@@ -40,9 +40,9 @@
     /// The job that has waited longest.
     pub oldest: JobId,
     /// How long `oldest` has waited.
-    pub longest: Micros,
+    pub longest_wait: Micros,
     /// Number of tasks of `oldest`.
-    pub tasks: u32,
+    pub oldest_task_count: u32,
 }
 
 impl Partition {
@@ -55,8 +55,8 @@
             let summary = WaitingJobs {
                 jobs: 1,
                 oldest: job.request.id.clone(),
-                longest: now - job.waiting_since(),
-                tasks: job.request.tasks,
+                longest_wait: now - job.waiting_since(),
+                oldest_task_count: job.request.tasks,
             };
             let entry = waiting.entry(key);
             entry
@@ -76,7 +76,7 @@
             WaitReason::Backoff
         } else if !self.may_start(cycle, &job.request, job.tasks_to_begin()) {
             WaitReason::TeamLimit
-        } else if !job.preempting.is_empty() {
+        } else if !job.awaited_capacity.is_empty() {
             WaitReason::Preemption
         } else if job.gang_hosts.is_some() {
             WaitReason::ReservedHosts
@@ -92,7 +92,7 @@
     /// Adds the jobs of `other` and keeps the job that has waited longest.
     fn merge(&mut self, other: &Self) {
         let jobs = self.jobs + other.jobs;
-        if other.longest > self.longest {
+        if other.longest_wait > self.longest_wait {
             *self = other.clone();
         }
         self.jobs = jobs;
--- a/crates/jasperhill-scheduler/src/recovery.rs
+++ b/crates/jasperhill-scheduler/src/recovery.rs
@@ -100,7 +100,7 @@
     /// Host on which the capacity is reserved.
     pub host: HostId,
     /// Resources of the replica.
-    pub each: Resources,
+    pub resources: Resources,
 }
 
 /// Reserved capacity and blocked replicas of a partition.
--- a/crates/jasperhill-scheduler/src/reservation_window.rs
+++ b/crates/jasperhill-scheduler/src/reservation_window.rs
@@ -1,7 +1,7 @@
 //! Time windows in which a team's limit is reserved for its gangs.
 //!
 //! [`ReservationWindow`] does no I/O and reads no clock; every change goes through
-//! [`ReservationWindow::apply`].
+//! [`ReservationWindow::is_open_at`].
 
 use jasperhill_wire::Micros;
 
@@ -33,7 +33,7 @@
 
     /// Returns whether the team's limit may be reserved now, and starts a new period when the
     /// previous one is over or unused. Nothing else changes the window.
-    pub fn apply(&mut self, now: Micros) -> bool {
+    pub fn is_open_at(&mut self, now: Micros) -> bool {
         if now - self.since >= MAX_RESERVATION + PAUSE || now - self.last_used >= PAUSE {
             self.since = now;
         }
--- a/crates/jasperhill-scheduler/src/schedule_simulation.rs
+++ b/crates/jasperhill-scheduler/src/schedule_simulation.rs
@@ -12,7 +12,7 @@
     /// Reserved task.
     pub task: TaskId,
     /// Resources of the task.
-    pub each: Resources,
+    pub resources: Resources,
     /// Deadline minus the uncertainty factor times the start delay.
     pub adjusted_deadline: Micros,
     /// Expected run time on this host.
@@ -25,13 +25,13 @@
     /// Expected end; [`Micros::MAX`] for a task that never ends.
     pub until: Micros,
     /// Resources of the task.
-    pub each: Resources,
+    pub resources: Resources,
 }
 
 /// Returns the remaining run time of a task. A task near or past its estimate is given a minimum
 /// remainder, so that start times that cannot be kept are not promised to the tasks queued behind
 /// it.
-pub fn remaining(estimate: Micros, elapsed: Micros) -> Micros {
+pub fn remaining_run_time(estimate: Micros, elapsed: Micros) -> Micros {
     let least = elapsed.scale(0.15).max(Micros::from_secs(2));
     (estimate - elapsed).max(least)
 }
@@ -53,7 +53,7 @@
     let mut running_count = running.len();
     let mut started: Vec<Occupied> = Vec::new();
     for reservation in queue {
-        while !reservation.each.fits(&free) {
+        while !reservation.resources.fits(&free) {
             let next = match (
                 running_count.checked_sub(1).map(|i| running[i]),
                 started.last(),
@@ -68,7 +68,7 @@
             match next {
                 Some(next) if next.until < Micros::MAX => {
                     clock = clock.max(next.until);
-                    free += next.each;
+                    free += next.resources;
                 }
                 // No task ends any more, or the remaining ones never end: a reservation that does
                 // not fit beside them never runs on this host.
@@ -79,10 +79,10 @@
         if until > reservation.adjusted_deadline {
             missed += 1;
         }
-        free -= reservation.each;
+        free -= reservation.resources;
         let position = started.partition_point(|o| o.until > until);
-        let each = reservation.each;
-        started.insert(position, Occupied { until, each });
+        let resources = reservation.resources;
+        started.insert(position, Occupied { until, resources });
     }
     missed
 }
--- a/crates/jasperhill-scheduler/src/schedule_simulation/tests.rs
+++ b/crates/jasperhill-scheduler/src/schedule_simulation/tests.rs
@@ -5,7 +5,7 @@
 fn reservation(adjusted: u64, estimate: u64) -> Reservation {
     Reservation {
         task: TaskId::new(&JobId::new("job-1"), 0),
-        each: Resources::from_units(1.0, 1.0, 1.0),
+        resources: Resources::from_units(1.0, 1.0, 1.0),
         adjusted_deadline: Micros::from_secs(adjusted),
         estimate: Micros::from_secs(estimate),
     }
@@ -26,7 +26,7 @@
 fn misses_when_capacity_is_held_forever() {
     let occupied = Occupied {
         until: Micros::MAX,
-        each: Resources::from_units(1.0, 1.0, 1.0),
+        resources: Resources::from_units(1.0, 1.0, 1.0),
     };
     assert_eq!(
         count_missed(
--- a/crates/jasperhill-scheduler/src/starvation.rs
+++ b/crates/jasperhill-scheduler/src/starvation.rs
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 pub enum Input<'a> {
     /// The first task of a waiting job starts.
-    Begun {
+    JobStarted {
         /// Id of the job.
         id: &'a JobId,
         /// Class of the job.
@@ -118,7 +118,7 @@
 
 /// Share of started jobs of one group.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServedShare {
+pub struct GroupShare {
     /// Number of recently started jobs divided by the number of recently started jobs and of jobs
     /// that have waited for too long.
     pub share: f64,
@@ -129,7 +129,7 @@
     is_significant: bool,
 }
 
-impl ServedShare {
+impl GroupShare {
     /// Returns whether the group has enough waiting jobs and a share below `min_share`.
     fn is_starved(&self, min_share: f64) -> bool {
         self.is_significant && self.share < min_share
@@ -142,7 +142,7 @@
     /// Decayed number of started jobs by group, and the time up to which it has been decayed.
     started: BTreeMap<Group, (f64, Micros)>,
     /// Shares found in the last evaluation, for groups with jobs that have waited for too long.
-    group_shares: BTreeMap<Group, ServedShare>,
+    group_shares: BTreeMap<Group, GroupShare>,
     /// Jobs that are scheduled ahead of all work except production.
     boosted: BTreeSet<JobId>,
     /// Time of the last evaluation; `None` before the first.
@@ -154,7 +154,7 @@
     /// no group is starved.
     pub fn apply(&mut self, input: Input<'_>, min_share: f64, now: Micros) {
         match input {
-            Input::Begun {
+            Input::JobStarted {
                 id,
                 class,
                 team,
@@ -200,7 +200,7 @@
             let is_size = matches!(group, Group::Size(..));
             let is_significant = waiting >= MIN_LONG_WAITING
                 || is_size && jobs.iter().any(|j| j.exceeds_single_job_wait(now));
-            let group_share = ServedShare {
+            let group_share = GroupShare {
                 share,
                 waiting,
                 is_significant,
@@ -242,7 +242,7 @@
     }
 
     /// Returns the shares of the groups with jobs that have waited for too long.
-    pub fn shares(&self) -> &BTreeMap<Group, ServedShare> {
+    pub fn shares(&self) -> &BTreeMap<Group, GroupShare> {
         &self.group_shares
     }
 }
--- a/crates/jasperhill-scheduler/src/starvation/tests.rs
+++ b/crates/jasperhill-scheduler/src/starvation/tests.rs
@@ -5,7 +5,7 @@
 }
 
 fn started<'a>(id: &'a JobId, class: &'a Name, team: &'a Name) -> Input<'a> {
-    Input::Begun {
+    Input::JobStarted {
         id,
         class,
         team,
--- a/crates/jasperhill-scheduler/tests/config.rs
+++ b/crates/jasperhill-scheduler/tests/config.rs
@@ -1,7 +1,7 @@
 //! Tests of the refusal of jobs that can never run and of the minimum number of machines.
 
 use jasperhill_scheduler::config::{
-    MachineSpec, SchedulerConfig, Specs, TeamLimits, Tuning, impossible,
+    MachineSpec, SchedulerConfig, Specs, TeamLimits, Tuning, rejection_reason,
 };
 use jasperhill_wire::{Micros, Resources, user::JobRequest};
 use proptest::prelude::*;
@@ -10,16 +10,16 @@
 #[test]
 fn idle_deployment_shrinks_to_its_minimum() {
     let default = Tuning::default();
-    assert_eq!(default.planned(0.0, 0.3, 0), 0);
-    assert_eq!(default.planned(0.01, 0.0, 0), 1);
-    assert_eq!(default.planned(10.0, 2.0, 0), 14);
+    assert_eq!(default.desired_machines(0.0, 0.3, 0), 0);
+    assert_eq!(default.desired_machines(0.01, 0.0, 0), 1);
+    assert_eq!(default.desired_machines(10.0, 2.0, 0), 14);
     let min_seven = Tuning {
         min_machines: 7,
         ..default
     };
     let shares: Vec<u32> = (0..3).map(|p| min_seven.min_machines_of(p, 3)).collect();
     assert_eq!(shares, [3, 2, 2]);
-    assert_eq!(min_seven.planned(0.0, 0.0, 3), 3);
+    assert_eq!(min_seven.desired_machines(0.0, 0.0, 3), 3);
 }
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -37,7 +37,7 @@
             capacity: Resources::from_units(16.0, f64::from(*gpus), 64.0),
             cache_gb: 50.0,
             fetch_gb_per_s: 1.0,
-            boot: Micros::from_secs(20),
+            nominal_boot_time: Micros::from_secs(20),
             price: 4.0,
             spot_price: 2.0,
             zones: zones_of_type.map(|z| ZONES[z].into()).collect(),
@@ -132,14 +132,14 @@
                 guaranteed: Resources::default(),
                 limit: Resources::from_units(0.0, f64::from(TEAM_GPU_LIMIT), 0.0),
             }],
-            report: Micros::from_secs(3),
+            heartbeat_interval: Micros::from_secs(3),
             lease: Micros::from_secs(16),
             gang_wait: Micros::from_secs(30),
-            gang_peer: Micros::from_secs(4),
+            gang_peer_timeout: Micros::from_secs(4),
             start_within: BTreeMap::new(),
             tuning: Tuning::default(),
         };
-        let refused = impossible(&request(&job), &config, &specs(&types));
+        let refused = rejection_reason(&request(&job), &config, &specs(&types));
         prop_assert_eq!(refused.is_none(), can_run(&job, &types), "{:?}", refused);
         // The reason starts with the name of a field of the submission.
         let fields = ["tenant: ", "hosttypes: ", "apart: ", "shards: "];
--- a/crates/jasperhill-scheduler/tests/machines/failures.rs
+++ b/crates/jasperhill-scheduler/tests/machines/failures.rs
@@ -90,7 +90,7 @@
             .all(|h| h.is_usable(NOW, &partition.config))
     );
     assert!(
-        partition.unsaved.contains(&id),
+        partition.jobs_with_unsaved_results.contains(&id),
         "the back-off has to be saved"
     );
     // No task starts during the delay, and one task starts after it.
@@ -160,7 +160,7 @@
         partition.run_cycle(overrun_at);
         (
             partition.hosts[&host].pace.is_slow(),
-            partition.hosts[&host].slowness > 1.5,
+            partition.hosts[&host].run_time_ratio > 1.5,
         )
     };
     assert_eq!(slow_verdict(&[10, 10, 10], false), (true, true));
--- a/crates/jasperhill-scheduler/tests/machines/host_commands.rs
+++ b/crates/jasperhill-scheduler/tests/machines/host_commands.rs
@@ -17,9 +17,9 @@
     let mut host = host();
     start(&mut host, 0, 7);
     let commands = host.commands(|_, _| true);
-    host.apply(HostInput::DirectSent(commands, NOW), NOW);
-    host.apply(HostInput::DirectUnanswered, NOW);
-    assert!(host.needs_token());
+    host.apply(HostInput::DirectRequestSent(commands, NOW), NOW);
+    host.apply(HostInput::DirectRequestUnanswered, NOW);
+    assert!(host.needs_raised_token());
     let exited = vec![task_status(0, 7, TaskPhase::Exited(ExitCause::Done))];
     host.apply(
         HostInput::Heartbeat(
@@ -58,7 +58,7 @@
         ),
         NOW,
     );
-    assert!(host.needs_token() && !host.is_usable(NOW, &config()));
+    assert!(host.needs_raised_token() && !host.is_usable(NOW, &config()));
     host.apply(HostInput::TokenRaised(FencingToken(9)), NOW);
     host.apply(
         HostInput::Heartbeat(
@@ -162,7 +162,7 @@
     assert_eq!(live(&partition, "job-1"), 1);
     // The new session expires one lease after its own heartbeat.
     partition.run_cycle(before_expiry + lease + Micros::from_secs(1));
-    assert_eq!(partition.hosts[&id].fencing, FencingState::Lapsed);
+    assert_eq!(partition.hosts[&id].fencing, FencingState::LeaseExpired);
 }
 
 /// A machine answers direct requests but reaches no controller. Tasks started on it by direct
@@ -282,24 +282,24 @@
                     start(&mut host, i, attempt);
                 }
                 HostEvent::Stop(i) => { host.apply(HostInput::Stop(&task(i), Micros::ZERO), NOW); }
-                HostEvent::SendDirect if !host.in_flight() && !host.in_doubt() => {
+                HostEvent::SendDirect if !host.has_request_in_flight() && !host.awaits_raised_token() => {
                     let commands = host.commands(|_, _| true);
                     in_flight_starts = commands.iter().filter(|o| matches!(o, Command::Start(..)))
                         .map(|o| (o.key().0.clone(), o.key().1)).collect();
-                    host.apply(HostInput::DirectSent(commands, NOW), NOW);
+                    host.apply(HostInput::DirectRequestSent(commands, NOW), NOW);
                 }
-                HostEvent::SettleDirect => { in_flight_starts.clear(); host.apply(HostInput::DirectSettled, NOW); }
+                HostEvent::SettleDirect => { in_flight_starts.clear(); host.apply(HostInput::DirectRequestSettled, NOW); }
                 HostEvent::LoseAnswer => {
-                    if host.in_flight() && host.fencing != FencingState::Lapsed { in_doubt_starts.append(&mut in_flight_starts); }
+                    if host.has_request_in_flight() && host.fencing != FencingState::LeaseExpired { in_doubt_starts.append(&mut in_flight_starts); }
                     in_flight_starts.clear();
-                    host.apply(HostInput::DirectUnanswered, NOW);
+                    host.apply(HostInput::DirectRequestUnanswered, NOW);
                 }
                 HostEvent::Answer => {
                     let commands = host.commands(|_, _| true);
                     host.apply(HostInput::Answered(&commands), NOW);
                 }
                 HostEvent::RaiseToken => { token += 10; host.apply(HostInput::TokenRaised(FencingToken(token)), NOW); }
-                HostEvent::Gone => { in_doubt_starts.clear(); host.apply(HostInput::Gone, NOW); }
+                HostEvent::Gone => { in_doubt_starts.clear(); host.apply(HostInput::LeaseExpiredOrRemoved, NOW); }
                 HostEvent::ReceiveHeartbeat { sequence, incarnation, token: reported_token, phases } => {
                     let tasks: Vec<TaskStatus> = phases.iter().enumerate().filter_map(|(i, p)| {
                         let task_on_host = host.tasks.get(&task(i as u32))?;
@@ -314,7 +314,7 @@
                     }).collect();
                     let before = host.incarnation;
                     host.apply(HostInput::Heartbeat(&heartbeat("n-1", incarnation, sequence, reported_token.min(token), tasks), HeartbeatSource::Heartbeat), NOW);
-                    if host.incarnation > before || !host.in_doubt() { in_doubt_starts.clear(); }
+                    if host.incarnation > before || !host.awaits_raised_token() { in_doubt_starts.clear(); }
                 }
                 _ => {}
             }
@@ -326,7 +326,7 @@
                 }
             }
             if host.is_empty() {
-                prop_assert!(in_doubt_starts.is_empty() && !host.in_flight());
+                prop_assert!(in_doubt_starts.is_empty() && !host.has_request_in_flight());
             }
         }
     }
@@ -351,10 +351,10 @@
     // Exited tasks that cannot be cleared yet count as well.
     report_all_exited(&mut partition, "n-1", 9, ExitCause::Done, NOW);
     partition.run_cycle(NOW);
-    assert!(partition.hosts[&id].listed() <= task_count + 1);
+    assert!(partition.hosts[&id].listed_task_count() <= task_count + 1);
     // More tasks start once the results are saved in the record.
     let done: std::collections::BTreeSet<u32> = (0..50_000).collect();
-    partition.saved(&JobId::new("job-1"), &done, 0);
+    partition.mark_results_saved(&JobId::new("job-1"), &done, 0);
     partition.on_heartbeat(
         &heartbeat("n-1", 1, 10, 5, vec![]),
         HeartbeatSource::Heartbeat,
@@ -391,7 +391,7 @@
     }
     let later = NOW + secs(38);
     report(&mut partition, 3, 20, 5, later);
-    assert!(!usable(&partition, later) && partition.hosts[&id].needs_token());
+    assert!(!usable(&partition, later) && partition.hosts[&id].needs_raised_token());
     partition.apply(&id, HostInput::TokenRaised(FencingToken(9)), later);
     report(&mut partition, 3, 21, 5, later);
     assert!(!usable(&partition, later));
--- a/crates/jasperhill-scheduler/tests/machines/placement.rs
+++ b/crates/jasperhill-scheduler/tests/machines/placement.rs
@@ -21,7 +21,7 @@
     partition.run_cycle(NOW);
     assert_eq!(live(&partition, "job-1"), 2);
     let attempt = partition.jobs[&JobId::new("job-1")].attempt.unwrap();
-    partition.apply(&"n-1".into(), HostInput::Gone, NOW);
+    partition.apply(&"n-1".into(), HostInput::LeaseExpiredOrRemoved, NOW);
     partition.run_cycle(NOW);
     let commands = partition.commands(&"n-2".into());
     // The start command was never sent, so that it is withdrawn immediately and nothing of the
--- a/crates/jasperhill-scheduler/tests/machines/takeover.rs
+++ b/crates/jasperhill-scheduler/tests/machines/takeover.rs
@@ -14,7 +14,7 @@
 #[test]
 fn cancelled_job_counts_against_limit_until_its_tasks_have_ended() {
     let first_host = HostId::new("n-1");
-    let gpus = |partition: &Partition| partition.team_use(&"red".into()).gpus / 1_000_000;
+    let gpus = |partition: &Partition| partition.team_usage(&"red".into()).gpus / 1_000_000;
     let cancelled = request("job-old", "array", 3, 1.0, None);
     let running = |n: u32| {
         let task = TaskId::new(&JobId::new("job-old"), n);
@@ -114,7 +114,7 @@
         assert!(!partition.jobs.contains_key(&cancelled.id));
         assert_eq!(
             partition.hosts[&HostId::new("n-2")].fencing,
-            FencingState::Lapsed
+            FencingState::LeaseExpired
         );
         assert!(live(&partition, "job-new") > 1);
     }
@@ -158,7 +158,7 @@
     partition.run_cycle(later);
     assert_eq!(
         partition.hosts[&HostId::new("n-2")].fencing,
-        FencingState::Lapsed
+        FencingState::LeaseExpired
     );
     assert_eq!(live(&partition, "job-old"), 1);
 }
--- a/crates/jasperhill-testkit/src/cluster/deployment.rs
+++ b/crates/jasperhill-testkit/src/cluster/deployment.rs
@@ -52,7 +52,7 @@
     text += "[[params.teams]]\nname='guest'\n";
     let mut settings = Settings::parse(&text).unwrap();
     if plan.without_starvation_guard {
-        settings.operator.tuning.least_share = 0.0;
+        settings.operator.tuning.minimum_share = 0.0;
     }
     settings.operator.session = plan.session.map(Micros::from_secs);
     if plan.without_freshness_bound {
--- a/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
@@ -114,7 +114,7 @@
         capacity: Resources::from_units(16.0, 2.0, 128.0),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        boot: Micros::from_secs(20),
+        nominal_boot_time: Micros::from_secs(20),
         price: 4.0,
         spot_price: 2.0,
         zones: vec!["a".into()],
@@ -140,7 +140,7 @@
             );
             let orders = host.commands(|_, _| true);
             let withheld = host
-                .in_flight_known_as_of()
+                .outstanding_starts_known_as_of()
                 .is_some_and(|known| now >= bounds.owner_may_renew_until(known));
             if !(guarded && withheld) {
                 host.apply(HostInput::Answered(&orders), now);
@@ -154,13 +154,13 @@
                 host.apply(begin, now);
                 let orders = host.commands(|_, _| true);
                 sent = commands_body(host.token, host.incarnation, &orders);
-                host.apply(HostInput::DirectSent(orders, now), now);
+                host.apply(HostInput::DirectRequestSent(orders, now), now);
             }
             3 => {
                 host.apply(HostInput::Stop(&task, Micros::ZERO), now);
             }
             7 => {
-                host.apply(HostInput::DirectUnanswered, now);
+                host.apply(HostInput::DirectRequestUnanswered, now);
             }
             _ => {}
         }
--- a/crates/jasperhill/src/check.rs
+++ b/crates/jasperhill/src/check.rs
@@ -44,6 +44,6 @@
         "uncertainty factor {}, headroom {}, idle machines kept {} s",
         tuning.uncertainty,
         tuning.headroom,
-        secs(tuning.idle_keep)
+        secs(tuning.idle_retention)
     );
 }
--- a/crates/jasperhill/src/operator_settings.rs
+++ b/crates/jasperhill/src/operator_settings.rs
@@ -88,7 +88,7 @@
         tuning.headroom = headroom;
     }
     if let Some(seconds) = number("idle_keep_s", 0.0, 86_400.0)? {
-        tuning.idle_keep = Micros::from_secs_f64(seconds);
+        tuning.idle_retention = Micros::from_secs_f64(seconds);
     }
     if let Some(machines) = number("floor_machines", 0.0, 100_000.0)? {
         tuning.min_machines = machines as u32;
@@ -97,7 +97,7 @@
         settings.crash_loop_threshold = Some(restarts as u32);
     }
     if let Some(share) = number("least_share", 0.0, 1.0)? {
-        settings.tuning.least_share = share;
+        settings.tuning.minimum_share = share;
     }
     settings.session = number("session_s", 2.0, 600.0)?.map(Micros::from_secs_f64);
     Ok(settings)
--- a/crates/jasperhill/src/operator_settings/tests.rs
+++ b/crates/jasperhill/src/operator_settings/tests.rs
@@ -25,8 +25,8 @@
     .unwrap();
     let tuning = &settings.tuning;
     assert_eq!((tuning.uncertainty, tuning.headroom), (1.5, 0.25));
-    assert_eq!(tuning.idle_keep, Micros::from_millis(12_500));
-    assert_eq!((tuning.min_machines, tuning.least_share), (6, 0.5));
+    assert_eq!(tuning.idle_retention, Micros::from_millis(12_500));
+    assert_eq!((tuning.min_machines, tuning.minimum_share), (6, 0.5));
     assert_eq!(settings.session, Some(Micros::from_secs(9)));
     assert_eq!(settings.crash_loop_threshold, Some(4));
 }
