--- a/crates/jasperhill-controller/src/commands/sending.rs
+++ b/crates/jasperhill-controller/src/commands/sending.rs
@@ -99,7 +99,7 @@
         {
             self.apply_direct_response(&target, &response.body);
         }
-        self.wake.scheduler.notify_one();
+        self.wakeups.scheduler.notify_one();
         answered
     }
 
@@ -146,7 +146,12 @@
         // A delegate may go on renewing the lease of this host. A start command that arrives late under
         // such a lease could be executed after its job was cancelled: see
         // `Host::outstanding_starts_known_as_of`.
-        if host.lease_renewed_at_latest > self.settings.bounds.owner_may_renew_until(known_as_of) {
+        if host.lease_renewed_at_latest
+            > self
+                .settings
+                .freshness_bounds
+                .owner_may_renew_until(known_as_of)
+        {
             return None;
         }
         let (incarnation, token) = (host.incarnation?, host.token);
--- a/crates/jasperhill-controller/src/commands/state.rs
+++ b/crates/jasperhill-controller/src/commands/state.rs
@@ -12,7 +12,7 @@
     pub limiter: ConcurrencyLimiter<(u32, HostId)>,
     /// Hosts with a pending update of their record; at most one update is pending for a host. A rewrite
     /// of the record raises the host's fencing token.
-    pub token_updates: BTreeSet<HostId>,
+    pub hosts_with_record_update: BTreeSet<HostId>,
 }
 
 impl CommandState {
@@ -20,7 +20,7 @@
     pub fn new(concurrency: usize) -> Self {
         Self {
             limiter: ConcurrencyLimiter::new(concurrency),
-            token_updates: BTreeSet::new(),
+            hosts_with_record_update: BTreeSet::new(),
         }
     }
 }
--- a/crates/jasperhill-controller/src/commands/tokens.rs
+++ b/crates/jasperhill-controller/src/commands/tokens.rs
@@ -26,7 +26,10 @@
                 {
                     if let Some(cached) = state.cache.hosts.get(&host.id)
                         && !state.host_registry.is_backing_off(cached.block, now)
-                        && state.commands.token_updates.insert(host.id.clone())
+                        && state
+                            .commands
+                            .hosts_with_record_update
+                            .insert(host.id.clone())
                     {
                         hosts_to_update.push((role, host.id.clone(), cached.clone()));
                     }
@@ -49,7 +52,7 @@
                 // After the write, the watch cache passes the record's new revision to the partition.
                 shared.update_host(cached.block, update).await;
                 let mut state = shared.state.borrow_mut();
-                state.commands.token_updates.remove(&host);
+                state.commands.hosts_with_record_update.remove(&host);
             });
         }
     }
--- a/crates/jasperhill-controller/src/controller.rs
+++ b/crates/jasperhill-controller/src/controller.rs
@@ -26,13 +26,13 @@
     pub fn start(settings: Settings, clock: Clock, transport: Rc<dyn Transport>) -> Self {
         let shared = Rc::new(Shared {
             scheduler_config: Rc::new(settings.scheduler_config()),
-            partition_by_team: split(&settings.teams, settings.size),
+            partition_by_team: split(&settings.teams, settings.partition_count),
             members: settings.members(),
             state: RefCell::new(State::new(&settings, &clock, transport.as_ref())),
             settings,
             clock,
             transport,
-            wake: Wakeups::default(),
+            wakeups: Wakeups::default(),
         });
         spawn_loops(&shared);
         Self(shared)
--- a/crates/jasperhill-controller/src/delegation/delegate.rs
+++ b/crates/jasperhill-controller/src/delegation/delegate.rs
@@ -64,13 +64,13 @@
     /// host.
     pub async fn answer_as_delegate(self: &Rc<Self>, heartbeat: &Heartbeat) -> Option<Response> {
         match self.request_delegation(&heartbeat.host) {
-            AddHostOutcome::Added => self.wake.delegation_requests.notify_one(),
+            AddHostOutcome::Added => self.wakeups.delegation_requests.notify_one(),
             AddHostOutcome::Renewed => {}
             AddHostOutcome::Full => return None,
         }
         let granted_response = timeout(GRANT_TIMEOUT, async {
             loop {
-                let grants_changed = self.wake.grants_changed.notified();
+                let grants_changed = self.wakeups.grants_changed.notified();
                 if let Some(response) = self.delegate_response(heartbeat) {
                     return response;
                 }
@@ -111,7 +111,10 @@
         // The freshness bound on cancellations: a controller that renews a host's lease must know which
         // tasks to stop on the host.
         let known_as_of = state.authority.cache_fresh_until();
-        let answers_until = self.settings.bounds.delegate_may_renew_until(known_as_of);
+        let answers_until = self
+            .settings
+            .freshness_bounds
+            .delegate_may_renew_until(known_as_of);
         if !state.authority.is_valid_at(now) || now >= answers_until {
             return None;
         }
@@ -161,7 +164,7 @@
     /// as long as the controller.
     pub async fn delegation_request_loop(self: Rc<Self>) {
         loop {
-            let woken = self.wake.delegation_requests.notified();
+            let woken = self.wakeups.delegation_requests.notified();
             let _ = timeout(CHECK_INTERVAL, woken).await;
             let Some((session, due)) = self.take_due_requests() else {
                 continue;
--- a/crates/jasperhill-controller/src/delegation/owner.rs
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -53,13 +53,13 @@
     /// removes expired grants. Runs for as long as the controller.
     pub async fn delegation_grant_loop(self: Rc<Self>) {
         loop {
-            let woken = self.wake.delegation_grants.notified();
+            let woken = self.wakeups.delegation_grants.notified();
             let _ = timeout(CHECK_INTERVAL, woken).await;
             let (changed_requests, proposals) = {
                 let mut state = self.state.borrow_mut();
                 (
-                    std::mem::take(&mut state.delegation.changed_requests),
-                    std::mem::take(&mut state.proposals.received),
+                    std::mem::take(&mut state.delegation.changed_delegation_requests),
+                    std::mem::take(&mut state.proposals.received_proposals),
                 )
             };
             for id in proposals {
@@ -141,7 +141,7 @@
         granted_until: Micros,
         now: Micros,
     ) -> BTreeMap<HostId, FencingToken> {
-        let bounds = self.settings.bounds;
+        let bounds = self.settings.freshness_bounds;
         let min_silence = self
             .settings
             .heartbeat_interval
--- a/crates/jasperhill-controller/src/delegation/peer_contact.rs
+++ b/crates/jasperhill-controller/src/delegation/peer_contact.rs
@@ -2,7 +2,7 @@
 //! its owner.
 
 use crate::{
-    shared::{Shared, observation_of},
+    shared::{Shared, link_observation},
     state::State,
 };
 use jasperhill_membership::reachability::LinkId;
@@ -25,7 +25,7 @@
         // because the peer took too long to process it.
         if answered || is_short {
             let link = LinkId::Peer(peer.member.clone());
-            self.observe_link(link, observation_of(answered));
+            self.observe_link(link, link_observation(answered));
         }
         let now = self.now();
         let last_failure_at = &mut self.state.borrow_mut().delegation.last_failure_at;
@@ -59,17 +59,17 @@
     /// no controller in a third zone could relay heartbeats.
     pub fn is_cut_off(&self, zone: &str, owner: &Member) -> bool {
         let state = self.state.borrow();
-        let own_zone = self.settings.site.as_str();
+        let own_zone = self.settings.zone.as_str();
         let peers = &self.settings.peers;
         let Some(peer) = peers.iter().find(|peer| &peer.member == owner) else {
             return false;
         };
-        let Some(owner_zone) = peer.site.as_ref() else {
+        let Some(owner_zone) = peer.zone.as_ref() else {
             return false;
         };
         let has_third_zone = peers
             .iter()
-            .filter_map(|peer| peer.site.as_ref())
+            .filter_map(|peer| peer.zone.as_ref())
             .any(|site| site.as_str() != own_zone && site != owner_zone);
         zone == own_zone
             && owner_zone.as_str() != own_zone
--- a/crates/jasperhill-controller/src/delegation/state.rs
+++ b/crates/jasperhill-controller/src/delegation/state.rs
@@ -13,7 +13,7 @@
     pub(super) grants: DelegationGrants,
     /// Delegates whose requests have changed and have not been considered yet by this controller as an
     /// owner.
-    pub changed_requests: BTreeSet<Member>,
+    pub changed_delegation_requests: BTreeSet<Member>,
     /// The time at which each controller last failed to answer a call, by the monotonic clock. A
     /// controller that has answered since is not in the map.
     pub(super) last_failure_at: BTreeMap<Member, Micros>,
--- a/crates/jasperhill-controller/src/feature_gate.rs
+++ b/crates/jasperhill-controller/src/feature_gate.rs
@@ -25,9 +25,9 @@
 }
 
 /// Member records from which the feature gate is computed.
-pub struct MemberVersions<'a> {
+pub struct MemberFeatureLevels<'a> {
     /// Whether the watch cache contains all records of the store.
-    pub synced: bool,
+    pub is_synced: bool,
     /// All members of the cluster.
     pub members: &'a [Member],
     /// Live sessions by member.
@@ -36,7 +36,7 @@
     pub levels: &'a BTreeMap<Member, Versioned<FeatureLevelRecord>>,
 }
 
-impl MemberVersions<'_> {
+impl MemberFeatureLevels<'_> {
     /// Returns the feature level of a member. A live session describes the running process; without
     /// one, the level announced by the last process counts. A member that was downgraded to an
     /// earlier version has a session without a level, which counts as level 0.
@@ -50,8 +50,8 @@
 impl FeatureGate {
     /// Recomputes the feature level and returns whether it has changed. This is the only function
     /// that changes the gate.
-    pub fn apply(&mut self, versions: &MemberVersions<'_>) -> bool {
-        let new_gate = if versions.synced {
+    pub fn apply(&mut self, versions: &MemberFeatureLevels<'_>) -> bool {
+        let new_gate = if versions.is_synced {
             let levels = versions
                 .members
                 .iter()
--- a/crates/jasperhill-controller/src/feature_gate/tests.rs
+++ b/crates/jasperhill-controller/src/feature_gate/tests.rs
@@ -24,8 +24,8 @@
         })
     };
     let mut apply = |sessions: &_, levels: &_, synced| {
-        gate.apply(&MemberVersions {
-            synced,
+        gate.apply(&MemberFeatureLevels {
+            is_synced: synced,
             members: &members,
             sessions,
             levels,
--- a/crates/jasperhill-controller/src/heartbeats/deferral.rs
+++ b/crates/jasperhill-controller/src/heartbeats/deferral.rs
@@ -45,7 +45,7 @@
         };
         let role_moved = async {
             loop {
-                let ownership_changed = self.wake.ownership_changed.notified();
+                let ownership_changed = self.wakeups.ownership_changed.notified();
                 match self.answer_heartbeat(heartbeat) {
                     Ok(HeartbeatReply {
                         owner: None,
@@ -98,7 +98,7 @@
 /// controller may not hear it, and in both cases workers must not be kept from their owner.
 fn is_session_ending(state: &State, member: &Member, now: Micros) -> bool {
     let ttl = state.authority.ttl();
-    let silent_since = state.membership.silent_since.get(member);
+    let silent_since = state.membership.unreachable_since.get(member);
     silent_since.is_some_and(|since| {
         let silence = now - *since;
         silence + MAX_DEFERRAL + SILENCE_DETECTION_DELAY >= ttl
--- a/crates/jasperhill-controller/src/heartbeats/registration.rs
+++ b/crates/jasperhill-controller/src/heartbeats/registration.rs
@@ -50,7 +50,7 @@
         }
         let registered = async {
             loop {
-                let hosts_changed = self.wake.hosts_changed.notified();
+                let hosts_changed = self.wakeups.hosts_changed.notified();
                 if self
                     .state
                     .borrow()
@@ -80,7 +80,7 @@
             return None;
         }
         let leader = state.provisioning.leader.as_ref()?;
-        Some(leader.expects(&heartbeat.host))
+        Some(leader.is_booting(&heartbeat.host))
     }
 
     /// Registers an unexpected machine if it answers a probe. The probe guards against a heartbeat that
@@ -120,7 +120,10 @@
         if registrations.is_empty() {
             let mut state = self.state.borrow_mut();
             for heartbeat in heartbeats {
-                state.commands.token_updates.remove(&heartbeat.host);
+                state
+                    .commands
+                    .hosts_with_record_update
+                    .remove(&heartbeat.host);
             }
         }
         for registration in registrations {
@@ -134,13 +137,16 @@
     /// that the caller has to start the batch.
     fn enqueue_registration(&self, heartbeat: Heartbeat) -> bool {
         let mut state = self.state.borrow_mut();
-        let Some(machine_types) = &state.scheduling.specs else {
+        let Some(machine_types) = &state.scheduling.machine_types else {
             return false;
         };
         if !machine_types.contains_key(&heartbeat.machine_type)
             || heartbeat.address.parse::<SocketAddr>().is_err()
             || state.heartbeats.pending_registrations.len() >= MAX_BATCH_SIZE
-            || !state.commands.token_updates.insert(heartbeat.host.clone())
+            || !state
+                .commands
+                .hosts_with_record_update
+                .insert(heartbeat.host.clone())
         {
             return false;
         }
@@ -159,7 +165,7 @@
             return registrations;
         };
         for heartbeat in heartbeats {
-            leader.came_up(&heartbeat.host, self.now());
+            leader.record_boot_completed(&heartbeat.host, self.now());
             let partition_id =
                 capacity_needs.partition_most_in_need(&heartbeat.zone, heartbeat.spot);
             capacity_needs.record_assignment(partition_id, &heartbeat.zone, heartbeat.spot);
@@ -168,12 +174,12 @@
                 &state.cache,
                 &heartbeat.host,
                 &record,
-                (partition_id, self.settings.size),
+                (partition_id, self.settings.partition_count),
                 self.settings.value_bytes,
             );
             let update = HostUpdate {
                 priority: WritePriority::Finish,
-                role: (Role::Leader, leader.since),
+                role: (Role::Leader, leader.leader_since_revision),
                 host: heartbeat.host.clone(),
                 expected_version: None,
                 new_record: Some(record),
@@ -193,7 +199,7 @@
             tracing::info!(%host, ?assignment, "host registered");
         }
         let mut state = self.state.borrow_mut();
-        state.commands.token_updates.remove(&host);
+        state.commands.hosts_with_record_update.remove(&host);
     }
 }
 
--- a/crates/jasperhill-controller/src/heartbeats/relayed.rs
+++ b/crates/jasperhill-controller/src/heartbeats/relayed.rs
@@ -70,7 +70,7 @@
                 answered: true,
             }) if now - updated_at < PROBE_VALIDITY => {
                 let mut state = self.state.borrow_mut();
-                let lease = self.settings.lease;
+                let lease = self.settings.lease_time;
                 state.relay.record_redirect_here(host, lease, now);
                 return true;
             }
@@ -97,7 +97,7 @@
         let state = self.state.borrow();
         let commands_link = LinkId::Commands(heartbeat.zone.clone());
         let is_within_lease =
-            |at: Option<&Micros>| at.is_some_and(|at| now - *at < self.settings.lease);
+            |at: Option<&Micros>| at.is_some_and(|at| now - *at < self.settings.lease_time);
         state.membership.reachability.own_link(&commands_link) == LinkState::Down
             || is_within_lease(state.relay.redirected_here_at.get(&heartbeat.host))
             || is_within_lease(state.heartbeats.answered_at.get(&heartbeat.host))
--- a/crates/jasperhill-controller/src/heartbeats/response.rs
+++ b/crates/jasperhill-controller/src/heartbeats/response.rs
@@ -137,14 +137,15 @@
         let (token, known_as_of) = (host.token, host.outstanding_starts_known_as_of());
         // The authority is checked again here, as this response renews a lease and carries commands.
         let now = self.now();
-        let is_known_state_too_old = known_as_of
-            .is_some_and(|known| now >= self.settings.bounds.owner_may_renew_until(known));
+        let is_known_state_too_old = known_as_of.is_some_and(|known| {
+            now >= self.settings.freshness_bounds.owner_may_renew_until(known)
+        });
         if !state.authority.is_valid_at(now) || is_known_state_too_old {
             return Err(unavailable());
         }
         partition.apply(host_id, HostInput::Answered(&commands), now);
         if partition.needs_scheduling {
-            self.wake.scheduler.notify_one();
+            self.wakeups.scheduler.notify_one();
         }
         let is_store_down =
             state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
--- a/crates/jasperhill-controller/src/heartbeats/routing.rs
+++ b/crates/jasperhill-controller/src/heartbeats/routing.rs
@@ -63,7 +63,7 @@
         let mut state = self.state.borrow_mut();
         state
             .heartbeats
-            .record_answer(host, self.settings.lease, now);
+            .record_answer(host, self.settings.lease_time, now);
     }
 
     /// Answers a heartbeat whose partition another controller owns: relays the heartbeat, defers it
--- a/crates/jasperhill-controller/src/host_registry/writing.rs
+++ b/crates/jasperhill-controller/src/host_registry/writing.rs
@@ -85,7 +85,7 @@
             changes,
         };
         let outcome = self.commit_block(block, transaction, &new_blocks).await;
-        if outcome == WriteOutcome::Conflict && self.read_index().await {
+        if outcome == WriteOutcome::Conflict && self.linearizable_read().await {
             // Another controller has changed the block: retry the updates on its current content.
             let mut state = self.state.borrow_mut();
             state.host_registry.requeue(block, updates);
@@ -103,11 +103,11 @@
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
         let leader = state.provisioning.leader.as_ref();
-        let leadership = leader.map(|leader| leader.since);
+        let leadership = leader.map(|leader| leader.leader_since_revision);
         let limits = BlockLimits {
             value_bytes: self.settings.value_bytes,
-            txn_ops: self.settings.txn_ops,
-            partitions: self.settings.size,
+            txn_ops: self.settings.transaction_ops_max,
+            partitions: self.settings.partition_count,
             is_split_supported: state.membership.features.supports(DEPENDENCIES),
         };
         let (next, rejected) =
--- a/crates/jasperhill-controller/src/membership.rs
+++ b/crates/jasperhill-controller/src/membership.rs
@@ -18,7 +18,7 @@
     /// The features that all members support.
     pub features: FeatureGate,
     /// The time since which each unreachable peer has not been reached, by the steady clock.
-    pub silent_since: BTreeMap<Member, Micros>,
+    pub unreachable_since: BTreeMap<Member, Micros>,
 }
 
 impl MembershipState {
@@ -32,11 +32,15 @@
             .map(|peer| peer.member.clone())
             .collect();
         Self {
-            roles: Roles::new(own_member.clone(), settings.members(), settings.size),
+            roles: Roles::new(
+                own_member.clone(),
+                settings.members(),
+                settings.partition_count,
+            ),
             restarts: RestartHistory::new(settings.crash_loop_threshold(), now),
             reachability: Reachability::new(own_member.clone(), peers, wall),
             features: FeatureGate::default(),
-            silent_since: BTreeMap::new(),
+            unreachable_since: BTreeMap::new(),
         }
     }
 }
@@ -46,16 +50,16 @@
 #[derive(Default)]
 pub(crate) struct IsolationState {
     /// Whether this controller counts as isolated.
-    pub isolated: bool,
+    pub is_isolated: bool,
     /// The time since which the links show the isolation, by the steady clock; `None` if they
     /// don't. Once the isolation has lasted for some seconds, this time is kept until the link to
     /// the store is up.
-    pub since: Option<Micros>,
+    pub isolated_since: Option<Micros>,
 }
 
 /// Extracts the start time and the number of quick restarts of a member's process from its session
 /// record.
-pub(crate) fn process_run_of(record: &SessionRecord) -> ProcessRun {
+pub(crate) fn process_run_from_session(record: &SessionRecord) -> ProcessRun {
     ProcessRun {
         started_at: record.process_started,
         quick_restarts: record.quick_restarts,
--- a/crates/jasperhill-controller/src/mesh.rs
+++ b/crates/jasperhill-controller/src/mesh.rs
@@ -41,7 +41,7 @@
         let now = self.now();
         let state = self.state.borrow();
         now - state.authority.cache_fresh_until() < REACHABLE_CACHE_AGE_MAX
-            && !state.stalls.is_store_silent(now)
+            && !state.stall_detector.is_store_silent(now)
     }
 
     /// Evaluates isolation while some members do not support reachability reports yet. Asks the
@@ -59,7 +59,7 @@
             }
             let is_isolated = !self.is_store_reachable() && self.is_isolated_from_store().await;
             isolated_rounds = if is_isolated { isolated_rounds + 1 } else { 0 };
-            self.state.borrow_mut().isolation.isolated = isolated_rounds >= ISOLATION_ROUNDS;
+            self.state.borrow_mut().isolation.is_isolated = isolated_rounds >= ISOLATION_ROUNDS;
         }
     }
 
@@ -164,7 +164,7 @@
                 self.state.borrow_mut().provisioning.spare_capacity = Some(SpareCapacity {
                     machines,
                     boot_time,
-                    at: self.now(),
+                    received_at: self.now(),
                 });
                 MeshResponse::Acknowledged
             }
@@ -172,10 +172,10 @@
                 partition,
                 thousandths,
             } => {
-                if partition < self.settings.size {
+                if partition < self.settings.partition_count {
                     let unmet_demand = UnmetDemand {
                         hosts: f64::from(thousandths) / 1e3,
-                        at: self.now(),
+                        received_at: self.now(),
                     };
                     self.state
                         .borrow_mut()
--- a/crates/jasperhill-controller/src/proposals/mod.rs
+++ b/crates/jasperhill-controller/src/proposals/mod.rs
@@ -83,10 +83,10 @@
                 return MeshResponse::Unavailable;
             };
             if encoded_bytes > self.settings.value_bytes
-                || state.isolation.isolated
-                || state.proposals.open.len() >= MAX_OPEN_PROPOSALS
+                || state.isolation.is_isolated
+                || state.proposals.open_proposals.len() >= MAX_OPEN_PROPOSALS
                 || state.cache.proposals.contains_key(&id)
-                || !state.proposals.open.insert(id.clone())
+                || !state.proposals.open_proposals.insert(id.clone())
             {
                 return MeshResponse::Unavailable;
             }
@@ -107,7 +107,7 @@
                 .ok(),
             _ => None,
         };
-        self.state.borrow_mut().proposals.open.remove(&id);
+        self.state.borrow_mut().proposals.open_proposals.remove(&id);
         if !matches!(outcome, WriteOutcome::Conflict | WriteOutcome::NotExecuted) {
             self.clone().spawn(self.clone().delete_proposal(id));
         }
@@ -118,7 +118,7 @@
     /// rejection in the proposal's record.
     async fn wait_for_decision(&self, id: &JobId) -> MeshResponse {
         loop {
-            let proposals_changed = self.wake.proposals.notified();
+            let proposals_changed = self.wakeups.proposals.notified();
             {
                 let state = self.state.borrow();
                 if state.cache.job(id).is_some() {
--- a/crates/jasperhill-controller/src/proposals/state.rs
+++ b/crates/jasperhill-controller/src/proposals/state.rs
@@ -1,5 +1,5 @@
-//! State of the proposals module. Only `proposals` changes `open`. Changes in the watch cache add to
-//! `received`, and the loop that decides on proposals takes them.
+//! State of the proposals module. Only `proposals` changes `open_proposals`. Changes in the watch
+//! cache add to `received_proposals`, and the loop that decides on proposals takes them.
 
 use jasperhill_wire::JobId;
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub(crate) struct ProposalState {
     /// Jobs that this controller has proposed and whose decisions it still waits for.
-    pub open: BTreeSet<JobId>,
+    pub open_proposals: BTreeSet<JobId>,
     /// Jobs that other controllers have proposed and that this controller has not considered yet.
-    pub received: BTreeSet<JobId>,
+    pub received_proposals: BTreeSet<JobId>,
 }
--- a/crates/jasperhill-controller/src/provisioner/assignment.rs
+++ b/crates/jasperhill-controller/src/provisioner/assignment.rs
@@ -75,11 +75,11 @@
                 None if now - since > FREE_HOST_RETENTION => HostAssignment::Decommissioned(None),
                 None => continue,
             };
-            if commands.token_updates.insert(id.clone()) {
+            if commands.hosts_with_record_update.insert(id.clone()) {
                 planned.push(PlannedReassignment {
                     holder: HeldRole {
                         role: Role::Leader,
-                        since: leader.since,
+                        since: leader.leader_since_revision,
                     },
                     host: id.clone(),
                     entry: entry.clone(),
@@ -104,7 +104,11 @@
         if let WriteOutcome::Committed(_) = self.update_host(entry.block, update).await {
             tracing::info!(%host, ?assignment, "host assigned");
         }
-        self.state.borrow_mut().commands.token_updates.remove(&host);
+        self.state
+            .borrow_mut()
+            .commands
+            .hosts_with_record_update
+            .remove(&host);
     }
 }
 
--- a/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
+++ b/crates/jasperhill-controller/src/provisioner/capacity_broadcast.rs
@@ -45,12 +45,17 @@
         } = &mut *state_guard;
         for partition in scheduling.partitions.keys().copied() {
             let hosts: f64 = scheduling
-                .rejected
+                .rejected_jobs
                 .values()
-                .filter(|job| job.partition == partition && now - job.last < REJECTED_JOB_RETENTION)
-                .map(|job| job.hosts / REJECTED_DEMAND_DIVISOR)
+                .filter(|job| {
+                    job.partition == partition && now - job.last_submitted < REJECTED_JOB_RETENTION
+                })
+                .map(|job| job.needed_hosts / REJECTED_DEMAND_DIVISOR)
                 .sum();
-            let demand = UnmetDemand { hosts, at: now };
+            let demand = UnmetDemand {
+                hosts,
+                received_at: now,
+            };
             let previous = provisioning.unmet_demand.insert(partition, demand);
             if hosts > 0.0 || previous.is_some_and(|demand| demand.hosts > 0.0) {
                 messages.push(MeshRequest::UnmetDemand {
@@ -84,7 +89,7 @@
     fn spare_capacity(&self, state: &State) -> Option<SpareCapacity> {
         let now = self.now();
         let leader = state.provisioning.leader.as_ref()?;
-        let specs = state.scheduling.specs.as_ref()?;
+        let specs = state.scheduling.machine_types.as_ref()?;
         let host_count = state.cache.hosts.len();
         // The cloud does not tell how many machines an offer still has: assume a number in
         // proportion to the fleet.
@@ -104,7 +109,7 @@
             machines: (booting.spot + booting.on_demand) as u32
                 + (machines_per_offer * count_available_offers(leader, specs, now)) as u32,
             boot_time,
-            at: now,
+            received_at: now,
         })
     }
 
--- a/crates/jasperhill-controller/src/provisioner/cloud.rs
+++ b/crates/jasperhill-controller/src/provisioner/cloud.rs
@@ -1,7 +1,7 @@
 //! Requests to the cloud, within its rate limit. The result of each request is recorded as an
 //! observation of the link to the cloud.
 
-use crate::shared::{Shared, observation_of, to_duration};
+use crate::shared::{Shared, link_observation, to_duration};
 use jasperhill_http::{Method, Request, Response};
 use jasperhill_membership::reachability::LinkId;
 use jasperhill_wire::Micros;
@@ -22,12 +22,12 @@
         self.wait_for_cloud_limit().await;
         let request = Request::new(method, target, body);
         let response = self
-            .call(self.settings.cloud, request, REQUEST_TIMEOUT)
+            .call(self.settings.cloud_address, request, REQUEST_TIMEOUT)
             .await
             .ok();
         // Any response shows that the link is up: a 503 may mean that the cloud has no capacity,
         // and a 503 for an outage affects all controllers alike.
-        self.observe_link(LinkId::Cloud, observation_of(response.is_some()));
+        self.observe_link(LinkId::Cloud, link_observation(response.is_some()));
         response
     }
 
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -106,7 +106,7 @@
             drain_surplus(partition, hosts, now);
             let ids: Vec<HostId> = partition.hosts.keys().cloned().collect();
             for id in ids {
-                if commands.token_updates.contains(&id) {
+                if commands.hosts_with_record_update.contains(&id) {
                     continue;
                 }
                 let Some(assignment) = next_assignment(partition, &id, hosts, &criteria) else {
@@ -116,7 +116,7 @@
                     continue;
                 };
                 hosts.remove_host(entry.value.spot);
-                commands.token_updates.insert(id.clone());
+                commands.hosts_with_record_update.insert(id.clone());
                 if let Some(host) = partition.hosts.get_mut(&id) {
                     host.assignment = assignment;
                 }
@@ -153,7 +153,11 @@
             self.reclaim_host(partition, holder, &host, entry.value.assignment)
                 .await;
         }
-        self.state.borrow_mut().commands.token_updates.remove(&host);
+        self.state
+            .borrow_mut()
+            .commands
+            .hosts_with_record_update
+            .remove(&host);
     }
 
     /// Returns a host to its partition after a decommission that failed or whose outcome is unknown.
@@ -186,7 +190,7 @@
             if let WriteOutcome::Committed(_) = self.update_host(entry.block, update).await {
                 return;
             }
-            self.read_index().await;
+            self.linearizable_read().await;
         }
     }
 }
--- a/crates/jasperhill-controller/src/provisioner/inventory.rs
+++ b/crates/jasperhill-controller/src/provisioner/inventory.rs
@@ -108,7 +108,7 @@
     /// Computes the inventory of every partition, indexed by partition. Returns none while the machine
     /// types are unknown.
     pub(super) fn inventory(&self, state: &State) -> Vec<PartitionInventory> {
-        let Some(specs) = &state.scheduling.specs else {
+        let Some(specs) = &state.scheduling.machine_types else {
             return Vec::new();
         };
         let boot_time = specs
@@ -187,10 +187,10 @@
                 .forecast
                 .expected(partition, boot_time, start_within, now);
             let unmet = match provisioning.unmet_demand.get(&partition) {
-                Some(unmet) if now - unmet.at < UNMET_DEMAND_MAX_AGE => unmet.hosts,
+                Some(unmet) if now - unmet.received_at < UNMET_DEMAND_MAX_AGE => unmet.hosts,
                 _ => 0.0,
             };
-            let floor = tuning.min_machines_of(partition, self.settings.size);
+            let floor = tuning.min_machines_of(partition, self.settings.partition_count);
             PartitionInventory {
                 desired: tuning.desired_machines(demand.total(), expected + unmet, floor),
                 desired_on_demand: tuning.desired_machines(demand.on_demand, expected, floor),
--- a/crates/jasperhill-controller/src/provisioner/machine_types.rs
+++ b/crates/jasperhill-controller/src/provisioner/machine_types.rs
@@ -26,14 +26,16 @@
         };
         let leader_since = {
             let mut state = self.state.borrow_mut();
-            state.scheduling.specs = Some(Rc::new(specs(&types.types)));
-            let stored_types = state.cache.types();
+            state.scheduling.machine_types = Some(Rc::new(specs(&types.types)));
+            let stored_types = state.cache.machine_types();
             match (&state.provisioning.leader, stored_types) {
-                (Some(leader), None) if state.cache.is_synced() => Some(leader.since),
+                (Some(leader), None) if state.cache.is_synced() => {
+                    Some(leader.leader_since_revision)
+                }
                 _ => None,
             }
         };
-        self.wake.roles.notify_one();
+        self.wakeups.roles.notify_one();
         if let Some(since) = leader_since {
             self.write_machine_types(types, since).await;
         }
@@ -60,7 +62,7 @@
     /// Writes the machine types to the store, as the leader since revision `since`.
     async fn write_machine_types(&self, types: MachineTypes, since: Revision) {
         let parts = types.split(self.settings.value_bytes);
-        let Some(parts) = parts.filter(|p| p.len() <= self.settings.txn_ops) else {
+        let Some(parts) = parts.filter(|p| p.len() <= self.settings.transaction_ops_max) else {
             tracing::warn!("machine types too long for the store");
             return;
         };
--- a/crates/jasperhill-controller/src/provisioner/mod.rs
+++ b/crates/jasperhill-controller/src/provisioner/mod.rs
@@ -43,7 +43,7 @@
             let (has_machine_types, is_leader) = {
                 let state = self.state.borrow();
                 (
-                    state.scheduling.specs.is_some(),
+                    state.scheduling.machine_types.is_some(),
                     state.provisioning.leader.is_some(),
                 )
             };
@@ -77,7 +77,7 @@
     /// Returns whether it is time to read the machine list again. False if this controller is not
     /// the leader.
     fn is_inventory_due(&self, now: Micros) -> bool {
-        let lag = self.settings.list_lag;
+        let lag = self.settings.machine_list_lag_max;
         let interval = lag.scale(LIST_INTERVAL_PER_LAG).max(LIST_INTERVAL_MIN);
         let state = self.state.borrow();
         let leader = state.provisioning.leader.as_ref();
--- a/crates/jasperhill-controller/src/provisioner/reconciliation.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -99,9 +99,11 @@
             ..
         } = &mut *state_guard;
         let ProvisioningState {
-            leader, returning, ..
+            leader,
+            machines_to_return: returning,
+            ..
         } = provisioning;
-        let (Some(leader), Some(specs)) = (leader.as_mut(), &scheduling.specs) else {
+        let (Some(leader), Some(specs)) = (leader.as_mut(), &scheduling.machine_types) else {
             return Vec::new();
         };
         leader.listed_at = now;
@@ -109,7 +111,7 @@
         // A machine stays listed until it ceases to exist, and a list is at most twice the lag
         // old. So a machine no longer exists if it is absent from a list that was requested at
         // least `age_max` after the machine was first seen.
-        let age_max = self.settings.list_lag.scale(2.0) + LIST_AGE_MARGIN;
+        let age_max = self.settings.machine_list_lag_max.scale(2.0) + LIST_AGE_MARGIN;
         let list_times = ListTimes {
             requested_at,
             now,
--- a/crates/jasperhill-controller/src/provisioner/scale_in.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_in.rs
@@ -44,7 +44,7 @@
         let mut state = self.state.borrow_mut();
         for host in hosts {
             tracing::info!(%host, "machine returned to the cloud");
-            state.provisioning.returning.remove(&host);
+            state.provisioning.machines_to_return.remove(&host);
             if let Some(leader) = state.provisioning.leader.as_mut() {
                 leader.returned.insert(host.clone(), now);
             }
@@ -62,7 +62,7 @@
             let Some(leader) = &state.provisioning.leader else {
                 return;
             };
-            leader.since
+            leader.leader_since_revision
         };
         let holder = HeldRole {
             role: Role::Leader,
@@ -81,7 +81,7 @@
     let hosts = &state.cache.hosts;
     let is_decommissioned =
         |entry: &HostEntry| matches!(entry.value.assignment, HostAssignment::Decommissioned(_));
-    let returning = state.provisioning.returning.iter().filter(|id| {
+    let returning = state.provisioning.machines_to_return.iter().filter(|id| {
         hosts
             .get(*id)
             .is_none_or(|entry| is_decommissioned(entry) || entry.value.partition().is_some())
--- a/crates/jasperhill-controller/src/provisioner/scale_out.rs
+++ b/crates/jasperhill-controller/src/provisioner/scale_out.rs
@@ -160,7 +160,7 @@
         let mut state_guard = self.state.borrow_mut();
         let inventory = self.inventory(&state_guard);
         let state = &mut *state_guard;
-        let specs = state.scheduling.specs.clone()?;
+        let specs = state.scheduling.machine_types.clone()?;
         let leader = state.provisioning.leader.as_mut()?;
         if let Some(rental) = &leader.pending_rental {
             return Some(rental.clone());
@@ -226,7 +226,7 @@
             .min(shortage);
         let rental = RentRequest {
             // Unique name from the revision of this leadership and a counter.
-            request: format!("r-{}-{}", self.since, self.rental_count),
+            request: format!("r-{}-{}", self.leader_since_revision, self.rental_count),
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
--- a/crates/jasperhill-controller/src/provisioner/state.rs
+++ b/crates/jasperhill-controller/src/provisioner/state.rs
@@ -24,7 +24,7 @@
     /// Rate limiter of requests to the cloud.
     pub request_limiter: TokenBucket,
     /// Machines that the leader is to return to the cloud.
-    pub returning: BTreeSet<HostId>,
+    pub machines_to_return: BTreeSet<HostId>,
     /// Hosts that recently rejected jobs would need, by partition.
     pub unmet_demand: BTreeMap<u32, UnmetDemand>,
     /// Forecast of demand from recently submitted jobs.
@@ -39,7 +39,7 @@
     /// Hosts that the jobs would need, possibly a fraction.
     pub hosts: f64,
     /// When this controller learned of the demand, by the steady clock.
-    pub at: Micros,
+    pub received_at: Micros,
 }
 
 /// Machines that are booting or are assumed to be rentable.
@@ -50,7 +50,7 @@
     /// The time that spare machines usually take to boot.
     pub boot_time: Micros,
     /// When this controller learned of the capacity, by the steady clock.
-    pub at: Micros,
+    pub received_at: Micros,
 }
 
 impl ProvisioningState {
@@ -60,7 +60,7 @@
         Self {
             leader: None,
             request_limiter: TokenBucket::new(rate * CLOUD_RATE_SHARE, rate, now),
-            returning: BTreeSet::new(),
+            machines_to_return: BTreeSet::new(),
             unmet_demand: BTreeMap::new(),
             forecast: DemandForecast::new(now),
             spare_capacity: None,
@@ -114,7 +114,7 @@
 /// the machine list.
 pub(crate) struct LeaderState {
     /// The revision at which this controller became the leader. It guards the leader's writes.
-    pub since: Revision,
+    pub leader_since_revision: Revision,
     /// Number of rentals begun in this leadership; part of the rentals' names.
     pub(super) rental_count: u64,
     /// Rented machines that have not sent a heartbeat yet.
@@ -142,7 +142,7 @@
     /// Creates the state of a leadership that has just begun at revision `since`.
     pub fn new(since: Revision, now: Micros) -> Self {
         Self {
-            since,
+            leader_since_revision: since,
             rental_count: 0,
             booting: BTreeMap::new(),
             boot_times: BootTimes::default(),
@@ -158,7 +158,7 @@
 
     /// Records that a machine has booted: it has sent a heartbeat and has no record yet. Its boot time
     /// is added to the observed ones.
-    pub fn came_up(&mut self, id: &HostId, now: Micros) {
+    pub fn record_boot_completed(&mut self, id: &HostId, now: Micros) {
         if let Some(machine) = self.booting.remove(id) {
             let MachineOffer {
                 machine_type, zone, ..
@@ -169,7 +169,7 @@
     }
 
     /// Returns whether a machine is known to be booting and has not been returned.
-    pub fn expects(&self, id: &HostId) -> bool {
+    pub fn is_booting(&self, id: &HostId) -> bool {
         self.booting.contains_key(id) && !self.returned.contains_key(id)
     }
 
--- a/crates/jasperhill-controller/src/relay/eligibility.rs
+++ b/crates/jasperhill-controller/src/relay/eligibility.rs
@@ -30,7 +30,7 @@
         now: Micros,
     ) -> (BTreeMap<(Role, Member), Eligibility>, BTreeMap<Role, u32>) {
         let hosts_by_role = hosts_by_role_and_zone(state);
-        let roles = (0..self.settings.size).map(Role::Partition);
+        let roles = (0..self.settings.partition_count).map(Role::Partition);
         let (mut eligibility, mut host_counts) = (BTreeMap::new(), BTreeMap::new());
         let no_hosts = HostsByZone::new();
         for role in roles.chain([Role::Leader]) {
--- a/crates/jasperhill-controller/src/relay/isolation.rs
+++ b/crates/jasperhill-controller/src/relay/isolation.rs
@@ -23,17 +23,17 @@
         let reachability = &state.membership.reachability;
         let is_store_down = reachability.own_link(&LinkId::Store) == LinkState::Down;
         let is_isolated_now = reachability.is_isolated(now);
-        let isolated_since = state.isolation.since;
+        let isolated_since = state.isolation.isolated_since;
         let was_isolated_long =
             isolated_since.is_some_and(|since| now - since >= STICKY_ISOLATION_AFTER);
         if is_isolated_now {
-            state.isolation.since.get_or_insert(now);
+            state.isolation.isolated_since.get_or_insert(now);
         } else if !(is_store_down && was_isolated_long) {
-            state.isolation.since = None;
+            state.isolation.isolated_since = None;
         }
         // A long isolation lasts while the link to the store is down, even if all other controllers lose
         // the store as well. Otherwise users would be sent back to this controller, which the store
         // still refuses and which is the last to answer users after such an outage.
-        state.isolation.isolated = is_store_down && (is_isolated_now || was_isolated_long);
+        state.isolation.is_isolated = is_store_down && (is_isolated_now || was_isolated_long);
     }
 }
--- a/crates/jasperhill-controller/src/relay/reachability.rs
+++ b/crates/jasperhill-controller/src/relay/reachability.rs
@@ -85,7 +85,7 @@
     /// and wakes the loops that depend on the link.
     fn on_link_changed(&self, link: &LinkId, before: LinkState, after: LinkState, now: Micros) {
         if let LinkId::Peer(member) = link {
-            let silent_since = &mut self.state.borrow_mut().membership.silent_since;
+            let silent_since = &mut self.state.borrow_mut().membership.unreachable_since;
             match after {
                 LinkState::Down => {
                     silent_since.entry(member.clone()).or_insert(now);
@@ -100,8 +100,8 @@
             tracing::debug!(?link, reach = ?after, "link state changed");
         } else {
             tracing::info!(?link, reach = ?after, "link state changed");
-            self.wake.reachability.notify_one();
-            self.wake.roles.notify_one();
+            self.wakeups.reachability.notify_one();
+            self.wakeups.roles.notify_one();
         }
     }
 
@@ -109,7 +109,7 @@
     pub async fn reachability_loop(self: Rc<Self>) {
         let mut reported_at = Micros::ZERO;
         loop {
-            let was_woken = timeout(CHECK_INTERVAL, self.wake.reachability.notified())
+            let was_woken = timeout(CHECK_INTERVAL, self.wakeups.reachability.notified())
                 .await
                 .is_ok();
             self.check_expected_heartbeats();
@@ -218,7 +218,7 @@
     fn apply_peer_report(&self, peer_report: &ReachabilityReport) {
         self.update_reachability(reachability::Input::PeerReport(peer_report));
         if self.is_role_relinquished() {
-            self.wake.roles.notify_one();
+            self.wakeups.roles.notify_one();
         }
         // The report may name a new owner for a role that deferred heartbeats are waiting for.
         let has_deferred_heartbeats = {
@@ -226,7 +226,7 @@
             state.relay.slots.has_deferred_heartbeats()
         };
         if has_deferred_heartbeats {
-            self.wake.ownership_changed.notify_waiters();
+            self.wakeups.ownership_changed.notify_waiters();
         }
         self.update_isolation();
     }
--- a/crates/jasperhill-controller/src/results/cancellation.rs
+++ b/crates/jasperhill-controller/src/results/cancellation.rs
@@ -38,7 +38,7 @@
     /// written records preserve the outcome for controllers that cannot derive it because they did
     /// not observe the upstream cancellation. If a partition changes its owner, the new owner
     /// continues with the remaining jobs.
-    pub fn write_cancelled(self: Rc<Self>) {
+    pub fn cancel_dependents(self: Rc<Self>) {
         for dependent in self.take_cancelled_dependents() {
             self.clone().spawn(self.clone().cancel_dependent(dependent));
         }
@@ -87,11 +87,11 @@
         match outcome {
             WriteOutcome::Committed(_) => {
                 tracing::info!(job = %id, "job cancelled with a job that it depends on");
-                self.wake.scheduler.notify_one();
+                self.wakeups.scheduler.notify_one();
             }
             // The next scheduling pass retries with the record that the watch cache then contains.
             _ => {
-                self.read_index().await;
+                self.linearizable_read().await;
             }
         }
     }
--- a/crates/jasperhill-controller/src/results/saving.rs
+++ b/crates/jasperhill-controller/src/results/saving.rs
@@ -99,7 +99,7 @@
                 }
             } else {
                 // The next attempt starts from the record that the watch cache then contains.
-                self.read_index().await;
+                self.linearizable_read().await;
             }
         }
         let mut state = self.state.borrow_mut();
@@ -109,7 +109,7 @@
         {
             partition.jobs_with_unsaved_results.insert(id);
             if is_saved {
-                self.wake.scheduler.notify_one();
+                self.wakeups.scheduler.notify_one();
             }
         }
     }
--- a/crates/jasperhill-controller/src/roles/loading.rs
+++ b/crates/jasperhill-controller/src/roles/loading.rs
@@ -20,7 +20,7 @@
     /// Starts to act on a role that this controller owns since revision `version`, unless it is
     /// loaded at that revision already. Does nothing while the machine types are unknown.
     pub(super) fn load_role(&self, state: &mut State, role: Role, version: Revision, now: Micros) {
-        let Some(specs) = state.scheduling.specs.clone() else {
+        let Some(specs) = state.scheduling.machine_types.clone() else {
             return;
         };
         match role {
@@ -61,8 +61,8 @@
             "partition taken over"
         );
         state.scheduling.partitions.insert(id, partition);
-        self.wake.ownership_changed.notify_waiters();
-        self.wake.scheduler.notify_one();
+        self.wakeups.ownership_changed.notify_waiters();
+        self.wakeups.scheduler.notify_one();
     }
 
     /// Adds the unfinished jobs of a partition.
@@ -81,14 +81,23 @@
                 Readiness::Waiting if is_dependency_supported() => CREATED_RUNS_NOWHERE,
                 _ => CREATED_MAY_RUN_ANYWHERE,
             };
-            partition.upsert_job(&job.request, created, submitted, &job.finished, failures);
+            partition.upsert_job(
+                &job.request,
+                created,
+                submitted,
+                &job.finished_runs,
+                failures,
+            );
             partition.set_dependency_status(&job.request.id, status);
         }
     }
 
     /// Adds the resources that tasks of recently cancelled jobs may still use.
     fn load_residual_usage(&self, state: &State, id: u32, partition: &mut Partition, now: Micros) {
-        let age_max = self.settings.cancel.scale(RESIDUAL_USAGE_AGE_PER_CANCEL);
+        let age_max = self
+            .settings
+            .cancellation_time
+            .scale(RESIDUAL_USAGE_AGE_PER_CANCEL);
         for (job, usage) in state.cache.residual_usage(self.clock.wall() - age_max) {
             if self.partition_of(&usage.team) == Some(id) {
                 partition.restore_cancelled(job, usage, now);
@@ -113,7 +122,7 @@
 /// Starts a leadership with empty leader state, unless it is loaded at this revision already.
 fn load_leader(state: &mut State, version: Revision, now: Micros) {
     let loaded = state.provisioning.leader.as_ref();
-    if loaded.is_none_or(|leader| leader.since != version) {
+    if loaded.is_none_or(|leader| leader.leader_since_revision != version) {
         tracing::info!(revision = version.0, "leadership taken over");
         state.provisioning.leader = Some(LeaderState::new(version, now));
         state.host_registry.clear_assignments();
--- a/crates/jasperhill-controller/src/roles/mod.rs
+++ b/crates/jasperhill-controller/src/roles/mod.rs
@@ -32,7 +32,7 @@
     /// hand-overs. Spawned by the controller at its start; never returns.
     pub async fn roles_loop(self: Rc<Self>) {
         loop {
-            let _ = timeout(EVALUATION_INTERVAL, self.wake.roles.notified()).await;
+            let _ = timeout(EVALUATION_INTERVAL, self.wakeups.roles.notified()).await;
             for transition in self.evaluate_roles() {
                 match transition {
                     Transition::Acquire(role) => self.clone().spawn(self.clone().take_over(role)),
@@ -55,7 +55,7 @@
         let Some((lease, _)) = self.session_guard(state) else {
             return Vec::new();
         };
-        if !state.cache.is_synced() || state.scheduling.specs.is_none() {
+        if !state.cache.is_synced() || state.scheduling.machine_types.is_none() {
             return Vec::new();
         }
         let snapshot = self.role_snapshot(state, lease, now);
@@ -99,7 +99,7 @@
             crash_looping: self.crash_looping_members(state),
             eligibility,
             host_counts: hosts,
-            min_move_interval: self.settings.lease,
+            min_move_interval: self.settings.lease_time,
         }
     }
 
@@ -113,7 +113,7 @@
         let relinquished = roles::Input::Relinquished(role, version);
         state.membership.roles.apply(relinquished, now);
         unload_role(state, role);
-        self.wake.reachability.notify_one();
+        self.wakeups.reachability.notify_one();
     }
 
     /// Marks a takeover or hand-over as completed, whether or not it succeeded.
--- a/crates/jasperhill-controller/src/roles/restarts.rs
+++ b/crates/jasperhill-controller/src/roles/restarts.rs
@@ -1,6 +1,6 @@
 //! Detection of members in a crash loop, so that they leave roles and users to healthy members.
 
-use crate::{membership::process_run_of, shared::Shared, state::State};
+use crate::{membership::process_run_from_session, shared::Shared, state::State};
 use jasperhill_membership::restart_history::Phase;
 use jasperhill_wire::Member;
 use std::collections::BTreeSet;
@@ -23,7 +23,9 @@
             .sessions
             .iter()
             .filter(|(member, _)| *member != this_member)
-            .filter(|(_, s)| process_run_of(&s.value).is_crash_looping(threshold, wall_time))
+            .filter(|(_, s)| {
+                process_run_from_session(&s.value).is_crash_looping(threshold, wall_time)
+            })
             .map(|(member, _)| member.clone())
             .collect();
         if is_crash_looping(state) {
--- a/crates/jasperhill-controller/src/roles/takeover.rs
+++ b/crates/jasperhill-controller/src/roles/takeover.rs
@@ -20,7 +20,7 @@
             self.write_role(write, WRITE_TIMEOUT).await;
         }
         self.finish_transition(role);
-        self.wake.roles.notify_one();
+        self.wakeups.roles.notify_one();
     }
 
     /// Returns the write of a takeover, or `None` if this controller has no session.
--- a/crates/jasperhill-controller/src/roles/write.rs
+++ b/crates/jasperhill-controller/src/roles/write.rs
@@ -35,7 +35,7 @@
             .write(WritePriority::Role, guards, vec![change], timeout)
             .await;
         if !matches!(outcome, WriteOutcome::Committed(_)) {
-            self.read_index().await;
+            self.linearizable_read().await;
         }
     }
 }
--- a/crates/jasperhill-controller/src/scheduling/cache_changes.rs
+++ b/crates/jasperhill-controller/src/scheduling/cache_changes.rs
@@ -3,7 +3,7 @@
 //! with each listing, watch response and write of this controller. The module owns no state.
 
 use crate::{
-    feature_gate::MemberVersions,
+    feature_gate::MemberFeatureLevels,
     shared::Shared,
     state::State,
     watch_cache::{self, Change, JobEntry},
@@ -79,10 +79,10 @@
         }
         drop(state);
         if loops_to_wake.roles {
-            self.wake.roles.notify_one();
+            self.wakeups.roles.notify_one();
         }
         if loops_to_wake.scheduler {
-            self.wake.scheduler.notify_one();
+            self.wakeups.scheduler.notify_one();
         }
     }
 
@@ -97,13 +97,13 @@
     ) -> LoopsToWake {
         match change {
             Change::Job(id) => self.handle_job_record_change(state, &id, was_synced, now),
-            Change::Released(id) => self.handle_job_release(state, id, now),
-            Change::Related(id) => {
+            Change::DependenciesDone(id) => self.handle_job_release(state, id, now),
+            Change::DependencyStateChanged(id) => {
                 LoopsToWake::scheduler_if(self.apply_job_change(state, &id, now))
             }
             Change::Host(id) => {
                 self.apply_host_change(state, &id, now);
-                self.wake.hosts_changed.notify_waiters();
+                self.wakeups.hosts_changed.notify_waiters();
                 LoopsToWake::SCHEDULING_LOOP
             }
             Change::Session(member) => {
@@ -124,12 +124,15 @@
             Change::Role(_) => {
                 // Wakes heartbeats that wait for the partition's owner, so that they are routed to
                 // the new owner.
-                self.wake.ownership_changed.notify_waiters();
+                self.wakeups.ownership_changed.notify_waiters();
                 LoopsToWake::ROLES_LOOP
             }
             Change::DelegationRequest(delegate) => {
-                state.delegation.changed_requests.insert(delegate);
-                self.wake.delegation_grants.notify_one();
+                state
+                    .delegation
+                    .changed_delegation_requests
+                    .insert(delegate);
+                self.wakeups.delegation_grants.notify_one();
                 LoopsToWake::default()
             }
             Change::Proposal(id) => {
@@ -137,10 +140,10 @@
                 LoopsToWake::default()
             }
             Change::DelegationGrant => {
-                self.wake.grants_changed.notify_waiters();
+                self.wakeups.grants_changed.notify_waiters();
                 LoopsToWake::default()
             }
-            Change::Types => load_machine_types(state),
+            Change::MachineTypes => load_machine_types(state),
         }
     }
 
@@ -152,8 +155,8 @@
         was_synced: bool,
         now: Micros,
     ) -> LoopsToWake {
-        if state.proposals.open.contains(id) {
-            self.wake.proposals.notify_waiters();
+        if state.proposals.open_proposals.contains(id) {
+            self.wakeups.proposals.notify_waiters();
         }
         if was_synced && state.cache.dependencies.state_of(id) == DependencyState::Ready {
             self.record_arrival(state, id, now);
@@ -164,8 +167,8 @@
     /// Handles a job whose last dependency is done.
     fn handle_job_release(&self, state: &mut State, id: JobId, now: Micros) -> LoopsToWake {
         // The job's waiting time counts from now, not from its submission.
-        if state.scheduling.released.len() < RELEASE_TIMES_MAX {
-            state.scheduling.released.insert(id.clone(), now);
+        if state.scheduling.ready_since.len() < RELEASE_TIMES_MAX {
+            state.scheduling.ready_since.insert(id.clone(), now);
         }
         self.record_arrival(state, &id, now);
         LoopsToWake::scheduler_if(self.apply_job_change(state, &id, now))
@@ -174,11 +177,11 @@
     /// Handles a changed proposal. For a proposal of this controller, wakes the requests that wait
     /// for the decision; one of another controller is queued for evaluation.
     fn handle_proposal_change(&self, state: &mut State, id: JobId) {
-        if state.proposals.open.contains(&id) {
-            self.wake.proposals.notify_waiters();
+        if state.proposals.open_proposals.contains(&id) {
+            self.wakeups.proposals.notify_waiters();
         } else {
-            state.proposals.received.insert(id);
-            self.wake.delegation_grants.notify_one();
+            state.proposals.received_proposals.insert(id);
+            self.wakeups.delegation_grants.notify_one();
         }
     }
 
@@ -187,8 +190,8 @@
         let State {
             membership, cache, ..
         } = state;
-        let versions = MemberVersions {
-            synced: cache.is_synced(),
+        let versions = MemberFeatureLevels {
+            is_synced: cache.is_synced(),
             members: &self.members,
             sessions: &cache.sessions,
             levels: &cache.feature_levels,
@@ -201,7 +204,7 @@
     /// Restores the demand forecast of a controller that has just started from the records of recently
     /// submitted jobs. Without it, a restarted leader would expect no demand and shrink the fleet.
     fn restore_forecast(&self, state: &mut State, now: Micros) {
-        let Some(specs) = state.scheduling.specs.clone() else {
+        let Some(specs) = state.scheduling.machine_types.clone() else {
             return;
         };
         let mut arrivals: Vec<(Micros, Rc<JobRequest>)> = state
@@ -233,7 +236,7 @@
     /// Adds a job that has become ready to the demand forecast. Counts only jobs of classes with a
     /// start objective, and only if the job has no finished tasks and no failed attempts.
     fn record_arrival(&self, state: &mut State, id: &JobId, now: Micros) {
-        let Some(specs) = &state.scheduling.specs else {
+        let Some(specs) = &state.scheduling.machine_types else {
             return;
         };
         let forecast = &mut state.provisioning.forecast;
@@ -242,7 +245,7 @@
                 .settings
                 .start_objectives
                 .contains_key(&job.request.class)
-            && job.finished.is_empty()
+            && job.finished_runs.is_empty()
             && job.failed_attempts == 0
             && forecast.counts_arrival_at(now)
             && let Some(partition_id) = self.partition_of(&job.request.team)
@@ -255,10 +258,10 @@
 /// Loads the machine types from the watch cache once all their parts are known. Returns the roles
 /// loop as the loop to wake when the types have been loaded.
 fn load_machine_types(state: &mut State) -> LoopsToWake {
-    if state.scheduling.specs.is_none()
-        && let Some(types) = state.cache.types()
+    if state.scheduling.machine_types.is_none()
+        && let Some(types) = state.cache.machine_types()
     {
-        state.scheduling.specs = Some(Rc::new(specs(&types.types)));
+        state.scheduling.machine_types = Some(Rc::new(specs(&types.types)));
         return LoopsToWake::ROLES_LOOP;
     }
     LoopsToWake::default()
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -46,7 +46,7 @@
                 DependencyState::Ready => Readiness::Open,
                 _ => Readiness::Waiting,
             },
-            since: match state.scheduling.released.get(id) {
+            since: match state.scheduling.ready_since.get(id) {
                 Some(at) => *at,
                 None => self.clock.steady(job.submitted),
             },
@@ -63,7 +63,7 @@
                 RecordPhase::Done => Termination::Done,
                 _ => Termination::Cancelled,
             };
-            state.scheduling.released.remove(id);
+            state.scheduling.ready_since.remove(id);
             for partition in state.scheduling.partitions.values_mut() {
                 partition.end_job(id, termination, now);
             }
@@ -82,7 +82,7 @@
         };
         let failures = (job.failed_attempts, now);
         let (request, version) = (&job.request, job.version);
-        partition.upsert_job(request, version, submitted, &job.finished, failures);
+        partition.upsert_job(request, version, submitted, &job.finished_runs, failures);
         partition.set_dependency_status(id, status);
         true
     }
@@ -101,7 +101,7 @@
             }
         }
         if owner_partition.is_none() {
-            state.provisioning.returning.remove(id);
+            state.provisioning.machines_to_return.remove(id);
         }
     }
 
@@ -126,7 +126,7 @@
     pub async fn pass_loop(self: Rc<Self>) {
         let mut last_tick = self.now();
         loop {
-            let change_notified = self.wake.scheduler.notified();
+            let change_notified = self.wakeups.scheduler.notified();
             if timeout(to_duration(TICK_INTERVAL), change_notified)
                 .await
                 .is_ok()
@@ -174,7 +174,7 @@
         drop(state);
         self.queue_commands(hosts_to_command, is_tick);
         self.clone().save_results();
-        self.clone().write_cancelled();
+        self.clone().cancel_dependents();
         self.raise_tokens();
     }
 
--- a/crates/jasperhill-controller/src/scheduling/state.rs
+++ b/crates/jasperhill-controller/src/scheduling/state.rs
@@ -15,22 +15,22 @@
     /// The partitions that this controller owns and has loaded.
     pub partitions: BTreeMap<u32, Partition>,
     /// The machine types; `None` until they have been read from the store.
-    pub specs: Option<Rc<Specs>>,
+    pub machine_types: Option<Rc<Specs>>,
     /// The time at which each unfinished job with dependencies became ready, by the steady clock.
-    pub released: HashMap<JobId, Micros>,
+    pub ready_since: HashMap<JobId, Micros>,
     /// Jobs that the admission test rejected. Remembered so that the deadline of a retry still counts
     /// from the first submission.
-    pub rejected: BTreeMap<JobId, RejectedJob>,
+    pub rejected_jobs: BTreeMap<JobId, RejectedJob>,
 }
 
 /// A job that the admission test rejected and that may be submitted again.
 pub(crate) struct RejectedJob {
     /// Time of the first submission, by the steady clock.
-    pub first: Micros,
+    pub first_submitted: Micros,
     /// Time of the last submission, by the steady clock.
-    pub last: Micros,
+    pub last_submitted: Micros,
     /// The partition that would run the job.
     pub partition: u32,
     /// Number of hosts that the job would need.
-    pub hosts: f64,
+    pub needed_hosts: f64,
 }
--- a/crates/jasperhill-controller/src/settings/check.rs
+++ b/crates/jasperhill-controller/src/settings/check.rs
@@ -66,28 +66,30 @@
     let limits = StateLimits::effective(&params.state)?;
     Ok(Settings {
         member: Member::new(member.as_str()),
-        site: parse_name("site", &file.site)?,
+        zone: parse_name("site", &file.site)?,
         bind: parse_address("bind", &file.bind)?,
         mesh: parse_address("mesh_addr", &file.mesh_addr)?,
         peers,
-        cloud: parse_address("services.cloud", &file.services.cloud)?,
-        state: parse_address("services.state", &file.services.state)?,
-        size: params.size,
+        cloud_address: parse_address("services.cloud", &file.services.cloud)?,
+        state_service_address: parse_address("services.state", &file.services.state)?,
+        partition_count: params.size,
         zones: parse_zones(&params.zones)?,
         time_bound: Micros::from_secs_f64(params.time_bound_ms / 1e3),
         teams,
         heartbeat_interval: parse_seconds("params.workers.report_s", workers.report_s)?,
-        lease,
+        lease_time: lease,
         gang_wait: parse_seconds("params.workers.gang_wait_s", workers.gang_wait_s)?,
         gang_peer: parse_seconds("params.workers.gang_peer_s", workers.gang_peer_s)?,
-        cancel,
-        bounds,
+        cancellation_time: cancel,
+        freshness_bounds: bounds,
         state_rps: limits.rps,
         state_write_rps: limits.write_rps,
         value_bytes: (limits.value_kb.min(VALUE_KB_MAX) * BYTES_PER_KB) as usize,
-        txn_ops: limits.txn_ops as usize,
+        transaction_ops_max: limits.txn_ops as usize,
         cloud_rps: check_positive("params.cloud.rps", params.cloud.rps)?,
-        list_lag: Micros::from_secs_f64(params.cloud.list_lag_s.clamp(0.0, LIST_LAG_S_MAX)),
+        machine_list_lag_max: Micros::from_secs_f64(
+            params.cloud.list_lag_s.clamp(0.0, LIST_LAG_S_MAX),
+        ),
         max_connections: params
             .quota
             .max_connections
@@ -108,7 +110,7 @@
         }
         peers.push(Peer {
             member: Member::new(peer.as_str()),
-            site: other.site.as_deref().map(Name::from),
+            zone: other.site.as_deref().map(Name::from),
             address: parse_address("others.endpoint", &other.endpoint)?,
         });
     }
--- a/crates/jasperhill-controller/src/settings/mod.rs
+++ b/crates/jasperhill-controller/src/settings/mod.rs
@@ -21,7 +21,7 @@
     /// The controller's name.
     pub member: Member,
     /// The zone that the controller is in; `None` if the platform does not specify it.
-    pub site: Option<Name>,
+    pub zone: Option<Name>,
     /// The controller's mesh address.
     pub address: SocketAddr,
 }
@@ -64,7 +64,7 @@
     /// The name of this controller.
     pub member: Member,
     /// The zone that this controller is in.
-    pub site: Name,
+    pub zone: Name,
     /// Address on which users and workers reach this controller.
     pub bind: SocketAddr,
     /// Address on which the other controllers reach this controller over the mesh.
@@ -72,11 +72,11 @@
     /// The other controllers.
     pub peers: Vec<Peer>,
     /// Address of the cloud's API.
-    pub cloud: SocketAddr,
+    pub cloud_address: SocketAddr,
     /// Address of the state service.
-    pub state: SocketAddr,
+    pub state_service_address: SocketAddr,
     /// The number of partitions; at least the number of controllers.
-    pub size: u32,
+    pub partition_count: u32,
     /// The zones that machines can be in.
     pub zones: Vec<Name>,
     /// The platform's `time_bound_ms`; validated but not used.
@@ -87,7 +87,7 @@
     pub heartbeat_interval: Micros,
     /// Lease time: a worker ends its tasks this long after it sent the last heartbeat that was
     /// answered.
-    pub lease: Micros,
+    pub lease_time: Micros,
     /// How long workers let the tasks of a gang wait for each other to start. Workers enforce this time
     /// themselves; the scheduler only passes it through.
     pub gang_wait: Micros,
@@ -95,9 +95,9 @@
     /// themselves; the scheduler only passes it through.
     pub gang_peer: Micros,
     /// Time after the response to a cancellation within which the job's tasks must have ended.
-    pub cancel: Micros,
+    pub cancellation_time: Micros,
     /// Maximum age of the information on which a lease renewal may be based.
-    pub bounds: FreshnessBounds,
+    pub freshness_bounds: FreshnessBounds,
     /// Maximum number of requests per second to the state service, for all controllers together.
     pub state_rps: f64,
     /// Maximum number of writes per second to the state service, for all controllers together.
@@ -105,11 +105,11 @@
     /// Maximum size of a value in the store in bytes, under the current and the future limits.
     pub value_bytes: usize,
     /// Maximum number of guards and changes in a transaction, under the current and the future limits.
-    pub txn_ops: usize,
+    pub transaction_ops_max: usize,
     /// Maximum number of requests per second to the cloud.
     pub cloud_rps: f64,
     /// Maximum lag of the cloud's list of machines.
-    pub list_lag: Micros,
+    pub machine_list_lag_max: Micros,
     /// Maximum number of open connections of this controller.
     pub max_connections: usize,
     /// Start objectives: the time within which jobs of a class should start.
@@ -131,10 +131,10 @@
     /// Returns the settings that the scheduler uses.
     pub fn scheduler_config(&self) -> SchedulerConfig {
         SchedulerConfig {
-            partitions: self.size,
+            partitions: self.partition_count,
             teams: self.teams.clone(),
             heartbeat_interval: self.heartbeat_interval,
-            lease: self.lease,
+            lease: self.lease_time,
             gang_wait: self.gang_wait,
             gang_peer_timeout: self.gang_peer,
             start_within: self.start_objectives.clone(),
@@ -146,7 +146,7 @@
     /// controller misses a cancellation, lease renewals must stop early enough for the tasks to end
     /// within `cancel_s`.
     pub fn cache_age_max(&self) -> Micros {
-        self.bounds.owner_age_max()
+        self.freshness_bounds.owner_age_max()
     }
 
     /// Returns the number of consecutive quick process exits after which a controller leaves its
@@ -160,7 +160,7 @@
     /// enough for a takeover before the workers' leases expire.
     pub fn session(&self) -> Micros {
         let derived_session = self
-            .lease
+            .lease_time
             .scale(SESSION_LEASE_FRACTION)
             .min(self.cache_age_max());
         let session = self.operator.session.unwrap_or(derived_session);
@@ -172,8 +172,9 @@
     /// enough that cancelled tasks end in time even if the delegate loses contact with their host
     /// as well.
     pub fn delegation_time(&self) -> Micros {
-        let slack = (self.cancel - self.lease).scale(DELEGATION_SLACK_FRACTION) - DELEGATION_MARGIN;
-        self.lease.scale(DELEGATION_LEASE_FRACTION).min(slack)
+        let slack = (self.cancellation_time - self.lease_time).scale(DELEGATION_SLACK_FRACTION)
+            - DELEGATION_MARGIN;
+        self.lease_time.scale(DELEGATION_LEASE_FRACTION).min(slack)
     }
 
     /// Returns all controllers, sorted by name. The order is the same on every controller, since a
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -14,7 +14,7 @@
 
 /// Converts the outcome of one request over a link with a single remote end into an observation of the
 /// link.
-pub(crate) fn observation_of(answered: bool) -> Observation {
+pub(crate) fn link_observation(answered: bool) -> Observation {
     if answered {
         Observation::Success
     } else {
@@ -71,7 +71,7 @@
     /// The mutable state.
     pub state: RefCell<State>,
     /// Notifications for loops and waiting requests.
-    pub wake: Wakeups,
+    pub wakeups: Wakeups,
 }
 
 impl Shared {
@@ -92,10 +92,13 @@
     pub fn note_activity(&self) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        if let Some(stall) = state.stalls.apply(stall_detector::Input::Activity, now) {
+        if let Some(stall) = state
+            .stall_detector
+            .apply(stall_detector::Input::Activity, now)
+        {
             tracing::warn!(for_s = stall.as_secs_f64(), "process stalled");
         }
-        state.stalls.is_request_stale(now)
+        state.stall_detector.is_request_stale(now)
     }
 
     /// Sends a request and waits for the response until `timeout` has passed.
--- a/crates/jasperhill-controller/src/stall_detector.rs
+++ b/crates/jasperhill-controller/src/stall_detector.rs
@@ -20,9 +20,9 @@
     /// The process is running.
     Activity,
     /// The state service has answered a session renewal.
-    Answered,
+    RenewalAnswered,
     /// The state service has not answered a session renewal.
-    Unanswered {
+    RenewalUnanswered {
         /// When the renewal was sent, by the steady clock.
         sent: Micros,
     },
@@ -64,8 +64,8 @@
                     return Some(gap);
                 }
             }
-            Input::Answered => self.first_unanswered_sent_at = None,
-            Input::Unanswered { sent } => {
+            Input::RenewalAnswered => self.first_unanswered_sent_at = None,
+            Input::RenewalUnanswered { sent } => {
                 self.first_unanswered_sent_at.get_or_insert(sent);
             }
         }
--- a/crates/jasperhill-controller/src/state.rs
+++ b/crates/jasperhill-controller/src/state.rs
@@ -57,7 +57,7 @@
     /// State of renting and returning machines.
     pub provisioning: ProvisioningState,
     /// Detector of stalls of this process.
-    pub stalls: StallDetector,
+    pub stall_detector: StallDetector,
     /// The spawned tasks, which are aborted when the controller is dropped.
     pub tasks: JoinSet<()>,
 }
@@ -83,7 +83,7 @@
             host_registry: HostRegistry::default(),
             task_counts: TaskCountCache::default(),
             provisioning: ProvisioningState::new(settings, now),
-            stalls: StallDetector::new(now),
+            stall_detector: StallDetector::new(now),
             tasks: JoinSet::new(),
         }
     }
--- a/crates/jasperhill-controller/src/store/budget.rs
+++ b/crates/jasperhill-controller/src/store/budget.rs
@@ -1,5 +1,5 @@
 //! Rate limiting of requests to the state service. Keeps this controller within its share of the
-//! service's request limit; the token bucket itself is `StoreState::requests`.
+//! service's request limit; the token bucket itself is `StoreState::request_budget`.
 
 use crate::{clock::to_duration, shared::Shared};
 use jasperhill_http::{ClientError, Request, Response};
@@ -23,13 +23,14 @@
     ) -> Result<Response, ClientError> {
         loop {
             let now = self.now();
-            let take_result = self.state.borrow_mut().store.requests.take(1.0, now);
+            let take_result = self.state.borrow_mut().store.request_budget.take(1.0, now);
             match take_result {
                 Ok(()) => break,
                 Err(wait) => sleep(to_duration(wait)).await,
             }
         }
-        self.call(self.settings.state, request, timeout).await
+        self.call(self.settings.state_service_address, request, timeout)
+            .await
     }
 
     /// Charges a request that must not wait for the request budget. The budget may go into debt,
@@ -37,13 +38,14 @@
     pub(super) fn charge_request(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        state.store.requests.take_into_debt(1.0, now);
+        state.store.request_budget.take_into_debt(1.0, now);
     }
 
     /// Returns the minimum interval between requests of a kind that may use the fraction `share` (0
     /// to 1) of this controller's request rate.
     pub(super) fn request_interval(&self, share: f64) -> Micros {
-        let requests_per_second = self.settings.state_rps / f64::from(self.settings.size);
+        let requests_per_second =
+            self.settings.state_rps / f64::from(self.settings.partition_count);
         Micros::from_secs_f64(
             1.0 / (requests_per_second * share).max(PACED_REQUESTS_PER_SECOND_MIN),
         )
--- a/crates/jasperhill-controller/src/store/commit_queue.rs
+++ b/crates/jasperhill-controller/src/store/commit_queue.rs
@@ -241,7 +241,7 @@
         let burst = self.bucket.burst();
         let first = self.writes.first();
         let required_tokens = first.map_or(1.0, |write| write.required_tokens(burst, now));
-        let wait = self.bucket.wait_for(required_tokens, now)?;
+        let wait = self.bucket.time_until_available(required_tokens, now)?;
         Some(wait.min(URGENT_RECHECK_INTERVAL))
     }
 
--- a/crates/jasperhill-controller/src/store/committer.rs
+++ b/crates/jasperhill-controller/src/store/committer.rs
@@ -107,7 +107,7 @@
                 reply,
             ));
         }
-        self.wake.commit_queue.notify_one();
+        self.wakeups.commit_queue.notify_one();
         outcome.await.unwrap_or(WriteOutcome::Unknown)
     }
 
@@ -115,7 +115,7 @@
     pub async fn commit_loop(self: Rc<Self>) {
         loop {
             if self.state.borrow().store.commit_queue.is_empty() {
-                self.wake.commit_queue.notified().await;
+                self.wakeups.commit_queue.notified().await;
             }
             let now = self.now();
             if let Some(wait) = self.wait_before_commit(now) {
@@ -135,7 +135,7 @@
     fn wait_before_commit(&self, now: Micros) -> Option<Micros> {
         let mut state = self.state.borrow_mut();
         let StoreState {
-            requests,
+            request_budget: requests,
             commit_queue,
             ..
         } = &mut state.store;
@@ -190,7 +190,11 @@
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let request = Request::new(Method::Post, "/txn", body);
         let result = self
-            .call(self.settings.state, request, TRANSACTION_TIMEOUT)
+            .call(
+                self.settings.state_service_address,
+                request,
+                TRANSACTION_TIMEOUT,
+            )
             .await;
         TransactionOutcome::from_response(result)
     }
--- a/crates/jasperhill-controller/src/store/lease.rs
+++ b/crates/jasperhill-controller/src/store/lease.rs
@@ -43,7 +43,11 @@
         let target = format!("/leases/{lease}/renew");
         let request = Request::new(Method::Post, target, b"{}".to_vec());
         let response = self
-            .call(self.settings.state, request, LEASE_CALL_TIMEOUT)
+            .call(
+                self.settings.state_service_address,
+                request,
+                LEASE_CALL_TIMEOUT,
+            )
             .await;
         match response.map(|response| response.status) {
             Ok(200) => LeaseRenewal::Renewed,
--- a/crates/jasperhill-controller/src/store/read_index.rs
+++ b/crates/jasperhill-controller/src/store/read_index.rs
@@ -26,7 +26,7 @@
     /// Waits until the watch cache contains all changes committed before this call. Returns false
     /// if this cannot be established in time; the caller must not rely on the watch cache in that
     /// case.
-    pub async fn read_index(&self) -> bool {
+    pub async fn linearizable_read(&self) -> bool {
         let (reply, completed) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
@@ -34,13 +34,13 @@
             // fail at once instead of waiting.
             if !state.cache.is_synced()
                 || state.store.read_waiters.len() > READ_WAITERS_MAX
-                || state.isolation.isolated
+                || state.isolation.is_isolated
             {
                 return false;
             }
             state.store.read_waiters.push(reply);
         }
-        self.wake.read_index.notify_one();
+        self.wakeups.read_index.notify_one();
         matches!(timeout(READ_TIMEOUT, completed).await, Ok(Ok(true)))
     }
 
@@ -48,7 +48,7 @@
     /// controller.
     pub async fn read_index_loop(self: Rc<Self>) {
         loop {
-            self.wake.read_index.notified().await;
+            self.wakeups.read_index.notified().await;
             while let Some(delay) = self.serve_read_waiters().await {
                 sleep(to_duration(delay)).await;
             }
--- a/crates/jasperhill-controller/src/store/session.rs
+++ b/crates/jasperhill-controller/src/store/session.rs
@@ -10,8 +10,8 @@
 };
 use crate::{
     clock::to_duration,
-    membership::process_run_of,
-    shared::{Shared, observation_of},
+    membership::process_run_from_session,
+    shared::{Shared, link_observation},
     stall_detector,
     state::State,
     watch_cache::Versioned,
@@ -101,7 +101,7 @@
             // its roles then, so the session is left to expire. The watch detects when the link
             // recovers.
             let state = self.state.borrow();
-            if state.isolation.isolated && !state.authority.is_valid_at(sent) {
+            if state.isolation.is_isolated && !state.authority.is_valid_at(sent) {
                 return RENEWAL_RETRY_DELAY;
             }
         }
@@ -109,15 +109,15 @@
         let time_to_live = self.state.borrow().authority.ttl();
         let has_response = renewal != LeaseRenewal::Unknown;
         let stall_input = if has_response {
-            stall_detector::Input::Answered
+            stall_detector::Input::RenewalAnswered
         } else {
-            stall_detector::Input::Unanswered { sent }
+            stall_detector::Input::RenewalUnanswered { sent }
         };
         self.state
             .borrow_mut()
-            .stalls
+            .stall_detector
             .apply(stall_input, self.now());
-        self.observe_link(LinkId::Store, observation_of(has_response));
+        self.observe_link(LinkId::Store, link_observation(has_response));
         match renewal {
             LeaseRenewal::Renewed => {
                 let renewed = authority::Input::SessionRenewed { lease, sent };
@@ -143,7 +143,7 @@
     /// the previous process has ended, so nobody needs to wait for its lease to expire. Returns
     /// false if no session was started.
     async fn start_session(&self) -> bool {
-        if !self.read_index().await {
+        if !self.linearizable_read().await {
             return false;
         }
         let time_to_live = self.state.borrow().authority.ttl();
@@ -173,7 +173,7 @@
         if let Some(previous) = previous.record {
             self.revoke_lease(previous.value.lease).await;
         }
-        self.wake.roles.notify_one();
+        self.wakeups.roles.notify_one();
         true
     }
 
@@ -185,7 +185,9 @@
         let state = &mut *state_guard;
         let record = state.cache.sessions.get(own_member).cloned();
         let session_starting = restart_history::Input::SessionStarting {
-            previous_run: record.as_ref().map(|entry| process_run_of(&entry.value)),
+            previous_run: record
+                .as_ref()
+                .map(|entry| process_run_from_session(&entry.value)),
             wall_clock: self.clock.wall(),
         };
         let phase = state
@@ -254,7 +256,7 @@
             };
             changes.push(put(feature_level_key(own_member), &level));
         }
-        let roles_max = self.settings.txn_ops - NON_ROLE_CHANGES;
+        let roles_max = self.settings.transaction_ops_max - NON_ROLE_CHANGES;
         for OwnedRole { role, version } in previous.roles.iter().take(roles_max) {
             let record = RoleRecord {
                 owner: own_member.clone(),
--- a/crates/jasperhill-controller/src/store/state.rs
+++ b/crates/jasperhill-controller/src/store/state.rs
@@ -20,21 +20,25 @@
     /// the read has completed.
     pub read_waiters: Vec<oneshot::Sender<bool>>,
     /// Budget for requests of all kinds.
-    pub requests: TokenBucket,
+    pub request_budget: TokenBucket,
 }
 
 impl StoreState {
     /// Creates the state of a process that started at `now` (steady clock). The service limits are
-    /// divided by the number of partitions (`settings.size`), so that the controller of each
-    /// partition gets an equal share.
+    /// divided by the number of partitions (`settings.partition_count`), so that the controller of
+    /// each partition gets an equal share.
     pub fn new(settings: &Settings, now: Micros) -> Self {
-        let limit_fraction = 1.0 / f64::from(settings.size);
+        let limit_fraction = 1.0 / f64::from(settings.partition_count);
         let requests = settings.state_rps * limit_fraction * USED_LIMIT_FRACTION;
         let writes = settings.state_write_rps * limit_fraction * USED_LIMIT_FRACTION;
         Self {
-            commit_queue: CommitQueue::new(TokenBucket::new(writes, writes, now), settings.txn_ops),
+            commit_queue: CommitQueue::new(
+                TokenBucket::new(writes, writes, now),
+                settings.transaction_ops_max,
+            ),
             read_waiters: Vec::new(),
-            requests: TokenBucket::new(requests, requests, now).filled_to(INITIAL_BURST_FRACTION),
+            request_budget: TokenBucket::new(requests, requests, now)
+                .with_fill_fraction(INITIAL_BURST_FRACTION),
         }
     }
 }
--- a/crates/jasperhill-controller/src/store/watch.rs
+++ b/crates/jasperhill-controller/src/store/watch.rs
@@ -137,7 +137,7 @@
             LinkState::Down => Micros::ZERO,
             _ => WATCH_BLOCK_MAX.min(
                 self.settings
-                    .bounds
+                    .freshness_bounds
                     .owner_age_max()
                     .scale(WATCH_BLOCK_FRACTION),
             ),
@@ -169,7 +169,7 @@
             "listing of the state service completed"
         );
         self.apply_to_cache(watch_cache::Input::Listed { items, first, last });
-        self.wake.roles.notify_one();
+        self.wakeups.roles.notify_one();
         true
     }
 
@@ -235,7 +235,7 @@
             return;
         }
         let now = self.now();
-        let charge_result = self.state.borrow_mut().store.requests.take(1.0, now);
+        let charge_result = self.state.borrow_mut().store.request_budget.take(1.0, now);
         if let Err(wait) = charge_result {
             sleep(to_duration(wait)).await;
         }
@@ -252,7 +252,11 @@
         };
         let request = Request::new(Method::Get, target, Vec::new());
         let result = self
-            .call(self.settings.state, request, block_time + margin)
+            .call(
+                self.settings.state_service_address,
+                request,
+                block_time + margin,
+            )
             .await;
         WatchOutcome::from_response(result)
     }
--- a/crates/jasperhill-controller/src/task_counts/mod.rs
+++ b/crates/jasperhill-controller/src/task_counts/mod.rs
@@ -43,7 +43,7 @@
         }
         let counts = timeout(POLL_TIMEOUT, async {
             loop {
-                let counts_changed = self.wake.task_counts.notified();
+                let counts_changed = self.wakeups.task_counts.notified();
                 if let Some(counts) = self.state.borrow().task_counts.get(id, self.now()) {
                     return counts;
                 }
@@ -82,7 +82,7 @@
                 cache.insert(id, counts, now);
             }
         }
-        self.wake.task_counts.notify_waiters();
+        self.wakeups.task_counts.notify_waiters();
     }
 
     /// Returns the counts of jobs for another controller, with `None` for each job that this
--- a/crates/jasperhill-controller/src/token_bucket.rs
+++ b/crates/jasperhill-controller/src/token_bucket.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the bucket filled to a fraction (0 to 1) of its capacity.
-    pub fn filled_to(mut self, fraction: f64) -> Self {
+    pub fn with_fill_fraction(mut self, fraction: f64) -> Self {
         self.level = self.burst * fraction.clamp(0.0, 1.0);
         self
     }
@@ -80,7 +80,7 @@
 
     /// Returns the time until the bucket holds `tokens` (or is full, if that is less); `None` if it
     /// does already.
-    pub fn wait_for(&mut self, tokens: f64, now: Micros) -> Option<Micros> {
+    pub fn time_until_available(&mut self, tokens: f64, now: Micros) -> Option<Micros> {
         self.refill(now);
         let missing_tokens = tokens.min(self.burst) - self.level;
         (missing_tokens > 0.0).then(|| self.accrual_time(missing_tokens))
--- a/crates/jasperhill-controller/src/transport.rs
+++ b/crates/jasperhill-controller/src/transport.rs
@@ -66,8 +66,8 @@
             .iter()
             .map(|peer| (peer.address, Class::Peers));
         let mut classes: BTreeMap<SocketAddr, Class> = peers.collect();
-        classes.insert(settings.state, Class::State);
-        classes.insert(settings.cloud, Class::Cloud);
+        classes.insert(settings.state_service_address, Class::State);
+        classes.insert(settings.cloud_address, Class::Cloud);
         let class_of = move |to: SocketAddr| classes.get(&to).copied().unwrap_or(Class::Commands);
         let limits = ClientLimits {
             idle_per_address: IDLE_CONNECTIONS_PER_ADDRESS_MAX,
--- a/crates/jasperhill-controller/src/users/admission.rs
+++ b/crates/jasperhill-controller/src/users/admission.rs
@@ -44,7 +44,7 @@
         match outcome.decision {
             AdmissionDecision::Admit => self.create_job(&request, Some(outcome.owner)).await,
             AdmissionDecision::Refuse => {
-                if !self.read_index().await {
+                if !self.linearizable_read().await {
                     MeshResponse::Unavailable
                 } else if self.is_known(&request.id) {
                     MeshResponse::Known
@@ -69,11 +69,13 @@
             return None;
         }
         let partition_id = self.partition_of(&request.team)?;
-        let specs = state.scheduling.specs.clone()?;
+        let specs = state.scheduling.machine_types.clone()?;
         let scale_out_capacity = self.capacity_to_scale_out(state, &specs, now);
         forget_old_rejections(state, now);
-        let rejected = &state.scheduling.rejected;
-        let first_submitted = rejected.get(&request.id).map_or(now, |job| job.first);
+        let rejected = &state.scheduling.rejected_jobs;
+        let first_submitted = rejected
+            .get(&request.id)
+            .map_or(now, |job| job.first_submitted);
         let time_until_ready = self.time_until_ready(state, request, now);
         let partition = state.scheduling.partitions.get(&partition_id)?;
         let owner = PartitionOwnership {
@@ -87,15 +89,15 @@
             time_until_ready,
             scale_out_capacity,
         );
-        let rejected = &mut state.scheduling.rejected;
+        let rejected = &mut state.scheduling.rejected_jobs;
         if decision == AdmissionDecision::Admit {
             rejected.remove(&request.id);
         } else if rejected.len() <= REJECTED_JOBS_MAX {
             let job = RejectedJob {
-                first: first_submitted,
-                last: now,
+                first_submitted,
+                last_submitted: now,
                 partition: partition_id,
-                hosts: hosts_for(request, &specs),
+                needed_hosts: hosts_for(request, &specs),
             };
             rejected.insert(request.id.clone(), job);
         }
@@ -112,9 +114,10 @@
             .max()
             .unwrap_or_default();
         match state.provisioning.spare_capacity {
-            Some(spare) if now - spare.at < SPARE_CAPACITY_VALIDITY => {
-                (spare.machines.div_ceil(self.settings.size), spare.boot_time)
-            }
+            Some(spare) if now - spare.received_at < SPARE_CAPACITY_VALIDITY => (
+                spare.machines.div_ceil(self.settings.partition_count),
+                spare.boot_time,
+            ),
             _ => (1, longest_boot.scale(BOOT_TIME_FACTOR)),
         }
     }
@@ -122,8 +125,8 @@
 
 /// Removes rejected jobs past their retention once there are more than [`REJECTED_JOBS_MAX`].
 fn forget_old_rejections(state: &mut State, now: Micros) {
-    let rejected = &mut state.scheduling.rejected;
+    let rejected = &mut state.scheduling.rejected_jobs;
     if rejected.len() > REJECTED_JOBS_MAX {
-        rejected.retain(|_, job| now - job.last < REJECTED_JOB_RETENTION);
+        rejected.retain(|_, job| now - job.last_submitted < REJECTED_JOB_RETENTION);
     }
 }
--- a/crates/jasperhill-controller/src/users/cancellation.rs
+++ b/crates/jasperhill-controller/src/users/cancellation.rs
@@ -53,7 +53,7 @@
                 }
                 CancellationTarget::Active { version, record } => (version, record),
                 CancellationTarget::Unknown => {
-                    if !self.read_index().await {
+                    if !self.linearizable_read().await {
                         return Err(Unavailable::StateUnknown.into());
                     }
                     if !self.is_known(&id) {
@@ -70,7 +70,7 @@
                 WriteOutcome::NotExecuted => break,
                 // Another write came first, or the outcome is unknown: read the record again.
                 WriteOutcome::Conflict | WriteOutcome::Unknown => {
-                    if !self.read_index().await {
+                    if !self.linearizable_read().await {
                         break;
                     }
                 }
--- a/crates/jasperhill-controller/src/users/dependencies.rs
+++ b/crates/jasperhill-controller/src/users/dependencies.rs
@@ -50,7 +50,7 @@
         }
         // The watch cache may lag: reject only after a linearizable read that began after the
         // submission arrived.
-        if !self.read_index().await {
+        if !self.linearizable_read().await {
             return Err(Unavailable::StateUnknown.into());
         }
         if self.is_known(&request.id) {
@@ -113,7 +113,7 @@
         if state.cache.dependencies.state_of(id) != DependencyState::Ready {
             return estimate;
         }
-        let ready_since = match state.scheduling.released.get(id) {
+        let ready_since = match state.scheduling.ready_since.get(id) {
             Some(at) => *at,
             None => self.clock.steady(job.submitted),
         };
--- a/crates/jasperhill-controller/src/users/job_creation.rs
+++ b/crates/jasperhill-controller/src/users/job_creation.rs
@@ -83,7 +83,7 @@
             WriteOutcome::NotExecuted => MeshResponse::Unavailable,
             // The write may or may not have been committed: read the store, never assume.
             WriteOutcome::Unknown => {
-                if self.read_index().await && self.is_known(&request.id) {
+                if self.linearizable_read().await && self.is_known(&request.id) {
                     MeshResponse::Known
                 } else {
                     MeshResponse::Unavailable
--- a/crates/jasperhill-controller/src/users/job_view.rs
+++ b/crates/jasperhill-controller/src/users/job_view.rs
@@ -61,7 +61,7 @@
             return Some(JobView::terminal(phase, done));
         }
         match state.cache.job(id)? {
-            JobEntry::Final { phase, done } => Some(JobView::terminal(*phase, *done)),
+            JobEntry::Final { phase, done_count } => Some(JobView::terminal(*phase, *done_count)),
             JobEntry::Active(active) => {
                 let owned_job = self
                     .partition_of(&active.request.team)
--- a/crates/jasperhill-controller/src/users/query.rs
+++ b/crates/jasperhill-controller/src/users/query.rs
@@ -42,7 +42,7 @@
                 None => None,
             }
         };
-        let (is_read, counts) = tokio::join!(self.read_index(), counts);
+        let (is_read, counts) = tokio::join!(self.linearizable_read(), counts);
         if !is_read {
             return Err(Unavailable::StateUnknown.into());
         }
--- a/crates/jasperhill-controller/src/users/readiness.rs
+++ b/crates/jasperhill-controller/src/users/readiness.rs
@@ -32,8 +32,8 @@
         // An unreachable store alone does not make a controller unready: in an outage that affects
         // all controllers, leaving the load balancer would only delay the recovery.
         state.cache.is_synced()
-            && state.scheduling.specs.is_some()
-            && !state.isolation.isolated
+            && state.scheduling.machine_types.is_some()
+            && !state.isolation.is_isolated
             && !self.defers_to_other_members(&state)
     }
 }
--- a/crates/jasperhill-controller/src/users/submission.rs
+++ b/crates/jasperhill-controller/src/users/submission.rs
@@ -77,7 +77,7 @@
             return Err(error);
         };
         // The watch cache may not contain the job yet, so that a linearizable read is needed.
-        if !self.is_known(&id) && !self.read_index().await {
+        if !self.is_known(&id) && !self.linearizable_read().await {
             return Err(Unavailable::StateUnknown.into());
         }
         if !self.is_known(&id) {
@@ -92,7 +92,7 @@
     /// [`Unavailable`] if the machine types are unknown or the watch cache is not complete.
     fn impossible_reason(&self, request: &JobRequest) -> Result<Option<&'static str>, Unavailable> {
         let state = self.state.borrow();
-        let Some(specs) = &state.scheduling.specs else {
+        let Some(specs) = &state.scheduling.machine_types else {
             return Err(Unavailable::MachineTypesUnknown);
         };
         if !state.cache.is_synced() {
@@ -104,7 +104,7 @@
     /// Answers the submission of a job that can never run. Does a linearizable read first, since the
     /// job may have been accepted earlier.
     async fn answer_impossible(&self, id: &JobId, reason: &str) -> Result<Response, UserError> {
-        if !self.read_index().await {
+        if !self.linearizable_read().await {
             return Err(Unavailable::StateUnknown.into());
         }
         match self.job_view(id) {
@@ -118,7 +118,7 @@
         self: &Rc<Self>,
         request: &JobRequest,
     ) -> Result<Response, UserError> {
-        if !self.read_index().await {
+        if !self.linearizable_read().await {
             return Err(Unavailable::StateUnknown.into());
         }
         if self.is_known(&request.id) {
@@ -135,7 +135,7 @@
 
     /// Answers a repeated submission with the job's current phase, after a linearizable read.
     async fn answer_known(self: &Rc<Self>, id: &JobId) -> Result<Response, UserError> {
-        if !self.read_index().await {
+        if !self.linearizable_read().await {
             return Err(Unavailable::StateUnknown.into());
         }
         match self.job_view(id) {
--- a/crates/jasperhill-controller/src/watch_cache/changes.rs
+++ b/crates/jasperhill-controller/src/watch_cache/changes.rs
@@ -56,10 +56,10 @@
     /// The record of this job has changed.
     Job(JobId),
     /// All dependencies of this job are done.
-    Released(JobId),
+    DependenciesDone(JobId),
     /// The dependency state or inherited urgency of this job has changed because of another job's
     /// record.
-    Related(JobId),
+    DependencyStateChanged(JobId),
     /// The record of this host has changed, or the host was removed.
     Host(HostId),
     /// The session of this member was written or has ended.
@@ -77,5 +77,5 @@
     /// An owner has granted a delegation.
     DelegationGrant,
     /// The machine types offered by the cloud have changed.
-    Types,
+    MachineTypes,
 }
--- a/crates/jasperhill-controller/src/watch_cache/entries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/entries.rs
@@ -43,7 +43,7 @@
         /// Final phase of the job.
         phase: RecordPhase,
         /// Number of tasks that succeeded.
-        done: u32,
+        done_count: u32,
     },
 }
 
@@ -55,7 +55,7 @@
     /// Time of day at which the job was submitted.
     pub submitted: Micros,
     /// Finished tasks, run-length encoded as in the job record.
-    pub finished: Vec<u32>,
+    pub finished_runs: Vec<u32>,
     /// Number of tasks that succeeded.
     pub done_count: u32,
     /// Number of failed attempts on all hosts. Zero means that there is no evidence of a fault in
--- a/crates/jasperhill-controller/src/watch_cache/jobs.rs
+++ b/crates/jasperhill-controller/src/watch_cache/jobs.rs
@@ -44,8 +44,10 @@
         self.jobs.insert(id.clone(), entry);
         changes.push(Change::Job(id));
         changes.extend(dependency_outputs.into_iter().map(|output| match output {
-            Output::Released(job) => Change::Released(job),
-            Output::UpstreamCancelled(job) | Output::UrgencyChanged(job) => Change::Related(job),
+            Output::Released(job) => Change::DependenciesDone(job),
+            Output::UpstreamCancelled(job) | Output::UrgencyChanged(job) => {
+                Change::DependencyStateChanged(job)
+            }
         }));
     }
 
@@ -81,7 +83,7 @@
         let job = ActiveJob {
             request,
             submitted,
-            finished: record.finished,
+            finished_runs: record.finished,
             done_count: record.done_count,
             failed_attempts: record.failed_attempts,
             version,
@@ -134,7 +136,7 @@
             .apply(dependencies::Input::Ended { id, done });
         let entry = JobEntry::Final {
             phase,
-            done: record.done_count,
+            done_count: record.done_count,
         };
         (entry, dependency_outputs)
     }
--- a/crates/jasperhill-controller/src/watch_cache/mod.rs
+++ b/crates/jasperhill-controller/src/watch_cache/mod.rs
@@ -320,7 +320,7 @@
             }
             Key::Types(part) => {
                 let entries = &mut self.machine_types;
-                insert_if_newer(entries, part, record, |_| Change::Types, changes)
+                insert_if_newer(entries, part, record, |_| Change::MachineTypes, changes)
             }
         }
     }
--- a/crates/jasperhill-controller/src/watch_cache/queries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/queries.rs
@@ -35,7 +35,7 @@
     /// own record does not say so yet. Returns `None` if the job is unknown or has not ended.
     pub fn final_phase(&self, id: &JobId) -> Option<(RecordPhase, u32)> {
         match self.jobs.get(id)? {
-            JobEntry::Final { phase, done } => Some((*phase, *done)),
+            JobEntry::Final { phase, done_count } => Some((*phase, *done_count)),
             JobEntry::Active(job) => self
                 .is_cancelled_upstream(id)
                 .then_some((RecordPhase::Cancelled, job.done_count)),
@@ -48,7 +48,7 @@
     }
 
     /// Returns the machine types of the cloud, or `None` if some part of the list is missing.
-    pub fn types(&self) -> Option<MachineTypes> {
+    pub fn machine_types(&self) -> Option<MachineTypes> {
         let parts = self.machine_types.get(&0)?.value.parts.max(1);
         let mut machine_types = Vec::new();
         for part in 0..parts {
--- a/crates/jasperhill-controller/tests/settings.rs
+++ b/crates/jasperhill-controller/tests/settings.rs
@@ -56,7 +56,7 @@
 #[test]
 fn parses_complete_file() {
     let settings = Settings::parse(VALID_FILE).unwrap();
-    assert_eq!(settings.lease, Micros::from_secs(30));
+    assert_eq!(settings.lease_time, Micros::from_secs(30));
     assert_eq!(settings.members().len(), 2);
     // Of two start objectives for a class the shorter applies, regardless of their order.
     assert_eq!(
@@ -64,8 +64,8 @@
         Micros::from_secs(2)
     );
     // If a cancellation is missed, lease renewals must stop early enough for the tasks to end in time.
-    assert!(settings.cache_age_max() + settings.lease < settings.cancel);
-    assert!(settings.session() < settings.lease);
+    assert!(settings.cache_age_max() + settings.lease_time < settings.cancellation_time);
+    assert!(settings.session() < settings.lease_time);
 }
 
 #[test]
@@ -116,8 +116,8 @@
     let with_smaller =
         parse_with_next("[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 28.0\nmore = 1").unwrap();
     assert_eq!(
-        (with_smaller.value_bytes, with_smaller.txn_ops),
-        (2_048, without_next.txn_ops)
+        (with_smaller.value_bytes, with_smaller.transaction_ops_max),
+        (2_048, without_next.transaction_ops_max)
     );
     assert_eq!(
         (with_smaller.state_write_rps, with_smaller.state_rps),
@@ -126,8 +126,8 @@
     let with_larger =
         parse_with_next("[params.state.next]\nvalue_kb = 64.0\ntxn_ops = 99\nrps = 9e3").unwrap();
     assert_eq!(
-        (with_larger.value_bytes, with_larger.txn_ops),
-        (without_next.value_bytes, without_next.txn_ops)
+        (with_larger.value_bytes, with_larger.transaction_ops_max),
+        (without_next.value_bytes, without_next.transaction_ops_max)
     );
     assert_eq!(with_larger.state_rps, without_next.state_rps);
     for (field, value) in [
--- a/crates/jasperhill-controller/tests/stall_detector.rs
+++ b/crates/jasperhill-controller/tests/stall_detector.rs
@@ -16,7 +16,7 @@
         );
     }
     detector.apply(
-        Input::Unanswered {
+        Input::RenewalUnanswered {
             sent: millis(4_000),
         },
         millis(5_000),
--- a/crates/jasperhill-testkit/src/cluster/deployment.rs
+++ b/crates/jasperhill-testkit/src/cluster/deployment.rs
@@ -57,7 +57,7 @@
     settings.operator.session = plan.session.map(Micros::from_secs);
     if plan.without_freshness_bound {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
-        settings.bounds = LeaseTerms {
+        settings.freshness_bounds = LeaseTerms {
             lease_duration: lease,
             cancellation_time: cancel,
         }
--- a/crates/jasperhill/src/check.rs
+++ b/crates/jasperhill/src/check.rs
@@ -9,30 +9,38 @@
     let secs = |duration: Micros| duration.as_secs_f64();
     println!(
         "member {} in {}, users and workers at {}, mesh at {}",
-        settings.member, settings.site, settings.bind, settings.mesh
+        settings.member, settings.zone, settings.bind, settings.mesh
     );
     for peer in &settings.peers {
         println!("peer {} at {}", peer.member, peer.address);
     }
-    println!("state service {}, cloud {}", settings.state, settings.cloud);
+    println!(
+        "state service {}, cloud {}",
+        settings.state_service_address, settings.cloud_address
+    );
     println!(
         "kept to: {} requests and {} changes a second, {} bytes a value, {} changes a transaction",
-        settings.state_rps, settings.state_write_rps, settings.value_bytes, settings.txn_ops
+        settings.state_rps,
+        settings.state_write_rps,
+        settings.value_bytes,
+        settings.transaction_ops_max
     );
     println!(
         "{} partitions, zones {:?}, {} teams",
-        settings.size,
+        settings.partition_count,
         settings.zones,
         settings.teams.len()
     );
-    for (team, partition) in jasperhill_scheduler::sharding::split(&settings.teams, settings.size) {
+    for (team, partition) in
+        jasperhill_scheduler::sharding::split(&settings.teams, settings.partition_count)
+    {
         println!("team {team} in partition {partition}");
     }
     println!(
         "workers report every {} s, lease {} s, cancellations within {} s",
         secs(settings.heartbeat_interval),
-        secs(settings.lease),
-        secs(settings.cancel)
+        secs(settings.lease_time),
+        secs(settings.cancellation_time)
     );
     println!(
         "session {} s, mirror at most {} s old",
