--- a/crates/jasperhill-controller/src/commands/tokens.rs
+++ b/crates/jasperhill-controller/src/commands/tokens.rs
@@ -18,11 +18,18 @@
             let mut state_guard = self.state.borrow_mut();
             let state = &mut *state_guard;
             for (partition_id, partition) in &state.scheduling.partitions {
-                let role = (Role::Partition(*partition_id), partition.since);
-                for host in partition.hosts.values().filter(|host| host.needs_token()) {
+                let role = (Role::Partition(*partition_id), partition.owned_since);
+                for host in partition
+                    .hosts
+                    .values()
+                    .filter(|host| host.needs_raised_token())
+                {
                     if let Some(cached) = state.cache.hosts.get(&host.id)
                         && !state.host_registry.is_backing_off(cached.block, now)
-                        && state.commands.token_updates.insert(host.id.clone())
+                        && state
+                            .commands
+                            .hosts_with_record_update
+                            .insert(host.id.clone())
                     {
                         hosts_to_update.push((role, host.id.clone(), cached.clone()));
                     }
@@ -45,7 +52,7 @@
                 // After the write, the watch cache passes the record's new revision to the partition.
                 shared.update_host(cached.block, update).await;
                 let mut state = shared.state.borrow_mut();
-                state.commands.token_updates.remove(&host);
+                state.commands.hosts_with_record_update.remove(&host);
             });
         }
     }
--- a/crates/jasperhill-controller/src/delegation/owner.rs
+++ b/crates/jasperhill-controller/src/delegation/owner.rs
@@ -53,13 +53,13 @@
     /// removes expired grants. Runs for as long as the controller.
     pub async fn delegation_grant_loop(self: Rc<Self>) {
         loop {
-            let woken = self.wake.delegation_grants.notified();
+            let woken = self.wakeups.delegation_grants.notified();
             let _ = timeout(CHECK_INTERVAL, woken).await;
             let (changed_requests, proposals) = {
                 let mut state = self.state.borrow_mut();
                 (
-                    std::mem::take(&mut state.delegation.changed_requests),
-                    std::mem::take(&mut state.proposals.received),
+                    std::mem::take(&mut state.delegation.changed_delegation_requests),
+                    std::mem::take(&mut state.proposals.received_proposals),
                 )
             };
             for id in proposals {
@@ -82,7 +82,7 @@
             return;
         };
         let request = cached.value.clone();
-        if self.is_own_request(delegate) || !state.authority.holds(now) {
+        if self.is_own_request(delegate) || !state.authority.is_valid_at(now) {
             return;
         }
         let granted_until = now + self.settings.delegation_time();
@@ -103,7 +103,7 @@
             state.delegation.grants.record(key, now);
             let partition = OwnedPartition {
                 id: *partition_id,
-                since: partition.since,
+                since: partition.owned_since,
             };
             grants.push(NewGrant { partition, hosts });
         }
@@ -141,7 +141,7 @@
         granted_until: Micros,
         now: Micros,
     ) -> BTreeMap<HostId, FencingToken> {
-        let bounds = self.settings.bounds;
+        let bounds = self.settings.freshness_bounds;
         let min_silence = self
             .settings
             .heartbeat_interval
@@ -152,14 +152,15 @@
             .iter()
             .filter_map(|id| partition.hosts.get(id))
             .filter(|host| {
-                host.fencing != FencingState::Lapsed && now - host.last_heard > min_silence
+                host.fencing != FencingState::LeaseExpired
+                    && now - host.last_status_received > min_silence
             })
             // The delegate renews the lease under this token until the grant ends, whatever commands
             // are in flight to the host. Such a command must not rest on a view of the store that
             // becomes too old before the grant ends.
             .filter(|host| {
-                let known_as_of = host.in_flight_known_as_of();
-                known_as_of.is_none_or(|known| granted_until <= bounds.until(known))
+                let known_as_of = host.outstanding_starts_known_as_of();
+                known_as_of.is_none_or(|known| granted_until <= bounds.owner_may_renew_until(known))
             })
             .map(|host| (host.id.clone(), host.token))
             .collect()
@@ -196,7 +197,7 @@
         let mut expired = Vec::new();
         let mut state_guard = self.state.borrow_mut();
         let state = &mut *state_guard;
-        if !state.authority.holds(now) {
+        if !state.authority.is_valid_at(now) {
             return expired;
         }
         for (id, partition) in &state.scheduling.partitions {
@@ -207,7 +208,7 @@
                     delegate: delegate.clone(),
                 };
                 if state.delegation.grants.is_expired(&key, lifetime, now) {
-                    let since = partition.since;
+                    let since = partition.owned_since;
                     expired.push((key, OwnedPartition { id: *id, since }));
                 }
             }
--- a/crates/jasperhill-controller/src/heartbeats/deferral.rs
+++ b/crates/jasperhill-controller/src/heartbeats/deferral.rs
@@ -45,7 +45,7 @@
         };
         let role_moved = async {
             loop {
-                let ownership_changed = self.wake.ownership_changed.notified();
+                let ownership_changed = self.wakeups.ownership_changed.notified();
                 match self.answer_heartbeat(heartbeat) {
                     Ok(HeartbeatReply {
                         owner: None,
@@ -78,8 +78,8 @@
         let now = self.now();
         let state = self.state.borrow();
         let reachability = &state.membership.reachability;
-        let can_act_here =
-            reachability.own_link(&LinkId::Store) == LinkState::Up && state.authority.holds(now);
+        let can_act_here = reachability.own_link(&LinkId::Store) == LinkState::Up
+            && state.authority.is_valid_at(now);
         let role_can_move =
             can_act_here || (owner.is_none() && reachability.is_store_reachable_elsewhere(now));
         let is_role_moving = self.uses_reachability(&state)
@@ -98,7 +98,7 @@
 /// controller may not hear it, and in both cases workers must not be kept from their owner.
 fn is_session_ending(state: &State, member: &Member, now: Micros) -> bool {
     let ttl = state.authority.ttl();
-    let silent_since = state.membership.silent_since.get(member);
+    let silent_since = state.membership.unreachable_since.get(member);
     silent_since.is_some_and(|since| {
         let silence = now - *since;
         silence + MAX_DEFERRAL + SILENCE_DETECTION_DELAY >= ttl
--- a/crates/jasperhill-controller/src/provisioner/decommission.rs
+++ b/crates/jasperhill-controller/src/provisioner/decommission.rs
@@ -78,7 +78,7 @@
         let now = self.now();
         let mut planned = Vec::new();
         let mut state_guard = self.state.borrow_mut();
-        if !state_guard.authority.holds(now) {
+        if !state_guard.authority.is_valid_at(now) {
             return planned;
         }
         let mut inventory = self.inventory(&state_guard);
@@ -89,7 +89,7 @@
             spare_retention: if is_any_partition_short {
                 SPARE_RETENTION_IN_SHORTAGE
             } else {
-                self.settings.operator.tuning.idle_keep
+                self.settings.operator.tuning.idle_retention
             },
             lost_after: self.scheduler_config.lease_expiry() + LOST_AFTER_LEASE_EXPIRY,
         };
@@ -106,7 +106,7 @@
             drain_surplus(partition, hosts, now);
             let ids: Vec<HostId> = partition.hosts.keys().cloned().collect();
             for id in ids {
-                if commands.token_updates.contains(&id) {
+                if commands.hosts_with_record_update.contains(&id) {
                     continue;
                 }
                 let Some(assignment) = next_assignment(partition, &id, hosts, &criteria) else {
@@ -116,7 +116,7 @@
                     continue;
                 };
                 hosts.remove_host(entry.value.spot);
-                commands.token_updates.insert(id.clone());
+                commands.hosts_with_record_update.insert(id.clone());
                 if let Some(host) = partition.hosts.get_mut(&id) {
                     host.assignment = assignment;
                 }
@@ -124,7 +124,7 @@
                     partition: *number,
                     holder: HeldRole {
                         role: Role::Partition(*number),
-                        since: partition.since,
+                        since: partition.owned_since,
                     },
                     host: id,
                     entry: entry.clone(),
@@ -153,7 +153,11 @@
             self.reclaim_host(partition, holder, &host, entry.value.assignment)
                 .await;
         }
-        self.state.borrow_mut().commands.token_updates.remove(&host);
+        self.state
+            .borrow_mut()
+            .commands
+            .hosts_with_record_update
+            .remove(&host);
     }
 
     /// Returns a host to its partition after a decommission that failed or whose outcome is unknown.
@@ -172,7 +176,7 @@
             let entry = {
                 let state = self.state.borrow();
                 let owned_partition = state.scheduling.partitions.get(&partition);
-                if owned_partition.is_none_or(|p| p.since != holder.since) {
+                if owned_partition.is_none_or(|p| p.owned_since != holder.since) {
                     return;
                 }
                 state.cache.hosts.get(host).cloned()
@@ -186,7 +190,7 @@
             if let WriteOutcome::Committed(_) = self.update_host(entry.block, update).await {
                 return;
             }
-            self.read_index().await;
+            self.linearizable_read().await;
         }
     }
 }
@@ -224,7 +228,7 @@
     }
     let surplus = hosts.actual > hosts.desired
         && (host.spot || hosts.actual_on_demand > hosts.desired_on_demand);
-    if !surplus || !partition.is_spare(id, criteria.now, criteria.spare_retention) {
+    if !surplus || !partition.is_returnable(id, criteria.now, criteria.spare_retention) {
         return None;
     }
     if criteria.is_any_partition_short {
@@ -238,10 +242,11 @@
 /// Returns whether a host is lost: its lease has expired, and it has not answered for longer than
 /// `lost_after`.
 fn is_lost(host: &Host, criteria: &DecommissionCriteria) -> bool {
-    host.fencing == FencingState::Lapsed && criteria.now - host.last_answer > criteria.lost_after
+    host.fencing == FencingState::LeaseExpired
+        && criteria.now - host.lease_renewed_at_latest > criteria.lost_after
 }
 
 /// Returns whether a host is empty and unhealthy: tasks fail or run too slowly on it.
 fn is_empty_and_unhealthy(host: &Host, criteria: &DecommissionCriteria) -> bool {
-    host.is_empty() && (host.is_faulty(criteria.now) || host.slowness > SLOWNESS_MAX)
+    host.is_empty() && (host.is_faulty(criteria.now) || host.run_time_ratio > SLOWNESS_MAX)
 }
--- a/crates/jasperhill-controller/src/provisioner/reconciliation.rs
+++ b/crates/jasperhill-controller/src/provisioner/reconciliation.rs
@@ -99,9 +99,11 @@
             ..
         } = &mut *state_guard;
         let ProvisioningState {
-            leader, returning, ..
+            leader,
+            machines_to_return: returning,
+            ..
         } = provisioning;
-        let (Some(leader), Some(specs)) = (leader.as_mut(), &scheduling.specs) else {
+        let (Some(leader), Some(specs)) = (leader.as_mut(), &scheduling.machine_types) else {
             return Vec::new();
         };
         leader.listed_at = now;
@@ -109,7 +111,7 @@
         // A machine stays listed until it ceases to exist, and a list is at most twice the lag
         // old. So a machine no longer exists if it is absent from a list that was requested at
         // least `age_max` after the machine was first seen.
-        let age_max = self.settings.list_lag.scale(2.0) + LIST_AGE_MARGIN;
+        let age_max = self.settings.machine_list_lag_max.scale(2.0) + LIST_AGE_MARGIN;
         let list_times = ListTimes {
             requested_at,
             now,
@@ -207,7 +209,11 @@
     /// Forgets booting machines that are unusable, or that are neither listed nor have sent a
     /// heartbeat in time, so that they no longer count as supply.
     fn forget_stale_booting(&mut self, specs: &Specs, unusable: &BTreeSet<HostId>, now: Micros) {
-        let boot_time = specs.values().map(|s| s.boot).max().unwrap_or_default();
+        let boot_time = specs
+            .values()
+            .map(|s| s.nominal_boot_time)
+            .max()
+            .unwrap_or_default();
         let boot_time_limit = boot_time.scale(BOOTING_MAX_BOOT_TIMES) + BOOTING_MAX_MARGIN;
         self.booting
             .retain(|id, machine| !unusable.contains(id) && now - machine.since < boot_time_limit);
@@ -219,12 +225,12 @@
 fn is_unusable(machine: &Machine, specs: &Specs, seen_for: Micros) -> bool {
     let host = &machine.id;
     let spec = specs.get(&machine.machine_type);
-    let boot_time = spec.map_or(UNKNOWN_TYPE_BOOT_TIME, |s| s.boot);
+    let boot_time = spec.map_or(UNKNOWN_TYPE_BOOT_TIME, |s| s.nominal_boot_time);
     match machine.phase {
         MachinePhase::Failed => true,
         MachinePhase::Booting => {
             let is_overdue =
-                BootTimes::never_comes(boot_time, Micros::from_secs_f64(machine.age_s));
+                BootTimes::is_abandoned(boot_time, Micros::from_secs_f64(machine.age_s));
             if is_overdue {
                 tracing::info!(%host, "machine never came up");
             }
--- a/crates/jasperhill-controller/src/relay/reachability.rs
+++ b/crates/jasperhill-controller/src/relay/reachability.rs
@@ -44,7 +44,7 @@
 
     /// Records an observation of a link: something got through, or failed to.
     pub fn observe_link(&self, link: LinkId, observation: Observation) {
-        self.update_reachability(reachability::Input::Evidence(link, observation));
+        self.update_reachability(reachability::Input::LinkObserved(link, observation));
     }
 
     /// Records whether a worker of a zone answered, as an observation of the link for commands to that
@@ -54,8 +54,8 @@
             Observation::Success
         } else {
             Observation::Failure {
-                by: witness_id(host),
-                of: host_count,
+                counterpart: witness_id(host),
+                counterpart_count: host_count,
             }
         };
         self.observe_link(LinkId::Commands(zone.clone()), observation);
@@ -85,7 +85,7 @@
     /// and wakes the loops that depend on the link.
     fn on_link_changed(&self, link: &LinkId, before: LinkState, after: LinkState, now: Micros) {
         if let LinkId::Peer(member) = link {
-            let silent_since = &mut self.state.borrow_mut().membership.silent_since;
+            let silent_since = &mut self.state.borrow_mut().membership.unreachable_since;
             match after {
                 LinkState::Down => {
                     silent_since.entry(member.clone()).or_insert(now);
@@ -100,8 +100,8 @@
             tracing::debug!(?link, reach = ?after, "link state changed");
         } else {
             tracing::info!(?link, reach = ?after, "link state changed");
-            self.wake.reachability.notify_one();
-            self.wake.roles.notify_one();
+            self.wakeups.reachability.notify_one();
+            self.wakeups.roles.notify_one();
         }
     }
 
@@ -109,7 +109,7 @@
     pub async fn reachability_loop(self: Rc<Self>) {
         let mut reported_at = Micros::ZERO;
         loop {
-            let was_woken = timeout(CHECK_INTERVAL, self.wake.reachability.notified())
+            let was_woken = timeout(CHECK_INTERVAL, self.wakeups.reachability.notified())
                 .await
                 .is_ok();
             self.check_expected_heartbeats();
@@ -142,7 +142,7 @@
         let mut state = self.state.borrow_mut();
         let is_store_down =
             state.membership.reachability.own_link(&LinkId::Store) == LinkState::Down;
-        let is_answering_without_store = is_store_down && state.authority.holds(now);
+        let is_answering_without_store = is_store_down && state.authority.is_valid_at(now);
         if state.heartbeats.answered_without_store > 0 && !is_answering_without_store {
             let heartbeats = std::mem::take(&mut state.heartbeats.answered_without_store);
             tracing::info!(heartbeats, "heartbeats answered without the store");
@@ -158,7 +158,7 @@
         let owners = if is_cache_current {
             let ownerships = state.cache.ownerships().into_iter();
             ownerships
-                .filter(|(_, ownership)| ownership.live)
+                .filter(|(_, ownership)| ownership.is_session_live)
                 .map(|(role, ownership)| (role, ownership.owner, ownership.version))
                 .collect()
         } else {
@@ -218,7 +218,7 @@
     fn apply_peer_report(&self, peer_report: &ReachabilityReport) {
         self.update_reachability(reachability::Input::PeerReport(peer_report));
         if self.is_role_relinquished() {
-            self.wake.roles.notify_one();
+            self.wakeups.roles.notify_one();
         }
         // The report may name a new owner for a role that deferred heartbeats are waiting for.
         let has_deferred_heartbeats = {
@@ -226,7 +226,7 @@
             state.relay.slots.has_deferred_heartbeats()
         };
         if has_deferred_heartbeats {
-            self.wake.ownership_changed.notify_waiters();
+            self.wakeups.ownership_changed.notify_waiters();
         }
         self.update_isolation();
     }
--- a/crates/jasperhill-controller/src/scheduling/mod.rs
+++ b/crates/jasperhill-controller/src/scheduling/mod.rs
@@ -46,7 +46,7 @@
                 DependencyState::Ready => Readiness::Open,
                 _ => Readiness::Waiting,
             },
-            since: match state.scheduling.released.get(id) {
+            since: match state.scheduling.ready_since.get(id) {
                 Some(at) => *at,
                 None => self.clock.steady(job.submitted),
             },
@@ -63,7 +63,7 @@
                 RecordPhase::Done => Termination::Done,
                 _ => Termination::Cancelled,
             };
-            state.scheduling.released.remove(id);
+            state.scheduling.ready_since.remove(id);
             for partition in state.scheduling.partitions.values_mut() {
                 partition.end_job(id, termination, now);
             }
@@ -82,7 +82,7 @@
         };
         let failures = (job.failed_attempts, now);
         let (request, version) = (&job.request, job.version);
-        partition.upsert_job(request, version, submitted, &job.finished, failures);
+        partition.upsert_job(request, version, submitted, &job.finished_runs, failures);
         partition.set_dependency_status(id, status);
         true
     }
@@ -101,7 +101,7 @@
             }
         }
         if owner_partition.is_none() {
-            state.provisioning.returning.remove(id);
+            state.provisioning.machines_to_return.remove(id);
         }
     }
 
@@ -115,7 +115,7 @@
             .scheduling
             .partitions
             .values()
-            .map(|p| p.backlog)
+            .map(|p| p.last_cycle_job_count)
             .sum();
         let extra_delay = BATCH_DELAY_PER_JOB * backlog.min(BATCH_DELAY_JOBS_MAX) as u32;
         BATCH_DELAY_MIN + extra_delay.min(BATCH_DELAY_EXTRA_MAX)
@@ -126,7 +126,7 @@
     pub async fn pass_loop(self: Rc<Self>) {
         let mut last_tick = self.now();
         loop {
-            let change_notified = self.wake.scheduler.notified();
+            let change_notified = self.wakeups.scheduler.notified();
             if timeout(to_duration(TICK_INTERVAL), change_notified)
                 .await
                 .is_ok()
@@ -153,7 +153,7 @@
         let now = self.now();
         let mut hosts_to_command = Vec::new();
         let mut state = self.state.borrow_mut();
-        if !state.authority.holds(now) {
+        if !state.authority.is_valid_at(now) {
             return;
         }
         for (partition_id, partition) in &mut state.scheduling.partitions {
@@ -161,20 +161,20 @@
                 mark_unfenced_hosts(partition);
                 log_unschedulable_hosts(*partition_id, partition, now);
             }
-            if is_tick || partition.changed {
+            if is_tick || partition.needs_scheduling {
                 partition.run_cycle(now);
             }
             for event in partition.events.drain(..) {
                 log_event(&event);
             }
-            for host in std::mem::take(&mut partition.dirty) {
+            for host in std::mem::take(&mut partition.hosts_with_new_commands) {
                 hosts_to_command.push((*partition_id, host));
             }
         }
         drop(state);
         self.queue_commands(hosts_to_command, is_tick);
         self.clone().save_results();
-        self.clone().write_cancelled();
+        self.clone().cancel_dependents();
         self.raise_tokens();
     }
 
@@ -200,7 +200,7 @@
     let unfenced = |host: &&Host| matches!(host.fencing, FencingState::Unfenced { .. });
     let hosts = partition.hosts.values().filter(unfenced);
     let hosts: Vec<HostId> = hosts.map(|host| host.id.clone()).collect();
-    partition.dirty.extend(hosts);
+    partition.hosts_with_new_commands.extend(hosts);
 }
 
 /// Logs at `debug` the number of hosts on which no tasks can be placed, by reason.
@@ -215,7 +215,7 @@
         silent,
         quarantined,
         draining,
-    ] = partition.unusable(now);
+    ] = partition.unusable_host_counts(now);
     tracing::debug!(
         partition = partition_id,
         hosts = partition.hosts.len(),
--- a/crates/jasperhill-controller/src/shared.rs
+++ b/crates/jasperhill-controller/src/shared.rs
@@ -14,11 +14,14 @@
 
 /// Converts the outcome of one request over a link with a single remote end into an observation of the
 /// link.
-pub(crate) fn observation_of(answered: bool) -> Observation {
+pub(crate) fn link_observation(answered: bool) -> Observation {
     if answered {
         Observation::Success
     } else {
-        Observation::Failure { by: 0, of: 1 }
+        Observation::Failure {
+            counterpart: 0,
+            counterpart_count: 1,
+        }
     }
 }
 
@@ -68,7 +71,7 @@
     /// The mutable state.
     pub state: RefCell<State>,
     /// Notifications for loops and waiting requests.
-    pub wake: Wakeups,
+    pub wakeups: Wakeups,
 }
 
 impl Shared {
@@ -89,10 +92,13 @@
     pub fn note_activity(&self) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        if let Some(stall) = state.stalls.apply(stall_detector::Input::Activity, now) {
+        if let Some(stall) = state
+            .stall_detector
+            .apply(stall_detector::Input::Activity, now)
+        {
             tracing::warn!(for_s = stall.as_secs_f64(), "process stalled");
         }
-        state.stalls.is_request_stale(now)
+        state.stall_detector.is_request_stale(now)
     }
 
     /// Sends a request and waits for the response until `timeout` has passed.
@@ -111,7 +117,7 @@
     /// Returns whether this controller may currently act on its roles.
     pub fn has_authority(&self) -> bool {
         let now = self.now();
-        self.state.borrow().authority.holds(now)
+        self.state.borrow().authority.is_valid_at(now)
     }
 
     /// Returns the number of a team's partition; `None` if the settings do not name the team.
--- a/crates/jasperhill-controller/src/store/watch.rs
+++ b/crates/jasperhill-controller/src/store/watch.rs
@@ -135,7 +135,12 @@
         let state = self.state.borrow();
         match state.membership.reachability.own_link(&LinkId::Store) {
             LinkState::Down => Micros::ZERO,
-            _ => WATCH_BLOCK_MAX.min(self.settings.bounds.owner().scale(WATCH_BLOCK_FRACTION)),
+            _ => WATCH_BLOCK_MAX.min(
+                self.settings
+                    .freshness_bounds
+                    .owner_age_max()
+                    .scale(WATCH_BLOCK_FRACTION),
+            ),
         }
     }
 
@@ -164,7 +169,7 @@
             "listing of the state service completed"
         );
         self.apply_to_cache(watch_cache::Input::Listed { items, first, last });
-        self.wake.roles.notify_one();
+        self.wakeups.roles.notify_one();
         true
     }
 
@@ -210,7 +215,7 @@
                     revision: response.revision,
                     events: response.events,
                 });
-                let fresh = authority::Input::Fresh { sent: sent_at };
+                let fresh = authority::Input::CacheFresh { sent: sent_at };
                 self.state.borrow_mut().authority.apply(fresh);
                 self.observe_link(LinkId::Store, Observation::Success);
                 true
@@ -230,7 +235,7 @@
             return;
         }
         let now = self.now();
-        let charge_result = self.state.borrow_mut().store.requests.take(1.0, now);
+        let charge_result = self.state.borrow_mut().store.request_budget.take(1.0, now);
         if let Err(wait) = charge_result {
             sleep(to_duration(wait)).await;
         }
@@ -247,7 +252,11 @@
         };
         let request = Request::new(Method::Get, target, Vec::new());
         let result = self
-            .call(self.settings.state, request, block_time + margin)
+            .call(
+                self.settings.state_service_address,
+                request,
+                block_time + margin,
+            )
             .await;
         WatchOutcome::from_response(result)
     }
--- a/crates/jasperhill-controller/src/users/dependencies.rs
+++ b/crates/jasperhill-controller/src/users/dependencies.rs
@@ -7,7 +7,9 @@
     state::State,
     watch_cache::{ActiveJob, JobEntry},
 };
-use jasperhill_scheduler::{dependencies::DependencyState, schedule_simulation::remaining};
+use jasperhill_scheduler::{
+    dependencies::DependencyState, schedule_simulation::remaining_run_time,
+};
 use jasperhill_wire::{
     JobId, Micros,
     record::{DEPENDENCIES, RecordPhase},
@@ -48,7 +50,7 @@
         }
         // The watch cache may lag: reject only after a linearizable read that began after the
         // submission arrived.
-        if !self.read_index().await {
+        if !self.linearizable_read().await {
             return Err(Unavailable::StateUnknown.into());
         }
         if self.is_known(&request.id) {
@@ -111,7 +113,7 @@
         if state.cache.dependencies.state_of(id) != DependencyState::Ready {
             return estimate;
         }
-        let ready_since = match state.scheduling.released.get(id) {
+        let ready_since = match state.scheduling.ready_since.get(id) {
             Some(at) => *at,
             None => self.clock.steady(job.submitted),
         };
@@ -119,7 +121,7 @@
         // job has been running since it became ready.
         match owned_partition.and_then(|partition| partition.jobs.get(id)) {
             Some(job) if job.running.is_empty() => estimate,
-            _ => remaining(estimate, now - ready_since),
+            _ => remaining_run_time(estimate, now - ready_since),
         }
     }
 }
--- a/crates/jasperhill-controller/src/watch_cache/queries.rs
+++ b/crates/jasperhill-controller/src/watch_cache/queries.rs
@@ -35,7 +35,7 @@
     /// own record does not say so yet. Returns `None` if the job is unknown or has not ended.
     pub fn final_phase(&self, id: &JobId) -> Option<(RecordPhase, u32)> {
         match self.jobs.get(id)? {
-            JobEntry::Final { phase, done } => Some((*phase, *done)),
+            JobEntry::Final { phase, done_count } => Some((*phase, *done_count)),
             JobEntry::Active(job) => self
                 .is_cancelled_upstream(id)
                 .then_some((RecordPhase::Cancelled, job.done_count)),
@@ -44,11 +44,11 @@
 
     /// Returns whether a job that this job depends on, directly or indirectly, was cancelled.
     fn is_cancelled_upstream(&self, id: &JobId) -> bool {
-        self.dependencies.state_of(id) == DependencyState::Doomed
+        self.dependencies.state_of(id) == DependencyState::UpstreamCancelled
     }
 
     /// Returns the machine types of the cloud, or `None` if some part of the list is missing.
-    pub fn types(&self) -> Option<MachineTypes> {
+    pub fn machine_types(&self) -> Option<MachineTypes> {
         let parts = self.machine_types.get(&0)?.value.parts.max(1);
         let mut machine_types = Vec::new();
         for part in 0..parts {
@@ -82,7 +82,7 @@
                 owner: entry.value.owner.clone(),
                 lease: entry.value.lease,
                 version: entry.version,
-                live: self.owner(*role).is_some(),
+                is_session_live: self.owner(*role).is_some(),
                 relinquished: false,
             };
             (*role, ownership)
--- a/crates/jasperhill-testkit/src/cluster/deployment.rs
+++ b/crates/jasperhill-testkit/src/cluster/deployment.rs
@@ -59,12 +59,17 @@
     text += "[[params.teams]]\nname='guest'\n";
     let mut settings = Settings::parse(&text).unwrap();
     if scenario.without_starvation_guard {
-        settings.operator.tuning.least_share = 0.0;
+        settings.operator.tuning.minimum_share = 0.0;
     }
     settings.operator.session = scenario.session.map(Micros::from_secs);
     if scenario.without_freshness_bound {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
-        settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
+        settings.freshness_bounds = LeaseTerms {
+            lease_duration: lease,
+            cancellation_time: cancel,
+        }
+        .bounds()
+        .unwrap();
     }
     if scenario.without_crash_loop_backoff {
         settings.operator.crash_loop_threshold = Some(0);
--- a/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
@@ -89,8 +89,8 @@
 )]
 fn status_of_late_start(is_guarded: bool) -> u16 {
     let bounds = LeaseTerms {
-        lease: Micros::from_secs(16),
-        cancel: Micros::from_secs(46),
+        lease_duration: Micros::from_secs(16),
+        cancellation_time: Micros::from_secs(46),
     }
     .bounds()
     .unwrap();
@@ -123,7 +123,7 @@
         capacity: Resources::from_units(16.0, 2.0, 128.0),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        boot: Micros::from_secs(20),
+        nominal_boot_time: Micros::from_secs(20),
         price: 4.0,
         spot_price: 2.0,
         zones: vec!["a".into()],
@@ -149,8 +149,8 @@
             );
             let commands = host.commands(|_, _| true);
             let is_renewal_withheld = host
-                .in_flight_known_as_of()
-                .is_some_and(|known| now >= bounds.until(known));
+                .outstanding_starts_known_as_of()
+                .is_some_and(|known| now >= bounds.owner_may_renew_until(known));
             if !(is_guarded && is_renewal_withheld) {
                 host.apply(HostInput::Answered(&commands), now);
                 let answer = serde_json::from_slice(&commands_body(host.token, None, &commands));
@@ -164,13 +164,13 @@
                 host.apply(start_input, now);
                 let commands = host.commands(|_, _| true);
                 sent_commands = commands_body(host.token, host.incarnation, &commands);
-                host.apply(HostInput::DirectSent(commands, now), now);
+                host.apply(HostInput::DirectRequestSent(commands, now), now);
             }
             3 => {
                 host.apply(HostInput::Stop(&task, Micros::ZERO), now);
             }
             7 => {
-                host.apply(HostInput::DirectUnanswered, now);
+                host.apply(HostInput::DirectRequestUnanswered, now);
             }
             _ => {}
         }
