--- a/crates/jasperhill-testkit/src/bin/play-scenario.rs
+++ b/crates/jasperhill-testkit/src/bin/play-scenario.rs
@@ -92,7 +92,7 @@
     }
     if outcomes
         .iter()
-        .all(|(_, outcome)| outcome.broken.is_empty())
+        .all(|(_, outcome)| outcome.violations.is_empty())
     {
         ExitCode::SUCCESS
     } else {
@@ -128,14 +128,14 @@
     format!(
         "broken {:?}, started {}, killed {}, least class {:?}, team {:?}, largest {:?}, \
          longest wait {:.1} s, state peak {}, unowned {:?}, unanswered {}",
-        outcome.broken,
+        outcome.violations,
         outcome.started,
         outcome.killed,
-        outcome.least_class,
-        outcome.least_team,
-        outcome.least_largest,
+        outcome.lowest_class_share,
+        outcome.lowest_team_share,
+        outcome.lowest_largest_jobs_share,
         outcome.longest_wait,
-        outcome.state_peak,
+        outcome.state_peak_requests,
         outcome.unowned,
         outcome.unanswered.len(),
     )
--- a/crates/jasperhill-testkit/src/cluster/agents.rs
+++ b/crates/jasperhill-testkit/src/cluster/agents.rs
@@ -121,8 +121,8 @@
             let faults = &self.inner.borrow().faults;
             (
                 faults.cut_until(&to, from, sent),
-                faults.on_link(from, &to, sent),
-                faults.is_mute(id, sent),
+                faults.link_fault(from, &to, sent),
+                faults.is_not_sending(id, sent),
             )
         };
         if connection.as_ref().is_some_and(|c| c.node != node) {
@@ -131,7 +131,7 @@
         if cannot_send {
             // A worker that can't send reaches no controller: no connection can be opened.
             self.abandon_connection(connection.take(), from);
-            self.inner.borrow_mut().faults.met.mute_reports += 1;
+            self.inner.borrow_mut().faults.counts.unsent_heartbeats += 1;
             sleep(Duration::from_millis(500)).await;
             None
         } else if let Some((kind, until)) = link {
@@ -168,9 +168,9 @@
             _ => answer,
         };
         let now = Instant::now();
-        let cannot_receive = self.inner.borrow().faults.is_deaf(id, now);
+        let cannot_receive = self.inner.borrow().faults.is_not_receiving(id, now);
         if cannot_receive && answer.is_some() {
-            self.inner.borrow_mut().faults.met.unheard += 1;
+            self.inner.borrow_mut().faults.counts.messages_not_received += 1;
             sleep_until(sent + ANSWER_TIMEOUT).await;
             return (None, Instant::now());
         }
@@ -190,7 +190,7 @@
         let node = heartbeat.node;
         let mut inner = self.inner.borrow_mut();
         if answer.as_ref().is_some_and(|a| a.status == 200) && inner.faults.is_refused(node, now) {
-            inner.faults.met.answered_refused += 1;
+            inner.faults.counts.heartbeats_answered_while_refused += 1;
         }
         let ClusterState { workers, jobs, .. } = &mut *inner;
         let worker = workers.get_mut(id)?;
@@ -254,9 +254,9 @@
             let recorded = |inner: &ClusterState| inner.state.recorded().contains(&id);
             let was_gone = {
                 let mut inner = cluster.inner.borrow_mut();
-                inner.faults.met.late_reports += 1;
+                inner.faults.counts.late_reports += 1;
                 let was_gone = !inner.workers.contains_key(&id) && !recorded(&inner);
-                inner.faults.met.late_of_gone += usize::from(was_gone);
+                inner.faults.counts.late_heartbeats_of_returned += usize::from(was_gone);
                 was_gone
             };
             // The answer to the duplicate is discarded.
@@ -264,7 +264,7 @@
             if was_gone {
                 sleep(Duration::from_secs(3)).await;
                 let mut inner = cluster.inner.borrow_mut();
-                inner.faults.met.taken_on_gone += usize::from(recorded(&inner));
+                inner.faults.counts.records_of_returned += usize::from(recorded(&inner));
             }
         });
     }
--- a/crates/jasperhill-testkit/src/cluster/deployment.rs
+++ b/crates/jasperhill-testkit/src/cluster/deployment.rs
@@ -46,7 +46,7 @@
         [params.workers]\nreport_s=2.5\nlease_s=16.0\ngang_wait_s=30.0\ngang_peer_s=4.0\ncancel_s=46.0\n\
         [params.state]\nrps=250.0\nwrite_rps=100.0\nvalue_kb=16.0\ntxn_ops=48\n\
         [params.cloud]\nrps=4.0\nlist_lag_s=3.0\n[params.quota]\n";
-    text += &format!("max_connections={}\n", scenario.sockets);
+    text += &format!("max_connections={}\n", scenario.socket_limit);
     if next_limits_announced {
         text += "[params.state.next]\nwrite_rps=28.0\nvalue_kb=2.0\ntxn_ops=10\n";
     }
@@ -61,7 +61,7 @@
     if scenario.without_starvation_guard {
         settings.operator.tuning.least_share = 0.0;
     }
-    settings.operator.session = scenario.session.map(Micros::from_secs);
+    settings.operator.session = scenario.session_s.map(Micros::from_secs);
     if scenario.without_freshness_bound {
         let (lease, cancel) = (Micros::from_secs(900), Micros::from_secs(3_600));
         settings.bounds = LeaseTerms { lease, cancel }.bounds().unwrap();
--- a/crates/jasperhill-testkit/src/cluster/endpoints.rs
+++ b/crates/jasperhill-testkit/src/cluster/endpoints.rs
@@ -93,9 +93,10 @@
                         Method::Post => faults.held_order(now),
                         _ => None,
                     };
-                    let cannot_receive = delayed.is_none() && faults.is_deaf(&worker_id(to), now);
-                    faults.met.held_orders += usize::from(delayed.is_some());
-                    faults.met.unheard += usize::from(cannot_receive);
+                    let cannot_receive =
+                        delayed.is_none() && faults.is_not_receiving(&worker_id(to), now);
+                    faults.counts.delayed_commands += usize::from(delayed.is_some());
+                    faults.counts.messages_not_received += usize::from(cannot_receive);
                     (delayed, cannot_receive)
                 };
                 if let Some((delay, answer_only)) = delayed {
@@ -134,8 +135,9 @@
             spawn_local(async move {
                 sleep(delay).await;
                 let done = cluster.execute_at_worker(to, &request);
-                let met = &mut cluster.inner.borrow_mut().faults.met;
-                met.held_done += usize::from(done.is_some_and(|(status, _)| status == 200));
+                let met = &mut cluster.inner.borrow_mut().faults.counts;
+                met.delayed_commands_accepted +=
+                    usize::from(done.is_some_and(|(status, _)| status == 200));
             });
         }
     }
@@ -161,12 +163,15 @@
             let body: Value = serde_json::from_slice(&request.body).unwrap();
             let tasks_before = worker.tasks.len();
             let result = worker.on_direct_commands(&body, jobs, now);
-            let mute = faults.mute_for(&worker.id, now).filter(|_| result.0 == 200);
-            faults.met.mute_orders += usize::from(mute.is_some());
+            let mute = faults
+                .not_sending_for(&worker.id, now)
+                .filter(|_| result.0 == 200);
+            faults.counts.commands_while_not_sending += usize::from(mute.is_some());
             // Counts starts only on workers that have been unable to send for longer than two and a
             // half report intervals and one second.
             if mute.is_some_and(|t| t > Duration::from_secs(8)) {
-                faults.met.mute_starts += worker.tasks.len().saturating_sub(tasks_before);
+                faults.counts.starts_while_not_sending +=
+                    worker.tasks.len().saturating_sub(tasks_before);
             }
             result
         })
@@ -188,10 +193,11 @@
             let answer = cluster.execute_at_state_service(node, request).await;
             let mut inner = cluster.inner.borrow_mut();
             let overtaken = inner.transactions_received[node] > before;
-            let met = &mut inner.faults.met;
+            let met = &mut inner.faults.counts;
             met.late_writes += 1;
-            met.overtaken += usize::from(overtaken);
-            met.effective += usize::from(overtaken && answer.is_ok_and(|a| a.status == 200));
+            met.writes_applied_after_newer += usize::from(overtaken);
+            met.late_writes_with_effect +=
+                usize::from(overtaken && answer.is_ok_and(|a| a.status == 200));
         });
         true
     }
--- a/crates/jasperhill-testkit/src/cluster/inbound.rs
+++ b/crates/jasperhill-testkit/src/cluster/inbound.rs
@@ -95,7 +95,7 @@
             self.inner
                 .borrow()
                 .faults
-                .is_whole(from, &Endpoint::Node(connection.node), now);
+                .is_link_intact(from, &Endpoint::Node(connection.node), now);
         if !is_link_whole {
             spawn_local(async move {
                 sleep(HALF_OPEN_TIMEOUT).await;
--- a/crates/jasperhill-testkit/src/cluster/injection.rs
+++ b/crates/jasperhill-testkit/src/cluster/injection.rs
@@ -42,7 +42,7 @@
             Fault::StateOutage(time) => self.begin_state_outage(time),
             Fault::Refused(node, time) => faults(&|f| f.refuse(node, now + time)),
             Fault::CloudOutage(time) => faults(&|f| f.cloud_until = Some(now + time)),
-            Fault::Stall(node, time) => faults(&|f| f.freeze(node, now + time)),
+            Fault::Stall(node, time) => faults(&|f| f.stall(node, now + time)),
             Fault::LateWrites(percent, time) => {
                 faults(&|f| f.late_writes.begin(percent, now + time));
             }
@@ -57,12 +57,12 @@
             }
             Fault::NotReceiving(percent, time) => {
                 for id in self.random_percentage_of_workers(percent) {
-                    faults(&|f| f.deafen(id.clone(), now + time));
+                    faults(&|f| f.block_receiving(id.clone(), now + time));
                 }
             }
             Fault::NotSending(percent, time) => {
                 for id in self.random_percentage_of_workers(percent) {
-                    faults(&|f| f.silence(id.clone(), now, now + time));
+                    faults(&|f| f.block_sending(id.clone(), now, now + time));
                 }
             }
             Fault::Hang(count, time) => self.hang_machines(self.random_workers(count), time),
@@ -175,7 +175,7 @@
             let mut inner = self.inner.borrow_mut();
             let before = inner.workers.get(&id).map(|w| w.incarnation);
             inner.faults.hang(id.clone(), now + time);
-            inner.faults.met.hung += 1;
+            inner.faults.counts.hung += 1;
             drop(inner);
             let cluster = self.clone();
             spawn_local(async move {
@@ -184,7 +184,7 @@
                 let after = inner.workers.get(&id);
                 let resumed_with_tasks =
                     after.is_some_and(|w| Some(w.incarnation) == before && !w.tasks.is_empty());
-                inner.faults.met.went_on += usize::from(resumed_with_tasks);
+                inner.faults.counts.resumed_within_lease += usize::from(resumed_with_tasks);
             });
         }
     }
@@ -204,7 +204,10 @@
                     let outlasts_hang = matches!(t.phase, Phase::Running { until } if until.is_none_or(|t| t > earliest_end));
                     let is_independent = inner.accepted_at.contains_key(&id)
                         && inner.jobs[&id].dependencies.is_empty();
-                    if outlasts_hang && is_independent && !inner.rules.asked.contains(&id) {
+                    if outlasts_hang
+                        && is_independent
+                        && !inner.invariants.cancel_requested.contains(&id)
+                    {
                         machines_by_job
                             .entry(id)
                             .or_default()
@@ -217,7 +220,11 @@
         for (id, hosts) in machines_by_job.into_iter().take(count) {
             machines.extend(hosts);
             let (cluster, wait) = (self.clone(), Duration::from_millis(self.draw(200)));
-            self.inner.borrow_mut().faults.met.called_off += 1;
+            self.inner
+                .borrow_mut()
+                .faults
+                .counts
+                .cancelled_while_running += 1;
             spawn_local(async move {
                 sleep(wait).await;
                 users::cancel(&cluster, &id).await;
--- a/crates/jasperhill-testkit/src/cluster/mod.rs
+++ b/crates/jasperhill-testkit/src/cluster/mod.rs
@@ -46,7 +46,7 @@
     pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, JobRequest>,
     /// Checks the protocol's invariants and records violations.
-    pub rules: InvariantChecker,
+    pub invariants: InvariantChecker,
     /// Number of accepted jobs.
     pub accepted: usize,
     /// Number of jobs that a user was told are done.
@@ -65,7 +65,7 @@
     /// For each controller, whether its last readiness probe by the load balancer succeeded.
     pub(crate) healthy: Vec<bool>,
     /// Submitted job bodies by job id, exactly as sent.
-    pub bodies: BTreeMap<String, Value>,
+    pub submitted_bodies: BTreeMap<String, Value>,
     /// Acceptance times by job id.
     pub accepted_at: BTreeMap<String, Instant>,
     /// For each controller, whether it reads and writes the formats of the old version.
@@ -90,7 +90,7 @@
     pub origin: Instant,
     pub scale: Scale,
     /// The scenario that this cluster runs.
-    pub plan: Scenario,
+    pub scenario: Scenario,
     /// Requests and answers of the controllers, if this run records them.
     pub(crate) transcript: RefCell<Option<Transcript>>,
 }
@@ -124,14 +124,14 @@
 
     /// Records the violation of an invariant.
     pub fn record_violation(&self, what: String) {
-        self.inner.borrow_mut().rules.record_violation(what);
+        self.inner.borrow_mut().invariants.record_violation(what);
     }
 
     /// Waits until no stall fault holds the controller `node`.
     pub(crate) async fn wait_while_stalled(&self, node: usize) {
         loop {
             let now = Instant::now();
-            let until = self.inner.borrow().faults.frozen_until(node, now);
+            let until = self.inner.borrow().faults.stalled_until(node, now);
             match until {
                 Some(until) => sleep_until(until).await,
                 None => return,
@@ -160,8 +160,8 @@
         });
         let next_limits_announced = usize::from(!self.inner.borrow().runs_old_version[node]);
         let settings = self.settings[next_limits_announced][node].clone();
-        let platform = SocketLimit::new(self.plan.sockets);
-        let own = if self.plan.without_connection_budget {
+        let platform = SocketLimit::new(self.scenario.socket_limit);
+        let own = if self.scenario.without_connection_budget {
             let sizes = PlanInputs {
                 max_connections: 1_000_000,
                 peers: NODE_COUNT - 1,
--- a/crates/jasperhill-testkit/src/cluster/network.rs
+++ b/crates/jasperhill-testkit/src/cluster/network.rs
@@ -132,7 +132,11 @@
             return Err(ClientError::NoAnswer);
         }
         let from = Endpoint::Node(node);
-        let link_fault = self.inner.borrow().faults.on_link(&from, &destination, now);
+        let link_fault = self
+            .inner
+            .borrow()
+            .faults
+            .link_fault(&from, &destination, now);
         if let Some((kind, until)) = link_fault {
             return self
                 .route_on_faulty_link(kind, until, (node, to), request, limit)
@@ -143,7 +147,7 @@
             self.inner
                 .borrow()
                 .faults
-                .on_link(&from, &destination, Instant::now());
+                .link_fault(&from, &destination, Instant::now());
         match fault_after_execution.map(|(kind, _)| kind) {
             Some(LinkFault::Reset | LinkFault::Refused) => return Err(ClientError::NoAnswer),
             Some(LinkFault::Held | LinkFault::NoAnswers) => sleep(limit * 2).await,
--- a/crates/jasperhill-testkit/src/cluster/shares.rs
+++ b/crates/jasperhill-testkit/src/cluster/shares.rs
@@ -19,13 +19,14 @@
         let mut counts: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         for (id, at) in &self.accepted_at {
             let job = &self.jobs[id];
-            let is_excluded = self.rules.asked.contains(id) || !job.dependencies.is_empty();
+            let is_excluded =
+                self.invariants.cancel_requested.contains(id) || !job.dependencies.is_empty();
             if is_excluded || job.class.as_str() == "broken" || now - *at < BEGIN_DEADLINE {
                 continue;
             }
             let (all, begun) = counts.entry(of(job)).or_default();
             *all += 1;
-            *begun += usize::from(self.rules.begun.contains_key(id));
+            *begun += usize::from(self.invariants.first_start.contains_key(id));
         }
         let part = |(all, begun): (usize, usize)| begun as f64 / all as f64;
         let counts = counts.into_iter();
@@ -40,9 +41,10 @@
         let mut classes: BTreeMap<String, Vec<(u32, bool)>> = BTreeMap::new();
         for (id, at) in &self.accepted_at {
             let job = &self.jobs[id];
-            let begun = self.rules.begun.get(id);
+            let begun = self.invariants.first_start.get(id);
             let is_excluded = !job.dependencies.is_empty() || job.class.as_str() == "broken";
-            let cancelled_before_begin = begun.is_none() && self.rules.asked.contains(id);
+            let cancelled_before_begin =
+                begun.is_none() && self.invariants.cancel_requested.contains(id);
             if is_excluded || cancelled_before_begin || now - *at < LARGEST_JOBS_BEGIN_DEADLINE {
                 continue;
             }
--- a/crates/jasperhill-testkit/src/cluster/time.rs
+++ b/crates/jasperhill-testkit/src/cluster/time.rs
@@ -28,15 +28,18 @@
             let is_reached = (0..NODE_COUNT).any(|n| {
                 let (node_endpoint, faults) = (Endpoint::Node(n), &inner.faults);
                 inner.nodes[n].is_some()
-                    && faults.frozen_until(n, now).is_none()
+                    && faults.stalled_until(n, now).is_none()
                     && !faults.is_refused(n, now)
                     && faults.state_until.is_none_or(|t| now >= t)
-                    && faults.is_whole(&node_endpoint, &Endpoint::State, now)
-                    && faults.is_whole(&node_endpoint, &zone_endpoint, now)
-                    && faults.is_whole(&zone_endpoint, &node_endpoint, now)
+                    && faults.is_link_intact(&node_endpoint, &Endpoint::State, now)
+                    && faults.is_link_intact(&node_endpoint, &zone_endpoint, now)
+                    && faults.is_link_intact(&zone_endpoint, &node_endpoint, now)
             });
             if !is_reached {
-                inner.rules.out_of_reach.insert(zone.to_owned(), now);
+                inner
+                    .invariants
+                    .last_unreachable
+                    .insert(zone.to_owned(), now);
             }
         }
     }
@@ -62,7 +65,7 @@
                 let ClusterState {
                     cloud,
                     workers,
-                    rules,
+                    invariants: rules,
                     jobs,
                     rng,
                     state,
@@ -100,7 +103,7 @@
                 if ticks.is_multiple_of(10) {
                     rules.check_waiting_jobs(workers, jobs, accepted_at, &limits, now);
                 }
-                let ended_jobs = rules.just_ended(jobs).into_iter();
+                let ended_jobs = rules.take_completed_jobs(jobs).into_iter();
                 jobs_to_cancel = ended_jobs
                     .filter(|_| faults.at_end(now))
                     .collect::<Vec<_>>();
--- a/crates/jasperhill-testkit/src/days.rs
+++ b/crates/jasperhill-testkit/src/days.rs
@@ -111,8 +111,8 @@
         }
     }
     Scenario {
-        uneven: 8,
-        bound: 8,
+        uneven_arrays: 8,
+        zone_bound_jobs: 8,
         pipelines: (3, 40),
         ..Scenario::small(seed, 340, 60, faults)
     }
@@ -194,7 +194,7 @@
         (110, Fault::Stall(rng.random_range(0..3), secs(20))),
     ];
     Scenario {
-        broken: 3,
+        failing_arrays: 3,
         huge_guest_array: true,
         flood: (60, 40),
         flood_of_one_team: seed.is_multiple_of(2),
--- a/crates/jasperhill-testkit/src/faults.rs
+++ b/crates/jasperhill-testkit/src/faults.rs
@@ -190,7 +190,7 @@
     /// Percentage of completing jobs that are cancelled at that moment.
     pub cancel_at_end: ActivePercentage,
     /// How often each fault took effect.
-    pub met: FaultCounts,
+    pub counts: FaultCounts,
     /// Generator of its own: numbers drawn from it change no other random choice of the run. `None`
     /// until it is seeded or first used.
     rng: Option<StdRng>,
@@ -219,44 +219,45 @@
     /// Delayed transactions that were executed.
     pub late_writes: usize,
     /// Delayed transactions that were executed after a newer transaction of the same controller.
-    pub overtaken: usize,
-    /// Transactions counted in `overtaken` that were committed nevertheless.
-    pub effective: usize,
+    pub writes_applied_after_newer: usize,
+    /// Transactions counted in `writes_applied_after_newer` that were committed nevertheless.
+    pub late_writes_with_effect: usize,
     /// Second copies of heartbeats that were delivered late.
     pub late_reports: usize,
     /// Heartbeat answers and direct commands lost on workers that receive nothing.
-    pub unheard: usize,
+    pub messages_not_received: usize,
     /// Direct commands that were delayed, or whose answers were.
-    pub held_orders: usize,
+    pub delayed_commands: usize,
     /// Delayed direct commands that the worker accepted when they arrived. Includes commands
     /// delayed because the machine hung.
-    pub held_done: usize,
+    pub delayed_commands_accepted: usize,
     /// Heartbeats for which a worker that is unable to send could not open a connection.
-    pub mute_reports: usize,
+    pub unsent_heartbeats: usize,
     /// Direct command requests accepted by workers that are unable to send heartbeats.
-    pub mute_orders: usize,
+    pub commands_while_not_sending: usize,
     /// Tasks that direct commands added on workers that had been unable to send heartbeats for
     /// longer than several heartbeat intervals.
-    pub mute_starts: usize,
+    pub starts_while_not_sending: usize,
     /// Late copies of heartbeats from machines that no longer existed and had no host record.
-    pub late_of_gone: usize,
-    /// Copies counted in `late_of_gone` after which the machine had a host record again.
-    pub taken_on_gone: usize,
+    pub late_heartbeats_of_returned: usize,
+    /// Copies counted in `late_heartbeats_of_returned` after which the machine had a host record
+    /// again.
+    pub records_of_returned: usize,
     /// Machines that hung.
     pub hung: usize,
     /// Machines that still had tasks when they resumed from a hang, and had kept their lease.
-    pub went_on: usize,
+    pub resumed_within_lease: usize,
     /// Jobs cancelled while they ran, by `Fault::CancelNow`.
-    pub called_off: usize,
+    pub cancelled_while_running: usize,
     /// Jobs cancelled at the moment of their completion, by `Fault::CancelAtEnd`.
-    pub at_end: usize,
-    /// Jobs counted in `at_end` that were reported as done.
-    pub at_end_done: usize,
+    pub cancelled_at_end: usize,
+    /// Jobs counted in `cancelled_at_end` that were reported as done.
+    pub done_despite_cancellation: usize,
     /// Repeated or invalid requests of `Fault::InvalidRequests` that were answered as they should
     /// be.
-    pub odd: usize,
+    pub invalid_requests_answered: usize,
     /// Heartbeats answered with 200 by a controller that the state service refuses.
-    pub answered_refused: usize,
+    pub heartbeats_answered_while_refused: usize,
 }
 
 impl ActiveFaults {
@@ -296,26 +297,26 @@
         })
     }
     /// Makes a worker receive nothing until this time.
-    pub fn deafen(&mut self, worker: String, until: Instant) {
+    pub fn block_receiving(&mut self, worker: String, until: Instant) {
         self.not_receiving.push((worker, until));
     }
     /// Returns whether a worker receives nothing.
-    pub fn is_deaf(&self, worker: &str, now: Instant) -> bool {
+    pub fn is_not_receiving(&self, worker: &str, now: Instant) -> bool {
         self.not_receiving
             .iter()
             .any(|(w, t)| w == worker && now < *t)
     }
 
     /// Makes a worker unable to send heartbeats until this time.
-    pub fn silence(&mut self, worker: String, now: Instant, until: Instant) {
+    pub fn block_sending(&mut self, worker: String, now: Instant, until: Instant) {
         self.not_sending.push((worker, now, until));
     }
     /// Returns whether a worker is unable to send heartbeats.
-    pub fn is_mute(&self, worker: &str, now: Instant) -> bool {
-        self.mute_for(worker, now).is_some()
+    pub fn is_not_sending(&self, worker: &str, now: Instant) -> bool {
+        self.not_sending_for(worker, now).is_some()
     }
     /// Returns how long a worker has been unable to send heartbeats; `None` if it can send.
-    pub fn mute_for(&self, worker: &str, now: Instant) -> Option<Duration> {
+    pub fn not_sending_for(&self, worker: &str, now: Instant) -> Option<Duration> {
         let active = self
             .not_sending
             .iter()
@@ -347,7 +348,7 @@
     }
     /// Returns the fault of a link in this direction and the time at which it ends; of several, the
     /// one that ends last.
-    pub fn on_link(
+    pub fn link_fault(
         &self,
         from: &Endpoint,
         to: &Endpoint,
@@ -360,19 +361,19 @@
             .max_by_key(|(_, until)| *until)
     }
     /// Returns whether there is neither a link fault nor a partition in this direction.
-    pub fn is_whole(&self, from: &Endpoint, to: &Endpoint, now: Instant) -> bool {
-        self.on_link(from, to, now).is_none() && self.cut_until(from, to, now).is_none()
+    pub fn is_link_intact(&self, from: &Endpoint, to: &Endpoint, now: Instant) -> bool {
+        self.link_fault(from, to, now).is_none() && self.cut_until(from, to, now).is_none()
     }
     /// Makes the state service refuse a controller until this time.
     pub fn refuse(&mut self, node: usize, until: Instant) {
         self.refused.push((node, until));
     }
     /// Pauses a controller's process until this time.
-    pub fn freeze(&mut self, node: usize, until: Instant) {
+    pub fn stall(&mut self, node: usize, until: Instant) {
         self.stalled.push((node, until));
     }
     /// Returns the time at which a controller's process resumes; `None` if it is not paused.
-    pub fn frozen_until(&self, node: usize, now: Instant) -> Option<Instant> {
+    pub fn stalled_until(&self, node: usize, now: Instant) -> Option<Instant> {
         self.stalled
             .iter()
             .filter(|(n, until)| *n == node && now < *until)
--- a/crates/jasperhill-testkit/src/invariants.rs
+++ b/crates/jasperhill-testkit/src/invariants.rs
@@ -20,32 +20,32 @@
 #[derive(Default)]
 pub struct InvariantChecker {
     /// Violations in the order in which they were found; at most 50.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Tasks that have completed.
     completed_tasks: BTreeSet<TaskId>,
     /// Time at which a user was first told that the job is cancelled.
     pub cancelled: BTreeMap<String, Instant>,
     /// Number of pipeline jobs whose users were told that they are done.
-    pub staged: usize,
+    pub pipeline_jobs_done: usize,
     /// Number of jobs that were cancelled without a request of their own, because a job they depend
     /// on was cancelled.
-    pub swept: usize,
+    pub cancelled_with_dependency: usize,
     /// Number of jobs of the class `uneven`, the tasks of which end far apart, that were reported
     /// as done to their users.
-    pub uneven: usize,
+    pub uneven_jobs_done: usize,
     /// Number of task starts after the task had already completed.
-    pub again: usize,
+    pub tasks_restarted_after_result: usize,
     /// Whether all invalid dependency lists have been refused.
-    pub picked: bool,
+    pub invalid_dependencies_refused: bool,
     /// Jobs whose users have asked to cancel them.
-    pub asked: BTreeSet<String>,
+    pub cancel_requested: BTreeSet<String>,
     /// Starts since the last check (host, task and attempt), kept until then because each start is
     /// checked against the tasks on all workers.
     new_starts: Vec<(String, TaskId, u64)>,
     /// Number of task starts.
     pub started: usize,
     /// Time of the first start of a task of each job.
-    pub begun: BTreeMap<String, Instant>,
+    pub first_start: BTreeMap<String, Instant>,
     /// Jobs whose users were told that they are cancelled, by id.
     pub cancels: BTreeMap<String, CancelledJob>,
     /// Time of the last answered query about each job that users query.
@@ -55,11 +55,11 @@
     recent_queries: VecDeque<(Instant, bool)>,
     /// Time after which no fault excuses unanswered queries or waiting jobs; `None` if there is
     /// none.
-    pub calm_from: Option<Instant>,
+    pub faults_end: Option<Instant>,
     /// Longest time for which all queries about some job went unanswered.
     pub longest_silence: Duration,
-    /// Longest time after `calm_from` for which all queries about some job went unanswered.
-    pub longest_silence_in_calm: Duration,
+    /// Longest time after `faults_end` for which all queries about some job went unanswered.
+    pub longest_silence_after_faults: Duration,
     /// Most tasks that were started and had not exited at the same time.
     pub most_at_once: usize,
     /// Number of tasks killed because their worker's lease expired.
@@ -71,10 +71,10 @@
     pub killed_in_reach: usize,
     /// Last time at which no controller reached both the state service and the zone's workers, by
     /// zone.
-    pub out_of_reach: BTreeMap<String, Instant>,
+    pub last_unreachable: BTreeMap<String, Instant>,
     /// First final phase that a user was told of each job, and the time.
     final_phases: BTreeMap<String, (String, Instant)>,
-    /// Jobs of which a task has completed since the last call of `just_ended`.
+    /// Jobs of which a task has completed since the last call of `take_completed_jobs`.
     jobs_with_completions: BTreeSet<JobId>,
     /// Number of task starts after the job's user was told that the job is cancelled.
     pub started_after: usize,
@@ -136,10 +136,10 @@
         let silence = now - last;
         self.longest_silence = self.longest_silence.max(silence);
         let calm_silence = self
-            .calm_from
+            .faults_end
             .map(|t| now.saturating_duration_since(t.max(last)));
         if let Some(calm_silence) = calm_silence {
-            self.longest_silence_in_calm = self.longest_silence_in_calm.max(calm_silence);
+            self.longest_silence_after_faults = self.longest_silence_after_faults.max(calm_silence);
         }
         let answered_queries = self.recent_queries.iter().filter(|(_, ok)| *ok).count();
         let most_answered = answered_queries * 2 > self.recent_queries.len();
@@ -156,7 +156,7 @@
     /// Records the phase that a user was told in answer to a query sent at `sent`, and checks the
     /// rule `went_back`: once a user was told a final phase, no query sent after that may be
     /// answered with another phase, and no query at all with another final phase.
-    pub fn told(&mut self, id: &str, phase: &str, sent: Instant, now: Instant) {
+    pub fn record_phase(&mut self, id: &str, phase: &str, sent: Instant, now: Instant) {
         let is_final = |phase: &str| matches!(phase, "done" | "aborted");
         match self.final_phases.get(id) {
             Some((told_phase, at)) if told_phase != phase && (*at <= sent || is_final(phase)) => {
@@ -175,7 +175,10 @@
         self.final_phases.get(id).map(|(phase, _)| phase.as_str())
     }
     /// Returns the jobs whose last task has completed since the last call.
-    pub(crate) fn just_ended(&mut self, jobs: &BTreeMap<String, JobRequest>) -> Vec<String> {
+    pub(crate) fn take_completed_jobs(
+        &mut self,
+        jobs: &BTreeMap<String, JobRequest>,
+    ) -> Vec<String> {
         let candidates = std::mem::take(&mut self.jobs_with_completions);
         let completed = candidates
             .iter()
@@ -194,7 +197,7 @@
         limits: &BTreeMap<String, u64>,
         now: Instant,
     ) {
-        if self.calm_from.is_none_or(|calm| now < calm) {
+        if self.faults_end.is_none_or(|calm| now < calm) {
             return;
         }
         // Tasks that have not started also take up capacity: they may still be fetching their
@@ -222,7 +225,9 @@
             .filter(|j| {
                 !placed_jobs.contains(j.id.as_str()) && !self.all_done(j) && !has_final_phase(&j.id)
             })
-            .filter(|j| !self.asked.contains(j.id.as_str()) && j.class.as_str() != "broken")
+            .filter(|j| {
+                !self.cancel_requested.contains(j.id.as_str()) && j.class.as_str() != "broken"
+            })
             .filter(|j| {
                 j.dependencies
                     .iter()
@@ -281,7 +286,7 @@
     }
 
     /// Records that a controller told a user that the job is cancelled. Only the first time counts.
-    pub(crate) fn confirmed(
+    pub(crate) fn record_cancellation(
         &mut self,
         id: &str,
         node: usize,
@@ -305,8 +310,8 @@
     }
     /// Records a violation; drops it if there are 50 already.
     pub fn record_violation(&mut self, violation: String) {
-        if self.broken.len() < 50 {
-            self.broken.push(violation);
+        if self.violations.len() < 50 {
+            self.violations.push(violation);
         }
     }
     /// Checks the starts since the last call and the started tasks on all workers.
@@ -419,8 +424,8 @@
 
     fn started(&mut self, worker: &Worker, task: &TaskId, attempt: u64) {
         self.started += 1;
-        self.again += usize::from(self.completed_tasks.contains(task));
-        let first = self.begun.entry(task.job.to_string());
+        self.tasks_restarted_after_result += usize::from(self.completed_tasks.contains(task));
+        let first = self.first_start.entry(task.job.to_string());
         first.or_insert_with(Instant::now);
         self.new_starts
             .push((worker.id.clone(), task.clone(), attempt));
@@ -428,7 +433,7 @@
 
     fn lease_expired(&mut self, zone: &str, killed: usize, lease: Duration, now: Instant) {
         self.killed += killed;
-        let unreachable = self.out_of_reach.get(zone);
+        let unreachable = self.last_unreachable.get(zone);
         if unreachable.is_none_or(|t| now - *t > lease + lease / 4) {
             self.killed_in_reach += killed;
         }
--- a/crates/jasperhill-testkit/src/lib.rs
+++ b/crates/jasperhill-testkit/src/lib.rs
@@ -2,7 +2,7 @@
 //! service, cloud, workers and users between them.
 //!
 //! Runs are seeded and use tokio's paused clock, so that a run repeats exactly. The protocol's
-//! invariants are checked at every step; violations are recorded in `Outcome::broken`.
+//! invariants are checked at every step; violations are recorded in `Outcome::violations`.
 
 #![expect(
     missing_docs,
--- a/crates/jasperhill-testkit/src/outcome.rs
+++ b/crates/jasperhill-testkit/src/outcome.rs
@@ -7,7 +7,7 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// Violations of the protocol's rules, in the order in which they were found.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of jobs accepted.
     pub accepted: usize,
     /// Number of jobs whose users were told that they are done.
@@ -34,30 +34,30 @@
     /// Host records at the end of machines that don't exist.
     pub stale_host_records: Vec<String>,
     /// Number of transactions that the state service refused because they exceeded a size limit.
-    pub too_large: usize,
+    pub oversized_writes: usize,
     /// Length of the longest value in the state service at the end, in bytes of JSON.
-    pub longest: usize,
+    pub longest_value_bytes: usize,
     /// Number of pipeline jobs whose users were told that they are done.
-    pub staged: usize,
+    pub pipeline_jobs_done: usize,
     /// Number of jobs that were cancelled because a job they depend on was.
-    pub swept: usize,
+    pub cancelled_with_dependency: usize,
     /// Whether all invalid dependency lists were refused.
-    pub picked: bool,
+    pub invalid_dependencies_refused: bool,
     /// Most sockets that a controller process had open at the same time.
-    pub sockets: usize,
+    pub peak_sockets: usize,
     /// Number of sockets refused to controller processes by the platform's limit.
     pub refused_sockets: usize,
     /// Class with the smallest share of jobs that have begun, and the share. Counts jobs accepted a
     /// while before the end and not cancelled.
-    pub least_class: (String, f64),
+    pub lowest_class_share: (String, f64),
     /// Team with the smallest share of jobs that have begun, and the share, counted as for the
     /// classes.
-    pub least_team: (String, f64),
+    pub lowest_team_share: (String, f64),
     /// Share of jobs that have begun, for every class and every team.
-    pub served: BTreeMap<String, f64>,
+    pub started_shares: BTreeMap<String, f64>,
     /// Class with the smallest share of its largest jobs that began within four minutes, and the
     /// share.
-    pub least_largest: (String, f64),
+    pub lowest_largest_jobs_share: (String, f64),
     /// Confirmed cancellations.
     pub cancels: Vec<ConfirmedCancellation>,
     /// Longest time in seconds for which all queries about some job went unanswered: in the whole
@@ -65,11 +65,11 @@
     pub longest_silence: (f64, f64),
     /// Number of jobs of the class `uneven`, the tasks of which end far apart, that were reported as
     /// done to their users.
-    pub uneven: usize,
+    pub uneven_jobs_done: usize,
     /// Number of task starts, of all jobs, after the task had already completed.
-    pub again: usize,
+    pub tasks_restarted_after_result: usize,
     /// Number of jobs restricted to one zone of which a task has started.
-    pub bound: usize,
+    pub zone_bound_jobs_started: usize,
     /// Number of task starts after the job's user was told that the job is cancelled.
     pub started_after: usize,
     /// Longest time in seconds from telling a user that the job is cancelled to a start of one of
@@ -82,7 +82,7 @@
     pub fault_counts: FaultCounts,
     /// Most requests that the state service counted in any one-second window. A transaction counts
     /// as one request.
-    pub state_peak: usize,
+    pub state_peak_requests: usize,
 }
 
 /// Cancellation that a user was told of.
--- a/crates/jasperhill-testkit/src/runner.rs
+++ b/crates/jasperhill-testkit/src/runner.rs
@@ -126,7 +126,7 @@
     let mut faults = ActiveFaults::default();
     faults.seed(scenario.seed);
     let mut rules = InvariantChecker::default();
-    rules.calm_from = Some(now + fault_free_after(scenario));
+    rules.faults_end = Some(now + fault_free_after(scenario));
     let cluster = Rc::new(SimulatedCluster {
         weak_self: RefCell::new(Weak::new()),
         inner: RefCell::new(ClusterState {
@@ -135,7 +135,7 @@
             cloud,
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            rules,
+            invariants: rules,
             accepted: 0,
             finished: 0,
             nodes: vec![None; NODE_COUNT],
@@ -145,7 +145,7 @@
             past_refused_sockets: 0,
             healthy: vec![true; NODE_COUNT],
             accepted_at: BTreeMap::new(),
-            bodies: BTreeMap::new(),
+            submitted_bodies: BTreeMap::new(),
             runs_old_version: vec![scenario.old_version; NODE_COUNT],
             faults,
             transactions_received: vec![0; NODE_COUNT],
@@ -158,7 +158,7 @@
         }),
         origin: now,
         scale: scenario.scale,
-        plan: scenario.clone(),
+        scenario: scenario.clone(),
         transcript: RefCell::new(transcript),
     });
     *cluster.weak_self.borrow_mut() = Rc::downgrade(&cluster);
@@ -208,19 +208,19 @@
     }
     start_overload_jobs(cluster, scenario);
     start_dependent_jobs(cluster, scenario);
-    for number in 0..scenario.uneven {
+    for number in 0..scenario.uneven_arrays {
         let at = Duration::from_secs(20 + 4 * number as u64);
         spawn_at(cluster, at, move |cluster| {
             users::run_user(cluster, users::uneven_array(number))
         });
     }
-    for number in 0..scenario.bound {
+    for number in 0..scenario.zone_bound_jobs {
         let at = Duration::from_millis(15_000 + 2_500 * number as u64);
         spawn_at(cluster, at, move |cluster| {
             users::run_user(cluster, users::zone_bound_job(number))
         });
     }
-    let failing = (0..scenario.broken).map(users::failing_array);
+    let failing = (0..scenario.failing_arrays).map(users::failing_array);
     let huge = scenario.huge_guest_array.then(users::huge_array);
     for (n, body) in failing.chain(huge).enumerate() {
         let at = Duration::from_secs(30 + 7 * n as u64);
@@ -270,13 +270,13 @@
 /// Collects the outcome, without the final state of the deployment.
 fn collect_outcome(cluster: &SimulatedCluster) -> Outcome {
     let (inner, origin) = (cluster.inner.borrow(), cluster.origin);
-    let rules = &inner.rules;
+    let rules = &inner.invariants;
     let moves = inner.state.moves.iter();
     let by_class = inner.begun_shares(|job| job.class.to_string());
     let by_team = inner.begun_shares(|job| job.team.to_string());
-    let zone_bound_ids = (0..cluster.plan.bound).map(users::bound_id);
+    let zone_bound_ids = (0..cluster.scenario.zone_bound_jobs).map(users::bound_id);
     Outcome {
-        broken: rules.broken.clone(),
+        violations: rules.violations.clone(),
         accepted: inner.accepted,
         finished: inner.finished,
         started: rules.started,
@@ -291,32 +291,32 @@
         unowned: Vec::new(),
         unanswered: Vec::new(),
         stale_host_records: Vec::new(),
-        too_large: inner.state.too_large,
-        longest: inner.state.longest(),
-        staged: rules.staged,
-        swept: rules.swept,
-        picked: rules.picked,
-        sockets: inner.past_peak_sockets,
+        oversized_writes: inner.state.too_large,
+        longest_value_bytes: inner.state.longest(),
+        pipeline_jobs_done: rules.pipeline_jobs_done,
+        cancelled_with_dependency: rules.cancelled_with_dependency,
+        invalid_dependencies_refused: rules.invalid_dependencies_refused,
+        peak_sockets: inner.past_peak_sockets,
         refused_sockets: inner.past_refused_sockets,
-        least_largest: smallest_share(inner.largest_jobs_begun_shares()),
+        lowest_largest_jobs_share: smallest_share(inner.largest_jobs_begun_shares()),
         cancels: cancellations(rules, origin),
         longest_silence: (
             rules.longest_silence.as_secs_f64(),
-            rules.longest_silence_in_calm.as_secs_f64(),
+            rules.longest_silence_after_faults.as_secs_f64(),
         ),
-        uneven: rules.uneven,
-        bound: zone_bound_ids
-            .filter(|id| rules.begun.contains_key(id))
+        uneven_jobs_done: rules.uneven_jobs_done,
+        zone_bound_jobs_started: zone_bound_ids
+            .filter(|id| rules.first_start.contains_key(id))
             .count(),
-        again: rules.again,
+        tasks_restarted_after_result: rules.tasks_restarted_after_result,
         started_after: rules.started_after,
         latest_start: rules.latest_start.as_secs_f64(),
         longest_wait: rules.longest_wait.as_secs_f64(),
-        fault_counts: inner.faults.met,
-        least_class: smallest_share(by_class.clone()),
-        least_team: smallest_share(by_team.clone()),
-        served: by_class.into_iter().chain(by_team).collect(),
-        state_peak: inner.state.busiest(),
+        fault_counts: inner.faults.counts,
+        lowest_class_share: smallest_share(by_class.clone()),
+        lowest_team_share: smallest_share(by_team.clone()),
+        started_shares: by_class.into_iter().chain(by_team).collect(),
+        state_peak_requests: inner.state.busiest(),
     }
 }
 
--- a/crates/jasperhill-testkit/src/scenario.rs
+++ b/crates/jasperhill-testkit/src/scenario.rs
@@ -15,7 +15,7 @@
     pub faults: Vec<(u64, Fault)>,
     pub scale: Scale,
     /// Number of arrays submitted with a mistake: their tasks fail on every machine.
-    pub broken: usize,
+    pub failing_arrays: usize,
     /// Whether a team without a guarantee submits a huge array of short, tiny tasks.
     pub huge_guest_array: bool,
     /// Number of chains of dependent jobs, and the second from which they are submitted.
@@ -25,7 +25,7 @@
     /// Whether all controllers start with the formats of the old version.
     pub old_version: bool,
     /// Number of sockets that the platform allows each controller process.
-    pub sockets: usize,
+    pub socket_limit: usize,
     /// Disables the controllers' own connection limits.
     pub without_connection_budget: bool,
     /// Disables the crash-loop backoff: controllers never give up their roles, however often they
@@ -41,13 +41,13 @@
     /// seconds.
     pub long_tasks: Option<(u64, u64)>,
     /// Number of arrays of two or three tasks that end far apart; nobody cancels these jobs.
-    pub uneven: usize,
+    pub uneven_arrays: usize,
     /// Number of arrays, gangs and services that are restricted to one given zone or must have all
     /// tasks in one zone.
-    pub bound: usize,
+    pub zone_bound_jobs: usize,
     /// Time in seconds that a controller's session outlives its last renewal, as set by the
     /// operators; `None` if they set none.
-    pub session: Option<u64>,
+    pub session_s: Option<u64>,
     /// Disables the freshness bound: leases are renewed however old the state is that the renewal
     /// rests on.
     pub without_freshness_bound: bool,
@@ -62,21 +62,21 @@
             jobs,
             faults,
             scale: Scale::Small,
-            broken: 0,
+            failing_arrays: 0,
             huge_guest_array: false,
             pipelines: (0, 0),
             limits: false,
             old_version: false,
-            sockets: DEFAULT_SOCKET_LIMIT,
+            socket_limit: DEFAULT_SOCKET_LIMIT,
             without_connection_budget: false,
             without_crash_loop_backoff: false,
             without_starvation_guard: false,
             flood: (0, 0),
             flood_of_one_team: false,
             long_tasks: None,
-            uneven: 0,
-            bound: 0,
-            session: None,
+            uneven_arrays: 0,
+            zone_bound_jobs: 0,
+            session_s: None,
             without_freshness_bound: false,
         }
     }
--- a/crates/jasperhill-testkit/src/stress.rs
+++ b/crates/jasperhill-testkit/src/stress.rs
@@ -74,7 +74,7 @@
         let faults = (0..self.nodes).map(|node| (40, crash_loop(node))).collect();
         Scenario {
             scale: self.scale,
-            sockets: 985,
+            socket_limit: 985,
             ..Scenario::small(seed, 90, 150, faults)
         }
     }
--- a/crates/jasperhill-testkit/src/users/jobs.rs
+++ b/crates/jasperhill-testkit/src/users/jobs.rs
@@ -66,7 +66,7 @@
     } else {
         8.0 + pick(30) as f64
     };
-    if cluster.plan.long_tasks.is_some() {
+    if cluster.scenario.long_tasks.is_some() {
         // Tasks outlast the run, and the job has no deadline, which it would miss.
         expected_s *= 60.0;
         due_s = Value::Null;
--- a/crates/jasperhill-testkit/src/users/mod.rs
+++ b/crates/jasperhill-testkit/src/users/mod.rs
@@ -45,7 +45,7 @@
     {
         let mut inner = cluster.inner.borrow_mut();
         inner.jobs.insert(id.clone(), request);
-        inner.bodies.insert(id.clone(), body.clone());
+        inner.submitted_bodies.insert(id.clone(), body.clone());
     }
     let submit = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
     let started = Instant::now();
@@ -60,7 +60,7 @@
             }
             _ if started.elapsed() > Duration::from_secs(60) => return false,
             Some((503, _)) | None => {
-                cluster.inner.borrow_mut().rules.undecided += 1;
+                cluster.inner.borrow_mut().invariants.undecided += 1;
                 sleep(Duration::from_secs(2)).await;
             }
             _ => sleep(Duration::from_secs(2)).await,
@@ -87,7 +87,7 @@
         _ => (cluster.draw(3) == 0 || body["shape"] == "daemon")
             .then(|| Instant::now() + Duration::from_secs(5 + cluster.draw(80))),
     };
-    let cancel_at = match cluster.plan.long_tasks {
+    let cancel_at = match cluster.scenario.long_tasks {
         Some((from_s, to_s)) if class != "uneven" && cluster.draw(3) > 0 => {
             let offset = Duration::from_millis(cluster.draw((to_s - from_s) * 1_000));
             Some(cluster.origin + Duration::from_secs(from_s) + offset)
@@ -101,7 +101,12 @@
         sleep(Duration::from_millis(3_000 + cluster.draw(4_000))).await;
         if !asked_to_cancel && cancel_at.is_some_and(|t| Instant::now() >= t) {
             asked_to_cancel = true;
-            cluster.inner.borrow_mut().rules.asked.insert(id.clone());
+            cluster
+                .inner
+                .borrow_mut()
+                .invariants
+                .cancel_requested
+                .insert(id.clone());
         }
         let resubmit = cluster.draw(12) == 0;
         // A query follows every failed attempt to cancel.
@@ -121,8 +126,8 @@
         cancel_failed = cancelling && !answered;
         check_answer(&cluster, &id, answer, sent);
         let inner = cluster.inner.borrow();
-        is_final = inner.rules.final_phase(&id).is_some();
-        asked_to_cancel |= inner.rules.asked.contains(&id);
+        is_final = inner.invariants.final_phase(&id).is_some();
+        asked_to_cancel |= inner.invariants.cancel_requested.contains(&id);
     }
 }
 
@@ -138,7 +143,7 @@
     let answered = matches!(answer, Some((_, 200 | 201, _)));
     let mut inner_borrow = cluster.inner.borrow_mut();
     let inner = &mut *inner_borrow;
-    let rules = &mut inner.rules;
+    let rules = &mut inner.invariants;
     let was_final = rules.final_phase(id).is_some();
     rules.record_query(id, answered, was_final, now);
     let (node, text) = match answer {
@@ -151,7 +156,7 @@
     };
     let answer: Value = serde_json::from_str(&text).unwrap();
     let phase = answer["phase"].as_str().unwrap();
-    rules.told(id, phase, sent, now);
+    rules.record_phase(id, phase, sent, now);
     let job = &inner.jobs[id];
     match phase {
         "done" => {
@@ -162,31 +167,35 @@
             }
             if !was_final {
                 inner.finished += 1;
-                rules.staged += usize::from(job.class.as_str() == "stage");
-                rules.uneven += usize::from(job.class.as_str() == "uneven");
+                rules.pipeline_jobs_done += usize::from(job.class.as_str() == "stage");
+                rules.uneven_jobs_done += usize::from(job.class.as_str() == "uneven");
             }
         }
         "aborted" => {
-            let asked = rules.asked.contains(id);
+            let asked = rules.cancel_requested.contains(id);
             drop(inner_borrow);
             let upstream = cluster.inner.borrow().upstream_jobs(id);
             let mut inner_borrow = cluster.inner.borrow_mut();
             let inner = &mut *inner_borrow;
-            let rules = &mut inner.rules;
-            if !asked && !upstream.iter().any(|u| rules.asked.contains(u.as_str())) {
+            let rules = &mut inner.invariants;
+            if !asked
+                && !upstream
+                    .iter()
+                    .any(|u| rules.cancel_requested.contains(u.as_str()))
+            {
                 rules.record_violation(format!("went_back: {id} is cancelled without a request"));
             }
             if !was_final && !asked {
-                rules.swept += 1;
+                rules.cancelled_with_dependency += 1;
             }
             rules.cancelled.entry(id.to_owned()).or_insert(now);
-            rules.confirmed(id, node, &inner.workers, now);
+            rules.record_cancellation(id, node, &inner.workers, now);
         }
         _ => {
             drop(inner_borrow);
             let orphaned = {
                 let inner = cluster.inner.borrow();
-                let cancelled_at = &inner.rules.cancelled;
+                let cancelled_at = &inner.invariants.cancelled;
                 let is_long_cancelled =
                     |u: &String| cancelled_at.get(u).is_some_and(|t| t.elapsed() > CANCEL);
                 inner.upstream_jobs(id).iter().any(is_long_cancelled)
@@ -202,7 +211,12 @@
 
 /// Cancels a job: sends the request until it is answered with 200.
 pub async fn cancel(cluster: &Rc<SimulatedCluster>, id: &str) {
-    cluster.inner.borrow_mut().rules.asked.insert(id.to_owned());
+    cluster
+        .inner
+        .borrow_mut()
+        .invariants
+        .cancel_requested
+        .insert(id.to_owned());
     let abort = Request::new(Method::Post, format!("/v1/jobs/{id}/abort"), Vec::new());
     loop {
         let sent = Instant::now();
@@ -221,11 +235,16 @@
 pub fn cancel_at_end(cluster: &Rc<SimulatedCluster>, id: String) {
     let body = {
         let inner = cluster.inner.borrow();
-        let is_excluded = inner.rules.asked.contains(&id) || !inner.accepted_at.contains_key(&id);
-        inner.bodies.get(&id).filter(|_| !is_excluded).cloned()
+        let is_excluded =
+            inner.invariants.cancel_requested.contains(&id) || !inner.accepted_at.contains_key(&id);
+        inner
+            .submitted_bodies
+            .get(&id)
+            .filter(|_| !is_excluded)
+            .cloned()
     };
     let Some(body) = body else { return };
-    cluster.inner.borrow_mut().faults.met.at_end += 1;
+    cluster.inner.borrow_mut().faults.counts.cancelled_at_end += 1;
     for request in [
         Request::new(Method::Get, format!("/v1/jobs/{id}"), Vec::new()),
         Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes()),
@@ -247,8 +266,8 @@
         sleep(Duration::from_millis(cluster.draw(700))).await;
         cancel(&cluster, &id).await;
         let mut inner = cluster.inner.borrow_mut();
-        let is_done = inner.rules.final_phase(&id) == Some("done");
-        inner.faults.met.at_end_done += usize::from(is_done);
+        let is_done = inner.invariants.final_phase(&id) == Some("done");
+        inner.faults.counts.done_despite_cancellation += usize::from(is_done);
     });
 }
 
@@ -269,8 +288,8 @@
         if let Some(id) = accepted_id.filter(|_| number % 2 == 0) {
             let (is_final, body) = {
                 let inner = cluster.inner.borrow();
-                let is_final = inner.rules.final_phase(&id).is_some();
-                (is_final, inner.bodies[&id].clone())
+                let is_final = inner.invariants.final_phase(&id).is_some();
+                (is_final, inner.submitted_bodies[&id].clone())
             };
             let mut body = body;
             if number % 8 == 0 {
@@ -289,14 +308,24 @@
                 .await;
             let is_answered = matches!(answer, Some((_, 200, _)));
             check_answer(&cluster, &id, answer, sent);
-            cluster.inner.borrow_mut().faults.met.odd += usize::from(is_answered);
+            cluster
+                .inner
+                .borrow_mut()
+                .faults
+                .counts
+                .invalid_requests_answered += usize::from(is_answered);
             continue;
         }
         let (body, status, expected_text) = invalid_job(number / 2);
         let request = Request::new(Method::Post, "/v1/jobs", body.to_string().into_bytes());
         match cluster.user_request(&request, &mut None).await {
             Some((got, text)) if got == status && text.contains(expected_text) => {
-                cluster.inner.borrow_mut().faults.met.odd += 1;
+                cluster
+                    .inner
+                    .borrow_mut()
+                    .faults
+                    .counts
+                    .invalid_requests_answered += 1;
             }
             // The controller could not yet decide whether the job is valid.
             None | Some((503, _)) => {}
@@ -357,7 +386,11 @@
             tokio::task::spawn_local(watch_job(cluster.clone(), body));
         }
     }
-    cluster.inner.borrow_mut().rules.picked = true;
+    cluster
+        .inner
+        .borrow_mut()
+        .invariants
+        .invalid_dependencies_refused = true;
 }
 
 /// Queries jobs that were never submitted; an answer of 200 is a violation.
--- a/crates/jasperhill-testkit/tests/cluster.rs
+++ b/crates/jasperhill-testkit/tests/cluster.rs
@@ -29,7 +29,7 @@
 /// tasks.
 fn run_small(seed: u64, faults: Vec<(u64, Fault)>) -> Outcome {
     let outcome = run(small(seed, faults));
-    assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
+    assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
     // An idle run would prove nothing.
     assert!(outcome.accepted > 40, "{outcome:?}");
     assert!(outcome.started > 80, "{outcome:?}");
@@ -124,7 +124,7 @@
             ));
         }
         let outcome = run(small(seed, faults));
-        assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
         assert!(outcome.started > 50, "seed {seed}: {outcome:?}");
     }
 }
@@ -176,7 +176,7 @@
         scale: Scale::Large,
         ..Scenario::small(50, 150, 120, faults)
     });
-    assert_eq!(outcome.broken, Vec::<String>::new());
+    assert_eq!(outcome.violations, Vec::<String>::new());
     assert!(outcome.accepted > 70, "{outcome:?}");
     assert!(outcome.started > 2_000, "{outcome:?}");
     assert!(outcome.most_at_once > 250, "{outcome:?}");
@@ -205,10 +205,10 @@
             }
         }
         let outcome = run(Scenario {
-            broken: 2,
+            failing_arrays: 2,
             ..small(seed, faults)
         });
-        assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
         assert!(outcome.started > 50, "seed {seed}: {outcome:?}");
     }
 }
@@ -251,11 +251,11 @@
     let mut faults: Vec<_> = (0..3).map(|n| (75, Fault::Crash(n, secs(6)))).collect();
     faults.push((110, Fault::Stall(0, secs(20))));
     let outcome = run(Scenario {
-        broken: 4,
+        failing_arrays: 4,
         huge_guest_array: true,
         ..small(90, faults)
     });
-    assert_eq!(outcome.broken, Vec::<String>::new());
+    assert_eq!(outcome.violations, Vec::<String>::new());
     assert!(outcome.accepted >= 60, "{outcome:?}");
     // The huge array has 4000 tasks, and few of them are started twice.
     assert!((4_000..4_700).contains(&outcome.started), "{outcome:?}");
@@ -290,10 +290,10 @@
             pipelines: (14, 40),
             ..small(seed, faults)
         });
-        assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
-        assert!(outcome.picked, "seed {seed}");
-        done_stages += outcome.staged;
-        cancelled_stages += outcome.swept;
+        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
+        assert!(outcome.invalid_dependencies_refused, "seed {seed}");
+        done_stages += outcome.pipeline_jobs_done;
+        cancelled_stages += outcome.cancelled_with_dependency;
     }
     // Runs in which no pipeline is completed or cancelled would prove nothing.
     assert!(
@@ -319,8 +319,8 @@
         seconds: 240,
         ..small(seed, faults)
     });
-    assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
-    assert!(outcome.staged > 10, "{outcome:?}");
+    assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
+    assert!(outcome.pipeline_jobs_done > 10, "{outcome:?}");
     outcome
 }
 
@@ -328,12 +328,12 @@
 fn rolling_upgrade_splits_large_values_before_the_limits_are_lowered() {
     for seed in [110, 111] {
         let outcome = run_rolling_upgrade(seed, Scale::Small, Vec::new());
-        assert_eq!(outcome.too_large, 0, "{outcome:?}");
+        assert_eq!(outcome.oversized_writes, 0, "{outcome:?}");
     }
     let outcome = run_rolling_upgrade(112, Scale::Large, Vec::new());
     // Values that the old version had filled were split before the limits were lowered.
-    assert_eq!(outcome.too_large, 0, "{outcome:?}");
-    assert!(outcome.longest <= 2 * 1024, "{outcome:?}");
+    assert_eq!(outcome.oversized_writes, 0, "{outcome:?}");
+    assert!(outcome.longest_value_bytes <= 2 * 1024, "{outcome:?}");
     assert_eq!(outcome.killed, 0, "{outcome:?}");
 }
 
@@ -362,5 +362,5 @@
     }
     let early_lower_limits = vec![(50, Fault::LimitsFall)];
     let outcome = run_rolling_upgrade(123, Scale::Large, early_lower_limits);
-    assert!(outcome.longest <= 2 * 1024, "{outcome:?}");
+    assert!(outcome.longest_value_bytes <= 2 * 1024, "{outcome:?}");
 }
--- a/crates/jasperhill-testkit/tests/combined_faults/cancellations.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/cancellations.rs
@@ -62,7 +62,7 @@
             cancellation_count > 0 && longest_cancel_s < CANCEL_LIMIT_S,
             "{lead_s}: {cancellation_count} {longest_cancel_s}"
         );
-        assert!(total_count(&runs, |counts| counts.answered_refused) > 0);
+        assert!(total_count(&runs, |counts| counts.heartbeats_answered_while_refused) > 0);
     }
 }
 
@@ -79,7 +79,7 @@
             cancellation_count > 0 && longest_cancel_s < CANCEL_LIMIT_S,
             "{lead_s}: {cancellation_count} {longest_cancel_s}"
         );
-        assert!(total_count(&runs, |counts| counts.answered_refused) > 20);
+        assert!(total_count(&runs, |counts| counts.heartbeats_answered_while_refused) > 20);
     }
 }
 
@@ -90,19 +90,19 @@
 fn a_long_session_does_not_delay_cancellations() {
     let cuts_of = |node| cut_from_peers(node, OUTAGE_START_S - 5, 5 + OUTAGE_DURATION_S);
     let (cancellation_count, longest_cancel_s, runs) =
-        run_refusals(5, cuts_of, |scenario| scenario.session = Some(60));
+        run_refusals(5, cuts_of, |scenario| scenario.session_s = Some(60));
     assert_invariants_hold(&runs);
     assert!(
         cancellation_count > 5 && longest_cancel_s > 20.0 && longest_cancel_s < CANCEL_LIMIT_S,
         "{cancellation_count} {longest_cancel_s}"
     );
     let (_, _, without_bound) = run_refusals(5, cuts_of, |scenario| {
-        scenario.session = Some(60);
+        scenario.session_s = Some(60);
         scenario.without_freshness_bound = true;
     });
     let broken = without_bound
         .iter()
-        .flat_map(|(_, outcome)| &outcome.broken);
+        .flat_map(|(_, outcome)| &outcome.violations);
     assert!(broken.into_iter().any(|b| b.starts_with("ran_cancelled")));
 }
 
@@ -148,7 +148,7 @@
         let runs = run_scenarios(scenarios.collect());
         assert_invariants_hold(&runs);
         assert!(
-            total_count(&runs, |counts| counts.called_off) > 8,
+            total_count(&runs, |counts| counts.cancelled_while_running) > 8,
             "{hang_s} {lead_s}"
         );
         assert!(
@@ -157,7 +157,7 @@
         );
         // Some machines resume within their lease while they still have cancelled tasks.
         assert!(
-            hang_s > 14 || total_count(&runs, |counts| counts.went_on) > 0,
+            hang_s > 14 || total_count(&runs, |counts| counts.resumed_within_lease) > 0,
             "{hang_s} {lead_s}"
         );
         let longest = |outcome: &Outcome| {
@@ -201,7 +201,7 @@
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.called_off) > 30);
+    assert!(total_count(&runs, |counts| counts.cancelled_while_running) > 30);
     for (name, outcome) in &runs {
         assert!(
             outcome.latest_start < CANCEL_LIMIT_S && outcome.longest_silence.0 < 75.0,
@@ -225,7 +225,7 @@
             faults.push((100, Fault::Refused(2, secs(14))));
         }
         let scenario = Scenario {
-            uneven: 12,
+            uneven_arrays: 12,
             pipelines: (3, 30),
             ..Scenario::small(120 + n as u64, 260, 60, faults)
         };
@@ -234,8 +234,8 @@
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
     let (cancelled_at_end, done) = (
-        total_count(&runs, |counts| counts.at_end),
-        total_count(&runs, |counts| counts.at_end_done),
+        total_count(&runs, |counts| counts.cancelled_at_end),
+        total_count(&runs, |counts| counts.done_despite_cancellation),
     );
     // Both outcomes occur: some jobs were done and some were cancelled.
     assert!(
--- a/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/late_messages.rs
@@ -33,8 +33,8 @@
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.overtaken) > 100);
-    assert!(total_count(&runs, |counts| counts.effective) > 50);
+    assert!(total_count(&runs, |counts| counts.writes_applied_after_newer) > 100);
+    assert!(total_count(&runs, |counts| counts.late_writes_with_effect) > 50);
 }
 
 #[test]
@@ -71,9 +71,9 @@
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.held_orders) > 50);
+    assert!(total_count(&runs, |counts| counts.delayed_commands) > 50);
     // Workers still carry out some of the commands that arrive late.
-    assert!(total_count(&runs, |counts| counts.held_done) > 5);
+    assert!(total_count(&runs, |counts| counts.delayed_commands_accepted) > 5);
 }
 
 /// Returns the HTTP status with which a worker answers a start command that arrives after the time
@@ -213,9 +213,9 @@
     assert_invariants_hold(&runs);
     assert!(total_count(&runs, |counts| counts.late_reports) > 1_000);
     // Late copies of heartbeats from machines already returned reached some controller.
-    assert!(total_count(&runs, |counts| counts.late_of_gone) > 20);
+    assert!(total_count(&runs, |counts| counts.late_heartbeats_of_returned) > 20);
     for (name, outcome) in &runs {
         assert_eq!(outcome.stale_host_records, Vec::<String>::new(), "{name}");
-        assert_eq!(outcome.fault_counts.taken_on_gone, 0, "{name}");
+        assert_eq!(outcome.fault_counts.records_of_returned, 0, "{name}");
     }
 }
--- a/crates/jasperhill-testkit/tests/combined_faults/machines.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/machines.rs
@@ -22,18 +22,18 @@
         ];
         faults.extend(extra_faults);
         let scenario = Scenario {
-            uneven: 8,
+            uneven_arrays: 8,
             ..Scenario::small(90 + n as u64, 330, 60, faults)
         };
         (format!("scenario {n}"), scenario)
     };
     let without_crashes = run_scenarios((0..4).map(|n| build_scenario(n, Vec::new())).collect());
     assert_invariants_hold(&without_crashes);
-    assert!(total_count(&without_crashes, |counts| counts.mute_reports) > 200);
+    assert!(total_count(&without_crashes, |counts| counts.unsent_heartbeats) > 200);
     // Counts tasks started on machines that had reached no controller for more than two and a half
     // report intervals. Some such starts are expected: a controller that hears too few machines
     // loses its roles, and the next owner treats every machine as live for a few seconds.
-    assert!(total_count(&without_crashes, |counts| counts.mute_starts) < 40);
+    assert!(total_count(&without_crashes, |counts| counts.starts_while_not_sending) < 40);
     let crashes_and_refusal = |n: usize| {
         vec![
             (FAULT_START_S + 4, Fault::Crash(n % 3, secs(3))),
@@ -48,7 +48,7 @@
             .collect(),
     );
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.mute_orders) > 20);
+    assert!(total_count(&runs, |counts| counts.commands_while_not_sending) > 20);
 }
 
 /// Guards against team limits that are exceeded or stay reserved when jobs are cancelled while
@@ -81,7 +81,7 @@
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.called_off) > 30);
+    assert!(total_count(&runs, |counts| counts.cancelled_while_running) > 30);
     for (name, outcome) in &runs {
         // Team limits cap the running tasks at 20 GPUs in total, so a value near 20 shows that
         // teams reached their limits.
@@ -117,16 +117,20 @@
         faults.push((FAULT_START_S + 3, Fault::CancelNow(8, Duration::ZERO)));
         faults.push((FAULT_START_S + 18, Fault::CancelNow(8, secs(10))));
         let scenario = Scenario {
-            bound: 25,
+            zone_bound_jobs: 25,
             ..Scenario::small(140 + n as u64, 300, 60, faults)
         };
         (format!("{cut_s} s"), scenario)
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.called_off) > 20);
+    assert!(total_count(&runs, |counts| counts.cancelled_while_running) > 20);
     for (name, outcome) in &runs {
-        assert!(outcome.bound > 10, "{name}: {}", outcome.bound);
+        assert!(
+            outcome.zone_bound_jobs_started > 10,
+            "{name}: {}",
+            outcome.zone_bound_jobs_started
+        );
         assert!(
             outcome.longest_wait < 90.0,
             "{name}: {}",
@@ -147,7 +151,7 @@
         faults.push((97, Fault::Crash((n + 1) % 3, secs(5))));
         faults.push((120, Fault::NotReceiving(40, secs(25))));
         let scenario = Scenario {
-            bound: 50,
+            zone_bound_jobs: 50,
             ..Scenario::small(150 + n as u64, 320, 30, faults)
         };
         (format!("scenario {n}"), scenario)
@@ -155,7 +159,11 @@
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
     for (name, outcome) in &runs {
-        assert!(outcome.bound > 25, "{name}: {}", outcome.bound);
+        assert!(
+            outcome.zone_bound_jobs_started > 25,
+            "{name}: {}",
+            outcome.zone_bound_jobs_started
+        );
         assert!(
             outcome.longest_wait < 90.0,
             "{name}: {}",
--- a/crates/jasperhill-testkit/tests/combined_faults/outages.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/outages.rs
@@ -84,7 +84,7 @@
         faults.push((90, Fault::NotSending(30, secs(30))));
         faults.push((96, Fault::CancelNow(6, secs(9))));
         let scenario = Scenario {
-            uneven: 10,
+            uneven_arrays: 10,
             ..Scenario::small(170 + n as u64, 340, 60, faults)
         };
         (format!("scenario {n}"), scenario)
--- a/crates/jasperhill-testkit/tests/combined_faults/restarts.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/restarts.rs
@@ -29,7 +29,7 @@
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.unheard) > 100);
+    assert!(total_count(&runs, |counts| counts.messages_not_received) > 100);
 }
 
 /// Guards against lost or repeated task results when the tasks of one job end far apart and the
@@ -42,7 +42,7 @@
             .collect();
         faults.push((60, Fault::LateWrites(20, secs(100))));
         let scenario = Scenario {
-            uneven: 30,
+            uneven_arrays: 30,
             ..Scenario::small(40 + n as u64, 300, 20, faults)
         };
         (format!("scenario {n}"), scenario)
@@ -52,11 +52,11 @@
     for (name, outcome) in &runs {
         // Users were told of the completion of all 30 jobs, and at most two finished tasks were
         // started again.
-        assert_eq!(outcome.uneven, 30, "{name}: {outcome:?}");
+        assert_eq!(outcome.uneven_jobs_done, 30, "{name}: {outcome:?}");
         assert!(
-            outcome.again <= 2,
+            outcome.tasks_restarted_after_result <= 2,
             "{name}: {} finished tasks were started again",
-            outcome.again
+            outcome.tasks_restarted_after_result
         );
         assert!(
             outcome.role_moves.len() > 12,
@@ -120,14 +120,14 @@
         faults.push((FAULT_START_S + 4, Fault::Hang(3, secs(10))));
         faults.push((FAULT_START_S + down_s - 3, Fault::NotSending(50, secs(20))));
         let scenario = Scenario {
-            uneven: 10,
+            uneven_arrays: 10,
             ..Scenario::small(160 + n as u64, 300, 60, faults)
         };
         (format!("{down_s} s"), scenario)
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.called_off) > 10);
+    assert!(total_count(&runs, |counts| counts.cancelled_while_running) > 10);
     for (name, outcome) in &runs {
         assert!(
             outcome.killed > 0,
--- a/crates/jasperhill-testkit/tests/combined_faults/support.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/support.rs
@@ -39,8 +39,13 @@
 pub fn assert_invariants_hold(runs: &[(String, Outcome)]) {
     let failures: Vec<String> = runs
         .iter()
-        .filter(|(_, outcome)| !outcome.broken.is_empty() || outcome.started < 30)
-        .map(|(name, outcome)| format!("{name}: started {}, {:?}", outcome.started, outcome.broken))
+        .filter(|(_, outcome)| !outcome.violations.is_empty() || outcome.started < 30)
+        .map(|(name, outcome)| {
+            format!(
+                "{name}: started {}, {:?}",
+                outcome.started, outcome.violations
+            )
+        })
         .collect();
     assert_eq!(failures, Vec::<String>::new());
 }
--- a/crates/jasperhill-testkit/tests/combined_faults/users.rs
+++ b/crates/jasperhill-testkit/tests/combined_faults/users.rs
@@ -22,7 +22,7 @@
     });
     let runs = run_scenarios(scenarios.collect());
     assert_invariants_hold(&runs);
-    assert!(total_count(&runs, |counts| counts.odd) > 800);
+    assert!(total_count(&runs, |counts| counts.invalid_requests_answered) > 800);
 }
 
 /// Every class, every team and each class's largest jobs are served when urgent and other work
@@ -60,20 +60,20 @@
     assert_invariants_hold(&runs);
     for (name, outcome) in &runs {
         let lowest_served_shares = [
-            &outcome.least_class,
-            &outcome.least_team,
-            &outcome.least_largest,
+            &outcome.lowest_class_share,
+            &outcome.lowest_team_share,
+            &outcome.lowest_largest_jobs_share,
         ];
         assert!(
             lowest_served_shares.iter().all(|share| share.1 >= 0.5),
             "{name}: {lowest_served_shares:?} {:?}",
-            outcome.served
+            outcome.started_shares
         );
         // The flood was not served in full, so the work did exceed the capacity.
         assert!(
-            outcome.served["flood"] < 0.9,
+            outcome.started_shares["flood"] < 0.9,
             "{name}: {:?}",
-            outcome.served
+            outcome.started_shares
         );
     }
 }
--- a/crates/jasperhill-testkit/tests/network_partitions.rs
+++ b/crates/jasperhill-testkit/tests/network_partitions.rs
@@ -58,7 +58,7 @@
 /// Returns a message if the outcome breaks a rule, leaves a role unowned or a worker unanswered, or
 /// has started too few tasks to prove anything.
 fn failed_check(name: &str, outcome: &Outcome) -> Option<String> {
-    let is_ok = outcome.broken.is_empty()
+    let is_ok = outcome.violations.is_empty()
         && outcome.unowned.is_empty()
         && outcome.unanswered.is_empty()
         && outcome.started > 20;
--- a/crates/jasperhill-testkit/tests/resource_limits.rs
+++ b/crates/jasperhill-testkit/tests/resource_limits.rs
@@ -27,7 +27,7 @@
 fn fleet(seed: u64, seconds: u64, faults: Vec<(u64, Fault)>) -> Scenario {
     Scenario {
         scale: Scale::Fleet,
-        sockets: SOCKET_LIMIT,
+        socket_limit: SOCKET_LIMIT,
         ..Scenario::small(seed, seconds, 150, faults)
     }
 }
@@ -52,7 +52,7 @@
 
 /// Asserts that the run broke no rule of the protocol and started more than 500 tasks.
 fn assert_invariants_hold(outcome: &Outcome) {
-    assert_eq!(outcome.broken, Vec::<String>::new());
+    assert_eq!(outcome.violations, Vec::<String>::new());
     assert!(outcome.started > 500, "{outcome:?}");
 }
 
@@ -60,7 +60,7 @@
 fn one_controller_serves_a_whole_fleet_within_its_sockets() {
     let outcome = run(fleet(1, 90, cuts_isolating_two_controllers()));
     assert_invariants_hold(&outcome);
-    assert!(outcome.sockets * 10 <= SOCKET_LIMIT * 8, "{outcome:?}");
+    assert!(outcome.peak_sockets * 10 <= SOCKET_LIMIT * 8, "{outcome:?}");
     assert_eq!(outcome.refused_sockets, 0, "{outcome:?}");
     // Heartbeats wait for the takeover instead of being rejected: with rejection 31 and 38 tasks
     // were killed.
@@ -73,7 +73,7 @@
         without_connection_budget: true,
         ..fleet(1, 90, cuts_isolating_two_controllers())
     });
-    assert!(outcome.sockets * 10 > SOCKET_LIMIT * 8, "{outcome:?}");
+    assert!(outcome.peak_sockets * 10 > SOCKET_LIMIT * 8, "{outcome:?}");
 }
 
 /// Returns crash loops of the first `nodes` controllers, each crashing
@@ -93,7 +93,7 @@
 #[test]
 fn a_crash_looping_controller_leaves_its_roles() {
     let outcome = run(Scenario::small(3, 100, 40, crash_loops(1, 35)));
-    assert_eq!(outcome.broken, Vec::<String>::new());
+    assert_eq!(outcome.violations, Vec::<String>::new());
     assert_eq!(outcome.killed, 0, "{outcome:?}");
     // The role moves away within a few crashes and returns only after the last crash.
     let moves_of = |role: &str| {
@@ -139,7 +139,7 @@
         assert_invariants_hold(&outcome);
         assert_eq!(outcome.killed, 0, "{outcome:?}");
         // The state service allows 250 requests per second.
-        assert!(outcome.state_peak <= 150, "{outcome:?}");
+        assert!(outcome.state_peak_requests <= 150, "{outcome:?}");
         assert_eq!(outcome.unowned, Vec::<String>::new());
         assert_eq!(outcome.unanswered, Vec::<String>::new());
     }
@@ -154,16 +154,16 @@
         without_starvation_guard: without_guard,
         ..Scenario::small(seed, 220, 140, Vec::new())
     });
-    assert_eq!(outcome.broken, Vec::<String>::new());
-    println!("{} {:?}", outcome.started, outcome.served);
+    assert_eq!(outcome.violations, Vec::<String>::new());
+    println!("{} {:?}", outcome.started, outcome.started_shares);
     outcome
 }
 
 #[test]
 fn no_class_starves_behind_more_important_work() {
     let (guarded, unguarded) = (run_urgent_flood(5, false), run_urgent_flood(5, true));
-    assert!(guarded.least_class.1 >= 0.5, "{guarded:?}");
-    assert!(unguarded.least_class.1 < 0.5, "{unguarded:?}");
+    assert!(guarded.lowest_class_share.1 >= 0.5, "{guarded:?}");
+    assert!(unguarded.lowest_class_share.1 < 0.5, "{unguarded:?}");
 }
 
 /// Guards against one team's flood of jobs that keeps other teams' jobs from starting.
@@ -175,11 +175,14 @@
         flood_of_one_team: true,
         ..Scenario::small(6, 180, 120, vec![(60, Fault::Crash(0, secs(6)))])
     });
-    assert_eq!(outcome.broken, Vec::<String>::new());
-    println!("{:?}", outcome.served);
+    assert_eq!(outcome.violations, Vec::<String>::new());
+    println!("{:?}", outcome.started_shares);
     // Only the flood waits, for the limit of its own team.
     for team in ["team-1", "team-2", "team-3"] {
-        assert!(outcome.served[team] >= 0.8, "{outcome:?}");
+        assert!(outcome.started_shares[team] >= 0.8, "{outcome:?}");
     }
-    assert!(outcome.served["flood"] < 0.5, "no flood: {outcome:?}");
+    assert!(
+        outcome.started_shares["flood"] < 0.5,
+        "no flood: {outcome:?}"
+    );
 }
